--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -1,6 +1,6 @@
-//! A request comes in: quota first, then room.
+//! Admission of a request: first by quota, then by capacity.
 
-use super::counting::home;
+use super::counting::home_gateway;
 use super::tuned::*;
 use super::Gateway;
 use crate::interface::*;
@@ -8,170 +8,170 @@
 use crate::state::*;
 
 impl Gateway {
-    pub(super) fn request(&mut self, now: Millis, mut request: Request, actions: &mut Vec<Action>) {
+    pub(super) fn handle_request(&mut self, now: Millis, mut request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if self.requests.contains_key(&id) {
             return;
         }
-        self.told.requests += 1;
-        let sane = |x: f64| if x.is_finite() { x.max(0.0) } else { 0.0 };
-        (request.units, request.budget_ms) = (sane(request.units), sane(request.budget_ms));
-        let (class, plan_no, pool) = (request.class as usize, request.plan as usize, request.pool);
-        if self.settings.classes.len() <= class
-            || self.settings.plans.len() <= plan_no
-            || request.budget_ms <= 0.0
-        {
+        self.summary.requests += 1;
+        let sanitize = |value: f64| if value.is_finite() { value.max(0.0) } else { 0.0 };
+        (request.units, request.budget_ms) = (sanitize(request.units), sanitize(request.budget_ms));
+        let (class, plan_index, pool) = (request.class as usize, request.plan as usize, request.pool);
+        let known = class < self.settings.classes.len() && plan_index < self.settings.plans.len();
+        if !known || request.budget_ms <= 0.0 {
             actions.push(Action::Refuse { id, retry_after_ms: 0.0, reason: Reason::Time });
             return;
         }
-        let (units, customer) = (request.units, request.customer);
-        self.units += (units - self.units) * USUAL_GAIN;
-        let aim = self.settings.classes[class].aim_ms.min(request.budget_ms);
-        self.customer(now, customer, plan_no, request.spread);
-        let (ends, aim_ends, attempts) = (now + request.budget_ms, now + aim, Vec::new());
-        let (held, asked, inside, closed, streaming, ran) = (false, false, true, false, false, None);
-        let open = Open { request, ends, aim_ends, held, asked, inside, closed, streaming, attempts, ran };
-        self.requests.insert(id, open);
-        // Seen past the limit: refused without a call until there is room; others can only have used more.
-        let c = &self.customers[&customer];
-        let plan = &self.settings.plans[plan_no].clone();
-        // Attempts-out caps: own attempts are counted, the others' reckoned from their use and time in hand.
-        let theirs = c.others / self.units.max(0.1) * self.usual[class].0 / 1000.0;
-        let out = f64::from(c.out + c.calls) + theirs.round();
-        let capped = plan.max_out > 0 && out >= f64::from(plan.max_out);
-        if capped || plan.rate > 0.0 && c.store.min(plan.burst) - c.waiting < units {
-            // A look at the count now and then keeps the view fresh while the counter is well.
-            let look = now - c.called > LOOK_MS && self.settings.counter.is_some() && plan.rate > 0.0;
-            if look && self.may_call(now, true) {
-                self.charge(now, customer, plan_no, 0.0, id, actions);
+        let (units, customer_id) = (request.units, request.customer);
+        self.mean_units += (units - self.mean_units) * MEAN_GAIN;
+        let target_ms = self.settings.classes[class].aim_ms.min(request.budget_ms);
+        self.refresh_customer(now, customer_id, plan_index, request.spread);
+        let (deadline, target_deadline) = (now + request.budget_ms, now + target_ms);
+        self.requests.insert(id, OpenRequest::new(request, deadline, target_deadline));
+        // A customer known to be over its quota is refused without a call: peers can only have used more.
+        let customer = &self.customers[&customer_id];
+        let plan = &self.settings.plans[plan_index].clone();
+        // Peers' attempts in flight are estimated from their usage and the class's latency.
+        let class_ms = self.classes[class].mean_ms;
+        let by_peers = customer.peer_rate / self.mean_units.max(0.1) * class_ms / 1000.0;
+        let in_flight = f64::from(customer.attempts_in_flight + customer.counter_calls) + by_peers.round();
+        let capped = plan.max_out > 0 && in_flight >= f64::from(plan.max_out);
+        if capped || plan.rate > 0.0 && customer.balance.min(plan.burst) - customer.waiting_units < units {
+            // Reading the count now and then keeps the balance up to date.
+            let outdated = now - customer.last_call_at > MIN_COUNT_READ_INTERVAL_MS;
+            if outdated && self.settings.counter.is_some() && plan.rate > 0.0 && self.take_call(now, true) {
+                self.charge(now, customer_id, plan_index, 0.0, id, actions);
             }
-            return self.beyond(now, id, actions);
+            return self.handle_over_quota(now, id, actions);
         }
-        let early =
-            Some(self.settings.rules.early_of_aim).filter(|early| *early > 0.0).unwrap_or(EARLY_OF_AIM);
-        if self.expected(now, id) > early * aim.max(0.0) {
-            self.flow_of(pool).crowded_at = now;
-            self.told.crowded += 1;
-            return self.finish(id, self.usual[class].0, Reason::Room, actions);
+        let early = Some(self.settings.rules.early_of_aim).filter(|share| *share > 0.0);
+        if self.expected_latency(now, id) > early.unwrap_or(ADMISSION_SHARE) * target_ms.max(0.0) {
+            self.pool_load(pool).overloaded_at = now;
+            self.summary.no_capacity += 1;
+            return self.finish(id, self.classes[class].mean_ms, Reason::Room, actions);
         }
         if self.settings.counter.is_none() || plan.rate <= 0.0 {
             return self.grant(now, id, actions);
         }
-        let trusted = self.counter.trusted();
-        // Where more come than the counter bears, plans that lose by what goes unchecked are asked for first.
-        let called = self.may_call(now, self.settings.limits.peers || plan.extra_worth > plan.excess_cost);
-        let c = self.customers.get_mut(&customer).expect("just entered");
-        // A silent or crowded counter is still tried, by fewer calls; what else comes rides on the next.
-        let home = home(customer, self.settings.gateways);
-        if !called && self.settings.limits.peers && home != self.settings.position {
-            c.waiting += units;
-            let open = self.requests.get_mut(&id).expect("just entered");
-            (open.held, open.asked) = (true, true);
-            let ask = Message::Ask { id, customer, plan: plan_no as u8, units: units as f32 };
+        let trusted = self.counter.is_trusted();
+        // If the counter can't take all calls, plans that lose by unchecked requests have priority.
+        let peers = self.settings.limits.peers;
+        let may_call = self.take_call(now, peers || plan.extra_worth > plan.excess_cost);
+        let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
+        let home = home_gateway(customer_id, self.settings.gateways);
+        if !may_call && peers && home != self.settings.position {
+            customer.waiting_units += units;
+            let open = self.requests.get_mut(&id).expect("inserted above");
+            (open.waiting, open.asked_peer) = (true, true);
+            let (plan, units) = (plan_index as u8, units as f32);
+            let ask = Message::BalanceRequest { id, customer: customer_id, plan, units };
             actions.push(Action::Tell { to: home, body: ask.encode() });
-            return actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms: aim * ASK_OF_AIM });
+            let wait_ms = target_ms * PEER_WAIT_SHARE;
+            return actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms: wait_ms });
         }
-        if !called {
-            c.owe(now, units, plan);
+        if !may_call {
+            customer.defer_units(now, units, plan);
             return self.grant(now, id, actions);
         }
-        self.charge(now, customer, plan_no, units, id, actions);
+        self.charge(now, customer_id, plan_index, units, id, actions);
         if trusted {
-            self.customers.get_mut(&customer).expect("just entered").waiting += units;
-            self.requests.get_mut(&id).expect("just entered").held = true;
-            actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms: self.counter_wait(aim) });
+            self.customers.get_mut(&customer_id).expect("refreshed above").waiting_units += units;
+            self.requests.get_mut(&id).expect("inserted above").waiting = true;
+            let after_ms = self.counter_wait_ms(target_ms);
+            actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms });
         } else {
             self.grant(now, id, actions);
         }
     }
 
-    /// Beyond the quota: refused at once, unless the plan earns more than it costs and the fleet has room.
-    pub(super) fn beyond(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let others = (1.0 - UNSURE.1 / self.gateways(now)).max(0.0);
+    /// Refuses a request over its quota, unless sending it pays for the plan and there is spare capacity.
+    pub(super) fn handle_over_quota(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
+        let unseen = (1.0 - CERTAIN_GATEWAYS / self.gateway_count(now)).max(0.0);
         let Some(pool) = self.requests.get(&id).map(|open| open.request.pool) else { return };
-        let expected = self.expected(now, id);
-        let flow = self.flow_of(pool);
-        let (expected, crowded_at) =
-            (expected * (1.0 + UNSURE.0 * others * (1.0 - flow.tells())), flow.crowded_at);
+        let expected = self.expected_latency(now, id);
+        let load = self.pool_load(pool);
+        // One of many gateways may see spare capacity by chance while others refuse requests.
+        let expected = expected * (1.0 + UNCERTAINTY * unseen * (1.0 - load.confidence()));
+        let overloaded_at = load.overloaded_at;
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let plan = &self.settings.plans[open.request.plan as usize];
-        let aim = self.settings.classes[open.request.class as usize].aim_ms;
-        // Never while those inside their quotas find no room: they come first.
-        let room = expected < ROOM_OF_AIM * aim && now - crowded_at > CROWDED_MS;
-        if plan.extra_worth > plan.excess_cost && room {
-            open.inside = false;
+        let plan = &self.settings.plans[open.plan()];
+        let target_ms = self.settings.classes[open.class()].aim_ms;
+        let spare = expected < OVER_QUOTA_SHARE * target_ms && now - overloaded_at > OVERLOAD_MEMORY_MS;
+        if plan.extra_worth > plan.excess_cost && spare {
+            open.within_quota = false;
             return self.send(now, id, actions);
         }
-        self.told.beyond += 1;
-        let c = &self.customers[&open.request.customer];
-        let short = open.request.units.min(plan.burst) - c.store;
-        let wait = if plan.rate > 0.0 { (short / plan.rate * 500.0).max(0.0) } else { aim };
-        self.finish(id, wait, Reason::Quota, actions);
+        self.summary.over_quota += 1;
+        let customer = &self.customers[&open.request.customer];
+        let missing = open.request.units.min(plan.burst) - customer.balance;
+        let retry_ms = if plan.rate > 0.0 { (missing / plan.rate * 500.0).max(0.0) } else { target_ms };
+        self.finish(id, retry_ms, Reason::Quota, actions);
     }
 
-    /// Expected time of a request admitted now: work in hand over the rate of answers. It rises at once with
-    /// what is let in, whatever slows the fleet: other gateways, neighbours, costly requests.
-    pub(super) fn expected(&mut self, now: Millis, id: RequestId) -> f64 {
+    /// Expected latency of a request admitted now: requests in flight over responses per second.
+    pub(super) fn expected_latency(&mut self, now: Millis, id: RequestId) -> f64 {
         let Some(open) = self.requests.get(&id) else { return f64::INFINITY };
         let pool = open.request.pool;
-        let usual = self.usual[open.request.class as usize].0;
-        let aim = self.settings.classes[open.request.class as usize].aim_ms;
-        self.flow(now, pool, 0.0, 0.0);
-        if self.ready(pool).next().is_none() {
+        let class_ms = self.classes[open.class()].mean_ms;
+        let target_ms = self.settings.classes[open.class()].aim_ms;
+        self.update_load(now, pool, 0.0, 0.0);
+        if self.ready_backends(pool).next().is_none() {
             return f64::INFINITY;
         }
-        // A few hung attempts must not lock the gateway: its part of the least work is always let in.
-        let ready = self.ready(pool).count() as f64;
-        let (gateways, started) = (self.gateways(now), self.started);
-        let flow = self.flow_of(pool);
-        if flow.out < (ready * ALWAYS / gateways).max(1.0) {
+        // Always admits a minimum, so that a few hung attempts can't block the gateway.
+        let ready = self.ready_backends(pool).count() as f64;
+        let (gateways, started_at) = (self.gateway_count(now), self.started_at);
+        let load = self.pool_load(pool);
+        if load.in_flight < (ready * MIN_REQUESTS_PER_BACKEND / gateways).max(1.0) {
             return 0.0;
         }
-        // The averages began at nought: what they hold as yet stands for all of it.
-        let known = 1.0 - (-(now - started).max(1.0) / FLOW_MS).exp();
-        let mean = flow.out_mean / known;
-        // With few out their number swings by chance: what may be that tells of no queue.
-        let sure = flow.out - CHANCE * mean.sqrt();
-        let out = flow.out.min(sure.clamp(mean, mean * 2.0));
-        let wait = out / (flow.served / known) * 1000.0;
-        let wait = Some(wait).filter(|wait| wait.is_finite()).unwrap_or(usual);
-        // Few answers tell chance, and one that hangs would tell most: there each counts by its share of the
-        // aim, the whole of it at most.
-        let tells = flow.tells();
-        wait * tells + LATE_TIMES * flow.late * aim * (1.0 - tells)
+        // Corrects the averages for their start from 0.
+        let known = 1.0 - (-(now - started_at).max(1.0) / LOAD_AVERAGE_MS).exp();
+        let mean = load.mean_in_flight / known;
+        // An excess over the mean that may be random variation is not counted as a queue.
+        let certain = load.in_flight - QUEUE_DEVIATIONS * mean.sqrt();
+        let in_flight = load.in_flight.min(certain.clamp(mean, mean * 2.0));
+        let latency = in_flight / (load.responses_per_s / known) * 1000.0;
+        let latency = Some(latency).filter(|latency| latency.is_finite()).unwrap_or(class_ms);
+        // With few responses the mean share of the target is used instead: a hung attempt weighs less in it.
+        let confidence = load.confidence();
+        latency * confidence + TARGET_SHARE_FACTOR * load.target_share * target_ms * (1.0 - confidence)
     }
 
-    /// The requests for a service.
-    pub(super) fn flow_of(&mut self, pool: u32) -> &mut Flow {
-        let (pool, now) = (pool as usize, self.started);
-        while self.flows.len() <= pool {
-            self.flows.push(Flow::new(&self.settings.rules, now));
+    pub(super) fn pool_load(&mut self, pool: u32) -> &mut PoolLoad {
+        let (pool, now) = (pool as usize, self.started_at);
+        while self.pools.len() <= pool {
+            self.pools.push(PoolLoad::new(&self.settings.rules, now));
         }
-        &mut self.flows[pool]
+        &mut self.pools[pool]
     }
 
-    /// Keeps the averages of attempts out and answers a second.
-    pub(super) fn flow(&mut self, now: Millis, pool: u32, out: f64, served: f64) {
-        let flow = self.flow_of(pool);
-        let keep = (-(now - flow.at).max(0.0) / FLOW_MS).exp();
-        flow.out_mean = flow.out_mean * keep + flow.out * (1.0 - keep);
-        flow.served = flow.served * keep + served * 1000.0 / FLOW_MS;
-        flow.at = now;
-        flow.out += out;
+    /// Brings the pool's averages up to now, then adds to the requests in flight and the responses.
+    pub(super) fn update_load(&mut self, now: Millis, pool: u32, in_flight: f64, responses: f64) {
+        let load = self.pool_load(pool);
+        let keep = (-(now - load.updated_at).max(0.0) / LOAD_AVERAGE_MS).exp();
+        load.mean_in_flight = load.mean_in_flight * keep + load.in_flight * (1.0 - keep);
+        load.responses_per_s = load.responses_per_s * keep + responses * 1000.0 / LOAD_AVERAGE_MS;
+        load.updated_at = now;
+        load.in_flight += in_flight;
     }
 }
 
-impl Flow {
+impl PoolLoad {
     pub(super) fn new(rules: &Rules, now: Millis) -> Self {
-        let (out, out_mean, served, late, at) = (0.0, 0.0, 0.0, USUAL_OF_AIM, now);
-        let (crowded_at, rate, rate_at) = (f64::NEG_INFINITY, 0.0, now);
-        let retries = rules.further.map_or(RETRY_MOST, |further| further.most);
-        Flow { out, out_mean, served, late, at, crowded_at, retries, rate, rate_at }
+        PoolLoad {
+            target_share: INITIAL_LATENCY_SHARE,
+            updated_at: now,
+            overloaded_at: f64::NEG_INFINITY,
+            retry_tokens: rules.further.map_or(MAX_RETRY_TOKENS, |further| further.most),
+            requests_at: now,
+            ..PoolLoad::default()
+        }
     }
 
-    /// How much the averages over answers tell, from nought to one: with few they tell chance.
-    fn tells(&self) -> f64 {
-        let tells = (self.served * FLOW_MS / 1000.0 / FLOW_TELLS).powi(2);
-        tells / (1.0 + tells)
+    /// Weight of the average response rate in an estimate, from 0 to 1: low with few responses.
+    fn confidence(&self) -> f64 {
+        let weight = (self.responses_per_s * LOAD_AVERAGE_MS / 1000.0 / LOAD_HALF_WEIGHT_RESPONSES).powi(2);
+        weight / (1.0 + weight)
     }
 }
--- a/src/choice/attempts.rs
+++ b/src/choice/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts, and the final answer where none is left.
+//! Attempts of a request, and its final answer if no further attempt is possible.
 
 use super::tuned::*;
 use super::Gateway;
@@ -10,188 +10,186 @@
         let Some(open) = self.requests.get(&id) else { return };
         let pool = open.request.pool;
         if open.attempts.is_empty() {
-            // What finds no backend counts too: cold ones get their turns by it.
-            let flow = self.flow_of(pool);
-            let keep = (-(now - flow.rate_at).max(0.0) / RATE_MS).exp();
-            flow.rate = flow.rate * keep + 1000.0 / RATE_MS;
-            flow.rate_at = now;
+            // Requests that find no backend count too, so that cold backends earn tokens.
+            let load = self.pool_load(pool);
+            let keep = (-(now - load.requests_at).max(0.0) / REQUEST_RATE_MS).exp();
+            load.requests_per_s = load.requests_per_s * keep + 1000.0 / REQUEST_RATE_MS;
+            load.requests_at = now;
         }
-        self.reckon_cold(now, pool);
+        self.refill_warm_up_tokens(now, pool);
         let picked = self.pick(now, id);
         let Some(open) = self.requests.get_mut(&id) else { return };
         let request = &open.request;
         let first = open.attempts.is_empty();
         let class = &self.settings.classes[request.class as usize];
         let plan = &self.settings.plans[request.plan as usize];
-        let left = open.ends - now;
-        let mut may = picked.is_some() && left > 0.0;
-        may &= (open.attempts.len() as u32) < self.settings.limits.max_attempts.max(1);
-        if let (Some((since, _)), Effect::Keyed { window_ms, .. }) = (open.ran, class.effect) {
-            may &= now - since < window_ms;
+        let left_ms = open.deadline - now;
+        let mut allowed = picked.is_some() && left_ms > 0.0;
+        allowed &= (open.attempts.len() as u32) < self.settings.limits.max_attempts.max(1);
+        if let (Some((since, _)), Effect::Keyed { window_ms, .. }) = (open.executed, class.effect) {
+            allowed &= now - since < window_ms;
         }
         if first && plan.ceiling_rate > 0.0 {
-            may &= self.customers.get(&request.customer).is_some_and(|c| c.ceiling >= request.units);
-        }
-        let Some(backend) = picked.filter(|_| may) else {
-            if first && open.inside {
-                // Never sent, so it took nothing.
-                if let Some(c) = self.customers.get_mut(&request.customer) {
-                    c.store += request.units;
-                    c.owe(now, -request.units, plan);
+            let customer = self.customers.get(&request.customer);
+            allowed &= customer.is_some_and(|customer| customer.ceiling_balance >= request.units);
+        }
+        let Some(backend_id) = picked.filter(|_| allowed) else {
+            if first && open.within_quota {
+                // Refunds the units of a request that was never sent.
+                if let Some(customer) = self.customers.get_mut(&request.customer) {
+                    customer.balance += request.units;
+                    customer.defer_units(now, -request.units, plan);
                 }
             }
-            if !open.attempts.iter().any(|a| a.live) {
-                self.told.unsent += 1;
+            if !open.attempts.iter().any(|attempt| attempt.in_flight) {
+                self.summary.unsent += 1;
                 self.finish(id, class.aim_ms / 2.0, Reason::Unsent, actions);
             }
             return;
         };
-        let b = self.backends.get_mut(&backend).expect("picked from the list");
-        // With its body still to come it is no work yet.
-        let at_work = !request.streams;
-        if at_work {
-            b.begin(now);
-        }
-        b.cold.0 -= 1.0;
-        b.note_sent(now);
-        if let Some(c) = self.customers.get_mut(&request.customer) {
-            c.out += 1;
+        let backend = self.backends.get_mut(&backend_id).expect("picked from the list");
+        // A backend starts to process a streamed request only when its body is complete.
+        let processing = !request.streams;
+        if processing {
+            backend.start_request(now);
+        }
+        backend.warm_up_tokens -= 1.0;
+        backend.record_send(now);
+        if let Some(customer) = self.customers.get_mut(&request.customer) {
+            customer.attempts_in_flight += 1;
             if first {
-                c.ceiling -= request.units;
+                customer.ceiling_balance -= request.units;
             }
         }
-        let depth = f64::from(b.out);
-        open.attempts.push(Attempt { backend, sent: now, depth, live: true, at_work });
-        // Past its aim an answer may earn nothing: the attempt ends before. It frees a place but wastes
-        // work that backends finish all the same: only where waste is priced below late failure.
+        let queue_depth = f64::from(backend.in_flight);
+        let attempt = Attempt { backend: backend_id, sent_at: now, queue_depth, in_flight: true, processing };
+        open.attempts.push(attempt);
+        // Times out before the target if a late response earns nothing and costs more than wasted work.
         let prices = &self.settings.prices;
-        let cuts = class.late_worth <= 0.0 && prices.waste < prices.late_fail;
-        let cut = if cuts { open.aim_ends - now - CUT_MS - 2.0 * self.settings.tick_ms } else { left };
-        actions.push(Action::Send { id, backend, timeout_ms: left.min(cut.max(1.0)) });
-        self.flow(now, pool, f64::from(u8::from(at_work)), 0.0);
+        let cut = class.late_worth <= 0.0 && prices.waste < prices.late_fail;
+        let target_ms = open.target_deadline - now - TARGET_MARGIN_MS - 2.0 * self.settings.tick_ms;
+        let max_ms = if cut { target_ms } else { left_ms };
+        actions.push(Action::Send { id, backend: backend_id, timeout_ms: left_ms.min(max_ms.max(1.0)) });
+        self.update_load(now, pool, f64::from(u8::from(processing)), 0.0);
         if first {
-            let (share, most) =
-                self.settings.rules.further.map_or((RETRY_SHARE, RETRY_MOST), |f| (f.share, f.most));
-            let flow = self.flow_of(pool);
-            flow.retries = (flow.retries + share).min(most);
+            let (ratio, max) =
+                self.settings.rules.further.map_or((RETRY_RATIO, MAX_RETRY_TOKENS), |f| (f.share, f.most));
+            let load = self.pool_load(pool);
+            load.retry_tokens = (load.retry_tokens + ratio).min(max);
         }
     }
 
-    /// The backend has the whole body now: the request's time and the attempt's begin.
-    pub(super) fn whole(&mut self, now: Millis, id: RequestId, attempt: u8) {
+    /// The backend has the whole body: the times of the request and the attempt start now.
+    pub(super) fn handle_body_sent(&mut self, now: Millis, id: RequestId, attempt: u8) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let (budget, aim, pool) = (
-            open.request.budget_ms,
-            self.settings.classes[open.request.class as usize].aim_ms,
-            open.request.pool,
-        );
+        let (budget_ms, pool) = (open.request.budget_ms, open.request.pool);
+        let target_ms = self.settings.classes[open.class()].aim_ms;
         let Some(attempt) = open.attempts.get_mut(attempt as usize) else { return };
-        if !attempt.live || attempt.at_work || open.streaming {
+        if !attempt.in_flight || attempt.processing || open.streaming {
             return;
         }
-        (open.ends, open.aim_ends) = (now + budget, now + aim.min(budget));
-        (attempt.sent, attempt.at_work) = (now, true);
-        if let Some(b) = self.backends.get_mut(&attempt.backend) {
-            b.begin(now);
-            attempt.depth = f64::from(b.out);
+        (open.deadline, open.target_deadline) = (now + budget_ms, now + target_ms.min(budget_ms));
+        (attempt.sent_at, attempt.processing) = (now, true);
+        if let Some(backend) = self.backends.get_mut(&attempt.backend) {
+            backend.start_request(now);
+            attempt.queue_depth = f64::from(backend.in_flight);
         }
-        self.flow(now, pool, 1.0, 0.0);
+        self.update_load(now, pool, 1.0, 0.0);
     }
 
-    /// The backend's work is done; what follows tells of the client's pace and the path.
-    pub(super) fn started_answer(&mut self, now: Millis, id: RequestId, number: u8) {
+    /// The backend is done: what follows depends on the client and the network only.
+    pub(super) fn handle_response_start(&mut self, now: Millis, id: RequestId, number: u8) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         open.streaming = true;
-        let (class, plan, pool) =
-            (open.request.class as usize, open.request.plan as usize, open.request.pool);
+        let (class, plan, pool) = (open.class(), open.plan(), open.request.pool);
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
-        if !attempt.live || !std::mem::take(&mut attempt.at_work) {
+        if !attempt.in_flight || !std::mem::take(&mut attempt.processing) {
             return;
         }
-        let (backend, took_ms, depth) = (attempt.backend, now - attempt.sent, attempt.depth);
-        self.worked(now, class, pool, took_ms, Result::Ok);
-        self.learn(now, backend, class, plan, Result::Ok, took_ms, depth);
+        let (backend, took_ms, queue_depth) = (attempt.backend, now - attempt.sent_at, attempt.queue_depth);
+        self.end_processing(now, class, pool, took_ms, Result::Ok);
+        self.record_result(now, backend, class, plan, Result::Ok, took_ms, queue_depth);
     }
 
-    /// A backend's work has ended: the averages over work in hand and answers.
-    pub(super) fn worked(&mut self, now: Millis, class: usize, pool: u32, took_ms: f64, result: Result) {
-        self.flow(now, pool, -1.0, f64::from(u8::from(result == Result::Ok)));
+    /// Updates the pool's averages after a backend has stopped processing a request.
+    fn end_processing(&mut self, now: Millis, class: usize, pool: u32, took_ms: f64, result: Result) {
+        self.update_load(now, pool, -1.0, f64::from(u8::from(result == Result::Ok)));
         if matches!(result, Result::Ok | Result::Timeout) {
             let share = took_ms / self.settings.classes[class].aim_ms.max(1.0);
-            let flow = self.flow_of(pool);
-            flow.late += (share.min(1.0) - flow.late) * LATE_GAIN;
+            let load = self.pool_load(pool);
+            load.target_share += (share.min(1.0) - load.target_share) * TARGET_SHARE_GAIN;
         }
     }
 
-    pub(super) fn outcome(&mut self, now: Millis, o: Outcome, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get_mut(&o.id) else { return };
-        let Some(attempt) = open.attempts.get_mut(o.attempt as usize) else { return };
-        if !std::mem::take(&mut attempt.live) {
+    pub(super) fn handle_outcome(&mut self, now: Millis, outcome: Outcome, actions: &mut Vec<Action>) {
+        let Outcome { id, attempt, result, ended, units, took_ms, .. } = outcome;
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) = open.attempts.get_mut(attempt as usize) else { return };
+        if !std::mem::take(&mut attempt.in_flight) {
             return;
         }
-        let (sent, depth, backend) = (attempt.sent, attempt.depth, attempt.backend);
-        let at_work = std::mem::take(&mut attempt.at_work);
-        let (class, plan, pool) =
-            (open.request.class as usize, open.request.plan as usize, open.request.pool);
-        if let Some(c) = self.customers.get_mut(&open.request.customer) {
-            c.out = c.out.saturating_sub(1);
-            // The settlement: the true units' difference rides on the customer's next charge.
-            if let (true, true, Some(units)) = (self.settings.settles, open.inside, o.units) {
+        let (sent_at, queue_depth, backend) = (attempt.sent_at, attempt.queue_depth, attempt.backend);
+        let processing = std::mem::take(&mut attempt.processing);
+        let (class, plan_index, pool) = (open.class(), open.plan(), open.request.pool);
+        if let Some(customer) = self.customers.get_mut(&open.request.customer) {
+            customer.attempts_in_flight = customer.attempts_in_flight.saturating_sub(1);
+            // Settles the difference of the actual units with the customer's next charge.
+            if let (true, true, Some(units)) = (self.settings.settles, open.within_quota, units) {
                 if units.is_finite() {
-                    c.store -= units - open.request.units;
-                    let plan = &self.settings.plans[open.request.plan as usize];
-                    c.owe(now, units - open.request.units, plan);
-                    open.inside = false;
+                    customer.balance -= units - open.request.units;
+                    let plan = &self.settings.plans[plan_index];
+                    customer.defer_units(now, units - open.request.units, plan);
+                    open.within_quota = false;
                 }
             }
         }
-        if !o.result.never_ran() && open.ran.is_none() {
-            open.ran = Some((sent, backend));
+        if !result.never_ran() && open.executed.is_none() {
+            open.executed = Some((sent_at, backend));
         }
-        if at_work {
-            self.worked(now, class, pool, now - sent, o.result);
-            self.learn(now, backend, class, plan, o.result, o.took_ms, depth);
+        if processing {
+            self.end_processing(now, class, pool, now - sent_at, result);
+            self.record_result(now, backend, class, plan_index, result, took_ms, queue_depth);
         } else {
-            self.judge(now, backend, plan, o.result, o.took_ms);
+            self.update_health(now, backend, plan_index, result, took_ms);
         }
-        let open = self.requests.get_mut(&o.id).expect("seen above");
-        if o.ended || open.closed {
-            return self.close(o.id, actions);
+        let open = self.requests.get_mut(&id).expect("found above");
+        if ended || open.closed {
+            return self.close(id, actions);
         }
-        if open.attempts.iter().any(|a| a.live) {
+        if open.attempts.iter().any(|attempt| attempt.in_flight) {
             return;
         }
         let effect = self.settings.classes[class].effect;
-        let worth =
-            self.settings.classes[class].late_worth > 0.0 || now + self.usual[class].0 < open.aim_ends;
-        // Where further attempts are limited by rule, what a server turned away was one that arrived.
+        let worthwhile = self.settings.classes[class].late_worth > 0.0
+            || now + self.classes[class].mean_ms < open.target_deadline;
+        // Under a configured retry limit, a request that the backend rejected counts as a retry too.
         let free = match self.settings.rules.further {
-            Some(_) => matches!(o.result, Result::ConnectFailed | Result::Moot),
-            None => o.result.never_ran(),
+            Some(_) => matches!(result, Result::ConnectFailed | Result::Moot),
+            None => result.never_ran(),
         };
-        let may = o.result.never_ran() || effect != Effect::Unsafe;
-        let again = worth && may && (free || self.flow_of(pool).retries >= 1.0);
-        let open = &self.requests[&o.id];
-        if again && o.result != Result::Moot && open.ends > now && !open.streaming {
-            if !free && o.result != Result::Cancelled {
-                self.flow_of(pool).retries -= 1.0;
+        let allowed = result.never_ran() || effect != Effect::Unsafe;
+        let retry = worthwhile && allowed && (free || self.pool_load(pool).retry_tokens >= 1.0);
+        let open = &self.requests[&id];
+        if retry && result != Result::Moot && open.deadline > now && !open.streaming {
+            if !free && result != Result::Cancelled {
+                self.pool_load(pool).retry_tokens -= 1.0;
             }
-            return self.send(now, o.id, actions);
+            return self.send(now, id, actions);
         }
-        self.finish(o.id, self.settings.classes[class].aim_ms / 2.0, Reason::Unsent, actions);
+        self.finish(id, self.settings.classes[class].aim_ms / 2.0, Reason::Unsent, actions);
     }
 
-    /// Ends the request: refused where trying again is harmless, failed where an attempt may have run.
-    pub(super) fn finish(&mut self, id: RequestId, wait: f64, reason: Reason, actions: &mut Vec<Action>) {
+    /// Answers the request: refused if the client may safely retry, failed if an attempt may have executed.
+    pub(super) fn finish(&mut self, id: RequestId, wait_ms: f64, reason: Reason, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
-        let harmless = match self.settings.classes[open.request.class as usize].effect {
+        let repeatable = match self.settings.classes[open.class()].effect {
             Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-            _ => open.ran.is_none() && !open.attempts.iter().any(|a| a.live),
+            _ => open.executed.is_none() && !open.attempts.iter().any(|attempt| attempt.in_flight),
         };
-        if harmless {
+        if repeatable {
             let limits = &self.settings.limits;
-            let wait = wait.clamp(0.0, limits.max_retry_after_ms.max(0.0));
-            let retry_after_ms = if limits.retry_after { wait } else { 0.0 };
+            let wait_ms = wait_ms.clamp(0.0, limits.max_retry_after_ms.max(0.0));
+            let retry_after_ms = if limits.retry_after { wait_ms } else { 0.0 };
             actions.push(Action::Refuse { id, retry_after_ms, reason });
         } else {
             actions.push(Action::Fail { id });
@@ -199,16 +197,16 @@
         self.close(id, actions);
     }
 
-    /// Nothing more is sent for the request; it is kept until its last attempt has ended.
+    /// Sends no further attempt; the request is kept until its attempts in flight have ended.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        self.release(id);
+        self.stop_waiting(id);
         let Some(open) = self.requests.get_mut(&id) else { return };
         if !std::mem::replace(&mut open.closed, true) && self.settings.limits.cancel {
-            for (number, _) in open.attempts.iter().enumerate().filter(|(_, a)| a.live) {
+            for (number, _) in open.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight) {
                 actions.push(Action::Cancel { id, attempt: number as u8 });
             }
         }
-        if !open.attempts.iter().any(|a| a.live) {
+        if !open.attempts.iter().any(|attempt| attempt.in_flight) {
             self.requests.remove(&id);
         }
     }
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -1,4 +1,4 @@
-//! Backends that are cold: what they may be sent.
+//! Rate limits of backends that warm up.
 
 use super::tuned::*;
 use super::Gateway;
@@ -6,41 +6,43 @@
 use crate::state::*;
 
 impl Gateway {
-    /// Cold backends: each gateway sends them what surely is warm of an even part of its requests. With few
-    /// warm ones left it goes by half the multiple at which one falls over, of what is warm of its part in
-    /// the whole fleet: together the gateways stay at half of what it bears.
-    pub(super) fn reckon_cold(&mut self, now: Millis, pool: u32) {
+    /// Refills the warm-up tokens: a cold backend gets its warm share of an even part of the requests. If few
+    /// backends are warm, all gateways together send at most half of what overloads a cold backend.
+    pub(super) fn refill_warm_up_tokens(&mut self, now: Millis, pool: u32) {
         let rules = self.settings.rules;
-        let kept = self.kept(now, pool);
-        let (mut ready, mut units) = (0.0, 0.0);
-        for b in self.ready(pool).filter(|b| b.lot < kept) {
+        let subset_bound = self.subset_bound(now, pool);
+        let (mut ready, mut capacity) = (0.0, 0.0);
+        for backend in self.ready_backends(pool).filter(|backend| backend.subset_rank < subset_bound) {
             ready += 1.0;
-            units += cold_share(&rules, now, b).unwrap_or(1.0);
+            capacity += warm_share(&rules, now, backend).unwrap_or(1.0);
         }
-        let least = ready / (rules.fall_multiple / 2.0).max(1.0);
-        // The average began at nought: what it holds as yet stands for all of it.
-        let known = 1.0 - (-(now - self.started).max(RATE_KNOWN_MS) / RATE_MS).exp();
-        let part = self.flow_of(pool).rate / known / f64::max(units, least).max(1.0);
-        // Those kept to alone, and those that this gateway has a part of: the parts are reckoned for these.
-        let has_part = |b: &Backend| b.lot < kept || b.listed.cold_until > now && b.listed.limit > 0;
-        for b in self.backends.values_mut().filter(|b| b.listed.pool == pool && has_part(b)) {
-            let Some(share) = cold_share(&rules, now, b) else { continue };
-            let most = b.listed.cold_per_s * COLD_PART;
-            let most = if b.listed.cold_until > now { most } else { f64::INFINITY };
-            let more = (now - b.cold.1).max(0.0) / 1000.0 * (part * share).min(most);
-            b.cold = ((b.cold.0 + more).min(1.0), now);
+        let min_capacity = ready / (rules.fall_multiple / 2.0).max(1.0);
+        // Corrects the average for its start from 0.
+        let known = 1.0 - (-(now - self.started_at).max(MIN_REQUEST_RATE_AGE_MS) / REQUEST_RATE_MS).exp();
+        let part = self.pool_load(pool).requests_per_s / known / f64::max(capacity, min_capacity).max(1.0);
+        // Only backends of the subset, and those that this gateway was assigned a part of.
+        let assigned =
+            |b: &Backend| b.subset_rank < subset_bound || b.listed.cold_until > now && b.listed.limit > 0;
+        for backend in self.backends.values_mut().filter(|b| b.listed.pool == pool && assigned(b)) {
+            let Some(share) = warm_share(&rules, now, backend) else { continue };
+            let max_per_s = backend.listed.cold_per_s * WARM_UP_RATE_SHARE;
+            let max_per_s = if backend.listed.cold_until > now { max_per_s } else { f64::INFINITY };
+            let elapsed_s = (now - backend.warm_up_tokens_at).max(0.0) / 1000.0;
+            let refill = elapsed_s * (part * share).min(max_per_s);
+            let tokens = (backend.warm_up_tokens + refill).min(1.0);
+            (backend.warm_up_tokens, backend.warm_up_tokens_at) = (tokens, now);
         }
     }
 }
 
-/// Share of its capacity that a backend surely has while it may be cold.
-pub(super) fn cold_share(rules: &Rules, now: Millis, backend: &Backend) -> Option<f64> {
+/// Share of its capacity that a backend has for certain during warm-up; `None` if it is warm.
+pub(super) fn warm_share(rules: &Rules, now: Millis, backend: &Backend) -> Option<f64> {
     if backend.listed.cold_until > now {
         return Some(rules.cold_from.clamp(0.05, 1.0));
     }
-    let age = now - backend.born?;
+    let age = now - backend.warming_since?;
     (age < rules.warm_up_ms).then(|| {
-        let from = rules.cold_from.clamp(0.05, 1.0);
-        from + (1.0 - from) * (age / rules.warm_up_ms).clamp(0.0, 1.0)
+        let initial = rules.cold_from.clamp(0.05, 1.0);
+        initial + (1.0 - initial) * (age / rules.warm_up_ms).clamp(0.0, 1.0)
     })
 }
--- a/src/choice/counting.rs
+++ b/src/choice/counting.rs
@@ -1,4 +1,4 @@
-//! The shared counts: units charged before sending, and settled after the answer.
+//! The shared counts: units are charged before sending and settled after the response.
 
 use super::tuned::*;
 use super::Gateway;
@@ -7,316 +7,323 @@
 use crate::state::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Calls to the shared counter, and what it bears.
-pub(super) struct Counter {
-    calls: BTreeMap<u64, VecDeque<Call>>,
-    /// Slow or failed calls in a row.
-    misses: u32,
-    /// Calls a second that it bears from this gateway, those saved up and when reckoned; the pace before the
-    /// last misses cut it, unless none did yet, and whether some did since the last good answer.
-    pub(super) pace: f64,
-    saved: f64,
-    at: Millis,
-    once: Option<f64>,
-    cut: bool,
-    /// Least time that it took to answer, in ms, and when that was reckoned.
-    way: (f64, Millis),
+/// Calls to the shared counter, at a rate that adapts to slow and failed calls.
+#[derive(Default)]
+pub(super) struct CounterClient {
+    /// Calls in flight, by the name of the count.
+    pending: BTreeMap<u64, VecDeque<Call>>,
+    consecutive_misses: u32,
+    pub(super) calls_per_s: f64,
+    tokens: f64,
+    tokens_at: Millis,
+    /// The call rate before the latest cuts, if there were any.
+    rate_before_cut: Option<f64>,
+    /// The call rate was cut since the last timely response.
+    rate_cut: bool,
+    min_rtt_ms: f64,
+    min_rtt_at: Millis,
 }
 
-impl Counter {
+impl CounterClient {
     pub(super) fn new(gateways: u32, now: Millis) -> Self {
-        let pace = CALLS.0.min(CALLS.1 / f64::from(gateways.max(1)));
-        let (calls, misses, once, cut, way) = (BTreeMap::new(), 0, None, false, (f64::INFINITY, now));
-        Counter { calls, misses, pace, saved: pace, at: now, once, cut, way }
+        let calls_per_s = INITIAL_CALLS_PER_S.min(INITIAL_FLEET_CALLS_PER_S / f64::from(gateways.max(1)));
+        CounterClient {
+            calls_per_s,
+            tokens: calls_per_s,
+            tokens_at: now,
+            min_rtt_ms: f64::INFINITY,
+            min_rtt_at: now,
+            ..CounterClient::default()
+        }
     }
 
-    /// Whether requests wait for it.
-    pub(super) fn trusted(&self) -> bool {
-        self.misses < COUNTER_MISSES
+    pub(super) fn is_trusted(&self) -> bool {
+        self.consecutive_misses < MAX_COUNTER_MISSES
     }
 }
 
 impl Gateway {
     /// How long a request waits for the counter.
-    pub(super) fn counter_wait(&self, aim: f64) -> f64 {
-        let ways = Some(WAIT_WAYS.0 * self.counter.way.0).filter(|ways| ways.is_finite()).unwrap_or(0.0);
-        (aim * WAIT_OF_AIM).max(ways.min(aim * WAIT_WAYS.1))
+    pub(super) fn counter_wait_ms(&self, target_ms: f64) -> f64 {
+        let rtts =
+            Some(COUNTER_WAIT_RTTS * self.counter.min_rtt_ms).filter(|ms| ms.is_finite()).unwrap_or(0.0);
+        (target_ms * COUNTER_WAIT_SHARE).max(rtts.min(target_ms * MAX_COUNTER_WAIT_SHARE))
     }
 
-    /// Whether the counter bears a call of this gateway now. All gateways share its capacity and none knows
-    /// it: each finds its part by what is missed. A call that can be spared leaves half of what is saved.
-    pub(super) fn may_call(&mut self, now: Millis, spare: bool) -> bool {
-        let most = (self.counter.pace * CALLS_SAVED.0 / 1000.0).max(CALLS_SAVED.1);
-        let more = (now - self.counter.at).max(0.0) / 1000.0 * self.counter.pace;
-        (self.counter.saved, self.counter.at) = ((self.counter.saved + more).min(most), now);
-        let may = self.counter.saved >= if spare { 1.0 + most / 2.0 } else { 1.0 };
-        self.counter.saved -= f64::from(u8::from(may));
-        may
+    /// Takes a token for a counter call, if there is one. An optional call leaves half of the bucket.
+    pub(super) fn take_call(&mut self, now: Millis, optional: bool) -> bool {
+        let counter = &mut self.counter;
+        let capacity = (counter.calls_per_s * CALL_BUCKET_MS / 1000.0).max(MIN_CALL_BUCKET);
+        let refill = (now - counter.tokens_at).max(0.0) / 1000.0 * counter.calls_per_s;
+        (counter.tokens, counter.tokens_at) = ((counter.tokens + refill).min(capacity), now);
+        let allowed = counter.tokens >= if optional { 1.0 + capacity / 2.0 } else { 1.0 };
+        counter.tokens -= f64::from(u8::from(allowed));
+        allowed
     }
 
-    /// Adds the units, and what is owed, to the customer's count.
+    /// Adds the units and the deferred corrections to the customer's count.
     pub(super) fn charge(
-        &mut self, now: Millis, customer: CustomerId, plan_no: usize, units: f64, request: RequestId,
+        &mut self, now: Millis, customer_id: CustomerId, plan_index: usize, units: f64, request: RequestId,
         actions: &mut Vec<Action>,
     ) {
-        let plan = &self.settings.plans[plan_no];
-        let Some(c) = self.customers.get_mut(&customer) else { return };
-        let (window, name, left) = window(now, customer, plan);
-        if c.window != window {
-            // The end of the old window went unseen: the others are taken to have gone on as before.
-            let start = window_start(now, customer, plan);
-            let gap = (start - c.seen_at).clamp(0.0, OTHERS_MS);
-            if let Some(seen) = &mut c.seen {
-                c.store -= c.others * gap / 1000.0;
-                *seen = *seen * fade(start - c.seen_at, plan) + c.others * gap / 1000.0;
-                (c.before, c.seen_at) = (*seen, start);
+        let plan = &self.settings.plans[plan_index];
+        let Some(customer) = self.customers.get_mut(&customer_id) else { return };
+        let Window { number, name, left_ms } = window(now, customer_id, plan);
+        if customer.window != number {
+            // The end of the former window was not read: peer usage is assumed to have continued.
+            let start = window_start(now, customer_id, plan);
+            let gap_ms = (start - customer.usage_at).clamp(0.0, PEER_USAGE_MS);
+            if let Some(usage) = &mut customer.usage {
+                customer.balance -= customer.peer_rate * gap_ms / 1000.0;
+                let keep = decay(start - customer.usage_at, plan);
+                *usage = *usage * keep + customer.peer_rate * gap_ms / 1000.0;
+                (customer.carried_usage, customer.usage_at) = (*usage, start);
             }
-            (c.window, c.own) = (window, 0.0);
+            (customer.window, customer.own_charges) = (number, 0.0);
         }
-        let amount = (units + c.owed * fade(now - c.owed_at, plan)) * fade(left, plan);
-        c.owed = 0.0;
-        c.calls += 1;
-        c.called = now;
-        let lifetime_ms = (left + NAME_LIFE_MS - WINDOW_MOST_MS).min(NAME_LIFE_MS);
+        let deferred = customer.deferred_units * decay(now - customer.deferred_at, plan);
+        let amount = (units + deferred) * decay(left_ms, plan);
+        customer.counter_calls += 1;
+        (customer.deferred_units, customer.last_call_at) = (0.0, now);
+        let lifetime_ms = (left_ms + MAX_COUNT_LIFETIME_MS - MAX_WINDOW_MS).min(MAX_COUNT_LIFETIME_MS);
         actions.push(Action::Count { name, amount, lifetime_ms });
-        self.counter.calls.entry(name).or_default().push_back(Call {
-            customer,
-            request,
-            plan: plan_no,
-            amount,
-            units,
-        });
+        let call = Call { customer: customer_id, request, plan: plan_index, amount, units };
+        self.counter.pending.entry(name).or_default().push_back(call);
     }
 
-    /// Asked by another gateway for which the counter had no room: this one is home to the customer, keeps
-    /// the count meanwhile and adds to the shared one for all that ask, by fewer calls.
-    pub(super) fn message(&mut self, now: Millis, from: u32, body: &[u8], actions: &mut Vec<Action>) {
+    /// A peer that can't call the counter asks the customer's home gateway, which combines the charges.
+    pub(super) fn handle_message(&mut self, now: Millis, from: u32, body: &[u8], actions: &mut Vec<Action>) {
         let known = from < self.settings.gateways && from != self.settings.position;
         match Message::decode(body).filter(|_| known && self.settings.limits.peers) {
-            Some(Message::Ask { id, customer, plan, units }) => {
+            Some(Message::BalanceRequest { id, customer: customer_id, plan, units }) => {
                 let (plan, units) = (usize::from(plan), f64::from(units));
                 if plan >= self.settings.plans.len() || !(0.0..=self.settings.most_units).contains(&units) {
                     return;
                 }
-                // Spread unknown: the least share of a ceiling, as nothing is sent from here.
-                self.customer(now, customer, plan, f64::INFINITY);
-                let may = self.may_call(now, false);
-                let c = self.customers.get_mut(&customer).expect("just entered");
-                let store = c.store - c.waiting;
-                if store >= units {
-                    c.store -= units;
-                    c.owe(now, units, &self.settings.plans[plan]);
+                // The spread is unknown: takes the least share of a ceiling, as nothing is sent from here.
+                self.refresh_customer(now, customer_id, plan, f64::INFINITY);
+                let may_call = self.take_call(now, false);
+                let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
+                let balance = customer.balance - customer.waiting_units;
+                if balance >= units {
+                    customer.balance -= units;
+                    customer.defer_units(now, units, &self.settings.plans[plan]);
                 }
-                if may {
-                    self.charge(now, customer, plan, 0.0, RequestId::MAX, actions);
+                if may_call {
+                    self.charge(now, customer_id, plan, 0.0, RequestId::MAX, actions);
                 }
-                let answer = Message::Answer { id, store: store as f32 };
-                actions.push(Action::Tell { to: from, body: answer.encode() });
+                let response = Message::BalanceResponse { id, balance: balance as f32 };
+                actions.push(Action::Tell { to: from, body: response.encode() });
             }
-            Some(Message::Answer { id, store }) => {
-                let Some(open) = self.requests.get(&id).filter(|open| open.asked && open.held) else {
-                    return;
-                };
-                let (customer, plan) = (open.request.customer, open.request.plan as usize);
-                self.customer(now, customer, plan, open.request.spread);
-                self.customers.get_mut(&customer).expect("just entered").store = f64::from(store);
-                self.decide(now, id, actions);
+            Some(Message::BalanceResponse { id, balance }) => {
+                let open = self.requests.get(&id).filter(|open| open.asked_peer && open.waiting);
+                let Some(request) = open.map(|open| &open.request) else { return };
+                let (customer_id, plan, spread) = (request.customer, request.plan as usize, request.spread);
+                self.refresh_customer(now, customer_id, plan, spread);
+                let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
+                customer.balance = f64::from(balance);
+                self.decide_waiting(now, id, actions);
             }
             None => {}
         }
     }
 
-    /// Brings the customer's stores up to now.
-    pub(super) fn customer(&mut self, now: Millis, customer: CustomerId, plan: usize, spread: f64) {
+    /// Brings the customer's token buckets up to now.
+    pub(super) fn refresh_customer(&mut self, now: Millis, id: CustomerId, plan: usize, spread: f64) {
         let plan = &self.settings.plans[plan];
         let share = 1.0 / spread.clamp(1.0, f64::from(self.settings.gateways.max(1)));
-        let up = (now - self.started).max(0.0) / 1000.0;
-        let c = self.customers.entry(customer).or_insert_with(|| Customer {
-            store: plan.burst,
-            at: now,
-            seen_at: now,
-            called: f64::NEG_INFINITY,
-            // A gateway that starts again can't know what it sent: its share of a ceiling starts at nought.
-            ceiling: (up * plan.ceiling_rate * share).min(plan.ceiling_burst * share),
+        let uptime_s = (now - self.started_at).max(0.0) / 1000.0;
+        let customer = self.customers.entry(id).or_insert_with(|| Customer {
+            balance: plan.burst,
+            balance_at: now,
+            usage_at: now,
+            last_call_at: f64::NEG_INFINITY,
+            // Starts at 0 after a restart, as usage before it is unknown.
+            ceiling_balance: (uptime_s * plan.ceiling_rate * share).min(plan.ceiling_burst * share),
             ..Customer::default()
         });
-        let passed = (now - c.at).max(0.0) / 1000.0;
-        // Not capped before the next total is known: use in the gap may have come before the refill.
-        c.store += passed * plan.rate;
-        if self.counter.saved < 1.0 && c.seen.is_some() {
-            // Calls are few: the others are taken to go on as before for a while. The next total corrects it.
-            let unseen = (now.min(c.seen_at + PROJECT_MS) - c.at.max(c.seen_at)).max(0.0) / 1000.0;
-            c.store -= unseen * c.others;
-            c.projected += unseen * c.others;
-            c.store = c.store.min(plan.burst);
+        let elapsed_s = (now - customer.balance_at).max(0.0) / 1000.0;
+        // Not capped until the next total is known: usage may have preceded the refill.
+        customer.balance += elapsed_s * plan.rate;
+        if self.counter.tokens < 1.0 && customer.usage.is_some() {
+            // Calls are scarce: extrapolates peer usage. The next total corrects it.
+            let until = now.min(customer.usage_at + MAX_PROJECTION_MS);
+            let unseen_s = (until - customer.balance_at.max(customer.usage_at)).max(0.0) / 1000.0;
+            customer.balance -= unseen_s * customer.peer_rate;
+            customer.projected_usage += unseen_s * customer.peer_rate;
+            customer.balance = customer.balance.min(plan.burst);
         }
-        c.ceiling = (c.ceiling + passed * plan.ceiling_rate * share).min(plan.ceiling_burst * share);
-        (c.at, c.last) = (now, now);
+        let refilled = customer.ceiling_balance + elapsed_s * plan.ceiling_rate * share;
+        customer.ceiling_balance = refilled.min(plan.ceiling_burst * share);
+        (customer.balance_at, customer.last_used_at) = (now, now);
     }
 
-    pub(super) fn counted(
-        &mut self, now: Millis, name: u64, result: Result, total: f64, took: f64, actions: &mut Vec<Action>,
+    pub(super) fn handle_counted(
+        &mut self, now: Millis, name: u64, result: Result, total: f64, took_ms: f64,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(queue) = self.counter.calls.get_mut(&name) else { return };
+        let Some(queue) = self.counter.pending.get_mut(&name) else { return };
         let Some(call) = queue.pop_front() else { return };
         if queue.is_empty() {
-            self.counter.calls.remove(&name);
+            self.counter.pending.remove(&name);
         }
         let ok = result == Result::Ok && total.is_finite();
-        // A reply slower than the wait counts as a miss like none at all: both leave requests unchecked.
-        let aim = self.settings.classes.iter().map(|c| c.aim_ms).fold(f64::INFINITY, f64::min);
+        let target_ms = self.settings.classes.iter().map(|class| class.aim_ms).fold(f64::INFINITY, f64::min);
         if ok {
-            let grown = self.counter.way.0 * (1.0 + (now - self.counter.way.1).max(0.0) / WAY_MEMORY_MS);
-            self.counter.way = (grown.min(took.max(0.0)), now);
+            let age_ms = (now - self.counter.min_rtt_at).max(0.0);
+            let aged_ms = self.counter.min_rtt_ms * (1.0 + age_ms / MIN_RTT_MEMORY_MS);
+            (self.counter.min_rtt_ms, self.counter.min_rtt_at) = (aged_ms.min(took_ms.max(0.0)), now);
         }
-        if ok && took <= self.counter_wait(aim) {
-            // Back from silence it gets half the former calls at once.
-            if let Some(once) = self.counter.once.filter(|_| self.counter.misses >= COUNTER_MISSES) {
-                self.counter.pace = self.counter.pace.max(once / 2.0);
+        // A response after the wait is a miss: requests were admitted unchecked.
+        let in_time = ok && took_ms <= self.counter_wait_ms(target_ms);
+        let counter = &mut self.counter;
+        if in_time {
+            // After an outage the call rate restarts at half of the former one.
+            let outage = counter.consecutive_misses >= MAX_COUNTER_MISSES;
+            if let Some(former) = counter.rate_before_cut.filter(|_| outage) {
+                counter.calls_per_s = counter.calls_per_s.max(former / 2.0);
             }
-            (self.counter.misses, self.counter.cut) = (0, false);
-            let share = if self.counter.once.is_none() { CALLS_MORE.2 } else { CALLS_MORE.1 };
-            self.counter.pace = (self.counter.pace * (1.0 + share) + CALLS_MORE.0).min(CALLS_MOST);
+            (counter.consecutive_misses, counter.rate_cut) = (0, false);
+            let start = counter.rate_before_cut.is_none();
+            let growth = if start { CALL_RATE_START_GROWTH } else { CALL_RATE_GROWTH };
+            counter.calls_per_s =
+                (counter.calls_per_s * (1.0 + growth) + CALL_RATE_STEP_PER_S).min(MAX_CALLS_PER_S);
         } else {
-            self.counter.misses = self.counter.misses.saturating_add(1);
-            // A connection that broke says nothing of how many calls the counter bears, nor does one slow
-            // answer among quick ones.
-            let chance = result == Result::Reset || ok && self.counter.misses == 1;
-            if !chance {
-                if !std::mem::replace(&mut self.counter.cut, true) {
-                    self.counter.once = Some(self.counter.pace);
+            counter.consecutive_misses = counter.consecutive_misses.saturating_add(1);
+            // A broken connection or a single slow response doesn't indicate overload.
+            let unrelated = result == Result::Reset || ok && counter.consecutive_misses == 1;
+            if !unrelated {
+                if !std::mem::replace(&mut counter.rate_cut, true) {
+                    counter.rate_before_cut = Some(counter.calls_per_s);
                 }
-                self.counter.pace = (self.counter.pace * CALLS_CUT).max(CALLS.2);
+                counter.calls_per_s = (counter.calls_per_s * CALL_RATE_DECREASE).max(MIN_CALLS_PER_S);
             }
         }
-        self.reckon(now, name, &call, ok.then_some(total), result);
-        let (customer, plan) = (call.customer, call.plan);
-        // A refused charge left standing would keep the other gateways from room that is there. While the
-        // counter is well it goes back at once; otherwise it rides on the next charge.
-        if !self.decide(now, call.request, actions) && self.may_call(now, true) {
-            self.charge(now, customer, plan, 0.0, call.request, actions);
+        self.apply_total(now, name, &call, ok.then_some(total), result);
+        // Refunds a refused request at once if the counter has capacity, so that peers can use the units.
+        if !self.decide_waiting(now, call.request, actions) && self.take_call(now, true) {
+            self.charge(now, call.customer, call.plan, 0.0, call.request, actions);
         }
     }
 
-    /// Rebuilds the store from a total: what it rose by beyond this gateway's own charge, others used.
-    pub(super) fn reckon(&mut self, now: Millis, name: u64, call: &Call, total: Option<f64>, result: Result) {
+    /// Updates the balance from a total: an increase beyond this gateway's own charge is peer usage.
+    fn apply_total(&mut self, now: Millis, name: u64, call: &Call, total: Option<f64>, result: Result) {
         let plan = &self.settings.plans[call.plan];
-        let Some(c) = self.customers.get_mut(&call.customer) else { return };
-        c.calls = c.calls.saturating_sub(1);
+        let Some(customer) = self.customers.get_mut(&call.customer) else { return };
+        customer.counter_calls = customer.counter_calls.saturating_sub(1);
         let Some(total) = total else {
-            // Proven not added: it rides on the next charge. A timed-out add may have counted and is left.
+            // Charged again only if it was certainly not added; a call that timed out may have been.
             if result.never_ran() {
-                c.owe(now, call.units, plan);
+                customer.defer_units(now, call.units, plan);
             }
             return;
         };
-        let up = (now - c.at).max(0.0) / 1000.0;
-        (c.store, c.at) = (c.store + up * plan.rate, now);
-        if window(now, call.customer, plan).1 != name {
+        let elapsed_s = (now - customer.balance_at).max(0.0) / 1000.0;
+        (customer.balance, customer.balance_at) = (customer.balance + elapsed_s * plan.rate, now);
+        if window(now, call.customer, plan).name != name {
             return;
         }
         let start = window_start(now, call.customer, plan);
-        let grown = fade(window_ms(plan) - (now - start), plan);
-        c.own += call.amount;
-        let used = total / grown + c.before * fade(now - start, plan);
-        // The count alone, as a gateway sees it that has not looked for long.
-        let alone = plan.burst * FADE - (used - call.units);
-        let passed = (now - c.seen_at).max(1.0);
-        match c.seen {
-            None => c.store = alone,
-            // Count lost: a total below what this gateway added. Only rises are read, so nothing needs
-            // putting back.
-            Some(_) if total < c.own * 0.99 => c.own = call.amount,
-            Some(seen) => {
-                let keep = fade(passed, plan);
-                // What the others added, spread evenly since the last look.
-                let others = used - seen * keep - call.amount / grown;
-                let others =
-                    others * (1.0 - keep).recip() * passed * plan.rate / (FADE * plan.burst * 1000.0);
-                c.store += std::mem::take(&mut c.projected) - others;
-                // The longer ago the last look, the more the count alone tells.
-                let strict = plan.burst - (used - call.units);
-                let old = (1.0 - keep).powi(2);
-                c.store = (1.0 - old) * c.store.max(strict) + old * alone;
-                let keep = (-passed / OTHERS_MS).exp();
-                c.others = c.others * keep + (others.max(0.0) * 1000.0 / passed) * (1.0 - keep);
+        let scale = decay(window_ms(plan) - (now - start), plan);
+        customer.own_charges += call.amount;
+        let usage = total / scale + customer.carried_usage * decay(now - start, plan);
+        // The balance if only the count were known, as after a long time without a read.
+        let from_count = plan.burst * USAGE_DECAY - (usage - call.units);
+        let elapsed_ms = (now - customer.usage_at).max(1.0);
+        match customer.usage {
+            None => customer.balance = from_count,
+            // The counter lost the count. Only increases are read, so nothing has to be restored.
+            Some(_) if total < customer.own_charges * 0.99 => customer.own_charges = call.amount,
+            Some(former) => {
+                let keep = decay(elapsed_ms, plan);
+                // Peer usage since the last total, assumed to be spread evenly.
+                let by_peers = usage - former * keep - call.amount / scale;
+                let by_peers = by_peers * (1.0 - keep).recip() * elapsed_ms * plan.rate
+                    / (USAGE_DECAY * plan.burst * 1000.0);
+                customer.balance += std::mem::take(&mut customer.projected_usage) - by_peers;
+                // The longer ago the last total, the more weight the count gets.
+                let strict = plan.burst - (usage - call.units);
+                let weight = (1.0 - keep).powi(2);
+                customer.balance = (1.0 - weight) * customer.balance.max(strict) + weight * from_count;
+                let keep = (-elapsed_ms / PEER_USAGE_MS).exp();
+                let per_s = by_peers.max(0.0) * 1000.0 / elapsed_ms;
+                customer.peer_rate = customer.peer_rate * keep + per_s * (1.0 - keep);
             }
         }
-        c.store = c.store.max(-self.settings.most_units.max(plan.burst / 4.0));
-        c.store = c.store.min(plan.burst);
-        (c.seen, c.seen_at) = (Some(used), now);
+        customer.balance = customer.balance.max(-self.settings.most_units.max(plan.burst / 4.0));
+        customer.balance = customer.balance.min(plan.burst);
+        (customer.usage, customer.usage_at) = (Some(usage), now);
     }
 
-    /// Decides on a request that waited; with no answer own sends are a lower bound on use, the rest is let
-    /// in. True if it was inside the quota.
-    pub(super) fn decide(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(open) = self.requests.get(&id).filter(|open| open.held) else { return true };
-        let (request, asked) = (open.request.clone(), open.asked);
-        self.release(id);
-        self.customer(now, request.customer, request.plan as usize, request.spread);
+    /// Grants or refuses a request that waited. Returns false if it is over the quota.
+    pub(super) fn decide_waiting(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(open) = self.requests.get(&id).filter(|open| open.waiting) else { return true };
+        let (request, asked_peer) = (open.request.clone(), open.asked_peer);
+        self.stop_waiting(id);
+        self.refresh_customer(now, request.customer, request.plan as usize, request.spread);
         let plan = &self.settings.plans[request.plan as usize];
-        let c = self.customers.get_mut(&request.customer).expect("just entered");
-        let inside = c.store >= request.units;
-        if inside {
+        let customer = self.customers.get_mut(&request.customer).expect("refreshed above");
+        let within_quota = customer.balance >= request.units;
+        if within_quota {
             self.grant(now, id, actions);
         } else {
-            c.owe(now, if asked { 0.0 } else { -request.units }, plan);
-            self.beyond(now, id, actions);
+            customer.defer_units(now, if asked_peer { 0.0 } else { -request.units }, plan);
+            self.handle_over_quota(now, id, actions);
         }
-        inside
+        within_quota
     }
 
-    pub(super) fn release(&mut self, id: RequestId) {
+    pub(super) fn stop_waiting(&mut self, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        if std::mem::take(&mut open.held) {
-            if let Some(c) = self.customers.get_mut(&open.request.customer) {
-                c.waiting = (c.waiting - open.request.units).max(0.0);
+        if std::mem::take(&mut open.waiting) {
+            if let Some(customer) = self.customers.get_mut(&open.request.customer) {
+                customer.waiting_units = (customer.waiting_units - open.request.units).max(0.0);
             }
         }
     }
 
-    /// Inside the quota: take the units and send.
+    /// Deducts the units of a request within its quota and sends it.
     pub(super) fn grant(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
-        if let Some(c) = self.customers.get_mut(&open.request.customer) {
-            c.store -= open.request.units;
+        if let Some(customer) = self.customers.get_mut(&open.request.customer) {
+            customer.balance -= open.request.units;
         }
         self.send(now, id, actions);
     }
 }
 
 impl Customer {
-    /// Units for the next charge; they fade like any use.
-    pub(super) fn owe(&mut self, now: Millis, units: f64, plan: &Plan) {
-        self.owed = self.owed * fade(now - self.owed_at, plan) + units;
-        self.owed_at = now;
+    /// Adds a correction to the next charge; it decays like any usage.
+    pub(super) fn defer_units(&mut self, now: Millis, units: f64, plan: &Plan) {
+        self.deferred_units = self.deferred_units * decay(now - self.deferred_at, plan) + units;
+        self.deferred_at = now;
     }
 }
 
-/// The gateway that keeps a customer's count for those who find no room at the counter.
-pub(super) fn home(customer: CustomerId, gateways: u32) -> u32 {
+/// The gateway that tracks a customer's balance for peers that can't call the counter.
+pub(super) fn home_gateway(customer: CustomerId, gateways: u32) -> u32 {
     (customer.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as u32 % gateways.max(1)
 }
 
-/// Share of a use that still counts after so many ms.
-pub(super) fn fade(ms: f64, plan: &Plan) -> f64 {
-    (-ms.max(0.0) * plan.rate / (FADE * plan.burst * 1000.0)).exp()
+/// Share of a usage that still counts after this time.
+pub(super) fn decay(elapsed_ms: f64, plan: &Plan) -> f64 {
+    (-elapsed_ms.max(0.0) * plan.rate / (USAGE_DECAY * plan.burst * 1000.0)).exp()
 }
 
 pub(super) fn window_ms(plan: &Plan) -> f64 {
-    (WINDOW_FADES * FADE * plan.burst / plan.rate * 1000.0).clamp(100.0, WINDOW_MOST_MS)
+    (WINDOW_DECAYS * USAGE_DECAY * plan.burst / plan.rate * 1000.0).clamp(100.0, MAX_WINDOW_MS)
 }
 
-/// The customer's window now: its number, its count's name and what is left of it in ms. The roll is offset
-/// for each customer, so that windows do not all roll at once.
-pub(super) fn window(now: Millis, customer: CustomerId, plan: &Plan) -> (u64, u64, f64) {
-    let length = window_ms(plan);
+/// The customer's current window. Customers have different offsets, so that windows don't change all at once.
+pub(super) fn window(now: Millis, customer: CustomerId, plan: &Plan) -> Window {
+    let length_ms = window_ms(plan);
     let offset = (customer.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64;
-    let place = now / length + offset;
-    let number = place.max(0.0) as u64;
-    (number, customer << 30 | number & 0x3fff_ffff, (place.floor() + 1.0 - place) * length)
+    let position = now / length_ms + offset;
+    let number = position.max(0.0) as u64;
+    let name = customer << 30 | number & 0x3fff_ffff;
+    Window { number, name, left_ms: (position.floor() + 1.0 - position) * length_ms }
 }
 
 pub(super) fn window_start(now: Millis, customer: CustomerId, plan: &Plan) -> Millis {
-    now - window_ms(plan) + window(now, customer, plan).2
+    now - window_ms(plan) + window(now, customer, plan).left_ms
 }
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -1,4 +1,4 @@
-//! What outcomes tell of a backend's pace and health.
+//! Relative latency and health of backends, from the outcomes of attempts.
 
 use super::tuned::*;
 use super::Gateway;
@@ -6,77 +6,81 @@
 use crate::state::*;
 
 impl Gateway {
-    /// Listed backends that requests are kept from: draining ones, and those left out for their failures.
+    /// The number of listed backends that get no requests: draining ones and ejected ones.
     pub fn avoided(&self, now: Millis) -> usize {
-        let left_out = |b: &Backend| match b.listed.state {
+        let avoided = |b: &Backend| match b.listed.state {
             State::Ready => {
-                !self.distrust(b.listed.pool) && b.failures >= EJECT_AFTER && (now < b.out_until || b.out > 0)
+                !self.in_panic(b.listed.pool)
+                    && b.failure_points >= EJECTION_POINTS
+                    && (now < b.ejected_until || b.in_flight > 0)
             }
             State::Draining => true,
             State::Gone => false,
         };
-        self.backends.values().filter(|b| left_out(b)).count()
+        self.backends.values().filter(|b| avoided(b)).count()
     }
 
-    /// If most look bad the ejection is distrusted, not the fleet: a lost path or list looks the same.
-    pub(super) fn distrust(&self, pool: u32) -> bool {
-        let bad = self.ready(pool).filter(|b| b.failures >= EJECT_AFTER).count();
-        bad * 2 > self.ready(pool).count()
+    /// True if most backends look unhealthy. Ejections are ignored then, as a network failure looks the same.
+    pub(super) fn in_panic(&self, pool: u32) -> bool {
+        let unhealthy = self.ready_backends(pool).filter(|b| b.failure_points >= EJECTION_POINTS).count();
+        unhealthy * 2 > self.ready_backends(pool).count()
     }
 
-    /// What an outcome tells of the backend's pace and health.
+    /// Updates a backend's load, latency and health after it has stopped processing an attempt.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn learn(
-        &mut self, now: Millis, backend: BackendId, class: usize, plan: usize, result: Result, took_ms: f64,
-        depth: f64,
+    pub(super) fn record_result(
+        &mut self, now: Millis, backend_id: BackendId, class: usize, plan: usize, result: Result,
+        took_ms: f64, queue_depth: f64,
     ) {
-        let Some(b) = self.backends.get_mut(&backend) else { return };
-        b.out = b.out.saturating_sub(1);
+        let Some(backend) = self.backends.get_mut(&backend_id) else { return };
+        backend.in_flight = backend.in_flight.saturating_sub(1);
         if result == Result::Ok && took_ms.is_finite() {
-            let took = took_ms.max(0.1);
-            let (usual, seen) = &mut self.usual[class];
-            let alone = took / ((depth + UNSEEN) / (1.0 + UNSEEN));
-            let keep = (-(now - b.learned).max(0.0) / PACE_MEMORY_MS).exp();
-            let pace = 1.0 + (b.pace - 1.0) * keep;
-            b.pace = pace + PACE_GAIN * ((alone / usual.max(0.1)).min(10.0) - pace);
-            b.learned = now;
-            *seen += 1.0;
-            *usual += (alone / pace.max(0.1) - *usual) * USUAL_GAIN.max(1.0 / *seen);
+            let took_ms = took_ms.max(0.1);
+            let class = &mut self.classes[class];
+            let idle_ms = took_ms / ((queue_depth + ASSUMED_PEER_REQUESTS) / (1.0 + ASSUMED_PEER_REQUESTS));
+            let keep = (-(now - backend.latency_at).max(0.0) / RELATIVE_LATENCY_MEMORY_MS).exp();
+            let relative = 1.0 + (backend.relative_latency - 1.0) * keep;
+            let sample = (idle_ms / class.mean_ms.max(0.1)).min(10.0);
+            backend.relative_latency = relative + RELATIVE_LATENCY_GAIN * (sample - relative);
+            backend.latency_at = now;
+            class.samples += 1.0;
+            class.mean_ms +=
+                (idle_ms / relative.max(0.1) - class.mean_ms) * MEAN_GAIN.max(1.0 / class.samples);
         }
-        self.judge(now, backend, plan, result, took_ms);
+        self.update_health(now, backend_id, plan, result, took_ms);
     }
 
-    /// What an outcome tells of the backend's health.
-    pub(super) fn judge(
-        &mut self, now: Millis, backend: BackendId, plan: usize, result: Result, took_ms: f64,
+    pub(super) fn update_health(
+        &mut self, now: Millis, backend_id: BackendId, plan: usize, result: Result, took_ms: f64,
     ) {
-        let Some(pool) = self.backends.get(&backend).map(|b| b.listed.pool) else { return };
-        let rate = self.flow_of(pool).rate;
-        let Some(b) = self.backends.get_mut(&backend) else { return };
+        let Some(pool) = self.backends.get(&backend_id).map(|b| b.listed.pool) else { return };
+        let requests_per_s = self.pool_load(pool).requests_per_s;
+        let Some(backend) = self.backends.get_mut(&backend_id) else { return };
         if matches!(result, Result::Full | Result::ConnectFailed) {
-            let held = now + FULL.0.max(FULL.1 * 1000.0 / rate.max(1.0));
-            b.full_until.resize(self.settings.plans.len(), now);
+            let until = now + FULL_MS.max(FULL_REQUESTS * 1000.0 / requests_per_s.max(1.0));
+            backend.full_until.resize(self.settings.plans.len(), now);
             match result {
-                Result::Full => b.full_until[plan] = held,
-                _ => b.full_until.fill(held),
+                Result::Full => backend.full_until[plan] = until,
+                _ => backend.full_until.fill(until),
             }
         }
         if matches!(result, Result::Ok | Result::Error) {
-            let share = b.errors_at(now, ERRORS.1);
-            let error = f64::from(u8::from(result == Result::Error));
-            b.errors = (share + ERRORS.0 * (error - share), now);
+            let rate = backend.decayed_error_rate(now, ERROR_RATE_MEMORY_MS);
+            let sample = f64::from(u8::from(result == Result::Error));
+            (backend.error_rate, backend.error_rate_at) = (rate + ERROR_RATE_GAIN * (sample - rate), now);
         }
         match result {
-            Result::Ok => (b.failures, b.heard) = (0, now),
-            Result::Full => b.heard = now,
-            // Cut at its aim though the backend answered others meanwhile: the request was costly.
-            Result::Timeout if b.heard > now - took_ms => {}
+            Result::Ok => (backend.failure_points, backend.last_response_at) = (0, now),
+            Result::Full => backend.last_response_at = now,
+            // The backend answered other requests meanwhile: this one was expensive.
+            Result::Timeout if backend.last_response_at > now - took_ms => {}
             Result::Error | Result::Timeout | Result::ConnectFailed | Result::Reset => {
-                let points = if result == Result::Reset { POINTS.1 } else { POINTS.0 };
-                b.failures = b.failures.saturating_add(points);
-                if b.failures >= EJECT_AFTER {
-                    let times = f64::from(1u32 << ((b.failures - EJECT_AFTER) / POINTS.0).min(5));
-                    b.out_until = now + EJECT_MS * times * (1.0 + 0.2 * self.rng.f64());
+                let points = if result == Result::Reset { RESET_POINTS } else { FAILURE_POINTS };
+                backend.failure_points = backend.failure_points.saturating_add(points);
+                if backend.failure_points >= EJECTION_POINTS {
+                    let doublings = (backend.failure_points - EJECTION_POINTS) / FAILURE_POINTS;
+                    let factor = f64::from(1u32 << doublings.min(5));
+                    backend.ejected_until = now + EJECTION_MS * factor * (1.0 + 0.2 * self.rng.f64());
                 }
             }
             Result::Cancelled | Result::Moot => {}
--- a/src/choice/list.rs
+++ b/src/choice/list.rs
@@ -1,48 +1,51 @@
-//! The list of backends.
+//! Updates of the list of backends.
 
 use super::tuned::*;
 use super::Gateway;
 use crate::interface::*;
-use crate::lots::lot;
+use crate::lots::subset_rank;
 use crate::state::*;
 
 impl Gateway {
-    pub(super) fn list(&mut self, now: Millis, full: bool, entries: Vec<Listed>) {
+    pub(super) fn update_list(&mut self, now: Millis, full: bool, entries: Vec<Listed>) {
         if full {
-            for b in self.backends.values_mut() {
-                if !entries.iter().any(|e| e.id == b.listed.id) {
-                    b.listed.state = State::Gone;
+            for backend in self.backends.values_mut() {
+                if !entries.iter().any(|entry| entry.id == backend.listed.id) {
+                    backend.listed.state = State::Gone;
                 }
             }
         }
         let known = !self.backends.is_empty();
         for entry in entries {
-            let fresh = entry.started > 0.0 && now - entry.started < self.settings.rules.warm_up_ms;
-            let start = fresh.then_some(entry.started);
+            let recent = entry.started > 0.0 && now - entry.started < self.settings.rules.warm_up_ms;
+            let started = recent.then_some(entry.started);
             match self.backends.get_mut(&entry.id) {
-                Some(b) => {
-                    // Gone and back, or a new start: it may be cold, whatever the list says of its age.
-                    let back = b.listed.state == State::Gone && entry.state == State::Ready;
-                    if back || entry.started > b.listed.started {
-                        let born = start.or(back.then_some(now));
-                        (b.born, b.cold) = (born, (self.rng.f64(), now));
-                        (b.failures, b.pace, b.full_until) = (0, 1.0, Vec::new());
-                        b.errors = (0.0, now);
-                    } else if entry.cold_until > now && b.listed.cold_until <= now {
-                        // What it was sent while warm is no debt; all gateways hear of it at once.
-                        b.cold = (self.rng.f64(), now);
+                Some(backend) => {
+                    // A backend that returns may be cold, whatever start time the list gives.
+                    let returned = backend.listed.state == State::Gone && entry.state == State::Ready;
+                    if returned || entry.started > backend.listed.started {
+                        backend.warming_since = started.or(returned.then_some(now));
+                        (backend.warm_up_tokens, backend.warm_up_tokens_at) = (self.rng.f64(), now);
+                        (backend.failure_points, backend.relative_latency) = (0, 1.0);
+                        (backend.error_rate, backend.error_rate_at) = (0.0, now);
+                        backend.full_until = Vec::new();
+                    } else if entry.cold_until > now && backend.listed.cold_until <= now {
+                        // Ignores sends while warm. Random, as all gateways get the update at once.
+                        (backend.warm_up_tokens, backend.warm_up_tokens_at) = (self.rng.f64(), now);
                     }
-                    b.listed = entry;
+                    backend.listed = entry;
                 }
                 None if entry.state != State::Gone || known => {
-                    let lot = lot(entry.id, self.settings.gateways, self.settings.position);
-                    let mut b = Backend::new(entry, start, now, lot);
-                    b.cold.0 = self.rng.f64();
-                    self.backends.insert(b.listed.id, b);
+                    let rank = subset_rank(entry.id, self.settings.gateways, self.settings.position);
+                    let mut backend = Backend::new(entry, started, now, rank);
+                    backend.warm_up_tokens = self.rng.f64();
+                    self.backends.insert(backend.listed.id, backend);
                 }
                 None => {}
             }
         }
-        self.backends.retain(|_, b| b.listed.state != State::Gone || b.out > 0 || now - b.learned < IDLE_MS);
+        self.backends.retain(|_, b| {
+            b.listed.state != State::Gone || b.in_flight > 0 || now - b.latency_at < IDLE_EXPIRY_MS
+        });
     }
 }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -1,11 +1,10 @@
-//! Every decision of the gateway. Its settings, events and actions are in `src/interface.rs`.
+//! The decisions of the gateway. Its settings, events and actions are in `src/interface.rs`.
 //!
-//! The ordinary path: a request's guessed units are added to the customer's shared count before it is sent;
-//! past the limit it is refused at once; its true units settle the difference on the customer's next charge;
-//! a counter that fails lets requests through. Use fades from the count. The sections follow a request's way.
+//! A request's estimated units are charged to the customer's shared count before it is sent; over the quota
+//! it is refused. The next charge corrects the estimate. If the counter fails, requests are not checked.
 
 use crate::interface::*;
-use crate::lots::lot;
+use crate::lots::subset_rank;
 use crate::state::*;
 use std::collections::BTreeMap;
 use tuned::*;
@@ -23,140 +22,130 @@
 pub struct Gateway {
     settings: Settings,
     rng: fastrand::Rng,
-    started: Millis,
-    ticking: bool,
+    started_at: Millis,
+    timer_started: bool,
     backends: BTreeMap<BackendId, Backend>,
     customers: BTreeMap<CustomerId, Customer>,
-    requests: BTreeMap<RequestId, Open>,
-    counter: counting::Counter,
-    /// The requests by service, by index.
-    flows: Vec<Flow>,
-    /// Mean units of a request.
-    units: f64,
-    /// Usual time of each class on an idle backend of usual pace, and answers seen.
-    usual: Vec<(f64, f64)>,
-    list_retry: Option<Millis>,
-    /// Gateways present, as last told, those reckoned with then, and when; none where nobody tells.
-    present: Option<(f64, f64, Millis)>,
-    told: Told,
-}
-
-/// What the next line of the log sums up.
-#[derive(Default)]
-struct Told {
-    ticks: u32,
-    requests: u32,
-    /// Refused for want of room, beyond the quota, and with no attempt left or allowed.
-    crowded: u32,
-    beyond: u32,
-    unsent: u32,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    counter: counting::CounterClient,
+    pools: Vec<PoolLoad>,
+    mean_units: f64,
+    classes: Vec<ClassLatency>,
+    list_retry_at: Option<Millis>,
+    membership: Option<Membership>,
+    summary: Summary,
 }
 
 impl Gateway {
-    /// A gateway that starts now, knowing its settings alone.
+    /// A gateway that starts now and knows only its settings.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        let usual: Vec<_> = settings.classes.iter().map(|c| (c.aim_ms * USUAL_OF_AIM, 0.0)).collect();
-        let counter = counting::Counter::new(settings.gateways, now);
-        let flows = vec![Flow::new(&settings.rules, now)];
+        let initial =
+            |class: &Class| ClassLatency { mean_ms: class.aim_ms * INITIAL_LATENCY_SHARE, samples: 0.0 };
         Gateway {
-            settings,
             rng: fastrand::Rng::with_seed(seed),
-            started: now,
-            ticking: false,
+            started_at: now,
+            timer_started: false,
             backends: BTreeMap::new(),
             customers: BTreeMap::new(),
             requests: BTreeMap::new(),
-            counter,
-            flows,
-            units: 1.0,
-            usual,
-            list_retry: None,
-            present: None,
-            told: Told::default(),
+            counter: counting::CounterClient::new(settings.gateways, now),
+            pools: vec![PoolLoad::new(&settings.rules, now)],
+            mean_units: 1.0,
+            classes: settings.classes.iter().map(initial).collect(),
+            list_retry_at: None,
+            membership: None,
+            summary: Summary::default(),
+            settings,
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        if !self.ticking {
-            self.ticking = true;
+        if !self.timer_started {
+            self.timer_started = true;
             actions.push(Action::Timer { token: TOKEN_TICK, after_ms: TICK_MS });
             if self.settings.list_asked {
                 actions.push(Action::Watch);
             }
         }
         match event {
-            Event::List { full, entries } => self.list(now, full, entries),
-            Event::Settings(settings) => self.retune(settings),
-            Event::ListFailed => self.list_retry = Some(now + EJECT_MS * (1.0 + self.rng.f64())),
-            Event::Request(request) => self.request(now, request, actions),
-            Event::Whole { id, attempt } => self.whole(now, id, attempt),
-            Event::Started { id, attempt } => self.started_answer(now, id, attempt),
-            Event::Outcome(outcome) => self.outcome(now, outcome, actions),
+            Event::List { full, entries } => self.update_list(now, full, entries),
+            Event::Settings(settings) => self.update_settings(settings),
+            Event::ListFailed => self.list_retry_at = Some(now + EJECTION_MS * (1.0 + self.rng.f64())),
+            Event::Request(request) => self.handle_request(now, request, actions),
+            Event::Whole { id, attempt } => self.handle_body_sent(now, id, attempt),
+            Event::Started { id, attempt } => self.handle_response_start(now, id, attempt),
+            Event::Outcome(outcome) => self.handle_outcome(now, outcome, actions),
             Event::Gone { id } => self.close(id, actions),
-            Event::Timer { token } => match token & !TOKEN_ID {
-                TOKEN_WAIT => drop(self.decide(now, token & TOKEN_ID, actions)),
+            Event::Timer { token } => match token & !TOKEN_ID_MASK {
+                TOKEN_WAIT => drop(self.decide_waiting(now, token & TOKEN_ID_MASK, actions)),
                 _ => self.tick(now, actions),
             },
             Event::Gateways { present, majority } => {
-                let told = if majority { present.max(1) } else { self.settings.gateways.max(1) };
-                self.present = Some((f64::from(told), self.gateways(now), now));
+                let present = if majority { present.max(1) } else { self.settings.gateways.max(1) };
+                let (present, previous) = (f64::from(present), self.gateway_count(now));
+                self.membership = Some(Membership { present, previous, reported_at: now });
             }
-            Event::Message { from, body } => self.message(now, from, &body, actions),
+            Event::Message { from, body } => self.handle_message(now, from, &body, actions),
             Event::Probed { .. } => {}
             Event::Counted { name, result, total, took_ms } => {
-                self.counted(now, name, result, total, took_ms, actions)
+                self.handle_counted(now, name, result, total, took_ms, actions)
             }
         }
     }
 
-    /// Other settings: what was learned and counted stays. A class that is new or changed starts at the usual
-    /// time of those that are known; its first answer tells its own.
-    fn retune(&mut self, settings: Settings) {
-        let seen = self.usual.iter().filter(|(_, seen)| *seen > 0.0);
-        let (sum, known) = seen.fold((0.0, 0.0), |(sum, n), (usual, _)| (sum + usual, n + 1.0));
+    /// Keeps the state. A new or changed class starts with the average latency of the classes with samples.
+    fn update_settings(&mut self, settings: Settings) {
+        let sampled = self.classes.iter().filter(|class| class.samples > 0.0);
+        let (sum, count) = sampled.fold((0.0, 0.0), |(sum, n), class| (sum + class.mean_ms, n + 1.0));
         let former = std::mem::replace(&mut self.settings, settings);
         let (gateways, position) = (self.settings.gateways, self.settings.position);
-        for b in self.backends.values_mut() {
-            b.lot = lot(b.listed.id, gateways, position);
+        for backend in self.backends.values_mut() {
+            backend.subset_rank = subset_rank(backend.listed.id, gateways, position);
         }
         for (number, class) in self.settings.classes.iter().enumerate() {
-            let fresh = if known > 0.0 { sum / known } else { class.aim_ms * USUAL_OF_AIM };
-            match self.usual.get_mut(number) {
-                Some(usual) if former.classes[number] != *class => *usual = (fresh, 0.0),
+            let mean_ms = if count > 0.0 { sum / count } else { class.aim_ms * INITIAL_LATENCY_SHARE };
+            let initial = ClassLatency { mean_ms, samples: 0.0 };
+            match self.classes.get_mut(number) {
+                Some(latency) if former.classes[number] != *class => *latency = initial,
                 Some(_) => {}
-                None => self.usual.push((fresh, 0.0)),
+                None => self.classes.push(initial),
             }
         }
     }
 
-    /// Gateways among which an even part is reckoned: as the settings say, or as membership tells.
-    fn gateways(&self, now: Millis) -> f64 {
-        let Some((told, former, at)) = self.present else { return f64::from(self.settings.gateways.max(1)) };
-        told + (former - told).max(0.0) * (-(now - at).max(0.0) / GATEWAYS_MS).exp()
+    /// The number of gateways assumed to share the load: as configured, or as membership reports.
+    fn gateway_count(&self, now: Millis) -> f64 {
+        let Some(view) = &self.membership else { return f64::from(self.settings.gateways.max(1)) };
+        let keep = (-(now - view.reported_at).max(0.0) / GATEWAY_DECREASE_MS).exp();
+        view.present + (view.previous - view.present).max(0.0) * keep
     }
 
     fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         actions.push(Action::Timer { token: TOKEN_TICK, after_ms: TICK_MS });
-        if self.list_retry.take_if(|at| *at <= now).is_some() {
+        if self.list_retry_at.take_if(|at| *at <= now).is_some() {
             actions.push(Action::Watch);
         }
-        self.told.ticks += 1;
-        if self.told.ticks >= TELL_TICKS {
-            let told = std::mem::take(&mut self.told);
-            let Told { requests, crowded, beyond, unsent, .. } = told;
-            if crowded + beyond + unsent > 0 {
-                let calls = self.counter.pace;
-                let left_out = self.backends.values().filter(|b| now < b.out_until).count();
+        self.summary.ticks += 1;
+        if self.summary.ticks >= LOG_SUMMARY_TICKS {
+            let Summary { requests, no_capacity, over_quota, unsent, .. } = std::mem::take(&mut self.summary);
+            if no_capacity + over_quota + unsent > 0 {
+                let rate = self.counter.calls_per_s;
+                let ejected = self.backends.values().filter(|b| now < b.ejected_until).count();
                 let line = format!(
-                    "{requests} requests: {crowded} found no room, {beyond} were beyond the quota, {unsent} \
-                     could not be sent (on); {left_out} servers left out, counter calls at {calls:.0}/s"
+                    "{requests} requests: {no_capacity} found no room, {over_quota} were beyond the quota, \
+                     {unsent} could not be sent or retried; {ejected} servers ejected, \
+                     counter calls at {rate:.0}/s"
                 );
                 actions.push(Action::Log { line });
             }
         }
-        let longest = self.settings.plans.iter().filter(|p| p.ceiling_rate > 0.0);
-        let longest = longest.map(|p| p.ceiling_burst / p.ceiling_rate * 1000.0).fold(IDLE_MS, f64::max);
-        self.customers.retain(|_, c| c.calls > 0 || c.out > 0 || c.waiting > 0.0 || now - c.last < longest);
+        let limited = self.settings.plans.iter().filter(|p| p.ceiling_rate > 0.0);
+        let refill_ms = limited.map(|p| p.ceiling_burst / p.ceiling_rate * 1000.0);
+        let expiry_ms = refill_ms.fold(IDLE_EXPIRY_MS, f64::max);
+        self.customers.retain(|_, c| {
+            let busy = c.counter_calls > 0 || c.attempts_in_flight > 0 || c.waiting_units > 0.0;
+            busy || now - c.last_used_at < expiry_ms
+        });
     }
 }
--- a/src/choice/pick.rs
+++ b/src/choice/pick.rs
@@ -1,26 +1,26 @@
-//! Choice of a backend for an attempt.
+//! The choice of a backend for an attempt.
 
-use super::cold::cold_share;
+use super::cold::warm_share;
 use super::tuned::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::state::*;
 
 impl Gateway {
-    /// Expected time of an attempt at this backend, in ms.
-    pub(super) fn cost(&self, now: Millis, backend: &Backend, usual: f64, effect: Effect) -> f64 {
-        let keep = (-(now - backend.learned).max(0.0) / PACE_MEMORY_MS).exp();
-        let mut pace = 1.0 + (backend.pace - 1.0) * keep;
-        if backend.out > 0 {
-            pace = pace.max((now - backend.heard) / (usual * SILENT_TIMES));
+    /// Expected latency of an attempt at this backend, in ms, raised by its error rate.
+    pub(super) fn cost(&self, now: Millis, backend: &Backend, class_ms: f64, effect: Effect) -> f64 {
+        let keep = (-(now - backend.latency_at).max(0.0) / RELATIVE_LATENCY_MEMORY_MS).exp();
+        let mut relative = 1.0 + (backend.relative_latency - 1.0) * keep;
+        if backend.in_flight > 0 {
+            relative = relative.max((now - backend.last_response_at) / (class_ms * SILENCE_LATENCIES));
         }
-        let times = if effect == Effect::Unsafe { ERRORS_COST.1 } else { ERRORS_COST.0 };
-        let errors = 1.0 + times * backend.errors_at(now, ERRORS.1);
-        errors * pace * usual * (f64::from(backend.out) + 1.0 + UNSEEN) / (1.0 + UNSEEN)
+        let factor = if effect == Effect::Unsafe { UNSAFE_ERROR_COST } else { RETRYABLE_ERROR_COST };
+        let errors = 1.0 + factor * backend.decayed_error_rate(now, ERROR_RATE_MEMORY_MS);
+        errors * relative * class_ms * (f64::from(backend.in_flight) + 1.0 + ASSUMED_PEER_REQUESTS)
+            / (1.0 + ASSUMED_PEER_REQUESTS)
     }
 
-    /// The backends of a service that take work.
-    pub(super) fn ready(&self, pool: u32) -> impl Iterator<Item = &Backend> {
+    pub(super) fn ready_backends(&self, pool: u32) -> impl Iterator<Item = &Backend> {
         self.backends.values().filter(move |b| b.listed.state == State::Ready && b.listed.pool == pool)
     }
 
@@ -29,49 +29,52 @@
         let mut rng = self.rng.fork();
         let open = self.requests.get(&id)?;
         let rules = &self.settings.rules;
-        let (pool, places) = (open.request.pool, open.request.places);
-        let usual = self.usual[open.request.class as usize].0;
-        let effect = self.settings.classes[open.request.class as usize].effect;
-        let home = match (open.ran, effect) {
+        let (pool, zones) = (open.request.pool, open.request.places);
+        let class_ms = self.classes[open.class()].mean_ms;
+        let effect = self.settings.classes[open.class()].effect;
+        // Where a keyed request may be repeated: the group of the backend that may have executed it.
+        let repeat_at = match (open.executed, effect) {
             (Some((_, backend)), Effect::Keyed { group, .. }) => {
                 self.backends.get(&backend).map(|b| (group, b.listed.zone, b.listed.cell))
             }
             _ => None,
         };
-        let allowed = |b: &Backend| {
+        let eligible = |b: &Backend| {
             b.listed.state == State::Ready
                 && b.listed.pool == pool
-                && places >> b.listed.zone.min(63) & 1 == 1
-                && home.is_none_or(|(group, zone, cell)| match group {
+                && zones >> b.listed.zone.min(63) & 1 == 1
+                && repeat_at.is_none_or(|(group, zone, cell)| match group {
                     Group::All => true,
                     Group::Zone => b.listed.zone == zone,
                     Group::Cell => b.listed.cell == cell && b.listed.zone == zone,
                 })
-                && (cold_share(rules, now, b).is_none() || b.cold.0 >= 1.0)
-                && (now >= b.listed.limited_until || b.sent_lately(now) < b.listed.limit as usize)
+                && (warm_share(rules, now, b).is_none() || b.warm_up_tokens >= 1.0)
+                && (now >= b.listed.limited_until || b.sends_in_window(now) < b.listed.limit as usize)
         };
-        let distrust = self.distrust(pool);
-        let kept = self.kept(now, pool);
+        let panic = self.in_panic(pool);
+        let subset_bound = self.subset_bound(now, pool);
         let mut best: Option<(bool, f64, BackendId)> = None;
-        for b in self.backends.values().filter(|b| allowed(b)) {
-            let trial = b.failures < EJECT_AFTER || distrust || (now >= b.out_until && b.out == 0);
-            let tried = open.attempts.iter().any(|a| a.backend == b.listed.id)
-                || b.full_until.get(open.request.plan as usize).is_some_and(|at| now < *at)
-                || !trial;
-            // A cold one's turn has come: it is not left to chance, as nothing is known of it.
-            let turn = if cold_share(rules, now, b).is_some() { TURN } else { 0.0 };
-            let other = if b.lot < kept { -turn } else { OTHER };
-            let rank = self.cost(now, b, usual, effect) + usual * (other + b.listed.far + JITTER * rng.f64());
-            if best.is_none_or(|(t, r, ..)| (tried, rank) < (t, r)) {
-                best = Some((tried, rank, b.listed.id));
+        for b in self.backends.values().filter(|b| eligible(b)) {
+            let healthy =
+                b.failure_points < EJECTION_POINTS || panic || (now >= b.ejected_until && b.in_flight == 0);
+            let last_resort = open.attempts.iter().any(|a| a.backend == b.listed.id)
+                || b.full_until.get(open.plan()).is_some_and(|at| now < *at)
+                || !healthy;
+            // Without the bonus a cold backend's token would go unused by chance.
+            let bonus = if warm_share(rules, now, b).is_some() { WARM_UP_BONUS } else { 0.0 };
+            let extra = if b.subset_rank < subset_bound { -bonus } else { OUTSIDE_SUBSET_COST };
+            let extra = extra + b.listed.far + COST_JITTER * rng.f64();
+            let cost = self.cost(now, b, class_ms, effect) + class_ms * extra;
+            if best.is_none_or(|(other, least, ..)| (last_resort, cost) < (other, least)) {
+                best = Some((last_resort, cost, b.listed.id));
             }
         }
         best.map(|(.., backend)| backend)
     }
 
-    /// Backends whose lot is below this are kept to.
-    pub(super) fn kept(&self, now: Millis, pool: u32) -> f64 {
-        let ready = self.ready(pool).count().max(1) as f64;
-        KEEPS_TO.0.max(KEEPS_TO.1 * ready / self.gateways(now)) / ready
+    /// Backends with a rank below this are in the gateway's subset.
+    pub(super) fn subset_bound(&self, now: Millis, pool: u32) -> f64 {
+        let ready = self.ready_backends(pool).count().max(1) as f64;
+        MIN_SUBSET_BACKENDS.max(MIN_GATEWAYS_PER_BACKEND * ready / self.gateway_count(now)) / ready
     }
 }
--- a/src/choice/tuned.rs
+++ b/src/choice/tuned.rs
@@ -1,120 +1,117 @@
-//! Tuned values.
+//! Tuning constants of the decisions.
 
-/// Use fades from the count by a factor e in so many times burst over rate, and so many bursts are its
-/// limit: together they hold a customer to its rate. More is kinder to chance, less to sudden bursts.
-pub(super) const FADE: f64 = 1.25;
-/// Length of a count's window, in times its fading. Longer windows have fewer edges with a blind spot.
-pub(super) const WINDOW_FADES: f64 = 20.0;
-/// Longest window, in ms: the counter keeps a name for 60 s at most.
-pub(super) const WINDOW_MOST_MS: f64 = 50_000.0;
-/// Longest life of a count's name, in ms, as the counter allows it.
-pub(super) const NAME_LIFE_MS: f64 = 60_000.0;
-/// Longest wait for the counter, as a share of the class's aim: small beside the work itself.
-pub(super) const WAIT_OF_AIM: f64 = 0.05;
-/// Where the counter's way alone takes longer: so many times that, up to this share of the class's aim. What
-/// is slower than it need be is crowded; what is merely far can still be waited for.
-pub(super) const WAIT_WAYS: (f64, f64) = (1.5, 0.12);
-/// The least time that the counter took is forgotten at this pace: it doubles in so many ms without another.
-pub(super) const WAY_MEMORY_MS: f64 = 30_000.0;
-/// Longest wait for another gateway's answer, as a share of the class's aim: there and back takes longer.
-pub(super) const ASK_OF_AIM: f64 = 0.1;
-/// After so many slow or failed calls in a row requests no longer wait for the counter.
-pub(super) const COUNTER_MISSES: u32 = 3;
-/// Calls a second before anything is known of the counter, at most and of all gateways together, and the
-/// fewest, to hear of its return.
-pub(super) const CALLS: (f64, f64, f64) = (10.0, 300.0, 0.2);
-/// A missed call cuts the calls a second to this share.
-pub(super) const CALLS_CUT: f64 = 0.75;
-/// A good one adds so many a second and this share to them; while none was missed, the second share.
-pub(super) const CALLS_MORE: (f64, f64, f64) = (0.02, 0.02, 0.1);
-/// Most calls a second: beyond any counter.
-pub(super) const CALLS_MOST: f64 = 10_000.0;
-/// Calls saved up, in ms of their pace, and how many at least: evens out chance.
-pub(super) const CALLS_SAVED: (f64, f64) = (500.0, 2.0);
-/// Time over which work in hand and answers are averaged, in ms: some dozens of requests.
-pub(super) const FLOW_MS: f64 = 1500.0;
-/// Answers in that time at which these averages count half; the rest is told by single answers.
-pub(super) const FLOW_TELLS: f64 = 20.0;
-/// Weight of one answer's share of its aim: about the last ten count, however long ago.
-pub(super) const LATE_GAIN: f64 = 0.1;
-/// Time over which the other gateways' use of a customer is averaged, in ms: a few of its requests.
-pub(super) const OTHERS_MS: f64 = 2000.0;
-/// For so long after the last total the others are taken to go on as before while calls are few, in ms.
-pub(super) const PROJECT_MS: f64 = 10_000.0;
-/// Times by which that share is raised as an expected time: it is known only once the answer is there.
-pub(super) const LATE_TIMES: f64 = 1.5;
-/// A customer idle for so long is forgotten, in ms, once its stores must be full.
-pub(super) const IDLE_MS: f64 = 60_000.0;
-/// Requests of others taken to be at each backend beside this gateway's own.
-pub(super) const UNSEEN: f64 = 1.0;
-/// Weight of one answer in a backend's pace: about the last ten answers count.
-pub(super) const PACE_GAIN: f64 = 0.1;
-/// Weight of one answer in a class's usual time: about the last hundred.
-pub(super) const USUAL_GAIN: f64 = 0.01;
-/// A pace not renewed returns to the fleet's in this time, in ms.
-pub(super) const PACE_MEMORY_MS: f64 = 10_000.0;
-/// A class's usual time before any answer, as a share of its aim.
-pub(super) const USUAL_OF_AIM: f64 = 0.2;
-/// A backend silent for so many usual times, with work out, counts as slower in proportion.
-pub(super) const SILENT_TIMES: f64 = 3.0;
-/// Chance added to a backend's cost, in usual times: gateways that know equally little choose differently.
-pub(super) const JITTER: f64 = 0.05;
-/// Backends that a gateway keeps to, so that its connections stay open and it knows them; and how many
-/// gateways keep to each at least, so that none hangs on a few. Either is met by more, up to all.
-pub(super) const KEEPS_TO: (f64, f64) = (12.0, 10.0);
-/// Cost of another backend, in usual times: it is taken when those kept to are busy, slow or failing.
-pub(super) const OTHER: f64 = 1.0;
-/// What a cold backend is preferred by when its turn has come, in usual times.
-pub(super) const TURN: f64 = 1.0;
-/// Points of failures in a row after which a backend is left out.
-pub(super) const EJECT_AFTER: u32 = 4;
-/// Points of a failure, and of a reset: the path breaks connections too, and a dead backend refuses the next.
-pub(super) const POINTS: (u32, u32) = (2, 1);
-/// Weight of one answer in the share of a backend's answers that are errors, and the time in ms in which that
-/// is forgotten without another. A backend that fails every other request fails few in a row, and quickly.
-pub(super) const ERRORS: (f64, f64) = (0.3, 10_000.0);
-/// Times by which that share raises its cost: where the request can be sent again, and where it is lost.
-pub(super) const ERRORS_COST: (f64, f64) = (0.5, 10.0);
-/// First time out of use, in ms; doubles with each failed trial up to 32 times.
-pub(super) const EJECT_MS: f64 = 500.0;
-/// An attempt that can earn nothing past its aim ends so long before it, in ms, and two ticks.
-pub(super) const CUT_MS: f64 = 4.0;
-/// A backend that turned a plan's request away is passed over for that plan for so long, in ms, and until so
-/// many requests of this gateway have come: it must not be asked each time it comes up.
-pub(super) const FULL: (f64, f64) = (200.0, 20.0);
-/// Further attempts allowed for each first one.
-pub(super) const RETRY_SHARE: f64 = 0.1;
-/// Most further attempts saved up.
-pub(super) const RETRY_MOST: f64 = 10.0;
-/// Requests a backend, over all gateways, that are always let in: without answers nothing would be learned.
-pub(super) const ALWAYS: f64 = 3.0;
-/// A request is refused early if its expected time passes this share of what is left of its aim.
-pub(super) const EARLY_OF_AIM: f64 = 0.36;
-/// Spreads by which the number out must pass its mean to tell of a queue.
-pub(super) const CHANCE: f64 = 2.0;
-/// Time over which first attempts a second are averaged, in ms, and that which counts as known at the start.
-pub(super) const RATE_MS: f64 = 5000.0;
-pub(super) const RATE_KNOWN_MS: f64 = 1000.0;
-/// Least time between two looks at a count for requests refused without a charge, in ms.
-pub(super) const LOOK_MS: f64 = 100.0;
-/// Sent beyond the quota where that pays and the expected time stays within this share of the aim.
-pub(super) const ROOM_OF_AIM: f64 = 0.35;
-/// By so much it is taken to be longer there where few answers tell it: one of many gateways sees room by
-/// chance while others refuse requests inside their quotas. Up to so many gateways see enough of it.
-pub(super) const UNSURE: (f64, f64) = (0.75, 10.0);
-/// After a refusal for want of room nobody is sent beyond the quota for so long, in ms.
-pub(super) const CROWDED_MS: f64 = FLOW_MS;
-/// Where membership tells how many gateways are present, an even part is reckoned for so many. It falls at
-/// once with those that come and grows over so many ms with those that go: they may be cut off from this one
-/// alone and send all the same, and their clients need a while to turn to others.
-pub(super) const GATEWAYS_MS: f64 = 10_000.0;
-/// Refusals are summed up in a line of the log after so many housekeeping periods.
-pub(super) const TELL_TICKS: u32 = 10;
-/// The part that a gateway uses of its share of what a cold backend bears a second.
-pub(super) const COLD_PART: f64 = 0.6;
-/// Housekeeping period, in ms.
+/// Usage decays by a factor e in this many times burst / rate, and a customer's limit is this many bursts.
+pub(super) const USAGE_DECAY: f64 = 1.25;
+/// Length of a counting window, in decay times of its usage.
+pub(super) const WINDOW_DECAYS: f64 = 20.0;
+/// Longest counting window. A count outlives its window by the difference to `MAX_COUNT_LIFETIME_MS`.
+pub(super) const MAX_WINDOW_MS: f64 = 50_000.0;
+pub(super) const MAX_COUNT_LIFETIME_MS: f64 = 60_000.0;
+/// Longest wait for the counter, as a share of the latency target.
+pub(super) const COUNTER_WAIT_SHARE: f64 = 0.05;
+/// The wait extends to this many times the shortest round trip, up to the second share of the target.
+pub(super) const COUNTER_WAIT_RTTS: f64 = 1.5;
+pub(super) const MAX_COUNTER_WAIT_SHARE: f64 = 0.12;
+/// The shortest round trip doubles in this time without another sample.
+pub(super) const MIN_RTT_MEMORY_MS: f64 = 30_000.0;
+/// Longest wait for a peer's response, as a share of the latency target.
+pub(super) const PEER_WAIT_SHARE: f64 = 0.1;
+/// After this many consecutive slow or failed calls, requests no longer wait for the counter.
+pub(super) const MAX_COUNTER_MISSES: u32 = 3;
+/// Initial call rate of one gateway, at most, and of all together.
+pub(super) const INITIAL_CALLS_PER_S: f64 = 10.0;
+pub(super) const INITIAL_FLEET_CALLS_PER_S: f64 = 300.0;
+pub(super) const MIN_CALLS_PER_S: f64 = 0.2;
+pub(super) const MAX_CALLS_PER_S: f64 = 10_000.0;
+/// A missed call multiplies the call rate by this.
+pub(super) const CALL_RATE_DECREASE: f64 = 0.75;
+/// A timely response adds this and a share to the call rate; the share is larger until the first cut.
+pub(super) const CALL_RATE_STEP_PER_S: f64 = 0.02;
+pub(super) const CALL_RATE_GROWTH: f64 = 0.02;
+pub(super) const CALL_RATE_START_GROWTH: f64 = 0.1;
+/// Capacity of the token bucket of counter calls, in ms of the call rate.
+pub(super) const CALL_BUCKET_MS: f64 = 500.0;
+pub(super) const MIN_CALL_BUCKET: f64 = 2.0;
+/// Time constant of the averages of requests in flight and responses per second.
+pub(super) const LOAD_AVERAGE_MS: f64 = 1500.0;
+/// Responses within that time at which these averages get half the weight in an estimate.
+pub(super) const LOAD_HALF_WEIGHT_RESPONSES: f64 = 20.0;
+/// Weight of one sample in the mean share of the latency target: about the last ten count.
+pub(super) const TARGET_SHARE_GAIN: f64 = 0.1;
+/// Factor on that share in an estimate: it lags, as it is known only after the response.
+pub(super) const TARGET_SHARE_FACTOR: f64 = 1.5;
+/// Time constant of the average of peer usage.
+pub(super) const PEER_USAGE_MS: f64 = 2000.0;
+/// Peer usage is extrapolated for at most this long after the last total.
+pub(super) const MAX_PROJECTION_MS: f64 = 10_000.0;
+/// Customers and unlisted backends are forgotten after this time without use.
+pub(super) const IDLE_EXPIRY_MS: f64 = 60_000.0;
+/// Requests of other gateways assumed to be at each backend.
+pub(super) const ASSUMED_PEER_REQUESTS: f64 = 1.0;
+/// Weight of one sample in a backend's relative latency: about the last ten count.
+pub(super) const RELATIVE_LATENCY_GAIN: f64 = 0.1;
+/// A relative latency without new samples returns to 1 with this time constant.
+pub(super) const RELATIVE_LATENCY_MEMORY_MS: f64 = 10_000.0;
+/// Weight of one sample in the mean latency of a class and the mean units of a request.
+pub(super) const MEAN_GAIN: f64 = 0.01;
+/// Latency of a class before any sample, as a share of its latency target.
+pub(super) const INITIAL_LATENCY_SHARE: f64 = 0.2;
+/// A backend that is silent for longer than this many mean latencies counts as slower in proportion.
+pub(super) const SILENCE_LATENCIES: f64 = 3.0;
+/// Random part of a backend's cost, in mean latencies, so that gateways do not all choose the same one.
+pub(super) const COST_JITTER: f64 = 0.05;
+/// Least number of backends in a gateway's subset, and of gateways whose subsets contain a backend.
+pub(super) const MIN_SUBSET_BACKENDS: f64 = 12.0;
+pub(super) const MIN_GATEWAYS_PER_BACKEND: f64 = 10.0;
+/// Cost of a backend outside the subset, and reduction for one with a warm-up token, in mean latencies.
+pub(super) const OUTSIDE_SUBSET_COST: f64 = 1.0;
+pub(super) const WARM_UP_BONUS: f64 = 1.0;
+/// Points of consecutive failures at which a backend is ejected. The network may cause resets too.
+pub(super) const EJECTION_POINTS: u32 = 4;
+pub(super) const FAILURE_POINTS: u32 = 2;
+pub(super) const RESET_POINTS: u32 = 1;
+/// First ejection time; doubles with each failed trial, up to 32 times.
+pub(super) const EJECTION_MS: f64 = 500.0;
+/// Weight of one response in a backend's error rate, and time constant of its decay without responses.
+pub(super) const ERROR_RATE_GAIN: f64 = 0.3;
+pub(super) const ERROR_RATE_MEMORY_MS: f64 = 10_000.0;
+/// Factor of the error rate in a backend's cost, for requests that can be retried and others.
+pub(super) const RETRYABLE_ERROR_COST: f64 = 0.5;
+pub(super) const UNSAFE_ERROR_COST: f64 = 10.0;
+/// An attempt whose late response earns nothing times out this long, and two ticks, before its target.
+pub(super) const TARGET_MARGIN_MS: f64 = 4.0;
+/// A backend that rejected a request is avoided for its plan this long, or until about this many requests.
+pub(super) const FULL_MS: f64 = 200.0;
+pub(super) const FULL_REQUESTS: f64 = 20.0;
+/// Retry tokens earned by each first attempt.
+pub(super) const RETRY_RATIO: f64 = 0.1;
+pub(super) const MAX_RETRY_TOKENS: f64 = 10.0;
+/// Requests per backend, over all gateways, that are always admitted: without responses nothing is learned.
+pub(super) const MIN_REQUESTS_PER_BACKEND: f64 = 3.0;
+/// A request is refused if its expected latency exceeds this share of its latency target.
+pub(super) const ADMISSION_SHARE: f64 = 0.36;
+/// A request over its quota may be sent while the expected latency is below this share of the target.
+pub(super) const OVER_QUOTA_SHARE: f64 = 0.35;
+/// Standard deviations by which the requests in flight must exceed their mean to indicate a queue.
+pub(super) const QUEUE_DEVIATIONS: f64 = 2.0;
+/// Time constant of the average request rate, and least age that is assumed for it after the start.
+pub(super) const REQUEST_RATE_MS: f64 = 5000.0;
+pub(super) const MIN_REQUEST_RATE_AGE_MS: f64 = 1000.0;
+/// Least time between two reads of a count for requests that are refused without a charge.
+pub(super) const MIN_COUNT_READ_INTERVAL_MS: f64 = 100.0;
+/// Raises an estimate from few responses for requests over their quota; not up to `CERTAIN_GATEWAYS`.
+pub(super) const UNCERTAINTY: f64 = 0.75;
+pub(super) const CERTAIN_GATEWAYS: f64 = 10.0;
+/// No request over its quota is sent for this long after a refusal for lack of capacity.
+pub(super) const OVERLOAD_MEMORY_MS: f64 = LOAD_AVERAGE_MS;
+/// Time constant with which the assumed number of gateways falls: missing ones may only be unreachable.
+pub(super) const GATEWAY_DECREASE_MS: f64 = 10_000.0;
+pub(super) const LOG_SUMMARY_TICKS: u32 = 10;
+/// Share of `cold_per_s` that a gateway uses.
+pub(super) const WARM_UP_RATE_SHARE: f64 = 0.6;
 pub(super) const TICK_MS: f64 = 1000.0;
 
 pub(super) const TOKEN_TICK: u64 = 0;
+/// Set in the token of a request's wait for the counter or a peer; the request's number is in the rest.
 pub(super) const TOKEN_WAIT: u64 = 1 << 60;
-pub(super) const TOKEN_ID: u64 = (1 << 60) - 1;
+pub(super) const TOKEN_ID_MASK: u64 = (1 << 60) - 1;
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,38 +1,38 @@
-//! What gateways tell each other, as bytes. Nothing here decides anything.
+//! Encoding of the messages between gateways. No decision is made here.
 
 use crate::interface::{CustomerId, RequestId};
 
-/// The form of the messages; others are ignored.
+/// Version of the message format; messages of other versions are ignored.
 const VERSION: u8 = 1;
 
 /// A message between two gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Message {
-    /// Is there room for these units in the customer's store?
-    Ask { id: RequestId, customer: CustomerId, plan: u8, units: f32 },
-    /// The units in the store before the request's own.
-    Answer { id: RequestId, store: f32 },
+    /// Asks the customer's home gateway whether its quota has room for these units.
+    BalanceRequest { id: RequestId, customer: CustomerId, plan: u8, units: f32 },
+    /// The customer's balance, before the units of the request are deducted.
+    BalanceResponse { id: RequestId, balance: f32 },
 }
 
 impl Message {
     pub(crate) fn encode(self) -> Vec<u8> {
         let mut body = vec![VERSION];
         match self {
-            Message::Ask { id, customer, plan, units } => {
+            Message::BalanceRequest { id, customer, plan, units } => {
                 body.extend(id.to_le_bytes());
                 body.extend(customer.to_le_bytes());
                 body.push(plan);
                 body.extend(units.to_le_bytes());
             }
-            Message::Answer { id, store } => {
+            Message::BalanceResponse { id, balance } => {
                 body.extend(id.to_le_bytes());
-                body.extend(store.to_le_bytes());
+                body.extend(balance.to_le_bytes());
             }
         }
         body
     }
 
-    /// None for what is truncated, too long, of another version or not finite.
+    /// Returns `None` for a message of the wrong length or version, or with a value that is not finite.
     pub(crate) fn decode(body: &[u8]) -> Option<Message> {
         let (version, body) = body.split_first()?;
         let (id, body) = body.split_first_chunk()?;
@@ -42,12 +42,13 @@
                 let (customer, body) = body.split_first_chunk()?;
                 let (plan, units) = body.split_first()?;
                 let units = f32::from_le_bytes(units.try_into().ok()?);
-                Message::Ask { id, customer: u64::from_le_bytes(*customer), plan: *plan, units }
+                Message::BalanceRequest { id, customer: u64::from_le_bytes(*customer), plan: *plan, units }
             }
-            4 => Message::Answer { id, store: f32::from_le_bytes(body.try_into().ok()?) },
+            4 => Message::BalanceResponse { id, balance: f32::from_le_bytes(body.try_into().ok()?) },
             _ => return None,
         };
-        let (Message::Ask { units: value, .. } | Message::Answer { store: value, .. }) = message;
+        let (Message::BalanceRequest { units: value, .. } | Message::BalanceResponse { balance: value, .. }) =
+            message;
         (*version == VERSION && value.is_finite()).then_some(message)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers: plain data, nothing here decides anything.
+//! The state that a gateway keeps per customer, request, pool and backend. No decision is made here.
 
 use crate::interface::{BackendId, CustomerId, Listed, Millis, Request, RequestId};
 use std::collections::VecDeque;
@@ -6,162 +6,229 @@
 /// One customer as this gateway sees it.
 #[derive(Default)]
 pub(crate) struct Customer {
-    /// Units in the customer's store, rebuilt from the totals and this gateway's own grants.
-    pub(crate) store: f64,
-    pub(crate) at: Millis,
-    /// Units settled or refused that ride on the next charge.
-    pub(crate) owed: f64,
-    pub(crate) owed_at: Millis,
-    /// The window counted in, the use last seen, faded to then, and what this gateway added to the count.
+    /// Units left in the quota's token bucket, estimated from the shared count and this gateway's own grants.
+    pub(crate) balance: f64,
+    pub(crate) balance_at: Millis,
+    /// Corrections (settled, refused or failed charges) to be added to the next charge.
+    pub(crate) deferred_units: f64,
+    pub(crate) deferred_at: Millis,
+    /// Number of the counting window that was charged last.
     pub(crate) window: u64,
-    pub(crate) seen: Option<f64>,
-    pub(crate) seen_at: Millis,
-    pub(crate) own: f64,
-    /// What the last window's count had come to when this one began.
-    pub(crate) before: f64,
-    /// Units of requests that wait for the counter, and calls out.
-    pub(crate) waiting: f64,
-    pub(crate) calls: u32,
-    pub(crate) called: Millis,
-    /// The other gateways' use, units a second, and what of it was taken off the store unseen.
-    pub(crate) others: f64,
-    pub(crate) projected: f64,
-    pub(crate) out: u32,
-    pub(crate) ceiling: f64,
-    pub(crate) last: Millis,
+    /// Fleet-wide usage as of the last total, decayed to `usage_at`.
+    pub(crate) usage: Option<f64>,
+    pub(crate) usage_at: Millis,
+    /// Units that this gateway added to the window's count.
+    pub(crate) own_charges: f64,
+    /// Usage carried over from earlier windows when this one began.
+    pub(crate) carried_usage: f64,
+    /// Units of requests that wait for the counter or for a peer.
+    pub(crate) waiting_units: f64,
+    /// Counter calls in flight.
+    pub(crate) counter_calls: u32,
+    pub(crate) last_call_at: Millis,
+    /// Usage by the other gateways, in units per second, averaged.
+    pub(crate) peer_rate: f64,
+    /// Peer usage deducted from the balance by extrapolation since the last total.
+    pub(crate) projected_usage: f64,
+    pub(crate) attempts_in_flight: u32,
+    /// Units left in this gateway's share of the hard ceiling.
+    pub(crate) ceiling_balance: f64,
+    pub(crate) last_used_at: Millis,
+}
+
+/// Latency of a class of requests on an idle backend of average speed.
+pub(crate) struct ClassLatency {
+    pub(crate) mean_ms: f64,
+    pub(crate) samples: f64,
+}
+
+/// The number of gateways present, as last reported.
+pub(crate) struct Membership {
+    pub(crate) present: f64,
+    /// The number assumed when the report arrived.
+    pub(crate) previous: f64,
+    pub(crate) reported_at: Millis,
+}
+
+/// Counts for the next summary in the log.
+#[derive(Default)]
+pub(crate) struct Summary {
+    pub(crate) ticks: u32,
+    pub(crate) requests: u32,
+    pub(crate) no_capacity: u32,
+    pub(crate) over_quota: u32,
+    pub(crate) unsent: u32,
 }
 
 /// One attempt of a request.
 pub(crate) struct Attempt {
     pub(crate) backend: BackendId,
-    pub(crate) sent: Millis,
-    /// Requests of this gateway at the backend when it was sent, this one included.
-    pub(crate) depth: f64,
-    pub(crate) live: bool,
-    /// The backend works on it: it has the whole request and has not begun a streamed answer.
-    pub(crate) at_work: bool,
+    pub(crate) sent_at: Millis,
+    /// This gateway's requests at the backend when it was sent, including this one.
+    pub(crate) queue_depth: f64,
+    pub(crate) in_flight: bool,
+    /// The backend has the whole request and has not started a streamed response.
+    pub(crate) processing: bool,
 }
 
-/// A request not yet ended.
-pub(crate) struct Open {
+/// A request that has not been closed, or still has attempts in flight.
+pub(crate) struct OpenRequest {
     pub(crate) request: Request,
-    pub(crate) ends: Millis,
-    /// An answer after this no longer meets the aim.
-    pub(crate) aim_ends: Millis,
-    /// The counter has been asked and the request waits for its answer.
-    pub(crate) held: bool,
-    /// Another gateway has been asked, not the counter.
-    pub(crate) asked: bool,
-    /// It was sent inside the quota, as far as known.
-    pub(crate) inside: bool,
+    pub(crate) deadline: Millis,
+    /// A response after this misses the latency target.
+    pub(crate) target_deadline: Millis,
+    /// Waits for the response of the counter or of a peer.
+    pub(crate) waiting: bool,
+    /// A peer was asked for the balance instead of the counter.
+    pub(crate) asked_peer: bool,
+    /// Within the quota as far as known, and not settled yet.
+    pub(crate) within_quota: bool,
     pub(crate) closed: bool,
     pub(crate) streaming: bool,
     pub(crate) attempts: Vec<Attempt>,
-    /// First attempt that may have run: when it was sent and where.
-    pub(crate) ran: Option<(Millis, BackendId)>,
+    /// The first attempt that may have executed: when it was sent, and to which backend.
+    pub(crate) executed: Option<(Millis, BackendId)>,
+}
+
+impl OpenRequest {
+    pub(crate) fn new(request: Request, deadline: Millis, target_deadline: Millis) -> Self {
+        OpenRequest {
+            request,
+            deadline,
+            target_deadline,
+            waiting: false,
+            asked_peer: false,
+            within_quota: true,
+            closed: false,
+            streaming: false,
+            attempts: Vec::new(),
+            executed: None,
+        }
+    }
+
+    /// Index of its class in the settings.
+    pub(crate) fn class(&self) -> usize {
+        self.request.class as usize
+    }
+
+    /// Index of its plan in the settings.
+    pub(crate) fn plan(&self) -> usize {
+        self.request.plan as usize
+    }
+}
+
+/// The load of one pool of backends as this gateway sees it.
+#[derive(Default)]
+pub(crate) struct PoolLoad {
+    pub(crate) in_flight: f64,
+    pub(crate) mean_in_flight: f64,
+    pub(crate) responses_per_s: f64,
+    /// Mean latency of responses as a share of the latency target.
+    pub(crate) target_share: f64,
+    /// When the averages above were last updated.
+    pub(crate) updated_at: Millis,
+    /// When a request within its quota was last refused for lack of capacity.
+    pub(crate) overloaded_at: Millis,
+    pub(crate) retry_tokens: f64,
+    /// Average rate of first attempts, including those for which no backend was found.
+    pub(crate) requests_per_s: f64,
+    pub(crate) requests_at: Millis,
 }
 
-/// The requests for one service as this gateway sees them.
-pub(crate) struct Flow {
-    /// Attempts out, their average, and answers a second, averaged alike.
-    pub(crate) out: f64,
-    pub(crate) out_mean: f64,
-    pub(crate) served: f64,
-    /// Share of its aim that an answer takes, averaged over answers.
-    pub(crate) late: f64,
-    pub(crate) at: Millis,
-    /// When a request inside its quota was last refused for want of room.
-    pub(crate) crowded_at: Millis,
-    /// Further attempts saved up.
-    pub(crate) retries: f64,
-    /// First attempts a second, averaged: those to be sent, whether or not a backend was found.
-    pub(crate) rate: f64,
-    pub(crate) rate_at: Millis,
+/// A window in which one customer's usage is counted.
+pub(crate) struct Window {
+    pub(crate) number: u64,
+    /// Name of the customer's count in this window.
+    pub(crate) name: u64,
+    pub(crate) left_ms: f64,
 }
 
-/// A call to the counter whose answer is out.
+/// A call to the counter that has no response yet.
 pub(crate) struct Call {
     pub(crate) customer: CustomerId,
     pub(crate) request: RequestId,
     pub(crate) plan: usize,
+    /// What is added to the count: `units` and corrections, decayed to the end of the window.
     pub(crate) amount: f64,
     pub(crate) units: f64,
 }
 
-/// A second, and what timers and clocks at different rates may shorten it by, in ms.
-const SECOND_MS: Millis = 1050.0;
+/// Window of a backend's rate limit: one second plus the drift of timers and clocks.
+const LIMIT_WINDOW_MS: Millis = 1050.0;
 
 /// One backend as this gateway sees it.
 pub(crate) struct Backend {
     pub(crate) listed: Listed,
-    /// Its lot at this gateway: those with the least are kept to.
-    pub(crate) lot: f64,
-    /// When it started or came back, if it may be cold.
-    pub(crate) born: Option<Millis>,
-    /// Work it may be sent while cold, in requests, and when that was reckoned.
-    pub(crate) cold: (f64, Millis),
-    /// When it was sent its last attempts, as many as a limit may count.
-    pub(crate) sent: VecDeque<Millis>,
-    pub(crate) out: u32,
-    /// Its time for a request beside the fleet's, and when last learned.
-    pub(crate) pace: f64,
-    pub(crate) learned: Millis,
-    /// Last sign of life with work out.
-    pub(crate) heard: Millis,
-    /// Points of its failures in a row.
-    pub(crate) failures: u32,
-    /// Share of its answers that are errors, and when that was reckoned.
-    pub(crate) errors: (f64, Millis),
-    /// Left out until then; a trial request follows.
-    pub(crate) out_until: Millis,
-    /// Turns each plan away until then.
+    /// Rank of the backend at this gateway, in [0, 1): those with the lowest ranks form its subset.
+    pub(crate) subset_rank: f64,
+    /// When it started or returned to the list, if it may still be warming up.
+    pub(crate) warming_since: Option<Millis>,
+    /// Token bucket of the attempts it may be sent during warm-up.
+    pub(crate) warm_up_tokens: f64,
+    pub(crate) warm_up_tokens_at: Millis,
+    /// Times of recent attempts, kept while a rate limit applies.
+    pub(crate) recent_sends: VecDeque<Millis>,
+    pub(crate) in_flight: u32,
+    /// Its latency relative to the mean of the backends.
+    pub(crate) relative_latency: f64,
+    pub(crate) latency_at: Millis,
+    /// Last response while attempts were in flight.
+    pub(crate) last_response_at: Millis,
+    /// Points of consecutive failures.
+    pub(crate) failure_points: u32,
+    /// Share of its responses that are errors, as of `error_rate_at`.
+    pub(crate) error_rate: f64,
+    pub(crate) error_rate_at: Millis,
+    /// End of its ejection; a trial request follows.
+    pub(crate) ejected_until: Millis,
+    /// Per plan, until when it counts as full.
     pub(crate) full_until: Vec<Millis>,
 }
 
 impl Backend {
-    pub(crate) fn new(listed: Listed, born: Option<Millis>, now: Millis, lot: f64) -> Self {
-        let (learned, heard, out_until, full_until) = (now, now, now, Vec::new());
-        let (cold, errors, out, pace, failures) = ((0.0, now), (0.0, now), 0, 1.0, 0);
+    pub(crate) fn new(listed: Listed, warming_since: Option<Millis>, now: Millis, subset_rank: f64) -> Self {
         Backend {
             listed,
-            lot,
-            born,
-            cold,
-            sent: VecDeque::new(),
-            out,
-            pace,
-            learned,
-            heard,
-            failures,
-            errors,
-            out_until,
-            full_until,
+            subset_rank,
+            warming_since,
+            warm_up_tokens: 0.0,
+            warm_up_tokens_at: now,
+            recent_sends: VecDeque::new(),
+            in_flight: 0,
+            relative_latency: 1.0,
+            latency_at: now,
+            last_response_at: now,
+            failure_points: 0,
+            error_rate: 0.0,
+            error_rate_at: now,
+            ejected_until: now,
+            full_until: Vec::new(),
         }
     }
 
-    /// The share of errors now, if it is forgotten by a factor e in so many ms.
-    pub(crate) fn errors_at(&self, now: Millis, memory_ms: f64) -> f64 {
-        self.errors.0 * (-(now - self.errors.1).max(0.0) / memory_ms).exp()
+    /// The error rate, decayed by a factor e per `memory_ms`.
+    pub(crate) fn decayed_error_rate(&self, now: Millis, memory_ms: f64) -> f64 {
+        self.error_rate * (-(now - self.error_rate_at).max(0.0) / memory_ms).exp()
     }
 
-    /// Attempts that it was sent in the last second.
-    pub(crate) fn sent_lately(&self, now: Millis) -> usize {
-        self.sent.iter().rev().take_while(|at| now - **at < SECOND_MS).count()
+    /// Attempts sent within the window of the rate limit.
+    pub(crate) fn sends_in_window(&self, now: Millis) -> usize {
+        self.recent_sends.iter().rev().take_while(|at| now - **at < LIMIT_WINDOW_MS).count()
     }
 
-    /// It is sent an attempt.
-    pub(crate) fn note_sent(&mut self, now: Millis) {
+    /// Records an attempt for the rate limit, if one applies.
+    pub(crate) fn record_send(&mut self, now: Millis) {
         if self.listed.limited_until > now {
-            self.sent.retain(|at| now - *at < SECOND_MS);
-            self.sent.push_back(now);
+            self.recent_sends.retain(|at| now - *at < LIMIT_WINDOW_MS);
+            self.recent_sends.push_back(now);
         }
     }
 
-    /// One more request is its work.
-    pub(crate) fn begin(&mut self, now: Millis) {
-        if self.out == 0 {
-            self.heard = now;
+    /// Counts one more request that the backend processes.
+    pub(crate) fn start_request(&mut self, now: Millis) {
+        if self.in_flight == 0 {
+            self.last_response_at = now;
         }
-        self.out += 1;
+        self.in_flight += 1;
     }
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! Random legal event sequences with fixed seeds: whatever happens, the rules hold.
+//! The rules hold for random valid event sequences with fixed seeds.
 
 mod common;
 use cherrytally::*;
@@ -7,50 +7,50 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-struct Out {
+struct AttemptState {
     backend: u32,
-    sent: f64,
-    ends: f64,
-    live: bool,
-    ran: bool,
+    sent_at: f64,
+    deadline: f64,
+    in_flight: bool,
+    executed: bool,
 }
 
-struct Asked {
+struct RequestState {
     class: usize,
-    ends: f64,
+    deadline: f64,
     answered: bool,
-    attempts: Vec<Out>,
+    attempts: Vec<AttemptState>,
 }
 
-struct World {
+struct Simulation {
     gateway: Gateway,
     settings: Settings,
     now: f64,
-    asked: BTreeMap<u64, Asked>,
+    requests: BTreeMap<u64, RequestState>,
     states: BTreeMap<u32, State>,
     counts: Vec<(u64, f64)>,
     timers: Vec<(f64, u64)>,
-    /// A digest of all that was done.
-    done: DefaultHasher,
+    /// Hash of all actions.
+    digest: DefaultHasher,
 }
 
-/// What membership tells of the number of gateways.
+/// How membership reports the number of gateways.
 #[derive(Clone, Copy)]
-enum Told {
-    /// Nothing: there is none.
-    Nothing,
-    /// Now and then what the settings say.
-    Settings,
-    /// Now and then anything.
-    Anything,
+enum Reporting {
+    /// Not at all.
+    Absent,
+    /// Sometimes, as configured.
+    Configured,
+    /// Sometimes, any number.
+    Arbitrary,
 }
 
-impl World {
+impl Simulation {
     fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         if !actions.is_empty() {
-            format!("{actions:?}").hash(&mut self.done);
+            format!("{actions:?}").hash(&mut self.digest);
         }
         for action in actions {
             self.check(action);
@@ -61,59 +61,71 @@
         match action {
             Action::Send { id, backend, timeout_ms } => {
                 assert_eq!(self.states.get(&backend), Some(&State::Ready), "sent to a backend not ready");
-                let asked = self.asked.get_mut(&id).expect("a known request");
-                assert!(!asked.answered, "sent after the final answer");
-                assert!(timeout_ms > 0.0 && self.now + timeout_ms <= asked.ends + 1e-6);
-                assert!((asked.attempts.len() as u32) < self.settings.limits.max_attempts);
-                let second = self.settings.limits.second_copies;
-                assert!(second || asked.attempts.iter().all(|a| !a.live), "two attempts out at once");
-                let earlier: Vec<_> = asked.attempts.iter().filter(|a| a.ran || a.live).collect();
-                match self.settings.classes[asked.class].effect {
+                let request = self.requests.get_mut(&id).expect("known request");
+                assert!(!request.answered, "sent after the final answer");
+                assert!(timeout_ms > 0.0 && self.now + timeout_ms <= request.deadline + 1e-6);
+                assert!((request.attempts.len() as u32) < self.settings.limits.max_attempts);
+                let copies = self.settings.limits.second_copies;
+                assert!(
+                    copies || request.attempts.iter().all(|a| !a.in_flight),
+                    "two attempts in flight at once"
+                );
+                let earlier: Vec<_> = request.attempts.iter().filter(|a| a.executed || a.in_flight).collect();
+                match self.settings.classes[request.class].effect {
                     Effect::Safe => {}
-                    Effect::Unsafe => assert!(earlier.is_empty(), "an unsafe request may run twice"),
+                    Effect::Unsafe => assert!(earlier.is_empty(), "unsafe request may execute twice"),
                     Effect::Keyed { window_ms, .. } => {
                         for a in earlier {
-                            assert_eq!(a.backend % 2, backend % 2, "a keyed repeat outside its zone");
-                            assert!(self.now - a.sent < window_ms, "a keyed repeat outside its window");
+                            assert_eq!(a.backend % 2, backend % 2, "keyed request retried outside its zone");
+                            assert!(
+                                self.now - a.sent_at < window_ms,
+                                "keyed request retried outside its window"
+                            );
                         }
                     }
                 }
-                let ends = self.now + timeout_ms;
-                asked.attempts.push(Out { backend, sent: self.now, ends, live: true, ran: false });
+                let deadline = self.now + timeout_ms;
+                request.attempts.push(AttemptState {
+                    backend,
+                    sent_at: self.now,
+                    deadline,
+                    in_flight: true,
+                    executed: false,
+                });
             }
             Action::Refuse { id, .. } => {
-                let asked = self.asked.get_mut(&id).expect("a known request");
-                assert!(!std::mem::replace(&mut asked.answered, true), "answered twice");
-                let safe = self.settings.classes[asked.class].effect == Effect::Safe;
+                let request = self.requests.get_mut(&id).expect("known request");
+                assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
+                let safe = self.settings.classes[request.class].effect == Effect::Safe;
                 assert!(
-                    safe || asked.attempts.iter().all(|a| !a.live && !a.ran),
-                    "refused what may have run"
+                    safe || request.attempts.iter().all(|a| !a.in_flight && !a.executed),
+                    "refused a request that may have executed"
                 );
             }
             Action::Fail { id } => {
-                let asked = self.asked.get_mut(&id).expect("a known request");
-                assert!(!std::mem::replace(&mut asked.answered, true), "answered twice");
+                let request = self.requests.get_mut(&id).expect("known request");
+                assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
             }
             Action::Count { name, amount, .. } => self.counts.push((name, amount)),
             Action::Timer { token, after_ms } => self.timers.push((self.now + after_ms, token)),
-            Action::Cancel { id, attempt } => assert!((attempt as usize) < self.asked[&id].attempts.len()),
+            Action::Cancel { id, attempt } => assert!((attempt as usize) < self.requests[&id].attempts.len()),
             _ => {}
         }
     }
 
     fn outcome(&mut self, id: u64, attempt: usize, result: Result) {
-        let asked = self.asked.get_mut(&id).unwrap();
-        let out = &mut asked.attempts[attempt];
-        (out.live, out.ran) = (false, !result.never_ran());
-        let (backend, took_ms) = (out.backend, self.now - out.sent);
-        asked.answered |= result == Result::Ok;
-        let (ended, units, load) = (asked.answered, Some(2.0), Load::default());
+        let request = self.requests.get_mut(&id).unwrap();
+        let state = &mut request.attempts[attempt];
+        (state.in_flight, state.executed) = (false, !result.never_ran());
+        let (backend, took_ms) = (state.backend, self.now - state.sent_at);
+        request.answered |= result == Result::Ok;
+        let (ended, units, load) = (request.answered, Some(2.0), Load::default());
         let attempt = attempt as u8;
         self.event(Event::Outcome(Outcome { id, attempt, backend, result, ended, units, took_ms, load }));
     }
 
-    /// Brings the clock on: timers ring, time-outs fall due.
-    fn pass(&mut self, ms: f64) {
+    /// Advances the clock: fires timers and attempt timeouts.
+    fn advance(&mut self, ms: f64) {
         self.now += ms;
         let now = self.now;
         let (due, later) = self.timers.drain(..).partition(|(at, _)| *at <= now);
@@ -122,78 +134,82 @@
         for (_, token) in due {
             self.event(Event::Timer { token });
         }
-        let ids: Vec<_> = self.asked.keys().copied().collect();
+        let ids: Vec<_> = self.requests.keys().copied().collect();
         for id in ids {
-            for attempt in 0..self.asked[&id].attempts.len() {
-                let out = &self.asked[&id].attempts[attempt];
-                if out.live && out.ends <= now {
+            for attempt in 0..self.requests[&id].attempts.len() {
+                let state = &self.requests[&id].attempts[attempt];
+                if state.in_flight && state.deadline <= now {
                     self.outcome(id, attempt, Result::Timeout);
                 }
             }
-            let asked = &self.asked[&id];
-            assert!(asked.answered || now <= asked.ends + 8.0, "request {id} is overdue");
+            let request = &self.requests[&id];
+            assert!(request.answered || now <= request.deadline + 8.0, "request {id} is overdue");
         }
-        let over = |a: &Asked| a.answered && a.attempts.iter().all(|out| !out.live);
-        self.asked.retain(|_, a| !over(a));
+        let ended =
+            |request: &RequestState| request.answered && request.attempts.iter().all(|a| !a.in_flight);
+        self.requests.retain(|_, request| !ended(request));
     }
 }
 
-/// A digest of what was done.
-fn run(seed: u64, second_copies: bool, told: Told) -> u64 {
+/// Runs one random sequence and returns the hash of all actions.
+fn run(seed: u64, second_copies: bool, reporting: Reporting) -> u64 {
     let mut rng = fastrand::Rng::with_seed(seed);
-    // Of its own, so that whatever is told the other events are the same.
-    let mut telling = fastrand::Rng::with_seed(seed);
+    // A separate generator, so that the other events do not depend on the reports.
+    let mut report_rng = fastrand::Rng::with_seed(seed);
     let mut settings = settings();
     settings.limits.second_copies = second_copies;
     settings.plans[0].max_out = 8;
     settings.limits.peers = true;
-    let mut w = World {
+    let mut sim = Simulation {
         gateway: Gateway::new(settings.clone(), seed, 0.0),
         settings,
         now: 0.0,
-        asked: BTreeMap::new(),
+        requests: BTreeMap::new(),
         states: (1..=6).map(|id| (id, State::Ready)).collect(),
         counts: Vec::new(),
         timers: Vec::new(),
-        done: DefaultHasher::new(),
+        digest: DefaultHasher::new(),
     };
     let entry = |id: u32, state, started| Listed { started, cell: id, ..common::listed(id, id % 2, state) };
-    w.event(Event::List { full: true, entries: (1..=6).map(|id| entry(id, State::Ready, 0.0)).collect() });
+    sim.event(Event::List { full: true, entries: (1..=6).map(|id| entry(id, State::Ready, 0.0)).collect() });
     for id in 1..4000 {
-        w.pass(rng.f64() * 8.0);
-        let any = [0, 1, 2, 300, u32::MAX][telling.usize(0..5)];
-        match (telling.u8(0..9), told) {
-            (0, Told::Settings) => {
-                w.event(Event::Gateways { present: w.settings.gateways, majority: telling.bool() });
+        sim.advance(rng.f64() * 8.0);
+        let any = [0, 1, 2, 300, u32::MAX][report_rng.usize(0..5)];
+        match (report_rng.u8(0..9), reporting) {
+            (0, Reporting::Configured) => {
+                sim.event(Event::Gateways { present: sim.settings.gateways, majority: report_rng.bool() });
+            }
+            (0, Reporting::Arbitrary) => {
+                sim.event(Event::Gateways { present: any, majority: report_rng.bool() })
             }
-            (0, Told::Anything) => w.event(Event::Gateways { present: any, majority: telling.bool() }),
             _ => {}
         }
-        let odd = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
+        let number = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
         match rng.u32(0..20) {
             0 => {
-                let load = Load { queue: Some(odd), service_ms: Some(odd), ..Load::default() };
+                let load = Load { queue: Some(number), service_ms: Some(number), ..Load::default() };
                 let result = [Result::Ok, Result::Timeout, Result::ConnectFailed][rng.usize(0..3)];
-                w.event(Event::Probed { backend: rng.u32(0..9), result, took_ms: odd, load });
+                sim.event(Event::Probed { backend: rng.u32(0..9), result, took_ms: number, load });
             }
             1 => {
                 let body = (0..rng.usize(0..30)).map(|_| rng.u8(0..3)).collect();
-                w.event(Event::Message { from: rng.u32(0..4), body });
+                sim.event(Event::Message { from: rng.u32(0..4), body });
             }
             2 => {
-                let known = w.asked.keys().next_back().copied().unwrap_or(0);
+                let known = sim.requests.keys().next_back().copied().unwrap_or(0);
                 let store = rng.f32() * 12.0 - 2.0;
                 let body = [vec![1], known.to_le_bytes().to_vec(), store.to_le_bytes().to_vec()].concat();
-                w.event(Event::Message { from: rng.u32(0..4), body });
+                sim.event(Event::Message { from: rng.u32(0..4), body });
             }
             _ => {}
         }
         match rng.u32(0..10) {
             0..=3 => {
                 let (class, budget_ms) = (rng.usize(0..3), 20.0 + rng.f64() * 2000.0);
-                let ends = w.now + budget_ms;
-                w.asked.insert(id, Asked { class, ends, answered: false, attempts: Vec::new() });
-                w.event(Event::Request(Request {
+                let deadline = sim.now + budget_ms;
+                sim.requests
+                    .insert(id, RequestState { class, deadline, answered: false, attempts: Vec::new() });
+                sim.event(Event::Request(Request {
                     id,
                     customer: rng.u64(0..20),
                     plan: 0,
@@ -208,13 +224,13 @@
                 }));
             }
             4..=7 => {
-                let live = w.asked.iter().flat_map(|(id, a)| {
-                    a.attempts.iter().enumerate().filter(|(_, o)| o.live).map(|(n, _)| (*id, n))
+                let in_flight = sim.requests.iter().flat_map(|(id, request)| {
+                    request.attempts.iter().enumerate().filter(|(_, a)| a.in_flight).map(|(n, _)| (*id, n))
                 });
-                let live = live.collect::<Vec<_>>();
-                if !live.is_empty() {
-                    let (id, attempt) = live[rng.usize(0..live.len())];
-                    let all = [
+                let in_flight = in_flight.collect::<Vec<_>>();
+                if !in_flight.is_empty() {
+                    let (id, attempt) = in_flight[rng.usize(0..in_flight.len())];
+                    let results = [
                         Result::Ok,
                         Result::Ok,
                         Result::Ok,
@@ -224,45 +240,44 @@
                         Result::Reset,
                         Result::Cancelled,
                     ];
-                    w.outcome(id, attempt, all[rng.usize(0..all.len())]);
+                    sim.outcome(id, attempt, results[rng.usize(0..results.len())]);
                 }
             }
             8 => {
-                while let Some((name, amount)) = (!w.counts.is_empty()).then(|| w.counts.remove(0)) {
+                while let Some((name, amount)) = (!sim.counts.is_empty()).then(|| sim.counts.remove(0)) {
                     let result = [Result::Ok, Result::Ok, Result::Timeout, Result::Full][rng.usize(0..4)];
                     let total = amount + rng.f64() * 12.0;
-                    w.event(Event::Counted { name, result, total, took_ms: rng.f64() * 60.0 });
+                    sim.event(Event::Counted { name, result, total, took_ms: rng.f64() * 60.0 });
                 }
             }
             _ => {
                 let id = rng.u32(1..=6);
                 let state = [State::Ready, State::Ready, State::Draining, State::Gone][rng.usize(0..4)];
-                let started = if rng.bool() { w.now } else { 0.0 };
-                w.states.insert(id, state);
-                w.event(Event::List { full: false, entries: vec![entry(id, state, started)] });
+                let started = if rng.bool() { sim.now } else { 0.0 };
+                sim.states.insert(id, state);
+                sim.event(Event::List { full: false, entries: vec![entry(id, state, started)] });
             }
         }
     }
     for _ in 0..300 {
-        w.pass(10.0);
+        sim.advance(10.0);
     }
-    assert!(w.asked.values().all(|a| a.answered), "every request has its answer");
-    w.done.finish()
+    assert!(sim.requests.values().all(|a| a.answered), "every request is answered");
+    sim.digest.finish()
 }
 
 #[test]
-fn the_rules_hold_on_random_legal_events() {
+fn rules_hold_for_random_valid_events() {
     for seed in 0..30 {
-        run(seed, seed % 2 == 0, Told::Nothing);
+        run(seed, seed % 2 == 0, Reporting::Absent);
     }
 }
 
 #[test]
-fn they_hold_whatever_membership_tells_and_it_changes_nothing_where_it_tells_what_the_settings_say() {
+fn rules_hold_for_any_membership_report_and_configured_counts_change_nothing() {
     for seed in 0..10 {
-        let plain = run(seed, true, Told::Nothing);
-        // To tell that is an event more, but does nothing.
-        assert_eq!(plain, run(seed, true, Told::Settings), "seed {seed}");
-        run(seed, true, Told::Anything);
+        let without_reports = run(seed, true, Reporting::Absent);
+        assert_eq!(without_reports, run(seed, true, Reporting::Configured), "seed {seed}");
+        run(seed, true, Reporting::Arbitrary);
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,71 +1,74 @@
-//! The five rules, each kept by one gateway alone, and the failures found so far.
+//! The rules of a single gateway (deadlines, retries, draining, warm-up, ceilings) and regressions.
 
 mod common;
 use cherrytally::*;
 use common::*;
 
-/// Settings without a counter or quota, for tests of what comes after.
-fn open_settings() -> Settings {
+/// Settings without a counter and quota.
+fn settings_without_quota() -> Settings {
     let mut s = settings();
     s.counter = None;
     s.plans[0].rate = 0.0;
     s
 }
 
-const LATEST: f64 = 2000.0;
+const DEADLINE_MS: f64 = 2000.0;
 
 #[test]
 fn every_request_is_answered_by_its_deadline() {
-    let mut rig = Rig::new(open_settings());
+    let mut rig = Rig::new(settings_without_quota());
     let backend = sent(&rig.request(1, 2, 1.0)).unwrap();
-    rig.now += LATEST;
+    rig.now += DEADLINE_MS;
     let actions = rig.outcome(1, 0, backend, Result::Timeout, None);
-    assert!(failed(&actions), "an unsafe request that may have run is failed, not refused: {actions:?}");
+    assert!(
+        failed(&actions),
+        "an unsafe request that may have executed must fail, not be refused: {actions:?}"
+    );
     let actions = rig.outcome(1, 0, backend, Result::Ok, None);
-    assert!(actions.is_empty(), "nothing follows a final answer: {actions:?}");
+    assert!(actions.is_empty(), "no action after the final answer: {actions:?}");
 }
 
 #[test]
-fn a_request_held_for_the_counter_is_released_when_the_counter_stays_silent() {
+fn requests_stop_waiting_for_a_silent_counter() {
     let mut rig = Rig::new(settings());
     let actions = rig.request(1, 0, 1.0);
-    let wait = actions.iter().find_map(|a| match a {
+    let timer = actions.iter().find_map(|a| match a {
         Action::Timer { token, after_ms } if *token != 0 => Some((*token, *after_ms)),
         _ => None,
     });
-    let (token, after_ms) = wait.expect("a bounded wait");
+    let (token, after_ms) = timer.expect("timer for the wait");
     assert!(after_ms <= 50.0);
     rig.now += after_ms;
     assert!(sent(&rig.event(Event::Timer { token })).is_some());
 }
 
 #[test]
-fn an_unsafe_request_goes_out_again_only_if_it_never_ran() {
-    for (result, again) in [(Result::Full, true), (Result::ConnectFailed, true), (Result::Reset, false)] {
-        let mut rig = Rig::new(open_settings());
+fn unsafe_requests_are_retried_only_if_never_executed() {
+    for (result, retried) in [(Result::Full, true), (Result::ConnectFailed, true), (Result::Reset, false)] {
+        let mut rig = Rig::new(settings_without_quota());
         let backend = sent(&rig.request(1, 2, 1.0)).unwrap();
         let actions = rig.outcome(1, 0, backend, result, None);
-        assert_eq!(sent(&actions).is_some(), again, "{result:?}");
-        assert_eq!(failed(&actions), !again, "{result:?}");
+        assert_eq!(sent(&actions).is_some(), retried, "{result:?}");
+        assert_eq!(failed(&actions), !retried, "{result:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_is_repeated_only_in_its_group_and_window() {
-    for (after, again) in [(10.0, true), (1600.0, false)] {
-        let mut rig = Rig::new(open_settings());
+fn keyed_requests_are_retried_only_in_their_group_and_window() {
+    for (after_ms, retried) in [(10.0, true), (1600.0, false)] {
+        let mut rig = Rig::new(settings_without_quota());
         let first = sent(&rig.request(1, 1, 1.0)).unwrap();
-        rig.now += after;
+        rig.now += after_ms;
         let actions = rig.outcome(1, 0, first, Result::Reset, None);
         let zone = |id| if id == 3 { 1 } else { 0 };
-        assert_eq!(sent(&actions).map(zone), again.then_some(zone(first)));
-        assert!(again || failed(&actions), "a refusal would promise too much: {actions:?}");
+        assert_eq!(sent(&actions).map(zone), retried.then_some(zone(first)));
+        assert!(retried || failed(&actions), "not safe to retry, so not refused: {actions:?}");
     }
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_gone_backend() {
-    let mut rig = Rig::new(open_settings());
+fn draining_and_removed_backends_get_no_requests() {
+    let mut rig = Rig::new(settings_without_quota());
     let entries = vec![listed(1, 0, State::Draining), listed(2, 0, State::Gone)];
     rig.event(Event::List { full: false, entries });
     for id in 1..20 {
@@ -73,18 +76,18 @@
         assert!(backend.is_none() || backend == Some(3));
     }
     rig.event(Event::List { full: true, entries: vec![] });
-    assert!(refused(&rig.request(99, 0, 1.0)).is_some(), "no backend is left");
+    assert!(refused(&rig.request(99, 0, 1.0)).is_some(), "no backend left");
 }
 
 #[test]
-fn a_cold_backend_gets_no_more_than_is_surely_warm() {
-    let mut rig = Rig::new(open_settings());
+fn cold_backends_get_only_their_warm_share() {
+    let mut rig = Rig::new(settings_without_quota());
     rig.now += 60_000.0;
     let mut fresh = listed(4, 0, State::Ready);
     fresh.started = rig.now;
     rig.event(Event::List { full: false, entries: vec![fresh] });
     let mut to_cold = 0;
-    // 100 requests a second for one second, each answered at once; a warm backend gets about 25.
+    // 100 requests in one second, each answered at once; a warm backend gets about 25.
     for id in 1..=100 {
         rig.now += 10.0;
         if let Some(backend) = sent(&rig.request(id, 0, 1.0)) {
@@ -92,63 +95,63 @@
             rig.outcome(id, 0, backend, Result::Ok, None);
         }
     }
-    assert!(to_cold <= 9, "{to_cold} of 100 to a backend at a quarter of its capacity");
+    assert!(to_cold <= 9, "{to_cold} of 100 requests to a backend at a quarter of its capacity");
 }
 
-/// Of 100 unsafe requests in 400 ms, those sent to backend 1, which serves ten and then breaks connections.
-fn sent_to_one_that_breaks(breaks: usize) -> usize {
-    let mut rig = Rig::new(open_settings());
-    let mut to_one = 0;
+/// Of 100 unsafe requests in 400 ms, the number sent to backend 1, which serves ten and then resets `resets`.
+fn sends_to_backend_with_resets(resets: usize) -> usize {
+    let mut rig = Rig::new(settings_without_quota());
+    let mut to_backend = 0;
     for id in 1..=100 {
         rig.now += 4.0;
         let backend = sent(&rig.request(id, 2, 1.0)).unwrap();
-        to_one += usize::from(backend == 1);
-        let broken = backend == 1 && (11..=10 + breaks).contains(&to_one);
-        rig.outcome(id, 0, backend, if broken { Result::Reset } else { Result::Ok }, None);
+        to_backend += usize::from(backend == 1);
+        let reset = backend == 1 && (11..=10 + resets).contains(&to_backend);
+        rig.outcome(id, 0, backend, if reset { Result::Reset } else { Result::Ok }, None);
     }
-    to_one
+    to_backend
 }
 
 #[test]
-fn a_backend_is_not_left_out_for_two_broken_connections_but_for_a_few() {
-    let well = sent_to_one_that_breaks(0);
-    let twice = sent_to_one_that_breaks(2);
-    assert!(twice * 2 >= well, "{twice} of {well} though it serves");
-    assert!(sent_to_one_that_breaks(100) <= 15);
+fn backends_are_ejected_after_several_resets_but_not_two() {
+    let without = sends_to_backend_with_resets(0);
+    let with_two = sends_to_backend_with_resets(2);
+    assert!(with_two * 2 >= without, "{with_two} requests, {without} without resets");
+    assert!(sends_to_backend_with_resets(100) <= 15);
 }
 
 #[test]
-fn a_backend_that_fails_every_other_request_gets_few_that_cannot_be_sent_again() {
-    let mut rig = Rig::new(open_settings());
-    let (mut to_bad, mut failures) = (0, [0, 0]);
+fn backends_with_alternating_errors_get_few_unsafe_requests() {
+    let mut rig = Rig::new(settings_without_quota());
+    let (mut to_failing, mut failures) = (0, [0, 0]);
     for id in 1..=400 {
         rig.now += 25.0;
-        let unsafe_one = id % 2 == 0;
-        let class = if unsafe_one { 2 } else { 0 };
+        let is_unsafe = id % 2 == 0;
+        let class = if is_unsafe { 2 } else { 0 };
         let mut next = sent(&rig.request(id, class, 1.0));
         let mut attempt = 0;
         while let Some(backend) = next {
-            to_bad += usize::from(backend == 1);
-            let bad = backend == 1 && to_bad % 2 == 0;
-            failures[usize::from(unsafe_one)] += usize::from(bad);
-            let result = if bad { Result::Error } else { Result::Ok };
+            to_failing += usize::from(backend == 1);
+            let fails = backend == 1 && to_failing % 2 == 0;
+            failures[usize::from(is_unsafe)] += usize::from(fails);
+            let result = if fails { Result::Error } else { Result::Ok };
             next = sent(&rig.outcome(id, attempt, backend, result, None));
             attempt += 1;
         }
     }
-    assert!(failures[1] <= 8, "{failures:?} of 200 each, the last lost for good");
+    assert!(failures[1] <= 8, "{failures:?} failures of 200 safe and 200 unsafe requests");
 }
 
 fn ceiling_settings() -> Settings {
-    let mut s = open_settings();
+    let mut s = settings_without_quota();
     s.plans[0].ceiling_rate = 4.0;
     s.plans[0].ceiling_burst = 40.0;
     s.plans[0].ceiling_slack = 4.0;
     s
 }
 
-/// Units let through in the next seconds when far more is asked than the ceiling allows.
-fn press(rig: &mut Rig, ids: std::ops::Range<u64>) -> f64 {
+/// Units admitted of one request of two units per 10 ms, far more than the ceiling allows.
+fn send_excess_load(rig: &mut Rig, ids: std::ops::Range<u64>) -> f64 {
     let mut units = 0.0;
     for id in ids {
         rig.now += 10.0;
@@ -161,43 +164,42 @@
 }
 
 #[test]
-fn a_ceiling_is_held_by_shares_and_across_a_restart() {
+fn ceilings_hold_per_gateway_share_and_after_a_restart() {
     let mut rig = Rig::new(ceiling_settings());
     rig.now += 60_000.0;
-    // Half the ceiling is this gateway's, as the customer comes through two: 20 units and 2 a second.
-    let before = press(&mut rig, 1..1000);
+    // The customer uses two gateways, so this one's share is half of the ceiling: 20 units and 2 per second.
+    let before = send_excess_load(&mut rig, 1..1000);
     assert!(before > 36.0 && before <= 42.0, "{before}");
-    let mut after = Rig::new(ceiling_settings());
-    let restarted = press(&mut after, 1..1000);
-    assert!(restarted <= 20.0, "a gateway that starts again begins with nothing: {restarted}");
+    let mut restarted = Rig::new(ceiling_settings());
+    let after = send_excess_load(&mut restarted, 1..1000);
+    assert!(after <= 20.0, "the ceiling's balance must start at 0: {after}");
 }
 
 #[test]
-fn asking_a_home_does_not_lift_its_share_of_a_ceiling() {
+fn balance_requests_do_not_raise_the_share_of_a_ceiling() {
     let mut s = ceiling_settings();
     (s.gateways, s.limits.peers) = (10, true);
     let mut rig = Rig::new(s);
     rig.now += 60_000.0;
     let ask = [vec![1], 5u64.to_le_bytes().to_vec(), 7u64.to_le_bytes().to_vec(), vec![0; 5]].concat();
     let mut units = 0.0;
-    // Between any two requests of ten seconds another gateway asks for no units of the same customer.
+    // Between any two requests a peer asks for the balance of the same customer, with 0 units.
     for id in (1..1000).step_by(2) {
-        units += press(&mut rig, id..id + 1);
+        units += send_excess_load(&mut rig, id..id + 1);
         rig.now += 10.0;
-        let told = rig.event(Event::Message { from: 3, body: ask.clone() });
-        assert!(told.iter().any(|a| matches!(a, Action::Tell { to: 3, .. })));
+        let actions = rig.event(Event::Message { from: 3, body: ask.clone() });
+        assert!(actions.iter().any(|a| matches!(a, Action::Tell { to: 3, .. })));
     }
-    assert!(units <= 42.0, "half of 40 units and of 4 a second for 10 s: {units}");
+    assert!(units <= 42.0, "more than half of 40 units and of 4 per second for 10 s: {units}");
 }
 
 #[test]
-fn few_hung_attempts_do_not_lock_the_gateway() {
-    // Found on quiet days: no answers, so the expected wait grew without end and all was refused; and a
-    // usual time grown past the limit locked a gateway with one answer at a time.
-    let mut rig = Rig::new(open_settings());
+fn hung_attempts_do_not_block_the_gateway() {
+    // Without responses the expected latency grew without bound, and all requests were refused.
+    let mut rig = Rig::new(settings_without_quota());
     for id in 1..=200 {
         let actions = rig.request(id, 0, 1.0);
-        let backend = sent(&actions).unwrap_or_else(|| panic!("request {id} is refused: {actions:?}"));
+        let backend = sent(&actions).unwrap_or_else(|| panic!("request {id} was refused: {actions:?}"));
         rig.now += 1900.0;
         let slow = Outcome {
             id,
@@ -212,15 +214,15 @@
         rig.event(Event::Outcome(slow));
     }
     for id in 300..305 {
-        sent(&rig.request(id, 0, 1.0)).expect("the least work is let in");
+        sent(&rig.request(id, 0, 1.0)).expect("the minimum is always admitted");
     }
-    assert!(refused(&rig.request(305, 0, 1.0)).is_some(), "answers come late: more is refused early");
+    assert!(refused(&rig.request(305, 0, 1.0)).is_some(), "responses are late: refused beyond the minimum");
 }
 
 #[test]
-fn one_attempt_that_hangs_does_not_make_a_quiet_gateway_refuse() {
-    // Found at size: with two requests a second an average over time is moved most by the one that hangs.
-    let mut rig = Rig::new(Settings { gateways: 200, ..open_settings() });
+fn one_hung_attempt_does_not_make_an_idle_gateway_refuse() {
+    // With two requests per second a single hung attempt dominated the average over time.
+    let mut rig = Rig::new(Settings { gateways: 200, ..settings_without_quota() });
     for id in 1..=20 {
         let backend = sent(&rig.request(id, 0, 1.0)).unwrap();
         rig.now += 50.0;
@@ -233,11 +235,10 @@
 }
 
 #[test]
-fn a_slow_attempt_is_neither_copied_nor_withdrawn() {
-    // Found at size: a backend met once in tens of seconds has answered nothing since, so all slow ones
-    // looked stuck, and copies filled a pressed fleet.
+fn slow_attempts_are_neither_duplicated_nor_cancelled() {
+    // Duplicates of attempts at rarely used backends, which all seemed to hang, overloaded the backends.
     for second_copies in [false, true] {
-        let mut s = open_settings();
+        let mut s = settings_without_quota();
         s.limits.second_copies = second_copies;
         let mut rig = Rig::new(s);
         let actions = rig.request(1, 0, 1.0);
@@ -253,37 +254,38 @@
 }
 
 #[test]
-fn a_backend_full_for_one_plan_still_serves_the_others() {
-    // Found where backends turned one plan away: full was held against them for all, and for 200 ms only.
-    let mut s = open_settings();
+fn backends_full_for_one_plan_serve_other_plans() {
+    // A rejection of one plan excluded the backend for all plans, and only for 200 ms.
+    let mut s = settings_without_quota();
     s.plans.push(s.plans[0]);
     let mut rig = Rig::new(s);
     rig.event(Event::List { full: false, entries: vec![listed(3, 1, State::Gone)] });
-    let ask = |rig: &mut Rig, id, plan| {
+    let send = |rig: &mut Rig, id, plan| {
         sent(&rig.event(Event::Request(Request { plan, ..request(id, id) }))).expect("sent")
     };
-    let shut = ask(&mut rig, 1, 0);
-    let other = sent(&rig.outcome(1, 0, shut, Result::Full, None)).expect("tried elsewhere");
-    assert_ne!(shut, other);
+    let full = send(&mut rig, 1, 0);
+    let other = sent(&rig.outcome(1, 0, full, Result::Full, None)).expect("retried at another backend");
+    assert_ne!(full, other);
     rig.outcome(1, 1, other, Result::Ok, None);
-    let mut seen = Vec::new();
+    let mut used = Vec::new();
     for id in 2..=12 {
         rig.now += 400.0;
-        let backends = [0, 1].map(|plan: u32| ask(&mut rig, id * 10 + u64::from(plan), plan));
-        assert_eq!(backends[0], other, "plan 0 went back");
-        seen.push(backends[1]);
+        let backends = [0, 1].map(|plan: u32| send(&mut rig, id * 10 + u64::from(plan), plan));
+        assert_eq!(backends[0], other, "plan 0 was sent to the full backend");
+        used.push(backends[1]);
         for (plan, backend) in backends.into_iter().enumerate() {
             rig.outcome(id * 10 + plan as u64, 0, backend, Result::Ok, None);
         }
     }
-    assert!(seen.contains(&shut), "it has room for plan 1");
+    assert!(used.contains(&full), "backend {full} has capacity for plan 1");
 }
 
-/// What a hundred gateways of two requests a second send to each of 40 backends in 15 s; one starts cold.
-fn hundred_gateways(cold: bool) -> Vec<usize> {
-    let mut to = vec![0; 41];
+/// Attempts of 100 gateways, with two requests per second each, at each of 40 backends in 15 s. Backend 1 may
+/// start cold.
+fn sends_per_backend(cold: bool) -> Vec<usize> {
+    let mut sends = vec![0; 41];
     for position in 0..100u32 {
-        let settings = Settings { gateways: 100, position, ..open_settings() };
+        let settings = Settings { gateways: 100, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
         let mut entries: Vec<_> = (1..=40).map(|id| listed(id, id % 2, State::Ready)).collect();
         rig.event(Event::List { full: true, entries: entries.clone() });
@@ -294,25 +296,25 @@
                 rig.event(Event::List { full: false, entries: vec![entries[0].clone()] });
             }
             let backend = sent(&rig.event(Event::Request(request(id, id)))).expect("sent");
-            to[backend as usize] += usize::from(id >= 20);
+            sends[backend as usize] += usize::from(id >= 20);
             rig.outcome(id, 0, backend, Result::Ok, None);
         }
     }
-    to
+    sends
 }
 
 #[test]
-fn many_gateways_do_not_take_the_same_backend() {
-    let to = hundred_gateways(false);
-    assert!(to[1..].iter().all(|n| (10..=200).contains(n)), "75 each on average: {to:?}");
+fn many_gateways_spread_over_all_backends() {
+    let sends = sends_per_backend(false);
+    assert!(sends[1..].iter().all(|n| (10..=200).contains(n)), "75 each on average: {sends:?}");
 }
 
-/// When each of so many gateways sent to backend 1 from 10 s on. There all hear that it is cold for so long, and limited for
-/// 3 s; each has five requests a second for two backends.
-fn sent_to_a_limited_one(gateways: u32, cold_ms: f64, limit: u32) -> Vec<f64> {
-    let mut to_cold = Vec::new();
+/// Times of attempts at backend 1 after 10 s, when it turns cold for `cold_ms` and is limited for 3 s. Each
+/// gateway sends five requests per second to two backends.
+fn send_times_to_limited_backend(gateways: u32, cold_ms: f64, limit: u32) -> Vec<f64> {
+    let mut times = Vec::new();
     for position in 0..gateways {
-        let settings = Settings { gateways, position, ..open_settings() };
+        let settings = Settings { gateways, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
         let entries = [1, 2].map(|id| listed(id, 0, State::Ready)).to_vec();
         rig.event(Event::List { full: true, entries: entries.clone() });
@@ -330,105 +332,105 @@
             }
             let backend = sent(&rig.event(Event::Request(request(id, id)))).expect("sent");
             if backend == 1 && id >= 50 {
-                to_cold.push(rig.now);
+                times.push(rig.now);
             }
             rig.outcome(id, 0, backend, Result::Ok, None);
         }
     }
-    to_cold
+    times
 }
 
 #[test]
-fn a_backend_that_turns_cold_is_sent_its_part_from_the_first_second() {
-    let at_once = sent_to_a_limited_one(30, 3000.0, 1).into_iter().filter(|at| *at < 11_000.0).count();
-    // It bears 3.6 a second, and they send it 0.6 of that. What it was sent while warm is no debt.
-    assert!((1..=5).contains(&at_once), "{at_once} in the first second after the news");
+fn newly_cold_backends_get_their_share_at_once() {
+    let first_second =
+        send_times_to_limited_backend(30, 3000.0, 1).into_iter().filter(|at| *at < 11_000.0).count();
+    // The limit is 3.6 per second, of which gateways use 0.6. Requests sent while it was warm don't count.
+    assert!((1..=5).contains(&first_second), "{first_second} in the first second after the update");
 }
 
 #[test]
-fn no_second_has_more_attempts_at_a_limited_backend_than_is_told() {
-    assert!(sent_to_a_limited_one(1, 0.0, 0).is_empty(), "it may send none");
+fn rate_limits_hold_in_every_second() {
+    assert!(send_times_to_limited_backend(1, 0.0, 0).is_empty(), "a limit of 0 allows no attempt");
     for limit in [1, 2] {
-        let sent = sent_to_a_limited_one(1, 0.0, limit);
-        let most =
+        let sent = send_times_to_limited_backend(1, 0.0, limit);
+        let counts =
             sent.iter().map(|at| sent.iter().filter(|other| (*at..=at + 1000.0).contains(*other)).count());
-        assert_eq!(most.max(), Some(limit as usize), "{sent:?}");
+        assert_eq!(counts.max(), Some(limit as usize), "{sent:?}");
     }
 }
 
 #[test]
-fn a_hundred_gateways_do_not_push_a_cold_backend_over() {
-    let to = hundred_gateways(true);
-    // A warm one got about 75; the cold one has a quarter of its capacity at first and all after 10 s.
-    assert!(to[1] <= 90, "{} requests to the cold one: {to:?}", to[1]);
-    assert!(to[1] >= 3, "it is used: {to:?}");
+fn many_gateways_do_not_overload_a_cold_backend() {
+    let sends = sends_per_backend(true);
+    // A warm backend gets about 75; the cold one starts at a quarter of its capacity and is warm after 10 s.
+    assert!(sends[1] <= 90, "{} requests to the cold backend: {sends:?}", sends[1]);
+    assert!(sends[1] >= 3, "the cold backend must be used: {sends:?}");
 }
 
-/// Gateways of five requests a second for 10 s, and the backends that each of them sent to, by number. Those up
-/// to `dead` refuse connections.
-fn sent_by_each(gateways: u32, backends: u32, dead: u32) -> Vec<Vec<usize>> {
-    let one = |position| {
-        let settings = Settings { gateways, position, ..open_settings() };
+/// Attempts of each gateway at each backend in 10 s of five requests per second. Backends up to `dead` refuse
+/// connections.
+fn sends_by_gateway(gateways: u32, backends: u32, dead: u32) -> Vec<Vec<usize>> {
+    let run = |position| {
+        let settings = Settings { gateways, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
         let entries: Vec<_> = (1..=backends).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
         rig.event(Event::List { full: true, entries });
-        let mut to = vec![0; backends as usize + 1];
+        let mut sends = vec![0; backends as usize + 1];
         for id in 0..50 {
             rig.now += 200.0;
             let mut next = sent(&rig.event(Event::Request(request(id, id))));
             let mut attempt = 0;
             while let Some(backend) = next {
                 let number = backend / 7919;
-                to[number as usize] += 1;
+                sends[number as usize] += 1;
                 let result = if number <= dead { Result::ConnectFailed } else { Result::Ok };
-                // Work differs from request to request.
-                let took = 20.0 + (id * 37 % 100) as f64;
-                next = sent(&rig.outcome_after(took, id, attempt, backend, result, None));
+                let took_ms = 20.0 + (id * 37 % 100) as f64;
+                next = sent(&rig.outcome_after(took_ms, id, attempt, backend, result, None));
                 attempt += 1;
             }
         }
-        to
+        sends
     };
-    (0..gateways).map(one).collect()
+    (0..gateways).map(run).collect()
 }
 
 #[test]
-fn each_of_many_gateways_keeps_to_a_part_of_many_backends_and_all_parts_are_used_alike() {
-    let sent = sent_by_each(100, 60, 0);
-    let pairs = sent.iter().flatten().filter(|n| **n > 0).count();
-    assert!(pairs <= 1500, "{pairs} connections at least, of 6000 that there can be");
+fn many_gateways_use_subsets_and_load_backends_evenly() {
+    let sends = sends_by_gateway(100, 60, 0);
+    let pairs = sends.iter().flatten().filter(|n| **n > 0).count();
+    assert!(pairs <= 1500, "{pairs} of 6000 possible connections");
     for backend in 1..=60 {
-        let (all, few) =
-            (sent.iter().map(|to| to[backend]).sum::<usize>(), sent.iter().map(|to| to[backend]));
-        assert!((40..=135).contains(&all), "{all} to {backend}, 83 on average");
-        assert!(few.max() <= Some(all / 2), "it does not hang on one gateway");
+        let by_gateway = || sends.iter().map(|to| to[backend]);
+        let total = by_gateway().sum::<usize>();
+        assert!((40..=135).contains(&total), "{total} to backend {backend}, 83 on average");
+        assert!(by_gateway().max() <= Some(total / 2), "backend {backend} depends on one gateway");
     }
 }
 
 #[test]
-fn few_gateways_keep_to_all_backends() {
-    let sent = sent_by_each(3, 30, 0);
-    let used = (1..=30).filter(|backend| sent.iter().any(|to| to[*backend] > 0)).count();
+fn few_gateways_use_all_backends() {
+    let sends = sends_by_gateway(3, 30, 0);
+    let used = (1..=30).filter(|backend| sends.iter().any(|to| to[*backend] > 0)).count();
     assert!(used >= 25, "{used} of 30");
 }
 
 #[test]
-fn those_kept_to_that_are_lost_are_made_up_for() {
-    let sent = sent_by_each(100, 60, 20);
+fn failed_backends_of_a_subset_are_replaced() {
+    let sends = sends_by_gateway(100, 60, 20);
     let sum = |range: std::ops::RangeInclusive<usize>| {
-        sent.iter().map(|to| to[range.clone()].iter().sum::<usize>()).sum::<usize>()
+        sends.iter().map(|to| to[range.clone()].iter().sum::<usize>()).sum::<usize>()
     };
-    let (lost, served) = (sum(1..=20), sum(21..=60));
-    assert!(served >= 4950, "{served} of 5000 are served by another");
-    assert!(lost <= 2000, "{lost} attempts on backends that are lost");
+    let (failed, served) = (sum(1..=20), sum(21..=60));
+    assert!(served >= 4950, "{served} of 5000 requests are served by other backends");
+    assert!(failed <= 2000, "{failed} attempts at dead backends");
 }
 
-/// A hundred gateways of five requests a second before 60 backends; after 5 s the first `cold` of these start
-/// anew. By backend, the moments of what is sent to it from then on, for 10 s.
-fn sent_after_a_release(cold: u32) -> Vec<Vec<f64>> {
-    let mut to = vec![Vec::new(); 61];
+/// Times of attempts per backend in the 10 s after the first `cold` of 60 backends restart, with 100 gateways
+/// that send five requests per second each.
+fn send_times_after_restart(cold: u32) -> Vec<Vec<f64>> {
+    let mut times = vec![Vec::new(); 61];
     for position in 0..100 {
-        let settings = Settings { gateways: 100, position, ..open_settings() };
+        let settings = Settings { gateways: 100, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
         let mut entries: Vec<_> = (1..=60).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
         rig.event(Event::List { full: true, entries: entries.clone() });
@@ -441,37 +443,37 @@
             }
             if let Some(backend) = sent(&rig.event(Event::Request(request(id, id)))) {
                 if id >= 25 {
-                    to[backend as usize / 7919].push(rig.now);
+                    times[backend as usize / 7919].push(rig.now);
                 }
-                let took = 20.0 + (id * 37 % 100) as f64;
-                rig.outcome_after(took, id, 0, backend, Result::Ok, None);
+                let took_ms = 20.0 + (id * 37 % 100) as f64;
+                rig.outcome_after(took_ms, id, 0, backend, Result::Ok, None);
             }
         }
     }
-    to.iter_mut().for_each(|sent| sent.sort_by(f64::total_cmp));
-    to
+    times.iter_mut().for_each(|times| times.sort_by(f64::total_cmp));
+    times
 }
 
-/// The most that is sent to one of these in any second, which is how long a cold one bears too much here.
-fn most_in_a_second(sent: &[Vec<f64>], until: f64) -> usize {
+/// The most attempts at one backend in any second that starts before `until`.
+fn max_sends_per_second(times: &[Vec<f64>], until: f64) -> usize {
     let within =
-        |sent: &Vec<f64>, from: f64| sent.iter().filter(|at| (from..from + 1000.0).contains(*at)).count();
-    let most = |sent: &Vec<f64>| sent.iter().filter(|at| **at < until).map(|at| within(sent, *at)).max();
-    sent.iter().filter_map(most).max().unwrap_or(0)
+        |times: &Vec<f64>, from: f64| times.iter().filter(|at| (from..from + 1000.0).contains(*at)).count();
+    let max = |times: &Vec<f64>| times.iter().filter(|at| **at < until).map(|at| within(times, *at)).max();
+    times.iter().filter_map(max).max().unwrap_or(0)
 }
 
 #[test]
-fn a_fleet_that_starts_cold_all_at_once_is_not_pushed_over() {
-    // Each was sent eight a second, half of what it can do: with a quarter of that it bears twelve.
-    let sent = sent_after_a_release(60);
-    let most = most_in_a_second(&sent[1..], 6000.0);
-    assert!(most <= 12, "{most} in a second to a cold one");
+fn backends_that_restart_together_are_not_overloaded() {
+    // Each gets eight per second, half of its capacity. At a quarter of its capacity the limit is twelve.
+    let times = send_times_after_restart(60);
+    let max = max_sends_per_second(&times[1..], 6000.0);
+    assert!(max <= 12, "{max} attempts at a cold backend in one second");
 }
 
 #[test]
-fn gateways_and_backends_that_all_start_at_once_come_to_serve() {
+fn requests_are_served_if_gateways_and_backends_start_together() {
     for (gateways, backends) in [(3, 10), (100, 60)] {
-        let settings = Settings { gateways, ..open_settings() };
+        let settings = Settings { gateways, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, 1, 1000.0), now: 1000.0 };
         let mut entries: Vec<_> = (1..=backends).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
         entries.iter_mut().for_each(|entry| entry.started = 900.0);
@@ -484,25 +486,25 @@
                 rig.outcome(id, 0, backend, Result::Ok, None);
             }
         }
-        assert!((5..25).contains(&served), "{served} of 25 in the first 5 s with {gateways} gateways");
+        assert!((5..25).contains(&served), "{served} of 25 served in the first 5 s with {gateways} gateways");
     }
 }
 
 #[test]
-fn where_most_are_cold_they_carry_what_surely_is_warm_of_them() {
-    let sent = sent_after_a_release(36);
+fn mostly_cold_pools_use_the_warm_share_of_cold_backends() {
+    let times = send_times_after_restart(36);
     let (cold, warm): (usize, usize) =
-        (sent[1..=36].iter().map(Vec::len).sum(), sent[37..].iter().map(Vec::len).sum());
-    // Their capacity rises from a quarter to the whole in these 10 s: an even part is 0.48.
-    let part = cold as f64 / (cold + warm) as f64;
-    assert!((0.38..0.55).contains(&part), "{part} of all to 36 of 60 that start cold");
-    let most = most_in_a_second(&sent[1..=36], 6000.0);
-    assert!(most <= 12, "{most} in a second to a cold one");
+        (times[1..=36].iter().map(Vec::len).sum(), times[37..].iter().map(Vec::len).sum());
+    // Their capacity rises from a quarter to the whole in these 10 s: an even share is 0.48.
+    let share = cold as f64 / (cold + warm) as f64;
+    assert!((0.38..0.55).contains(&share), "share {share} to the 36 of 60 backends that start cold");
+    let max = max_sends_per_second(&times[1..=36], 6000.0);
+    assert!(max <= 12, "{max} attempts at a cold backend in one second");
 }
 
 #[test]
-fn attempts_out_are_capped() {
-    let mut s = open_settings();
+fn attempts_in_flight_are_capped() {
+    let mut s = settings_without_quota();
     s.plans[0].max_out = 2;
     let mut rig = Rig::new(s);
     assert!(sent(&rig.request(1, 0, 1.0)).is_some());
@@ -511,7 +513,7 @@
 }
 
 #[test]
-fn odd_events_change_nothing() {
+fn unexpected_events_are_ignored() {
     let mut rig = Rig::new(settings());
     assert!(rig.outcome(9, 3, 77, Result::Ok, Some(2.0)).is_empty());
     assert!(rig.counted(12345, Result::Ok, f64::NAN).is_empty());
@@ -519,8 +521,8 @@
     rig.event(Event::List { full: false, entries: vec![listed(500, 3, State::Gone)] });
     rig.event(Event::Timer { token: u64::MAX });
     let (name, _) = count(&rig.request(1, 0, 0.0)).unwrap();
-    assert!(sent(&rig.counted(name, Result::Ok, 0.0)).is_some(), "zero units are fine");
-    assert!(refused(&rig.request(2, 9, 1.0)).is_some(), "an unknown class is refused, not a crash");
+    assert!(sent(&rig.counted(name, Result::Ok, 0.0)).is_some(), "zero units are valid");
+    assert!(refused(&rig.request(2, 9, 1.0)).is_some(), "an unknown class is refused");
     let actions = rig.request(3, 0, f64::NAN);
     assert!(count(&actions).is_none_or(|(_, amount)| amount.is_finite()));
 }
@@ -547,9 +549,9 @@
 }
 
 #[test]
-fn a_fleet_of_one_backend_or_none_and_an_absurd_spread_are_fine() {
+fn one_or_no_backend_and_invalid_spreads_are_handled() {
     for left in [1, 0] {
-        let mut rig = Rig::new(open_settings());
+        let mut rig = Rig::new(settings_without_quota());
         let entries = [listed(1, 0, State::Ready)];
         rig.event(Event::List { full: true, entries: entries[..left].to_vec() });
         for (id, spread) in [(1, 1e12), (2, 0.0), (3, f64::NAN)] {
@@ -561,55 +563,53 @@
 }
 
 #[test]
-fn a_list_that_is_empty_and_one_that_names_a_backend_twice_are_taken_as_they_stand() {
-    let mut rig = Rig::new(Settings { gateways: 100, ..open_settings() });
+fn empty_lists_and_duplicate_entries_are_applied() {
+    let mut rig = Rig::new(Settings { gateways: 100, ..settings_without_quota() });
     rig.event(Event::List { full: true, entries: vec![] });
     assert!(refused(&rig.request(1, 0, 1.0)).is_some(), "refused at once");
     let twice = vec![listed(2, 0, State::Ready), listed(3, 1, State::Ready), listed(2, 0, State::Draining)];
     rig.event(Event::List { full: true, entries: twice });
-    // What was gone and is back may be cold; by then it is warm.
+    // Backends that return to the list start cold; wait until they are warm.
     rig.now += 20_000.0;
     for id in 2..10 {
-        assert_eq!(sent(&rig.request(id, 0, 1.0)), Some(3), "the last word on 2 is that it drains");
+        assert_eq!(sent(&rig.request(id, 0, 1.0)), Some(3), "the last entry of 2 says draining");
         rig.outcome(id, 0, 3, Result::Ok, None);
     }
     rig.event(Event::List { full: true, entries: vec![listed(1, 0, State::Ready)] });
     rig.now += 20_000.0;
-    assert_eq!(sent(&rig.request(20, 0, 1.0)), Some(1), "back with the whole list");
+    assert_eq!(sent(&rig.request(20, 0, 1.0)), Some(1), "1 returned with the full list");
 }
 
 #[test]
-fn backends_that_leave_in_waves_get_nothing_once_it_is_told() {
-    let mut rig = Rig::new(open_settings());
+fn backends_draining_in_waves_get_no_requests() {
+    let mut rig = Rig::new(settings_without_quota());
     let entries: Vec<_> = (1..=9).map(|id| listed(id, id % 2, State::Ready)).collect();
     rig.event(Event::List { full: true, entries });
     let mut id = 0;
     for wave in 0..4u32 {
-        let gone = [wave * 2 + 1, wave * 2 + 2];
+        let draining = [wave * 2 + 1, wave * 2 + 2];
         rig.event(Event::List {
             full: false,
-            entries: gone.map(|id| listed(id, id % 2, State::Draining)).into(),
+            entries: draining.map(|id| listed(id, id % 2, State::Draining)).into(),
         });
         for _ in 0..30 {
             id += 1;
             rig.now += 20.0;
-            let backend = sent(&rig.request(id, 0, 1.0)).expect("others are left");
-            assert!(backend > gone[1], "{backend} is leaving");
+            let backend = sent(&rig.request(id, 0, 1.0)).expect("other backends are ready");
+            assert!(backend > draining[1], "{backend} is draining");
             rig.outcome(id, 0, backend, Result::Ok, None);
         }
     }
 }
 
-// ---- An even part of the gateways present ----------------------------------------------------------------
-
-/// One of a hundred gateways before sixty servers that take the whole aim for each answer, so that nothing is let
-/// in but the even part of what always is.
-fn crowded() -> Rig {
-    let mut rig = Rig::new(Settings { gateways: 100, ..open_settings() });
+/// One of 100 gateways with 60 backends that take the whole latency target for each response, so that only
+/// the minimum is admitted.
+fn overloaded() -> Rig {
+    let mut rig = Rig::new(Settings { gateways: 100, ..settings_without_quota() });
     let entries = (1..=60).map(|id| listed(id, 0, State::Ready)).collect();
     rig.event(Event::List { full: true, entries });
     for id in 1..=40 {
-        let backend = sent(&rig.request(id, 0, 1.0)).expect("let in while nothing is known");
+        let backend = sent(&rig.request(id, 0, 1.0)).expect("admitted before any response");
         rig.now += 500.0;
         rig.outcome_after(500.0, id, 0, backend, Result::Ok, None);
     }
@@ -617,69 +617,69 @@
     rig
 }
 
-/// How many requests are let in at once; all are ended again.
-fn part(rig: &mut Rig, from: u64) -> u64 {
-    let mut out = Vec::new();
-    while let Some(backend) = sent(&rig.request(from + out.len() as u64, 0, 1.0)) {
-        out.push(backend);
-        assert!(out.len() < 1000, "without end");
+/// Number of requests admitted at once; ends all of them.
+fn admitted(rig: &mut Rig, from: u64) -> u64 {
+    let mut backends = Vec::new();
+    while let Some(backend) = sent(&rig.request(from + backends.len() as u64, 0, 1.0)) {
+        backends.push(backend);
+        assert!(backends.len() < 1000, "no limit");
     }
-    for (id, backend) in (from..).zip(&out) {
+    for (id, backend) in (from..).zip(&backends) {
         rig.outcome_after(1.0, id, 0, *backend, Result::Moot, None);
     }
-    out.len() as u64
+    backends.len() as u64
 }
 
 #[test]
-fn an_even_part_follows_the_gateways_present_and_neither_jumps_nor_goes_to_nought() {
-    let mut rig = crowded();
-    // 60 servers times 3 over 100 gateways: below the second there is room.
-    assert_eq!(part(&mut rig, 1000), 2);
-    let told = |rig: &mut Rig, present, majority| drop(rig.event(Event::Gateways { present, majority }));
-    // Four tenths go: the part grows bit by bit.
-    told(&mut rig, 60, true);
-    assert_eq!(part(&mut rig, 2000), 2, "at once nothing changes");
-    let mut parts = Vec::new();
+fn admission_minimum_follows_the_gateways_present_without_jumps() {
+    let mut rig = overloaded();
+    // 60 backends times 3 requests over 100 gateways: 1.8, rounded up.
+    assert_eq!(admitted(&mut rig, 1000), 2);
+    let report = |rig: &mut Rig, present, majority| drop(rig.event(Event::Gateways { present, majority }));
+    // 40 of 100 gateways disappear: the minimum grows step by step.
+    report(&mut rig, 60, true);
+    assert_eq!(admitted(&mut rig, 2000), 2, "unchanged at first");
+    let mut minimums = Vec::new();
     for step in 0..60 {
         rig.now += 1000.0;
-        parts.push(part(&mut rig, 3000 + 100 * step));
+        minimums.push(admitted(&mut rig, 3000 + 100 * step));
     }
-    assert!(parts.windows(2).all(|two| two[1] >= two[0] && two[1] - two[0] <= 1), "{parts:?}");
-    assert_eq!(parts.last(), Some(&3));
-    // They are back: it falls at once. A view that flaps moves it no further.
-    told(&mut rig, 100, true);
-    assert_eq!(part(&mut rig, 10_000), 2);
+    assert!(minimums.windows(2).all(|two| two[1] >= two[0] && two[1] - two[0] <= 1), "{minimums:?}");
+    assert_eq!(minimums.last(), Some(&3));
+    // They return: it falls at once. Flapping reports do not change it.
+    report(&mut rig, 100, true);
+    assert_eq!(admitted(&mut rig, 10_000), 2);
     for round in 0..100 {
-        told(&mut rig, if round % 2 == 0 { 51 } else { 100 }, true);
+        report(&mut rig, if round % 2 == 0 { 51 } else { 100 }, true);
         rig.now += 100.0;
-        assert_eq!(part(&mut rig, 11_000 + 100 * round), 2, "round {round}");
+        assert_eq!(admitted(&mut rig, 11_000 + 100 * round), 2, "round {round}");
     }
-    // Cut off from most it may not take the others' parts; and however many come, one request is let in.
+    // A minority report is not trusted. With any number of gateways one request is admitted.
     for present in [0, 1, 49] {
-        told(&mut rig, present, false);
+        report(&mut rig, present, false);
         rig.now += 100_000.0;
-        assert_eq!(part(&mut rig, 30_000 + 100 * u64::from(present)), 2, "{present} in a minority");
+        assert_eq!(admitted(&mut rig, 30_000 + 100 * u64::from(present)), 2, "minority of {present}");
     }
-    told(&mut rig, u32::MAX, true);
-    assert_eq!(part(&mut rig, 40_000), 1);
+    report(&mut rig, u32::MAX, true);
+    assert_eq!(admitted(&mut rig, 40_000), 1);
 }
 
 #[test]
-fn few_gateways_present_keep_to_more_servers_each() {
-    let targets = |present: Option<u32>| {
-        let mut rig = Rig::new(Settings { gateways: 100, ..open_settings() });
+fn fewer_gateways_use_larger_subsets() {
+    let backends_used = |present: Option<u32>| {
+        let mut rig = Rig::new(Settings { gateways: 100, ..settings_without_quota() });
         let entries = (1..=200).map(|id| listed(id, 0, State::Ready)).collect();
         rig.event(Event::List { full: true, entries });
         if let Some(present) = present {
             rig.event(Event::Gateways { present, majority: true });
             rig.now += 100_000.0;
         }
-        // All at once: those kept to come first, each once, then each once more before any other.
-        let to = |id| sent(&rig.request(id, 0, 1.0)).expect("there is room");
-        (1..=36).map(to).collect::<std::collections::BTreeSet<_>>().len()
+        // Without responses the backends of the subset are used first, twice each.
+        let send = |id| sent(&rig.request(id, 0, 1.0)).expect("admitted");
+        (1..=36).map(send).collect::<std::collections::BTreeSet<_>>().len()
     };
-    let (before, all, half) = (targets(None), targets(Some(100)), targets(Some(51)));
-    // Ten gateways to a server at least: of 200 servers a hundred gateways keep to 20 each, 51 to 39.
+    let (before, all, half) = (backends_used(None), backends_used(Some(100)), backends_used(Some(51)));
+    // Ten gateways per backend: of 200 backends, 100 gateways use 20 each and 51 use 39.
     assert_eq!(before, all);
     assert!((15..=25).contains(&all) && (30..=36).contains(&half), "{all} and {half}");
 }
