--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -7,8 +7,8 @@
 
 impl Gateway {
     /// The number of listed backends that get no requests: draining ones and ejected ones.
-    pub fn avoided(&self, now: Millis) -> usize {
-        let avoided = |b: &Backend| match b.listed.state {
+    pub fn out_of_rotation(&self, now: Millis) -> usize {
+        let out = |b: &Backend| match b.listed.state {
             State::Ready => {
                 !self.in_panic(b.listed.pool)
                     && b.failure_points >= EJECTION_POINTS
@@ -17,7 +17,7 @@
             State::Draining => true,
             State::Gone => false,
         };
-        self.backends.values().filter(|b| avoided(b)).count()
+        self.backends.values().filter(|b| out(b)).count()
     }
 
     /// True if most backends look unhealthy. Ejections are ignored then, as a network failure looks the same.
--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -632,7 +632,7 @@
     /// How many backends the list holds, and how many of them are kept from requests.
     pub fn listed(&self) -> (usize, usize) {
         let inner = self.inner.borrow();
-        (inner.fleet.len(), inner.gateway.avoided(self.clock.now()))
+        (inner.fleet.len(), inner.gateway.out_of_rotation(self.clock.now()))
     }
 
     /// Takes over other settings. Peers and a counter that the start did not bring stay away.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -464,17 +464,17 @@
         if let Some(at) = sent(&shared.answer(&mut rig, actions)) {
             rig.outcome(id, 0, at, if at == bad { Result::Error } else { Result::Ok }, None);
         }
-        if rig.gateway.avoided(rig.now) > 0 {
+        if rig.gateway.out_of_rotation(rig.now) > 0 {
             break;
         }
     }
-    let avoided = rig.gateway.avoided(rig.now);
+    let avoided = rig.gateway.out_of_rotation(rig.now);
     assert!(avoided > 0, "some server is left out");
     let mut other = settings();
     other.limits.max_attempts = 1;
     other.classes.push(Class { effect: Effect::Safe, ..other.classes[2] });
     rig.event(Event::Settings(other));
-    assert_eq!(rig.gateway.avoided(rig.now), avoided, "health is kept");
+    assert_eq!(rig.gateway.out_of_rotation(rig.now), avoided, "health is kept");
     // The open request is still of its class: it may have run, so it fails.
     assert!(failed(&rig.outcome(1, 0, backend, Result::Reset, None)));
     // The new class is served, by the one attempt that is now allowed.
