--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -17,7 +17,7 @@
     pub member: Membership,
     pub name: String,
     /// Its index in the network, which determines its address.
-    pub at: usize,
+    pub index: usize,
     paused: bool,
     buffered: Vec<Vec<u8>>,
     due: f64,
@@ -66,27 +66,27 @@
     last_number: u64,
 }
 
-pub fn place(at: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::new(10, 0, (at >> 8) as u8, at as u8), 7000)
+pub fn place(index: usize) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 0, (index >> 8) as u8, index as u8), 7000)
 }
 
-fn index(addr: SocketAddrV4) -> usize {
+fn index_of(addr: SocketAddrV4) -> usize {
     let [.., high, low] = addr.ip().octets();
     usize::from(high) << 8 | usize::from(low)
 }
 
 impl World {
-    pub fn new(places: usize, seed: u64) -> World {
+    pub fn new(size: usize, seed: u64) -> World {
         World {
             now: 0.0,
-            nodes: (0..places).map(|_| None).collect(),
+            nodes: (0..size).map(|_| None).collect(),
             rng: fastrand::Rng::with_seed(seed),
             loss: 0.0,
             twice: 0.0,
             delay: (0.2, 5.0),
             passes: Box::new(|_, _| true),
-            seeds: (0..places.min(3)).collect(),
-            expected: Some(places as u32),
+            seeds: (0..size.min(3)).collect(),
+            expected: Some(size as u32),
             clock: 1.7e12,
             sent: 0,
             bytes: 0,
@@ -98,37 +98,37 @@
     }
 
     /// A network with a process at each address, run until all of them know each other.
-    pub fn whole(places: usize, seed: u64) -> World {
-        let mut world = World::new(places, seed);
-        (0..places).for_each(|at| world.start(at));
-        assert!(world.until(60.0, |world| world.agreed()).is_some(), "{places} members did not converge");
+    pub fn whole(size: usize, seed: u64) -> World {
+        let mut world = World::new(size, seed);
+        (0..size).for_each(|index| world.start(index));
+        assert!(world.until(60.0, |world| world.agreed()).is_some(), "{size} members did not converge");
         world
     }
 
-    pub fn settings(&self, name: &str, at: usize) -> Settings {
+    pub fn settings(&self, name: &str, index: usize) -> Settings {
         Settings {
             cluster: "granite".to_owned(),
             name: name.to_owned(),
-            advertise: place(at),
+            advertise: place(index),
             start: (self.clock + self.now) as u64,
-            seeds: self.seeds.iter().map(|at| place(*at)).collect(),
+            seeds: self.seeds.iter().map(|index| place(*index)).collect(),
             period_ms: PERIOD,
             timeout_ms: TIMEOUT,
             expected: self.expected,
         }
     }
 
-    pub fn start(&mut self, at: usize) {
-        self.start_as(at, &format!("n{at}"));
+    pub fn start(&mut self, index: usize) {
+        self.start_as(index, &format!("n{index}"));
     }
 
-    pub fn start_as(&mut self, at: usize, name: &str) {
-        let member = Membership::new(self.settings(name, at), self.rng.u64(..), self.now);
+    pub fn start_as(&mut self, index: usize, name: &str) {
+        let member = Membership::new(self.settings(name, index), self.rng.u64(..), self.now);
         let (name, due) = (name.to_owned(), f64::INFINITY);
-        self.nodes[at] = Some(Node {
+        self.nodes[index] = Some(Node {
             member,
             name,
-            at,
+            index,
             paused: false,
             buffered: Vec::new(),
             due,
@@ -137,63 +137,63 @@
             present: Vec::new(),
             out: false,
         });
-        self.schedule_timer(at);
+        self.schedule_timer(index);
     }
 
-    pub fn kill(&mut self, at: usize) {
-        self.nodes[at] = None;
+    pub fn kill(&mut self, index: usize) {
+        self.nodes[index] = None;
     }
 
-    pub fn pause(&mut self, at: usize) {
-        self.node_mut(at).paused = true;
+    pub fn pause(&mut self, index: usize) {
+        self.node_mut(index).paused = true;
     }
 
     /// Delivers the buffered datagrams before the timer, like a process that reads its socket first.
-    pub fn resume(&mut self, at: usize) {
-        self.node_mut(at).paused = false;
-        for bytes in std::mem::take(&mut self.node_mut(at).buffered) {
-            self.give(at, Event::Datagram(bytes));
+    pub fn resume(&mut self, index: usize) {
+        self.node_mut(index).paused = false;
+        for bytes in std::mem::take(&mut self.node_mut(index).buffered) {
+            self.give(index, Event::Datagram(bytes));
         }
-        let due = self.node(at).due;
-        self.schedule(due, Scheduled::Due(at, due));
+        let due = self.node(index).due;
+        self.schedule(due, Scheduled::Due(index, due));
     }
 
-    pub fn node(&self, at: usize) -> &Node {
-        self.nodes[at].as_ref().expect("a running process")
+    pub fn node(&self, index: usize) -> &Node {
+        self.nodes[index].as_ref().expect("a running process")
     }
 
-    fn node_mut(&mut self, at: usize) -> &mut Node {
-        self.nodes[at].as_mut().expect("a running process")
+    fn node_mut(&mut self, index: usize) -> &mut Node {
+        self.nodes[index].as_mut().expect("a running process")
     }
 
-    pub fn view(&self, at: usize) -> View {
-        self.node(at).member.view(self.now)
+    pub fn view(&self, index: usize) -> View {
+        self.node(index).member.view(self.now)
     }
 
     pub fn live(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|at| self.nodes[*at].is_some()).collect()
+        (0..self.nodes.len()).filter(|index| self.nodes[*index].is_some()).collect()
     }
 
     /// The state of a member in a node's view, if it is known there.
-    pub fn sees(&self, at: usize, name: &str) -> Option<State> {
-        self.view(at).members.iter().find(|m| &*m.name == name).map(|m| m.state)
+    pub fn sees(&self, index: usize, name: &str) -> Option<State> {
+        self.view(index).members.iter().find(|m| &*m.name == name).map(|m| m.state)
     }
 
     /// Whether each live process sees exactly the live ones as alive.
     pub fn agreed(&self) -> bool {
         let live: Vec<_> = self.live();
-        live.iter().all(|at| self.node(*at).member.present() as usize == live.len())
-            && live.iter().all(|at| {
-                let members = self.view(*at).members;
+        live.iter().all(|index| self.node(*index).member.present() as usize == live.len())
+            && live.iter().all(|index| {
+                let members = self.view(*index).members;
                 let present: std::collections::BTreeSet<_> =
                     members.iter().filter(|m| m.state == State::Alive).map(|m| m.addr).collect();
-                live.iter().filter(|other| *other != at).all(|other| present.contains(&place(*other)))
+                live.iter().filter(|other| *other != index).all(|other| present.contains(&place(*other)))
             })
     }
 
     /// Number of changes of a member to this state that a node has reported since a time.
-    pub fn saw(&self, at: usize, name: &str, state: State, since: f64) -> usize {
-        let changes = &self.node(at).changes;
+    pub fn saw(&self, index: usize, name: &str, state: State, since: f64) -> usize {
+        let changes = &self.node(index).changes;
         changes
             .iter()
             .filter(|(when, member, _, new)| *when >= since && member == name && *new == state)
@@ -201,38 +201,40 @@
     }
 
     /// Passes an event to a node's member and carries out the resulting actions.
-    pub fn give(&mut self, at: usize, event: Event) {
+    pub fn give(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
         let now = self.now;
-        let Some(node) = self.nodes[at].as_mut() else { return };
+        let Some(node) = self.nodes[index].as_mut() else { return };
         node.member.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, bytes } => self.send(at, to, bytes),
+                Action::Send { to, bytes } => self.send(index, to, bytes),
                 Action::Changed { who, was, state, .. } => {
-                    self.node_mut(at).changes.push((now, who.name.to_string(), was, state));
+                    self.node_mut(index).changes.push((now, who.name.to_string(), was, state));
                 }
-                Action::Present { count, majority } => self.node_mut(at).present.push((now, count, majority)),
-                Action::Out => self.node_mut(at).out = true,
-                Action::Warn(line) => self.node_mut(at).warnings.push(line),
+                Action::Present { count, majority } => {
+                    self.node_mut(index).present.push((now, count, majority))
+                }
+                Action::Out => self.node_mut(index).out = true,
+                Action::Warn(line) => self.node_mut(index).warnings.push(line),
             }
         }
-        self.schedule_timer(at);
+        self.schedule_timer(index);
     }
 
-    fn schedule_timer(&mut self, at: usize) {
-        let due = self.node(at).member.due();
-        if due != self.node(at).due && due.is_finite() {
-            self.schedule(due, Scheduled::Due(at, due));
+    fn schedule_timer(&mut self, index: usize) {
+        let due = self.node(index).member.due();
+        if due != self.node(index).due && due.is_finite() {
+            self.schedule(due, Scheduled::Due(index, due));
         }
-        self.node_mut(at).due = due;
+        self.node_mut(index).due = due;
     }
 
     fn send(&mut self, from: usize, to: SocketAddrV4, bytes: Vec<u8>) {
         self.sent += 1;
         self.bytes += bytes.len() as u64;
         self.longest = self.longest.max(bytes.len());
-        let to = index(to);
+        let to = index_of(to);
         if to >= self.nodes.len() || !(self.passes)(from, to) || self.rng.f64() < self.loss {
             return;
         }
@@ -254,20 +256,20 @@
         let Some(Reverse((when, number))) = self.queue.pop() else { return };
         self.now = self.now.max(when as f64 / 1000.0);
         match self.scheduled.remove(&number) {
-            Some(Scheduled::Due(at, due)) => {
-                let valid = self.nodes[at].as_ref().is_some_and(|node| !node.paused && node.due == due);
+            Some(Scheduled::Due(index, due)) => {
+                let valid = self.nodes[index].as_ref().is_some_and(|node| !node.paused && node.due == due);
                 if valid {
                     // The queue truncates times to whole microseconds.
                     self.now = self.now.max(due);
-                    self.give(at, Event::Due);
+                    self.give(index, Event::Due);
                 }
             }
-            Some(Scheduled::Datagram(at, bytes)) => match self.nodes[at].as_mut() {
+            Some(Scheduled::Datagram(index, bytes)) => match self.nodes[index].as_mut() {
                 Some(node) if node.paused && node.buffered.len() < MAX_BUFFERED_DATAGRAMS => {
                     node.buffered.push(bytes)
                 }
                 Some(node) if node.paused => {}
-                Some(_) => self.give(at, Event::Datagram(bytes)),
+                Some(_) => self.give(index, Event::Datagram(bytes)),
                 None => {}
             },
             None => {}
