--- a/overland/src/figures.rs
+++ b/overland/src/figures.rs
@@ -3,7 +3,7 @@
 use crate::invariants;
 use crate::tally::Verdict;
 use cherrytally::plane::driver::Ears;
-use cherrytally::{Reason, Result as Ended};
+use cherrytally::{CallResult as Ended, Reason};
 use prometheus_client::encoding::text::{encode_eof, encode_registry};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -21,7 +21,9 @@
 use cherrytally::plane::driver::{Answer, Asked, Driver, Reach, Speech, Told as Listing, Work};
 use cherrytally::plane::http::Head;
 use cherrytally::plane::room::{Budget, Content, More, Short, Upload, HELD_MOST};
-use cherrytally::{Further, Limits, Listed, Millis, Plan, Rules, Settings as Tuning, State as Stands};
+use cherrytally::{
+    BackendEntry, BackendState as Stands, Limits, Millis, Plan, RetryBudget, Rules, Settings as Tuning,
+};
 use eyre::{eyre, Result, WrapErr};
 use hyper::body::Incoming as Body;
 use hyper::header::{
@@ -454,7 +456,7 @@
                 (_, true) => FAR.1,
                 _ => FAR.0,
             };
-            let listed = Listed {
+            let listed = BackendEntry {
                 id: 0,
                 zone,
                 kind: 0,
@@ -463,7 +465,7 @@
                 size: f64::from(b.berths.max(1)),
                 started: 0.0,
                 pool,
-                far,
+                distance_cost: far,
                 cold_until: if per_s > 0.0 { cold_until } else { 0.0 },
                 cold_per_s: share.map_or(0.0, |share| per_s / share.senders),
                 limited_until: match share {
@@ -944,13 +946,13 @@
         zone: zones.number(&settings.zone),
         tick_ms: 0.0,
         classes,
-        plans: vec![Plan { price: 1.0, ..Plan::default() }],
+        plans: vec![Plan { worth_factor: 1.0, ..Plan::default() }],
         counter: None,
-        most_units: 1.0,
-        settles: false,
+        max_units: 1.0,
+        units_are_estimates: false,
         limits: Limits {
             max_attempts: 4,
-            second_copies: false,
+            hedging: false,
             cancel: true,
             probes: false,
             peers: false,
@@ -958,13 +960,13 @@
             max_retry_after_ms: AFTER_MOST_MS,
         },
         rules: Rules {
-            cold_from: 0.5,
-            early_of_aim: EARLY_OF_AIM,
-            fall_multiple: 2.0,
-            fall_ms: 1000.0,
-            further: Some(Further {
-                share: bounds.retry_ratio * OF_BUDGET,
-                most: bounds.retry_slack * OF_BUDGET / f64::from(gateways.max(1)),
+            cold_capacity: 0.5,
+            early_refusal_share: EARLY_OF_AIM,
+            overload_multiple: 2.0,
+            overload_ms: 1000.0,
+            retry_budget: Some(RetryBudget {
+                ratio: bounds.retry_ratio * OF_BUDGET,
+                burst: bounds.retry_slack * OF_BUDGET / f64::from(gateways.max(1)),
             }),
             ..Rules::default()
         },
--- a/overland/src/routes.rs
+++ b/overland/src/routes.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, Dispatch, Invalid};
 use crate::tally::Limit;
 use crate::units;
-use cherrytally::{Class, Effect};
+use cherrytally::{Class, Idempotency};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
@@ -134,15 +134,16 @@
                 let class = routes.of(&rule.name);
                 let Dispatch { service, split, timeout, attempts, home_regions } = rule.dispatch;
                 let (timeout, target) = (time(&timeout), time(&rule.target));
-                let effect = if rule.kind == "unsafe" { Effect::Unsafe } else { Effect::Safe };
+                let effect =
+                    if rule.kind == "unsafe" { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
                 let at = class as usize;
                 classes.resize(classes.len().max(at + 1), Class::default());
                 classes[at] = Class {
-                    aim_ms: target.as_secs_f64() * 1000.0,
+                    target_ms: target.as_secs_f64() * 1000.0,
                     deadline_ms: timeout.as_secs_f64() * 1000.0,
                     worth: 1.0,
                     late_worth: LATE_WORTH,
-                    effect,
+                    idempotency: effect,
                     stream: false,
                 };
                 let shares = split.unwrap_or_default();
@@ -158,7 +159,7 @@
                     attempts: attempts.unwrap_or(1).max(1) as usize,
                     places: zones.of_regions(home_regions.as_deref()),
                     unstamped: rule.unstamped.unwrap_or(false),
-                    once: effect == Effect::Unsafe,
+                    once: effect == Idempotency::NonIdempotent,
                 };
                 of_host.push((rule.sorting.lane_prefix, Rc::new(route)));
             }
--- a/overland/src/speech.rs
+++ b/overland/src/speech.rs
@@ -2,7 +2,7 @@
 
 use cherrytally::plane::driver::Speech;
 use cherrytally::plane::http::Head;
-use cherrytally::Result as Ended;
+use cherrytally::CallResult as Ended;
 use std::io::Write;
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
             200..=299 if stamped && !encoded && framed => Ended::Ok,
             // A success that lacks its stamp, or whose end can't be told from a break, is none; it may have run.
             200..=299 => Ended::Reset,
-            421 => Ended::Full,
-            400 | 429 | 503 if not_run => Ended::Full,
+            421 => Ended::Rejected,
+            400 | 429 | 503 if not_run => Ended::Rejected,
             _ => Ended::Error,
         }
     }
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -6,7 +6,7 @@
 use cherrytally::plane::exchange::{End, Exchange, Happened, Idle, Line, Stage};
 use cherrytally::plane::http::Head;
 use cherrytally::plane::room::{Content, Short};
-use cherrytally::{Reason, Result as Ended};
+use cherrytally::{CallResult as Ended, Reason};
 use overland::speech::Wire;
 use overland::told::{told, Told, PROMISES};
 use std::time::Duration;
@@ -104,10 +104,10 @@
         (200, "Stamp: s\r\n", Ended::Reset),
         (200, "Content-Length: 1\r\n", Ended::Reset),
         (200, "Stamp: s\r\nContent-Encoding: gzip\r\nContent-Length: 1\r\n", Ended::Reset),
-        (421, "", Ended::Full),
-        (503, "Not-Run: 1\r\n", Ended::Full),
-        (429, "Not-Run: 1\r\n", Ended::Full),
-        (400, "Not-Run: 1\r\n", Ended::Full),
+        (421, "", Ended::Rejected),
+        (503, "Not-Run: 1\r\n", Ended::Rejected),
+        (429, "Not-Run: 1\r\n", Ended::Rejected),
+        (400, "Not-Run: 1\r\n", Ended::Rejected),
         (503, sized, Ended::Error),
         (408, sized, Ended::Error),
         (500, "Not-Run: 1\r\n", Ended::Error),
--- a/overland/tests/plane.rs
+++ b/overland/tests/plane.rs
@@ -6,7 +6,7 @@
 use cherrytally::plane::driver::Speech;
 use cherrytally::plane::exchange::{End, Exchange, Idle, Stage};
 use cherrytally::plane::http::Head;
-use cherrytally::Result as Ended;
+use cherrytally::CallResult as Ended;
 use overland::speech::Wire;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -105,7 +105,7 @@
 
     fn judge(&self, head: &Head) -> Ended {
         match (self.0, Wire.judge(head)) {
-            (Fault::ShedIsNotRun, Ended::Error) if head.status == 503 => Ended::Full,
+            (Fault::ShedIsNotRun, Ended::Error) if head.status == 503 => Ended::Rejected,
             (Fault::AnySuccess, Ended::Reset) => Ended::Ok,
             (_, ended) => ended,
         }
--- a/src/bin/cherrytally-benchlink/main.rs
+++ b/src/bin/cherrytally-benchlink/main.rs
@@ -4,7 +4,7 @@
 mod frame;
 mod setup;
 
-use cherrytally::{Action, Event, Gateway, Listed, Load, Outcome, Request, Result as CallResult, State};
+use cherrytally::{Action, BackendEntry, BackendState, CallResult, Event, Gateway, Load, Outcome, Request};
 use frame::{Batch, Fields, Reply, ENTRY_BYTES};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
@@ -27,7 +27,7 @@
 struct Adapter {
     instances: BTreeMap<u32, Instance>,
     /// Backend lists by number, which events refer to.
-    lists: BTreeMap<u32, Vec<Listed>>,
+    lists: BTreeMap<u32, Vec<BackendEntry>>,
     /// Buffer of the actions for one event.
     actions: Vec<Action>,
 }
@@ -98,7 +98,7 @@
                 took_ms: record.f64(10)?,
                 load: load_report(record, 18, names)?,
             },
-            3 => Event::Gone { id: record.u64(5)? },
+            3 => Event::ClientGone { id: record.u64(5)? },
             4 => Event::Counted {
                 name: record.u64(6)?,
                 result: call_result(record, 5)?,
@@ -106,7 +106,7 @@
                 took_ms: record.f64(18)?,
             },
             6 => Event::Message { from: u32::from(record.u16(5)?), body: batch.tail(record, 7, 1)?.to_vec() },
-            7 => Event::Started { id: record.u64(5)?, attempt: record.u8(13)? },
+            7 => Event::ResponseStarted { id: record.u64(5)?, attempt: record.u8(13)? },
             8 => match record.u8(5)? {
                 3 => Event::ListFailed,
                 scope @ 0..=2 => {
@@ -132,7 +132,7 @@
                 attempt: record.u8(13)?,
                 backend: record.u32(15)?,
                 result: call_result(record, 29)?,
-                ended: record.u8(14)? != 0,
+                is_final: record.u8(14)? != 0,
                 units: Some(f64::from(record.u16(19)?)).filter(|units| *units > 0.0),
                 took_ms: record.f64(21)?,
                 load: load_report(record, 32, names)?,
@@ -144,11 +144,11 @@
                 class: u32::from(record.u8(34)?),
                 units: record.f32(22)?,
                 budget_ms: record.f64(35)?,
-                spread: record.f32(17)?,
-                repeat: record.u8(21)? & 2 != 0,
-                streams: false,
+                customer_gateways: record.f32(17)?,
+                is_retry: record.u8(21)? & 2 != 0,
+                body_streams: false,
                 pool: 0,
-                places: u64::MAX,
+                zone_mask: u64::MAX,
             }),
             code => {
                 return Err(format!("record at byte {}: unknown event code {code}", record.frame_offset()))
@@ -162,16 +162,16 @@
     }
 }
 
-fn list_entry(record: &Fields) -> Result<Listed, String> {
+fn list_entry(record: &Fields) -> Result<BackendEntry, String> {
     let state = match record.u8(8)? {
-        0 => State::Gone,
-        1 => State::Ready,
-        2 => State::Draining,
+        0 => BackendState::Gone,
+        1 => BackendState::Ready,
+        2 => BackendState::Draining,
         state => {
             return Err(format!("record at byte {}: unknown backend state {state}", record.frame_offset()))
         }
     };
-    Ok(Listed {
+    Ok(BackendEntry {
         id: record.u32(0)?,
         zone: u32::from(record.u8(4)?),
         kind: u32::from(record.u8(5)?),
@@ -180,7 +180,7 @@
         size: record.f32(9)?,
         started: record.f64(13)?,
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         cold_until: 0.0,
         cold_per_s: 0.0,
         limited_until: 0.0,
@@ -192,11 +192,11 @@
     Ok(match record.u8(offset)? {
         0 => CallResult::Ok,
         5 => CallResult::Error,
-        11 => CallResult::Full,
+        11 => CallResult::Rejected,
         104 => CallResult::Reset,
         110 => CallResult::Timeout,
         111 => CallResult::ConnectFailed,
-        114 => CallResult::Moot,
+        114 => CallResult::NotSent,
         125 => CallResult::Cancelled,
         code => return Err(format!("record at byte {}: unknown outcome code {code}", record.frame_offset())),
     })
@@ -208,9 +208,9 @@
     for (index, name) in names.iter().take(count).enumerate() {
         let value = Some(record.f32(offset + 1 + 4 * index)?).filter(|value| value.is_finite());
         match name.as_str() {
-            "concurrent" => load.in_hand = value,
-            "depth" => load.queue = value,
-            "load_share" => load.busy = value,
+            "concurrent" => load.in_flight = value,
+            "depth" => load.queue_depth = value,
+            "load_share" => load.cpu_utilization = value,
             "mean_ms" => load.service_ms = value,
             "tps" => load.served_per_s = value,
             "err_ps" => load.errors_per_s = value,
@@ -228,7 +228,7 @@
         Action::Cancel { .. } => 68,
         Action::Timer { .. } => 69,
         Action::Probe { .. } => 70,
-        Action::Tell { .. } => 72,
+        Action::SendMessage { .. } => 72,
         Action::Log { .. } => 73,
         Action::Watch => 75,
         Action::Count { .. } => 77,
@@ -256,7 +256,7 @@
         Action::Probe { backend } => {
             record.put(5, &backend.to_le_bytes());
         }
-        Action::Tell { to, body } => {
+        Action::SendMessage { to, body } => {
             record.put(5, &to.to_le_bytes()).put_tail(9, body);
         }
         Action::Log { line } => {
--- a/src/bin/cherrytally-benchlink/setup.rs
+++ b/src/bin/cherrytally-benchlink/setup.rs
@@ -1,6 +1,8 @@
 //! Parses the settings text, lines of `path=value`, into the library's settings.
 
-use cherrytally::{Class, Counter, Effect, Group, Limits, Plan, Prices, Reports, Rules, Settings};
+use cherrytally::{
+    Class, Counter, DedupScope, Idempotency, Limits, LoadReports, Penalties, Plan, Rules, Settings,
+};
 use std::collections::HashMap;
 
 /// The settings of one gateway instance.
@@ -50,9 +52,9 @@
         .map(|index| plan(&values, index))
         .collect::<Result<_, _>>()?;
     let counter = if values.boolean("domain.may-count")? {
-        let (timeout_ms, price) =
+        let (timeout_ms, call_cost) =
             (values.number("domain.counter-timeout-ms")?, values.number("domain.count-fee")?);
-        Some(Counter { timeout_ms, price })
+        Some(Counter { timeout_ms, call_cost })
     } else {
         None
     };
@@ -69,18 +71,18 @@
         classes,
         plans,
         counter,
-        most_units: values.number("domain.units-top")?,
-        settles: values.boolean("domain.trued-up")?,
+        max_units: values.number("domain.units-top")?,
+        units_are_estimates: values.boolean("domain.trued-up")?,
         limits: Limits {
             max_attempts: values.integer("limits.try-limit")?,
-            second_copies: values.boolean("limits.may-duplicate")?,
+            hedging: values.boolean("limits.may-duplicate")?,
             cancel: values.boolean("limits.cancel")?,
             probes: values.boolean("limits.probing")?,
             peers: values.boolean("limits.peers")?,
             retry_after: values.boolean("limits.retry-after")?,
             max_retry_after_ms: values.number("limits.max-retry-after-ms")?,
         },
-        prices: Prices {
+        penalties: Penalties {
             cross_zone: values.number("penalties.cross-zone")?,
             waste: values.number("penalties.waste")?,
             probe: values.number("penalties.probe")?,
@@ -88,20 +90,24 @@
         },
         rules: Rules {
             answer_slack_ms: values.number("rules.answer-slack-ms")?,
-            cold_from: values.number("rules.cold-from")?,
+            cold_capacity: values.number("rules.cold-from")?,
             warm_up_ms: values.number("rules.warm-up-ms")?,
             drain_grace_ms: values.number("rules.drain-grace-ms")?,
-            fall_multiple: values.number("rules.fall-multiple")?,
-            fall_ms: values.number("rules.fall-ms")?,
-            ask_within_ms: values.number("rules.ask-within-ms")?,
-            early_of_aim: 0.0,
-            further: None,
+            overload_multiple: values.number("rules.fall-multiple")?,
+            overload_ms: values.number("rules.fall-ms")?,
+            max_poll_interval_ms: values.number("rules.ask-within-ms")?,
+            early_refusal_share: 0.0,
+            retry_budget: None,
         },
-        reports: values.choice(
+        load_reports: values.choice(
             "report.how",
-            &[("off", Reports::Off), ("inline", Reports::Answers), ("on_probe", Reports::Probes)],
+            &[
+                ("off", LoadReports::Off),
+                ("inline", LoadReports::Responses),
+                ("on_probe", LoadReports::Probes),
+            ],
         )?,
-        list_asked: values.choice("membership-mode", &[("push", false), ("ask", true)])?,
+        list_polled: values.choice("membership-mode", &[("push", false), ("ask", true)])?,
     };
     let names = values.raw("report.names").unwrap_or("");
     let report_names = names.split(',').filter(|name| !name.is_empty()).map(str::to_owned).collect();
@@ -110,23 +116,23 @@
 
 fn class(values: &Values, index: u32) -> Result<Class, String> {
     let path = |key: &str| format!("categories.{index}.{key}");
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-    let effect = match values
+    let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
+    let idempotency = match values
         .choice(&path("effect"), &[("read_like", 0), ("idempotency_key", 1), ("non_idempotent", 2)])?
     {
-        0 => Effect::Safe,
-        1 => Effect::Keyed {
-            group: values.choice(&path("group"), &groups)?,
+        0 => Idempotency::Idempotent,
+        1 => Idempotency::Keyed {
+            scope: values.choice(&path("group"), &scopes)?,
             window_ms: values.number(&path("window-ms"))?,
         },
-        _ => Effect::Unsafe,
+        _ => Idempotency::NonIdempotent,
     };
     Ok(Class {
-        aim_ms: values.number(&path("aim-ms"))?,
+        target_ms: values.number(&path("aim-ms"))?,
         deadline_ms: values.number(&path("give-up-ms"))?,
         worth: values.number(&path("value"))?,
         late_worth: values.number(&path("late-worth"))?,
-        effect,
+        idempotency,
         stream: values.boolean(&path("stream"))?,
     })
 }
@@ -136,9 +142,9 @@
     Ok(Plan {
         rate: values.number(&path("refill"))?,
         burst: values.number(&path("store-size"))?,
-        max_out: values.integer(&path("max-out"))?,
-        price: values.number(&path("pays"))?,
-        extra_worth: values.number(&path("extra-worth"))?,
+        max_in_flight: values.integer(&path("max-out"))?,
+        worth_factor: values.number(&path("pays"))?,
+        excess_worth: values.number(&path("extra-worth"))?,
         excess_cost: values.number(&path("excess-cost"))?,
         ceiling_rate: values.number(&path("cap-rate"))?,
         ceiling_burst: values.number(&path("cap-depth"))?,
--- a/src/bin/heronstage/config/mod.rs
+++ b/src/bin/heronstage/config/mod.rs
@@ -13,7 +13,9 @@
 pub use source::{Named, Shown, Source};
 
 use cherrytally::membership;
-use cherrytally::{Class, Counter, Effect, Group, Limits, Plan, Prices, Reports, Rules, Settings};
+use cherrytally::{
+    Class, Counter, DedupScope, Idempotency, Limits, LoadReports, Penalties, Plan, Rules, Settings,
+};
 use form::Form;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -303,19 +305,19 @@
         tick_ms: form.rules.tick.0,
         classes: form.classes.iter().map(class).collect(),
         plans: form.plans.iter().map(plan).collect(),
-        counter: form.counter.as_ref().map(|c| Counter { timeout_ms: c.timeout.0, price: c.price }),
-        most_units: form.quotas.units_most,
-        settles: form.quotas.settle,
+        counter: form.counter.as_ref().map(|c| Counter { timeout_ms: c.timeout.0, call_cost: c.price }),
+        max_units: form.quotas.units_most,
+        units_are_estimates: form.quotas.settle,
         limits: Limits {
             max_attempts: form.retries.attempts,
-            second_copies: form.retries.hedging,
+            hedging: form.retries.hedging,
             cancel: form.retries.cancel,
             probes: form.retries.probes,
             peers: form.peers.is_some(),
             retry_after: form.retries.retry_after,
             max_retry_after_ms: form.retries.retry_after_most.0,
         },
-        prices: Prices {
+        penalties: Penalties {
             cross_zone: form.prices.cross_zone,
             waste: form.prices.waste,
             probe: form.prices.probe,
@@ -323,36 +325,36 @@
         },
         rules: Rules {
             answer_slack_ms: form.rules.answer_slack.0,
-            cold_from: form.rules.cold_from,
+            cold_capacity: form.rules.cold_from,
             warm_up_ms: form.rules.warm_up.0,
             drain_grace_ms: form.rules.drain_grace.0,
-            fall_multiple: form.rules.fall_multiple,
-            fall_ms: form.rules.fall_after.0,
-            ask_within_ms: form.rules.ask_within.0,
-            early_of_aim: 0.0,
-            further: None,
+            overload_multiple: form.rules.fall_multiple,
+            overload_ms: form.rules.fall_after.0,
+            max_poll_interval_ms: form.rules.ask_within.0,
+            early_refusal_share: 0.0,
+            retry_budget: None,
         },
         // The module reads no load reports, so none are taken in.
-        reports: Reports::Off,
-        list_asked: form.discovery.mode == form::Mode::Ask,
+        load_reports: LoadReports::Off,
+        list_polled: form.discovery.mode == form::Mode::Ask,
     }
 }
 
 fn class(c: &form::Class) -> Class {
     let group = match c.key_group {
-        form::Group::All => Group::All,
-        form::Group::Zone => Group::Zone,
-        form::Group::Cell => Group::Cell,
+        form::Group::All => DedupScope::All,
+        form::Group::Zone => DedupScope::Zone,
+        form::Group::Cell => DedupScope::Cell,
     };
     Class {
-        aim_ms: c.aim.0,
+        target_ms: c.aim.0,
         deadline_ms: c.deadline.0,
         worth: c.worth,
         late_worth: c.late_worth,
-        effect: match c.effect {
-            form::Effect::Safe => Effect::Safe,
-            form::Effect::Keyed => Effect::Keyed { group, window_ms: c.key_window.0 },
-            form::Effect::Unsafe => Effect::Unsafe,
+        idempotency: match c.effect {
+            form::Effect::Safe => Idempotency::Idempotent,
+            form::Effect::Keyed => Idempotency::Keyed { scope: group, window_ms: c.key_window.0 },
+            form::Effect::Unsafe => Idempotency::NonIdempotent,
         },
         // The protocol between clients and gateways has no streamed answers.
         stream: false,
@@ -363,9 +365,9 @@
     Plan {
         rate: p.rate,
         burst: p.burst,
-        max_out: p.attempts_out,
-        price: p.price,
-        extra_worth: p.extra_worth,
+        max_in_flight: p.attempts_out,
+        worth_factor: p.price,
+        excess_worth: p.extra_worth,
         excess_cost: p.excess_cost,
         ceiling_rate: p.ceiling_rate,
         ceiling_burst: p.ceiling_burst,
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -6,7 +6,7 @@
 use cherrytally::plane::http::Reader;
 use cherrytally::plane::idle::IdleLimit;
 use cherrytally::plane::seldom::{seldom, Seldom};
-use cherrytally::Result as Ended;
+use cherrytally::CallResult as Ended;
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
@@ -238,7 +238,7 @@
                 (Ended::Reset, 0.0)
             }
         },
-        503 | 400 | 404 => (Ended::Full, 0.0),
+        503 | 400 | 404 => (Ended::Rejected, 0.0),
         _ => (Ended::Timeout, 0.0),
     }
 }
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::status::{self, Process};
 use cherrytally::plane::driver::Ears;
-use cherrytally::{Reason, Result as Ended};
+use cherrytally::{CallResult as Ended, Reason};
 use prometheus_client::encoding::text::{encode_eof, encode_registry};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -70,12 +70,12 @@
 const RESULTS: [Ended; 8] = [
     Ended::Ok,
     Ended::Error,
-    Ended::Full,
+    Ended::Rejected,
     Ended::Timeout,
     Ended::ConnectFailed,
     Ended::Reset,
     Ended::Cancelled,
-    Ended::Moot,
+    Ended::NotSent,
 ];
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
--- a/src/bin/heronstage/speech.rs
+++ b/src/bin/heronstage/speech.rs
@@ -3,7 +3,7 @@
 use crate::config::{Registry, ServerState};
 use cherrytally::plane::driver::{Speech, Told};
 use cherrytally::plane::http::Head;
-use cherrytally::{Listed, Result as Ended, State};
+use cherrytally::{BackendEntry, BackendState, CallResult as Ended};
 use std::io::Write;
 use std::time::Duration;
 
@@ -21,11 +21,11 @@
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len()) as u32;
         let told = registry.servers.into_iter().map(|server| {
             let state = match server.state {
-                ServerState::Ready => State::Ready,
-                ServerState::Terminating => State::Draining,
-                ServerState::Gone => State::Gone,
+                ServerState::Ready => BackendState::Ready,
+                ServerState::Terminating => BackendState::Draining,
+                ServerState::Gone => BackendState::Gone,
             };
-            let listed = Listed {
+            let listed = BackendEntry {
                 id: 0,
                 zone: place(&self.zones, &server.zone),
                 kind: place(&self.kinds, &server.kind),
@@ -34,7 +34,7 @@
                 size: server.weight,
                 started: server.started_ms,
                 pool: 0,
-                far: 0.0,
+                distance_cost: 0.0,
                 cold_until: 0.0,
                 cold_per_s: 0.0,
                 limited_until: 0.0,
@@ -59,7 +59,7 @@
         match head.status {
             200 => Ended::Ok,
             // Only these two with this header prove that the request never ran.
-            503 | 504 if head.turned_away => Ended::Full,
+            503 | 504 if head.turned_away => Ended::Rejected,
             _ => Ended::Error,
         }
     }
--- a/src/bin/heronstage/tables.rs
+++ b/src/bin/heronstage/tables.rs
@@ -2,7 +2,7 @@
 //! a reload gives new ones to what it changes and takes up those that nothing open bears any more.
 
 use crate::figures::{Ends, Figures};
-use cherrytally::{Effect, Settings};
+use cherrytally::{Idempotency, Settings};
 use hyper::Method;
 use std::rc::Rc;
 
@@ -53,8 +53,8 @@
             let class = Rc::new(Class {
                 name: name.clone(),
                 number: number as u32,
-                method: if is.effect == Effect::Safe { Method::GET } else { Method::POST },
-                keyed: matches!(is.effect, Effect::Keyed { .. }),
+                method: if is.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST },
+                keyed: matches!(is.idempotency, Idempotency::Keyed { .. }),
                 ends: figures.class(name)?,
                 is: *is,
             });
--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -26,8 +26,8 @@
         }
         let (units, customer) = (request.units, request.customer);
         self.units += (units - self.units) * USUAL_GAIN;
-        let aim = self.settings.classes[class].aim_ms.min(request.budget_ms);
-        self.customer(now, customer, plan_no, request.spread);
+        let aim = self.settings.classes[class].target_ms.min(request.budget_ms);
+        self.customer(now, customer, plan_no, request.customer_gateways);
         let (ends, aim_ends, attempts) = (now + request.budget_ms, now + aim, Vec::new());
         let (held, asked, inside, closed, streaming, ran) = (false, false, true, false, false, None);
         let open = Open { request, ends, aim_ends, held, asked, inside, closed, streaming, attempts, ran };
@@ -38,7 +38,7 @@
         // Attempts-out caps: own attempts are counted, the others' reckoned from their use and time in hand.
         let theirs = c.others / self.units.max(0.1) * self.usual[class].0 / 1000.0;
         let out = f64::from(c.out + c.calls) + theirs.round();
-        let capped = plan.max_out > 0 && out >= f64::from(plan.max_out);
+        let capped = plan.max_in_flight > 0 && out >= f64::from(plan.max_in_flight);
         if capped || plan.rate > 0.0 && c.store.min(plan.burst) - c.waiting < units {
             // A look at the count now and then keeps the view fresh while the counter is well.
             let look = now - c.called > LOOK_MS && self.settings.counter.is_some() && plan.rate > 0.0;
@@ -47,8 +47,9 @@
             }
             return self.beyond(now, id, actions);
         }
-        let early =
-            Some(self.settings.rules.early_of_aim).filter(|early| *early > 0.0).unwrap_or(EARLY_OF_AIM);
+        let early = Some(self.settings.rules.early_refusal_share)
+            .filter(|early| *early > 0.0)
+            .unwrap_or(EARLY_OF_AIM);
         if self.expected(now, id) > early * aim.max(0.0) {
             self.flow_of(pool).crowded_at = now;
             self.told.crowded += 1;
@@ -59,7 +60,7 @@
         }
         let trusted = self.counter.trusted();
         // Where more come than the counter bears, plans that lose by what goes unchecked are asked for first.
-        let called = self.may_call(now, self.settings.limits.peers || plan.extra_worth > plan.excess_cost);
+        let called = self.may_call(now, self.settings.limits.peers || plan.excess_worth > plan.excess_cost);
         let c = self.customers.get_mut(&customer).expect("just entered");
         // A silent or crowded counter is still tried, by fewer calls; what else comes rides on the next.
         let home = home(customer, self.settings.gateways);
@@ -68,7 +69,7 @@
             let open = self.requests.get_mut(&id).expect("just entered");
             (open.held, open.asked) = (true, true);
             let ask = Message::Ask { id, customer, plan: plan_no as u8, units: units as f32 };
-            actions.push(Action::Tell { to: home, body: ask.encode() });
+            actions.push(Action::SendMessage { to: home, body: ask.encode() });
             return actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms: aim * ASK_OF_AIM });
         }
         if !called {
@@ -95,10 +96,10 @@
             (expected * (1.0 + UNSURE.0 * others * (1.0 - flow.tells())), flow.crowded_at);
         let Some(open) = self.requests.get_mut(&id) else { return };
         let plan = &self.settings.plans[open.request.plan as usize];
-        let aim = self.settings.classes[open.request.class as usize].aim_ms;
+        let aim = self.settings.classes[open.request.class as usize].target_ms;
         // Never while those inside their quotas find no room: they come first.
         let room = expected < ROOM_OF_AIM * aim && now - crowded_at > CROWDED_MS;
-        if plan.extra_worth > plan.excess_cost && room {
+        if plan.excess_worth > plan.excess_cost && room {
             open.inside = false;
             return self.send(now, id, actions);
         }
@@ -115,7 +116,7 @@
         let Some(open) = self.requests.get(&id) else { return f64::INFINITY };
         let pool = open.request.pool;
         let usual = self.usual[open.request.class as usize].0;
-        let aim = self.settings.classes[open.request.class as usize].aim_ms;
+        let aim = self.settings.classes[open.request.class as usize].target_ms;
         self.flow(now, pool, 0.0, 0.0);
         if self.ready(pool).next().is_none() {
             return f64::INFINITY;
@@ -165,7 +166,7 @@
     pub(super) fn new(rules: &Rules, now: Millis) -> Self {
         let (out, out_mean, served, late, at) = (0.0, 0.0, 0.0, USUAL_OF_AIM, now);
         let (crowded_at, rate, rate_at) = (f64::NEG_INFINITY, 0.0, now);
-        let retries = rules.further.map_or(RETRY_MOST, |further| further.most);
+        let retries = rules.retry_budget.map_or(RETRY_MOST, |further| further.burst);
         Flow { out, out_mean, served, late, at, crowded_at, retries, rate, rate_at }
     }
 
--- a/src/choice/attempts.rs
+++ b/src/choice/attempts.rs
@@ -26,7 +26,7 @@
         let left = open.ends - now;
         let mut may = picked.is_some() && left > 0.0;
         may &= (open.attempts.len() as u32) < self.settings.limits.max_attempts.max(1);
-        if let (Some((since, _)), Effect::Keyed { window_ms, .. }) = (open.ran, class.effect) {
+        if let (Some((since, _)), Idempotency::Keyed { window_ms, .. }) = (open.ran, class.idempotency) {
             may &= now - since < window_ms;
         }
         if first && plan.ceiling_rate > 0.0 {
@@ -42,13 +42,13 @@
             }
             if !open.attempts.iter().any(|a| a.live) {
                 self.told.unsent += 1;
-                self.finish(id, class.aim_ms / 2.0, Reason::Unsent, actions);
+                self.finish(id, class.target_ms / 2.0, Reason::Unsent, actions);
             }
             return;
         };
         let b = self.backends.get_mut(&backend).expect("picked from the list");
         // With its body still to come it is no work yet.
-        let at_work = !request.streams;
+        let at_work = !request.body_streams;
         if at_work {
             b.begin(now);
         }
@@ -64,14 +64,14 @@
         open.attempts.push(Attempt { backend, sent: now, depth, live: true, at_work });
         // Past its aim an answer may earn nothing: the attempt ends before. It frees a place but wastes
         // work that backends finish all the same: only where waste is priced below late failure.
-        let prices = &self.settings.prices;
+        let prices = &self.settings.penalties;
         let cuts = class.late_worth <= 0.0 && prices.waste < prices.late_fail;
         let cut = if cuts { open.aim_ends - now - CUT_MS - 2.0 * self.settings.tick_ms } else { left };
         actions.push(Action::Send { id, backend, timeout_ms: left.min(cut.max(1.0)) });
         self.flow(now, pool, f64::from(u8::from(at_work)), 0.0);
         if first {
             let (share, most) =
-                self.settings.rules.further.map_or((RETRY_SHARE, RETRY_MOST), |f| (f.share, f.most));
+                self.settings.rules.retry_budget.map_or((RETRY_SHARE, RETRY_MOST), |f| (f.ratio, f.burst));
             let flow = self.flow_of(pool);
             flow.retries = (flow.retries + share).min(most);
         }
@@ -82,7 +82,7 @@
         let Some(open) = self.requests.get_mut(&id) else { return };
         let (budget, aim, pool) = (
             open.request.budget_ms,
-            self.settings.classes[open.request.class as usize].aim_ms,
+            self.settings.classes[open.request.class as usize].target_ms,
             open.request.pool,
         );
         let Some(attempt) = open.attempts.get_mut(attempt as usize) else { return };
@@ -109,15 +109,15 @@
             return;
         }
         let (backend, took_ms, depth) = (attempt.backend, now - attempt.sent, attempt.depth);
-        self.worked(now, class, pool, took_ms, Result::Ok);
-        self.learn(now, backend, class, plan, Result::Ok, took_ms, depth);
+        self.worked(now, class, pool, took_ms, CallResult::Ok);
+        self.learn(now, backend, class, plan, CallResult::Ok, took_ms, depth);
     }
 
     /// A backend's work has ended: the averages over work in hand and answers.
-    pub(super) fn worked(&mut self, now: Millis, class: usize, pool: u32, took_ms: f64, result: Result) {
-        self.flow(now, pool, -1.0, f64::from(u8::from(result == Result::Ok)));
-        if matches!(result, Result::Ok | Result::Timeout) {
-            let share = took_ms / self.settings.classes[class].aim_ms.max(1.0);
+    pub(super) fn worked(&mut self, now: Millis, class: usize, pool: u32, took_ms: f64, result: CallResult) {
+        self.flow(now, pool, -1.0, f64::from(u8::from(result == CallResult::Ok)));
+        if matches!(result, CallResult::Ok | CallResult::Timeout) {
+            let share = took_ms / self.settings.classes[class].target_ms.max(1.0);
             let flow = self.flow_of(pool);
             flow.late += (share.min(1.0) - flow.late) * LATE_GAIN;
         }
@@ -136,7 +136,7 @@
         if let Some(c) = self.customers.get_mut(&open.request.customer) {
             c.out = c.out.saturating_sub(1);
             // The settlement: the true units' difference rides on the customer's next charge.
-            if let (true, true, Some(units)) = (self.settings.settles, open.inside, o.units) {
+            if let (true, true, Some(units)) = (self.settings.units_are_estimates, open.inside, o.units) {
                 if units.is_finite() {
                     c.store -= units - open.request.units;
                     let plan = &self.settings.plans[open.request.plan as usize];
@@ -155,37 +155,37 @@
             self.judge(now, backend, plan, o.result, o.took_ms);
         }
         let open = self.requests.get_mut(&o.id).expect("seen above");
-        if o.ended || open.closed {
+        if o.is_final || open.closed {
             return self.close(o.id, actions);
         }
         if open.attempts.iter().any(|a| a.live) {
             return;
         }
-        let effect = self.settings.classes[class].effect;
+        let effect = self.settings.classes[class].idempotency;
         let worth =
             self.settings.classes[class].late_worth > 0.0 || now + self.usual[class].0 < open.aim_ends;
         // Where further attempts are limited by rule, what a server turned away was one that arrived.
-        let free = match self.settings.rules.further {
-            Some(_) => matches!(o.result, Result::ConnectFailed | Result::Moot),
+        let free = match self.settings.rules.retry_budget {
+            Some(_) => matches!(o.result, CallResult::ConnectFailed | CallResult::NotSent),
             None => o.result.never_ran(),
         };
-        let may = o.result.never_ran() || effect != Effect::Unsafe;
+        let may = o.result.never_ran() || effect != Idempotency::NonIdempotent;
         let again = worth && may && (free || self.flow_of(pool).retries >= 1.0);
         let open = &self.requests[&o.id];
-        if again && o.result != Result::Moot && open.ends > now && !open.streaming {
-            if !free && o.result != Result::Cancelled {
+        if again && o.result != CallResult::NotSent && open.ends > now && !open.streaming {
+            if !free && o.result != CallResult::Cancelled {
                 self.flow_of(pool).retries -= 1.0;
             }
             return self.send(now, o.id, actions);
         }
-        self.finish(o.id, self.settings.classes[class].aim_ms / 2.0, Reason::Unsent, actions);
+        self.finish(o.id, self.settings.classes[class].target_ms / 2.0, Reason::Unsent, actions);
     }
 
     /// Ends the request: refused where trying again is harmless, failed where an attempt may have run.
     pub(super) fn finish(&mut self, id: RequestId, wait: f64, reason: Reason, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
-        let harmless = match self.settings.classes[open.request.class as usize].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        let harmless = match self.settings.classes[open.request.class as usize].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
             _ => open.ran.is_none() && !open.attempts.iter().any(|a| a.live),
         };
         if harmless {
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -17,7 +17,7 @@
             ready += 1.0;
             units += cold_share(&rules, now, b).unwrap_or(1.0);
         }
-        let least = ready / (rules.fall_multiple / 2.0).max(1.0);
+        let least = ready / (rules.overload_multiple / 2.0).max(1.0);
         // The average began at nought: what it holds as yet stands for all of it.
         let known = 1.0 - (-(now - self.started).max(RATE_KNOWN_MS) / RATE_MS).exp();
         let part = self.flow_of(pool).rate / known / f64::max(units, least).max(1.0);
@@ -36,11 +36,11 @@
 /// Share of its capacity that a backend surely has while it may be cold.
 pub(super) fn cold_share(rules: &Rules, now: Millis, backend: &Backend) -> Option<f64> {
     if backend.listed.cold_until > now {
-        return Some(rules.cold_from.clamp(0.05, 1.0));
+        return Some(rules.cold_capacity.clamp(0.05, 1.0));
     }
     let age = now - backend.born?;
     (age < rules.warm_up_ms).then(|| {
-        let from = rules.cold_from.clamp(0.05, 1.0);
+        let from = rules.cold_capacity.clamp(0.05, 1.0);
         from + (1.0 - from) * (age / rules.warm_up_ms).clamp(0.0, 1.0)
     })
 }
--- a/src/choice/counting.rs
+++ b/src/choice/counting.rs
@@ -95,7 +95,7 @@
         match Message::decode(body).filter(|_| known && self.settings.limits.peers) {
             Some(Message::Ask { id, customer, plan, units }) => {
                 let (plan, units) = (usize::from(plan), f64::from(units));
-                if plan >= self.settings.plans.len() || !(0.0..=self.settings.most_units).contains(&units) {
+                if plan >= self.settings.plans.len() || !(0.0..=self.settings.max_units).contains(&units) {
                     return;
                 }
                 // Spread unknown: the least share of a ceiling, as nothing is sent from here.
@@ -111,14 +111,14 @@
                     self.charge(now, customer, plan, 0.0, RequestId::MAX, actions);
                 }
                 let answer = Message::Answer { id, store: store as f32 };
-                actions.push(Action::Tell { to: from, body: answer.encode() });
+                actions.push(Action::SendMessage { to: from, body: answer.encode() });
             }
             Some(Message::Answer { id, store }) => {
                 let Some(open) = self.requests.get(&id).filter(|open| open.asked && open.held) else {
                     return;
                 };
                 let (customer, plan) = (open.request.customer, open.request.plan as usize);
-                self.customer(now, customer, plan, open.request.spread);
+                self.customer(now, customer, plan, open.request.customer_gateways);
                 self.customers.get_mut(&customer).expect("just entered").store = f64::from(store);
                 self.decide(now, id, actions);
             }
@@ -155,16 +155,17 @@
     }
 
     pub(super) fn counted(
-        &mut self, now: Millis, name: u64, result: Result, total: f64, took: f64, actions: &mut Vec<Action>,
+        &mut self, now: Millis, name: u64, result: CallResult, total: f64, took: f64,
+        actions: &mut Vec<Action>,
     ) {
         let Some(queue) = self.counter.calls.get_mut(&name) else { return };
         let Some(call) = queue.pop_front() else { return };
         if queue.is_empty() {
             self.counter.calls.remove(&name);
         }
-        let ok = result == Result::Ok && total.is_finite();
+        let ok = result == CallResult::Ok && total.is_finite();
         // A reply slower than the wait counts as a miss like none at all: both leave requests unchecked.
-        let aim = self.settings.classes.iter().map(|c| c.aim_ms).fold(f64::INFINITY, f64::min);
+        let aim = self.settings.classes.iter().map(|c| c.target_ms).fold(f64::INFINITY, f64::min);
         if ok {
             let grown = self.counter.way.0 * (1.0 + (now - self.counter.way.1).max(0.0) / WAY_MEMORY_MS);
             self.counter.way = (grown.min(took.max(0.0)), now);
@@ -181,7 +182,7 @@
             self.counter.misses = self.counter.misses.saturating_add(1);
             // A connection that broke says nothing of how many calls the counter bears, nor does one slow
             // answer among quick ones.
-            let chance = result == Result::Reset || ok && self.counter.misses == 1;
+            let chance = result == CallResult::Reset || ok && self.counter.misses == 1;
             if !chance {
                 if !std::mem::replace(&mut self.counter.cut, true) {
                     self.counter.once = Some(self.counter.pace);
@@ -199,7 +200,9 @@
     }
 
     /// Rebuilds the store from a total: what it rose by beyond this gateway's own charge, others used.
-    pub(super) fn reckon(&mut self, now: Millis, name: u64, call: &Call, total: Option<f64>, result: Result) {
+    pub(super) fn reckon(
+        &mut self, now: Millis, name: u64, call: &Call, total: Option<f64>, result: CallResult,
+    ) {
         let plan = &self.settings.plans[call.plan];
         let Some(c) = self.customers.get_mut(&call.customer) else { return };
         c.calls = c.calls.saturating_sub(1);
@@ -242,7 +245,7 @@
                 c.others = c.others * keep + (others.max(0.0) * 1000.0 / passed) * (1.0 - keep);
             }
         }
-        c.store = c.store.max(-self.settings.most_units.max(plan.burst / 4.0));
+        c.store = c.store.max(-self.settings.max_units.max(plan.burst / 4.0));
         c.store = c.store.min(plan.burst);
         (c.seen, c.seen_at) = (Some(used), now);
     }
@@ -253,7 +256,7 @@
         let Some(open) = self.requests.get(&id).filter(|open| open.held) else { return true };
         let (request, asked) = (open.request.clone(), open.asked);
         self.release(id);
-        self.customer(now, request.customer, request.plan as usize, request.spread);
+        self.customer(now, request.customer, request.plan as usize, request.customer_gateways);
         let plan = &self.settings.plans[request.plan as usize];
         let c = self.customers.get_mut(&request.customer).expect("just entered");
         let inside = c.store >= request.units;
--- a/src/choice/list.rs
+++ b/src/choice/list.rs
@@ -7,11 +7,11 @@
 use crate::state::*;
 
 impl Gateway {
-    pub(super) fn list(&mut self, now: Millis, full: bool, entries: Vec<Listed>) {
+    pub(super) fn list(&mut self, now: Millis, full: bool, entries: Vec<BackendEntry>) {
         if full {
             for b in self.backends.values_mut() {
                 if !entries.iter().any(|e| e.id == b.listed.id) {
-                    b.listed.state = State::Gone;
+                    b.listed.state = BackendState::Gone;
                 }
             }
         }
@@ -22,7 +22,7 @@
             match self.backends.get_mut(&entry.id) {
                 Some(b) => {
                     // Gone and back, or a new start: it may be cold, whatever the list says of its age.
-                    let back = b.listed.state == State::Gone && entry.state == State::Ready;
+                    let back = b.listed.state == BackendState::Gone && entry.state == BackendState::Ready;
                     if back || entry.started > b.listed.started {
                         let born = start.or(back.then_some(now));
                         (b.born, b.cold) = (born, (self.rng.f64(), now));
@@ -34,7 +34,7 @@
                     }
                     b.listed = entry;
                 }
-                None if entry.state != State::Gone || known => {
+                None if entry.state != BackendState::Gone || known => {
                     let lot = lot(entry.id, self.settings.gateways, self.settings.position);
                     let mut b = Backend::new(entry, start, now, lot);
                     b.cold.0 = self.rng.f64();
@@ -43,6 +43,7 @@
                 None => {}
             }
         }
-        self.backends.retain(|_, b| b.listed.state != State::Gone || b.out > 0 || now - b.learned < IDLE_MS);
+        self.backends
+            .retain(|_, b| b.listed.state != BackendState::Gone || b.out > 0 || now - b.learned < IDLE_MS);
     }
 }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -55,7 +55,7 @@
 impl Gateway {
     /// A gateway that starts now, knowing its settings alone.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        let usual: Vec<_> = settings.classes.iter().map(|c| (c.aim_ms * USUAL_OF_AIM, 0.0)).collect();
+        let usual: Vec<_> = settings.classes.iter().map(|c| (c.target_ms * USUAL_OF_AIM, 0.0)).collect();
         let counter = counting::Counter::new(settings.gateways, now);
         let flows = vec![Flow::new(&settings.rules, now)];
         Gateway {
@@ -81,7 +81,7 @@
         if !self.ticking {
             self.ticking = true;
             actions.push(Action::Timer { token: TOKEN_TICK, after_ms: TICK_MS });
-            if self.settings.list_asked {
+            if self.settings.list_polled {
                 actions.push(Action::Watch);
             }
         }
@@ -90,10 +90,10 @@
             Event::Settings(settings) => self.retune(settings),
             Event::ListFailed => self.list_retry = Some(now + EJECT_MS * (1.0 + self.rng.f64())),
             Event::Request(request) => self.request(now, request, actions),
-            Event::Whole { id, attempt } => self.whole(now, id, attempt),
-            Event::Started { id, attempt } => self.started_answer(now, id, attempt),
+            Event::BodySent { id, attempt } => self.whole(now, id, attempt),
+            Event::ResponseStarted { id, attempt } => self.started_answer(now, id, attempt),
             Event::Outcome(outcome) => self.outcome(now, outcome, actions),
-            Event::Gone { id } => self.close(id, actions),
+            Event::ClientGone { id } => self.close(id, actions),
             Event::Timer { token } => match token & !TOKEN_ID {
                 TOKEN_WAIT => drop(self.decide(now, token & TOKEN_ID, actions)),
                 _ => self.tick(now, actions),
@@ -121,7 +121,7 @@
             b.lot = lot(b.listed.id, gateways, position);
         }
         for (number, class) in self.settings.classes.iter().enumerate() {
-            let fresh = if known > 0.0 { sum / known } else { class.aim_ms * USUAL_OF_AIM };
+            let fresh = if known > 0.0 { sum / known } else { class.target_ms * USUAL_OF_AIM };
             match self.usual.get_mut(number) {
                 Some(usual) if former.classes[number] != *class => *usual = (fresh, 0.0),
                 Some(_) => {}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -29,26 +29,26 @@
     /// The shared quota counter, if there is one.
     pub counter: Option<Counter>,
     /// Maximum units of one request.
-    pub most_units: f64,
+    pub max_units: f64,
     /// True if a request's units are an estimate that its response corrects.
-    pub settles: bool,
+    pub units_are_estimates: bool,
     /// What the gateway may do.
     pub limits: Limits,
     /// What unwanted results cost.
-    pub prices: Prices,
+    pub penalties: Penalties,
     /// Timing and capacity parameters of the site.
     pub rules: Rules,
     /// How backends report their load.
-    pub reports: Reports,
+    pub load_reports: LoadReports,
     /// True if the backend list is polled instead of pushed.
-    pub list_asked: bool,
+    pub list_polled: bool,
 }
 
 /// A class of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
     /// Latency target: a response within it earns the full worth, in ms.
-    pub aim_ms: f64,
+    pub target_ms: f64,
     /// The client's total wait, including its retries, in ms.
     pub deadline_ms: f64,
     /// Value of one request, relative to other classes.
@@ -56,31 +56,31 @@
     /// Share of the worth that a response after the target still earns.
     pub late_worth: f64,
     /// Whether a request may be executed more than once.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// True if its response is streamed.
     pub stream: bool,
 }
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Any number of times.
-    Safe,
+    Idempotent,
     /// Backends drop duplicates by the request's idempotency key, within a scope and for a limited time.
     Keyed {
         /// The backends that share their keys.
-        group: Group,
+        scope: DedupScope,
         /// How long a key is remembered after the first attempt that may have been executed, in ms.
         window_ms: f64,
     },
     /// At most once.
     #[default]
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The backends among which duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// All backends.
     All,
     /// The backends of one zone.
@@ -97,11 +97,11 @@
     /// Size of that token bucket, in units.
     pub burst: f64,
     /// Maximum attempts in flight within the quota; 0 for no such limit.
-    pub max_out: u32,
+    pub max_in_flight: u32,
     /// Factor on the class's worth.
-    pub price: f64,
+    pub worth_factor: f64,
     /// Share of the worth that a request beyond the quota earns.
-    pub extra_worth: f64,
+    pub excess_worth: f64,
     /// Share of the worth that an attempt beyond the quota costs.
     pub excess_cost: f64,
     /// Refill rate of the hard limit's token bucket, in units a second; 0 for no hard limit.
@@ -118,7 +118,7 @@
     /// Timeout of a call, in ms.
     pub timeout_ms: f64,
     /// Cost of making one call per request.
-    pub price: f64,
+    pub call_cost: f64,
 }
 
 /// What the gateway may do.
@@ -127,7 +127,7 @@
     /// Maximum attempts of one request.
     pub max_attempts: u32,
     /// True if two attempts of one request may be in flight at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// True if attempts may be cancelled.
     pub cancel: bool,
     /// True if backends may be probed.
@@ -142,7 +142,7 @@
 
 /// What unwanted results cost, as shares of the total worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct Penalties {
     /// For attempts sent to another zone, per first attempt.
     pub cross_zone: f64,
     /// For backend work that produced no response, per work offered.
@@ -159,42 +159,42 @@
     /// A final response this long after the deadline still counts as in time, in ms.
     pub answer_slack_ms: f64,
     /// Minimum share of its capacity that a backend has when it starts.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// Time by which a backend has reached its full capacity, in ms.
     pub warm_up_ms: f64,
     /// Time within which attempts to a draining or removed backend must have ended, in ms.
     pub drain_grace_ms: f64,
     /// A cold backend fails under a load of this multiple of its current capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... that lasts this long, in ms.
-    pub fall_ms: f64,
+    pub overload_ms: f64,
     /// Maximum interval between two polls of the backend list, in ms.
-    pub ask_within_ms: f64,
+    pub max_poll_interval_ms: f64,
     /// A request is refused if its expected time exceeds this share of the time left to its latency target;
     /// 0 for the default.
-    pub early_of_aim: f64,
+    pub early_refusal_share: f64,
     /// The retry budget; the default one if absent.
-    pub further: Option<Further>,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// A retry budget per service: this gateway's part of one that all gateways share. Retries of attempts that a
 /// backend rejected are charged as well.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Further {
+pub struct RetryBudget {
     /// Retries allowed for each first attempt.
-    pub share: f64,
+    pub ratio: f64,
     /// Maximum of unused retries that are kept.
-    pub most: f64,
+    pub burst: f64,
 }
 
 /// How backends report their load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// Not at all.
     #[default]
     Off,
     /// With every response, including that to a probe.
-    Answers,
+    Responses,
     /// With probe responses only.
     Probes,
 }
@@ -203,11 +203,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Requests in flight.
-    pub in_hand: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests waiting in the queue.
-    pub queue: Option<f64>,
+    pub queue_depth: Option<f64>,
     /// Share of the processor in use.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Recent service time, excluding time in the queue, in ms.
     pub service_ms: Option<f64>,
     /// Requests served a second.
@@ -218,7 +218,7 @@
 
 /// A backend as described by the backend list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct BackendEntry {
     /// The backend.
     pub id: BackendId,
     /// Its zone.
@@ -228,7 +228,7 @@
     /// Its cell within the zone.
     pub cell: u32,
     /// Its state.
-    pub state: State,
+    pub state: BackendState,
     /// Its relative size; 1 if unknown.
     pub size: f64,
     /// When it last started; 0 if long ago.
@@ -236,7 +236,7 @@
     /// The backend pool it belongs to, by index: a pool serves the requests of one service.
     pub pool: u32,
     /// Extra cost of sending to it, for example to a remote region, in multiples of the usual service time.
-    pub far: f64,
+    pub distance_cost: f64,
     /// Until then it is sent no more than `cold_per_s`; 0 for no such limit.
     pub cold_until: Millis,
     /// This gateway's part of the requests a second that it can take while cold.
@@ -249,7 +249,7 @@
 
 /// A backend's state in the backend list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum BackendState {
     /// Accepts requests.
     Ready,
     /// Completes its requests and accepts no new ones.
@@ -285,13 +285,13 @@
 
 /// How an attempt, a probe or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Result {
+pub enum CallResult {
     /// Succeeded.
     Ok,
     /// Answered with an error; may have been executed.
     Error,
     /// Rejected for lack of capacity; not executed.
-    Full,
+    Rejected,
     /// No response in time; may have been executed.
     Timeout,
     /// No connection could be opened; not executed.
@@ -301,27 +301,27 @@
     /// Cancelled by the gateway; may have been executed.
     Cancelled,
     /// Not sent at all; not executed.
-    Moot,
+    NotSent,
 }
 
-impl Result {
+impl CallResult {
     /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Result::Ok => "ok",
-            Result::Error => "error",
-            Result::Full => "full",
-            Result::Timeout => "timeout",
-            Result::ConnectFailed => "connect_failed",
-            Result::Reset => "reset",
-            Result::Cancelled => "cancelled",
-            Result::Moot => "moot",
+            CallResult::Ok => "ok",
+            CallResult::Error => "error",
+            CallResult::Rejected => "full",
+            CallResult::Timeout => "timeout",
+            CallResult::ConnectFailed => "connect_failed",
+            CallResult::Reset => "reset",
+            CallResult::Cancelled => "cancelled",
+            CallResult::NotSent => "moot",
         }
     }
 
     /// True if the result proves that the request was not executed.
     pub fn never_ran(self) -> bool {
-        matches!(self, Result::Full | Result::ConnectFailed | Result::Moot)
+        matches!(self, CallResult::Rejected | CallResult::ConnectFailed | CallResult::NotSent)
     }
 }
 
@@ -341,15 +341,15 @@
     /// Time until the client gives up, in ms.
     pub budget_ms: f64,
     /// Number of gateways that this customer's requests arrive at.
-    pub spread: f64,
+    pub customer_gateways: f64,
     /// True if the client marked it as a retry.
-    pub repeat: bool,
-    /// True if its body is forwarded while it is received: its time budget starts with [`Event::Whole`].
-    pub streams: bool,
+    pub is_retry: bool,
+    /// True if its body is forwarded while it is received: its time budget starts with [`Event::BodySent`].
+    pub body_streams: bool,
     /// The backend pool that serves it, by index.
     pub pool: u32,
     /// Bit mask of the zones whose backends may serve it; zones from 63 on share the last bit.
-    pub places: u64,
+    pub zone_mask: u64,
 }
 
 /// What the decision module is notified of.
@@ -360,7 +360,7 @@
         /// True if the list is complete: backends that it lacks have been removed.
         full: bool,
         /// The entries.
-        entries: Vec<Listed>,
+        entries: Vec<BackendEntry>,
     },
     /// Polling the backend list failed; the last list stays in use.
     ListFailed,
@@ -369,15 +369,15 @@
     Settings(Settings),
     /// A request arrived.
     Request(Request),
-    /// The body of a [streaming](Request::streams) request was sent in full; it can't be sent again.
-    Whole {
+    /// The body of a [streaming](Request::body_streams) request was sent in full; it can't be sent again.
+    BodySent {
         /// The request.
         id: RequestId,
         /// The attempt's index.
         attempt: u8,
     },
     /// A streamed response began; the deadline no longer applies.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The attempt's index.
@@ -386,7 +386,7 @@
     /// An attempt ended.
     Outcome(Outcome),
     /// The client disconnected and needs no response.
-    Gone {
+    ClientGone {
         /// The request.
         id: RequestId,
     },
@@ -400,7 +400,7 @@
         /// The backend.
         backend: BackendId,
         /// How it ended.
-        result: Result,
+        result: CallResult,
         /// Time since it was sent, in ms.
         took_ms: f64,
         /// The backend's load report.
@@ -411,7 +411,7 @@
         /// The key of the count.
         name: u64,
         /// How it ended.
-        result: Result,
+        result: CallResult,
         /// The total after the call, if it succeeded.
         total: f64,
         /// Time since the call, in ms.
@@ -444,9 +444,9 @@
     /// The backend it was sent to.
     pub backend: BackendId,
     /// How it ended.
-    pub result: Result,
+    pub result: CallResult,
     /// True if the request now has its final response.
-    pub ended: bool,
+    pub is_final: bool,
     /// The request's actual units, if the response reports them.
     pub units: Option<f64>,
     /// Time since it was sent, in ms.
@@ -512,7 +512,7 @@
     /// Subscribe to changes of the backend list; repeated after [`Event::ListFailed`].
     Watch,
     /// Send a message to another gateway.
-    Tell {
+    SendMessage {
         /// The receiver's position.
         to: u32,
         /// The payload.
--- a/src/plane/backends.rs
+++ b/src/plane/backends.rs
@@ -5,7 +5,7 @@
 use super::http::{Head, Reader};
 use super::idle::IdleLimit;
 use super::room::{Part, Short, StreamTo, Upload, HELD_MOST};
-use crate::{BackendId, Result as Ended};
+use crate::{BackendId, CallResult as Ended};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::DefaultHasher;
@@ -196,10 +196,10 @@
     }
     exchange.step(Happened::Own { stays: false });
     match attempt.speech().judge(&head) {
-        _ if head.turned_away => (Ended::Full, None),
+        _ if head.turned_away => (Ended::Rejected, None),
         // With the rest unwritten nothing has run.
         _ if !begins_early => (Ended::ConnectFailed, None),
-        Ended::Full => (Ended::Full, None),
+        Ended::Rejected => (Ended::Rejected, None),
         // A success before the whole body is none that could be vouched for.
         Ended::Ok => (Ended::Reset, None),
         ended => match timeout_at(until, line.reader.held(HELD_MOST)).await {
--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -7,8 +7,8 @@
 use super::http::Head;
 use super::room::{Budget, Content, More, Part, Short, StreamTo, Upload};
 use crate::{
-    Action, BackendId, Event, Gateway, Listed, Load, Outcome, Reason, Request, RequestId, Result as Ended,
-    Settings, State,
+    Action, BackendEntry, BackendId, BackendState, CallResult as Ended, Event, Gateway, Load, Outcome,
+    Reason, Request, RequestId, Settings,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::DefaultHasher;
@@ -147,7 +147,7 @@
     /// Where it is; needed for all but those that are gone.
     pub addr: Option<SocketAddr>,
     /// All else; the number in it is not read.
-    pub listed: Listed,
+    pub listed: BackendEntry,
 }
 
 /// What goes on to a backend, with the terms of the attempt to be put between the two parts.
@@ -344,7 +344,7 @@
 
 struct Known {
     addr: SocketAddr,
-    state: State,
+    state: BackendState,
     name: Rc<str>,
 }
 
@@ -388,8 +388,7 @@
     pub fn new(settings: Settings, seed: u64, reach: Reach) -> Rc<Self> {
         let Reach { backends, calls, tells, budget, speech, ears } = reach;
         let clock = Clock::new();
-        let (max_attempts, second_copies) =
-            (settings.limits.max_attempts as usize, settings.limits.second_copies);
+        let (max_attempts, second_copies) = (settings.limits.max_attempts as usize, settings.limits.hedging);
         let inner = Inner {
             // Numbers go on from the clock: an answer to a request from before a restart names none of now.
             next: (clock.now() as u64) << 16,
@@ -438,11 +437,11 @@
             class: asked.class,
             units: asked.units,
             budget_ms,
-            spread: asked.spread,
-            repeat: asked.repeat,
-            streams,
+            customer_gateways: asked.spread,
+            is_retry: asked.repeat,
+            body_streams: streams,
             pool: asked.pool,
-            places: asked.places,
+            zone_mask: asked.places,
         };
         self.handle(inner, Event::Request(request));
         (id, receiver)
@@ -477,7 +476,7 @@
         let ends = Instant::now() + open.budget;
         let ends = open.until.map_or(ends, |until| until.min(ends));
         open.ends = Some(ends);
-        self.handle(inner, Event::Whole { id, attempt: attempt as u8 });
+        self.handle(inner, Event::BodySent { id, attempt: attempt as u8 });
         until.min(ends)
     }
 
@@ -488,7 +487,7 @@
         let (to, content) = Content::stream(head.length);
         open.failure = None;
         open.give(Answer::Served { head: head.clone(), content });
-        self.handle(inner, Event::Started { id, attempt: attempt as u8 });
+        self.handle(inner, Event::ResponseStarted { id, attempt: attempt as u8 });
         Some(to)
     }
 
@@ -504,7 +503,7 @@
             if !open.out() {
                 inner.open.remove(&id);
             }
-            self.handle(inner, Event::Gone { id });
+            self.handle(inner, Event::ClientGone { id });
         }
     }
 
@@ -548,7 +547,7 @@
             attempt: attempt as u8,
             backend,
             result,
-            ended,
+            is_final: ended,
             units,
             took_ms,
             load: Load::default(),
@@ -585,9 +584,9 @@
         for Told { name, addr, listed } in told {
             let id = number(&mut inner.numbers, &name);
             let state = listed.state;
-            entries.push(Listed { id, ..listed });
+            entries.push(BackendEntry { id, ..listed });
             match addr {
-                Some(addr) if state != State::Gone => {
+                Some(addr) if state != BackendState::Gone => {
                     let moved = inner.fleet.insert(id, Known { addr, state, name: name.into() });
                     if moved.is_some_and(|known| known.addr != addr) {
                         self.backends.forget(id);
@@ -619,7 +618,7 @@
     /// True once requests can be served: the list is fresh, or discovery is silent, and a backend is ready.
     pub fn ready(&self) -> bool {
         let told = self.discovery_heard.get() || self.started.elapsed() > Duration::from_secs(1);
-        told && self.inner.borrow().fleet.values().any(|known| known.state == State::Ready)
+        told && self.inner.borrow().fleet.values().any(|known| known.state == BackendState::Ready)
     }
 
     /// The name of a backend, as the list gives it. It is looked for: only the log asks.
@@ -641,7 +640,7 @@
         settings.counter = settings.counter.filter(|_| self.calls.is_some());
         settings.limits.peers &= self.tells.is_some();
         self.max_attempts.set(settings.limits.max_attempts as usize);
-        self.second_copies.set(settings.limits.second_copies);
+        self.second_copies.set(settings.limits.hedging);
         self.handle(&mut self.inner.borrow_mut(), Event::Settings(settings));
     }
 
@@ -673,10 +672,11 @@
         match action {
             Action::Send { id, backend, timeout_ms } => {
                 if let Some(attempt) = self.send(inner, id, backend, timeout_ms) {
-                    let (result, load) = (Ended::Moot, Load::default());
+                    let (result, load) = (Ended::NotSent, Load::default());
                     let ended = inner.open.get(&id).is_none_or(|open| open.answer.is_none());
                     let (took_ms, units) = (0.0, None);
-                    let outcome = Outcome { id, attempt, backend, result, ended, units, took_ms, load };
+                    let outcome =
+                        Outcome { id, attempt, backend, result, is_final: ended, units, took_ms, load };
                     events.push_back(Event::Outcome(outcome));
                 }
             }
@@ -710,7 +710,7 @@
             }
             // The watch on discovery is held open in any case.
             Action::Watch => {}
-            Action::Tell { to, body } => {
+            Action::SendMessage { to, body } => {
                 if let Some(tells) = &self.tells {
                     tells(to, &body);
                 }
--- a/src/plane/exchange.rs
+++ b/src/plane/exchange.rs
@@ -4,7 +4,7 @@
 //! read off the pair by [`Exchange::says`], and whether the connection may carry another request by
 //! [`Exchange::sound`]. `docs/system/exchange.md` has the same as a table.
 
-use crate::Result as Ended;
+use crate::CallResult as Ended;
 use std::time::Duration;
 
 /// Where a try stands.
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! What a gateway remembers: plain data, nothing here decides anything.
 
-use crate::interface::{BackendId, CustomerId, Listed, Millis, Request, RequestId};
+use crate::interface::{BackendEntry, BackendId, CustomerId, Millis, Request, RequestId};
 use std::collections::VecDeque;
 
 /// One customer as this gateway sees it.
@@ -93,7 +93,7 @@
 
 /// One backend as this gateway sees it.
 pub(crate) struct Backend {
-    pub(crate) listed: Listed,
+    pub(crate) listed: BackendEntry,
     /// Its lot at this gateway: those with the least are kept to.
     pub(crate) lot: f64,
     /// When it started or came back, if it may be cold.
@@ -119,7 +119,7 @@
 }
 
 impl Backend {
-    pub(crate) fn new(listed: Listed, born: Option<Millis>, now: Millis, lot: f64) -> Self {
+    pub(crate) fn new(listed: BackendEntry, born: Option<Millis>, now: Millis, lot: f64) -> Self {
         let (learned, heard, out_until, full_until) = (now, now, now, Vec::new());
         let (cold, errors, out, pace, failures) = ((0.0, now), (0.0, now), 0, 1.0, 0);
         Backend {
--- a/tests/common.rs
+++ b/tests/common.rs
@@ -10,16 +10,22 @@
 }
 
 pub fn settings() -> Settings {
-    let class = |effect| Class { aim_ms: 500.0, deadline_ms: 2000.0, worth: 1.0, effect, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::Zone, window_ms: 1500.0 };
+    let class = |idempotency| Class {
+        target_ms: 500.0,
+        deadline_ms: 2000.0,
+        worth: 1.0,
+        idempotency,
+        ..Class::default()
+    };
+    let keyed = Idempotency::Keyed { scope: DedupScope::Zone, window_ms: 1500.0 };
     Settings {
         gateways: 2,
         tick_ms: 1.0,
-        classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
-        plans: vec![Plan { rate: 2.0, burst: 10.0, price: 1.0, excess_cost: 1.0, ..Plan::default() }],
-        counter: Some(Counter { timeout_ms: 80.0, price: 0.01 }),
-        most_units: 4.0,
-        settles: true,
+        classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)],
+        plans: vec![Plan { rate: 2.0, burst: 10.0, worth_factor: 1.0, excess_cost: 1.0, ..Plan::default() }],
+        counter: Some(Counter { timeout_ms: 80.0, call_cost: 0.01 }),
+        max_units: 4.0,
+        units_are_estimates: true,
         limits: Limits {
             max_attempts: 3,
             cancel: true,
@@ -29,21 +35,21 @@
         },
         rules: Rules {
             answer_slack_ms: 8.0,
-            cold_from: 0.25,
+            cold_capacity: 0.25,
             warm_up_ms: 10_000.0,
             drain_grace_ms: 1000.0,
-            fall_multiple: 3.0,
-            fall_ms: 1000.0,
-            ask_within_ms: 10_000.0,
-            early_of_aim: 0.0,
-            further: None,
+            overload_multiple: 3.0,
+            overload_ms: 1000.0,
+            max_poll_interval_ms: 10_000.0,
+            early_refusal_share: 0.0,
+            retry_budget: None,
         },
         ..Settings::default()
     }
 }
 
-pub fn listed(id: u32, zone: u32, state: State) -> Listed {
-    Listed {
+pub fn backend_entry(id: u32, zone: u32, state: BackendState) -> BackendEntry {
+    BackendEntry {
         id,
         zone,
         kind: 0,
@@ -52,7 +58,7 @@
         size: 1.0,
         started: 0.0,
         pool: 0,
-        far: 0.0,
+        distance_cost: 0.0,
         cold_until: 0.0,
         cold_per_s: 0.0,
         limited_until: 0.0,
@@ -64,7 +70,8 @@
     /// A gateway with three backends: 1 and 2 in zone 0, 3 in zone 1.
     pub fn new(settings: Settings) -> Rig {
         let mut rig = Rig { gateway: Gateway::new(settings, 1, 1000.0), now: 1000.0 };
-        let entries = [(1, 0), (2, 0), (3, 1)].map(|(id, zone)| listed(id, zone, State::Ready)).to_vec();
+        let entries =
+            [(1, 0), (2, 0), (3, 1)].map(|(id, zone)| backend_entry(id, zone, BackendState::Ready)).to_vec();
         rig.event(Event::List { full: true, entries });
         rig
     }
@@ -83,29 +90,29 @@
             class,
             units,
             budget_ms: 2000.0,
-            spread: 2.0,
-            repeat: false,
-            streams: false,
+            customer_gateways: 2.0,
+            is_retry: false,
+            body_streams: false,
             pool: 0,
-            places: u64::MAX,
+            zone_mask: u64::MAX,
         }))
     }
 
-    pub fn counted(&mut self, name: u64, result: Result, total: f64) -> Vec<Action> {
+    pub fn counted(&mut self, name: u64, result: CallResult, total: f64) -> Vec<Action> {
         self.event(Event::Counted { name, result, total, took_ms: 2.0 })
     }
 
     pub fn outcome(
-        &mut self, id: u64, attempt: u8, backend: u32, result: Result, units: Option<f64>,
+        &mut self, id: u64, attempt: u8, backend: u32, result: CallResult, units: Option<f64>,
     ) -> Vec<Action> {
         self.outcome_after(50.0, id, attempt, backend, result, units)
     }
 
     pub fn outcome_after(
-        &mut self, took_ms: f64, id: u64, attempt: u8, backend: u32, result: Result, units: Option<f64>,
+        &mut self, took_ms: f64, id: u64, attempt: u8, backend: u32, result: CallResult, units: Option<f64>,
     ) -> Vec<Action> {
-        let (ended, load) = (result == Result::Ok, Load::default());
-        self.event(Event::Outcome(Outcome { id, attempt, backend, result, ended, units, took_ms, load }))
+        let (is_final, load) = (result == CallResult::Ok, Load::default());
+        self.event(Event::Outcome(Outcome { id, attempt, backend, result, is_final, units, took_ms, load }))
     }
 }
 
@@ -146,19 +153,19 @@
         class: 0,
         units: 1.0,
         budget_ms: 2000.0,
-        spread: 2.0,
-        repeat: false,
-        streams: false,
+        customer_gateways: 2.0,
+        is_retry: false,
+        body_streams: false,
         pool: 0,
-        places: u64::MAX,
+        zone_mask: u64::MAX,
     }
 }
 
 /// A counter shared by gateways: totals by key.
 #[derive(Default)]
-pub struct Shared(std::collections::BTreeMap<u64, f64>);
+pub struct SharedCounter(std::collections::BTreeMap<u64, f64>);
 
-impl Shared {
+impl SharedCounter {
     /// Answers the calls among the actions, and those that result from the answers. Returns all actions.
     pub fn answer(&mut self, rig: &mut Rig, mut actions: Vec<Action>) -> Vec<Action> {
         let mut index = 0;
@@ -166,7 +173,7 @@
             if let Action::Count { name, amount, .. } = actions[index] {
                 let total = self.0.entry(name).or_default();
                 *total += amount;
-                actions.extend(rig.counted(name, Result::Ok, *total));
+                actions.extend(rig.counted(name, CallResult::Ok, *total));
             }
             index += 1;
         }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -11,14 +11,14 @@
     let (name, amount) = count(&actions).expect("a charge");
     assert!(amount > 0.0);
     assert_eq!(sent(&actions), None, "waits for the counter");
-    assert!(sent(&rig.counted(name, Result::Ok, amount)).is_some());
+    assert!(sent(&rig.counted(name, CallResult::Ok, amount)).is_some());
 }
 
 #[test]
 fn request_beyond_the_quota_is_refused_and_its_charge_returned() {
     let mut rig = Rig::new(settings());
     let (name, amount) = count(&rig.request(1, 0, 3.0)).unwrap();
-    let actions = rig.counted(name, Result::Ok, amount / 3.0 * 14.0);
+    let actions = rig.counted(name, CallResult::Ok, amount / 3.0 * 14.0);
     let retry_after = refused(&actions).expect("others used 11 units of the limit of 10 and a quarter more");
     assert!(
         retry_after > 200.0 && retry_after <= 1000.0,
@@ -43,7 +43,7 @@
     };
     let mut rig = Rig::new(settings());
     let (name, amount) = count(&rig.request(1, 0, 3.0)).unwrap();
-    assert_eq!(reason(&rig.counted(name, Result::Ok, amount / 3.0 * 14.0)), Some(Reason::Quota));
+    assert_eq!(reason(&rig.counted(name, CallResult::Ok, amount / 3.0 * 14.0)), Some(Reason::Quota));
     let late = Request { budget_ms: 0.0, ..request(2, 8) };
     assert_eq!(reason(&rig.event(Event::Request(late))), Some(Reason::Time));
     let mut rig = Rig::new(Settings { counter: None, ..settings() });
@@ -51,7 +51,7 @@
     for attempt in 0..3 {
         let backend = sent(&actions).expect("an attempt is left");
         rig.now += 1.0;
-        actions = rig.outcome(3, attempt, backend, Result::Full, None);
+        actions = rig.outcome(3, attempt, backend, CallResult::Rejected, None);
     }
     assert_eq!(reason(&actions), Some(Reason::Unsent), "no attempt is left");
     rig.event(Event::List { full: true, entries: vec![] });
@@ -80,8 +80,8 @@
 fn admitted_from_a_burst_after(requests: u32) -> usize {
     let mut settings = settings();
     settings.counter = None;
-    settings.classes[0].aim_ms = 200.0;
-    settings.plans[0] = Plan { rate: 1e6, burst: 1e6, price: 1.0, ..Plan::default() };
+    settings.classes[0].target_ms = 200.0;
+    settings.plans[0] = Plan { rate: 1e6, burst: 1e6, worth_factor: 1.0, ..Plan::default() };
     let mut rig = Rig::new(settings);
     // 100 requests a second of 50 ms each, a quarter of the latency target: five in flight on average.
     let mut in_flight = std::collections::VecDeque::new();
@@ -94,7 +94,7 @@
         }
         if in_flight.len() > 4 {
             let (id, backend) = in_flight.pop_front().unwrap();
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     let admitted =
@@ -120,7 +120,7 @@
 #[test]
 fn first_total_sets_the_token_bucket() {
     // Guards against taking an earlier lack of traffic for units that are still available.
-    let mut shared = Shared::default();
+    let mut shared = SharedCounter::default();
     let (mut first, mut second) = (Rig::new(settings()), Rig::new(settings()));
     (first.now, second.now) = (31_000.0, 31_000.0);
     for id in 1..=5 {
@@ -139,8 +139,8 @@
 fn unit_correction_is_added_to_the_next_charge() {
     let mut rig = Rig::new(settings());
     let (name, first) = count(&rig.request(1, 0, 3.0)).unwrap();
-    let backend = sent(&rig.counted(name, Result::Ok, first)).unwrap();
-    rig.outcome(1, 0, backend, Result::Ok, Some(5.0));
+    let backend = sent(&rig.counted(name, CallResult::Ok, first)).unwrap();
+    rig.outcome(1, 0, backend, CallResult::Ok, Some(5.0));
     let (_, amount) = count(&rig.request(2, 0, 1.0)).unwrap();
     assert!((amount / first - 1.0).abs() < 1e-6, "1 unit and the 2 that were underestimated");
 }
@@ -149,8 +149,8 @@
 fn pending_correction_decays_with_time() {
     let mut rig = Rig::new(settings());
     let (name, first) = count(&rig.request(1, 0, 1.0)).unwrap();
-    let backend = sent(&rig.counted(name, Result::Ok, first)).unwrap();
-    rig.outcome(1, 0, backend, Result::Ok, Some(5.0));
+    let backend = sent(&rig.counted(name, CallResult::Ok, first)).unwrap();
+    rig.outcome(1, 0, backend, CallResult::Ok, Some(5.0));
     rig.now += 40_000.0;
     let (_, corrected) = count(&rig.request(2, 0, 1.0)).unwrap();
     let mut fresh = Rig::new(settings());
@@ -178,7 +178,7 @@
 fn rejected_charge_is_added_to_the_next() {
     let mut rig = Rig::new(settings());
     let (name, first) = count(&rig.request(1, 0, 2.0)).unwrap();
-    assert!(sent(&rig.counted(name, Result::Full, 0.0)).is_some());
+    assert!(sent(&rig.counted(name, CallResult::Rejected, 0.0)).is_some());
     let (_, amount) = count(&rig.request(2, 0, 1.0)).unwrap();
     assert!((amount / first - 1.5).abs() < 1e-6);
 }
@@ -190,20 +190,20 @@
     for id in 1..=3 {
         let (name, amount) = count(&rig.request(id, 0, 3.0)).unwrap();
         total += amount;
-        let backend = sent(&rig.counted(name, Result::Ok, total)).unwrap();
-        rig.outcome(id, 0, backend, Result::Ok, Some(3.0));
+        let backend = sent(&rig.counted(name, CallResult::Ok, total)).unwrap();
+        rig.outcome(id, 0, backend, CallResult::Ok, Some(3.0));
     }
     // 9 of 10 units are used, then the count is reset to 0: 3 more units exceed the quota.
     assert!(refused(&rig.request(4, 0, 3.0)).is_some());
     rig.now += 1100.0;
     let (name, amount) = count(&rig.request(5, 0, 3.0)).unwrap();
-    assert!(sent(&rig.counted(name, Result::Ok, amount)).is_some());
+    assert!(sent(&rig.counted(name, CallResult::Ok, amount)).is_some());
     assert!(refused(&rig.request(6, 0, 1.0)).is_some());
 }
 
 /// Sends 100 requests of different customers in one second, and answers each counter call with the result.
 /// Returns the number of calls.
-fn calls_in_a_second(rig: &mut Rig, first: u64, result: Result) -> usize {
+fn calls_in_a_second(rig: &mut Rig, first: u64, result: CallResult) -> usize {
     let mut calls = 0;
     for id in first..first + 100 {
         rig.now += 10.0;
@@ -220,22 +220,22 @@
 fn overloaded_counter_is_called_less_until_it_recovers() {
     // Guards against limiting the calls by customer alone, where each customer sends a single request.
     let mut rig = Rig::new(settings());
-    let normal = calls_in_a_second(&mut rig, 1, Result::Ok);
-    calls_in_a_second(&mut rig, 1000, Result::Full);
-    let reduced = calls_in_a_second(&mut rig, 2000, Result::Full);
+    let normal = calls_in_a_second(&mut rig, 1, CallResult::Ok);
+    calls_in_a_second(&mut rig, 1000, CallResult::Rejected);
+    let reduced = calls_in_a_second(&mut rig, 2000, CallResult::Rejected);
     assert!(reduced * 10 <= normal, "{reduced} calls of {normal}");
     assert!(reduced >= 1, "it is still called");
     for second in 3..13 {
-        calls_in_a_second(&mut rig, second * 1000, Result::Ok);
+        calls_in_a_second(&mut rig, second * 1000, CallResult::Ok);
     }
-    let recovered = calls_in_a_second(&mut rig, 20_000, Result::Ok);
+    let recovered = calls_in_a_second(&mut rig, 20_000, CallResult::Ok);
     assert!(recovered * 2 >= normal, "{recovered} calls of {normal}");
 }
 
 #[test]
 fn first_calls_are_few_and_prefer_plans_that_lose_beyond_the_quota() {
     let mut settings = Settings { gateways: 100, ..settings() };
-    settings.plans.push(Plan { extra_worth: 0.3, excess_cost: 0.0, ..settings.plans[0] });
+    settings.plans.push(Plan { excess_worth: 0.3, excess_cost: 0.0, ..settings.plans[0] });
     let mut rig = Rig::new(settings);
     let mut calls = [0, 0];
     // Eight requests a second for 5 s, half of each plan; no call is answered.
@@ -257,7 +257,7 @@
         let actions = rig.event(Event::Request(request(id, id)));
         if let Some((name, total)) = count(&actions) {
             calls += 1;
-            rig.event(Event::Counted { name, result: Result::Ok, total, took_ms });
+            rig.event(Event::Counted { name, result: CallResult::Ok, total, took_ms });
         }
     }
     calls
@@ -293,7 +293,7 @@
             if let Some((name, total)) = count(&actions) {
                 calls += 1;
                 let took_ms = if id % 10 == 0 { 40.0 } else { 2.0 };
-                rig.event(Event::Counted { name, result: Result::Ok, total, took_ms });
+                rig.event(Event::Counted { name, result: CallResult::Ok, total, took_ms });
             }
         }
     }
@@ -303,8 +303,8 @@
 #[test]
 fn connection_resets_do_not_reduce_the_calls() {
     let mut rig = Rig::new(settings());
-    calls_in_a_second(&mut rig, 1000, Result::Ok);
-    let normal = calls_in_a_second(&mut rig, 2000, Result::Ok);
+    calls_in_a_second(&mut rig, 1000, CallResult::Ok);
+    let normal = calls_in_a_second(&mut rig, 2000, CallResult::Ok);
     // One call in eight fails with a connection reset, the others succeed quickly.
     let mut last = 0;
     for second in 0..8 {
@@ -314,7 +314,7 @@
             let actions = rig.event(Event::Request(request(id, id)));
             if let Some((name, amount)) = count(&actions) {
                 last += 1;
-                rig.counted(name, if id % 8 == 0 { Result::Reset } else { Result::Ok }, amount);
+                rig.counted(name, if id % 8 == 0 { CallResult::Reset } else { CallResult::Ok }, amount);
             }
         }
     }
@@ -326,8 +326,9 @@
     let mut settings = settings();
     // A quota of two units, beyond which a request still earns something; and one that is never used up.
     settings.counter = None;
-    settings.plans[0] = Plan { rate: 0.1, burst: 2.0, price: 1.0, extra_worth: 0.3, ..Plan::default() };
-    settings.plans.push(Plan { rate: 1000.0, burst: 1000.0, price: 1.0, ..Plan::default() });
+    settings.plans[0] =
+        Plan { rate: 0.1, burst: 2.0, worth_factor: 1.0, excess_worth: 0.3, ..Plan::default() };
+    settings.plans.push(Plan { rate: 1000.0, burst: 1000.0, worth_factor: 1.0, ..Plan::default() });
     let mut rig = Rig::new(settings);
     let inside = |id| Event::Request(Request { plan: 1, ..request(id, 8) });
     let beyond = |id| Event::Request(Request { units: 3.0, ..request(id, 7) });
@@ -339,8 +340,8 @@
     // A response takes nearly the whole latency target: the next request inside its quota is refused.
     rig.now += 450.0;
     let complete = |rig: &mut Rig, (id, backend), took_ms| {
-        let (result, units, load) = (Result::Ok, None, Load::default());
-        let outcome = Outcome { id, attempt: 0, backend, result, ended: true, units, took_ms, load };
+        let (result, units, load) = (CallResult::Ok, None, Load::default());
+        let outcome = Outcome { id, attempt: 0, backend, result, is_final: true, units, took_ms, load };
         rig.event(Event::Outcome(outcome));
     };
     complete(&mut rig, in_flight.remove(0), 450.0);
@@ -365,8 +366,9 @@
 /// of requests inside their quotas. The latency target is 500 ms.
 fn admitted_beyond_quota(interval_ms: f64, took_ms: f64) -> bool {
     let mut settings = Settings { gateways: 100, counter: None, ..settings() };
-    settings.plans[0] = Plan { rate: 0.1, burst: 2.0, price: 1.0, extra_worth: 0.3, ..Plan::default() };
-    settings.plans.push(Plan { rate: 1000.0, burst: 1000.0, price: 1.0, ..Plan::default() });
+    settings.plans[0] =
+        Plan { rate: 0.1, burst: 2.0, worth_factor: 1.0, excess_worth: 0.3, ..Plan::default() };
+    settings.plans.push(Plan { rate: 1000.0, burst: 1000.0, worth_factor: 1.0, ..Plan::default() });
     let mut rig = Rig::new(settings);
     let mut in_flight = std::collections::VecDeque::<(u64, u32, f64)>::new();
     for id in 1..=400 {
@@ -374,7 +376,7 @@
         while in_flight.front().is_some_and(|(.., end)| *end <= next) {
             let (id, backend, end) = in_flight.pop_front().unwrap();
             rig.now = end;
-            rig.outcome_after(took_ms, id, 0, backend, Result::Ok, None);
+            rig.outcome_after(took_ms, id, 0, backend, CallResult::Ok, None);
         }
         rig.now = next;
         let inside = Event::Request(Request { plan: 1, ..request(id, 8) });
@@ -401,11 +403,11 @@
     let mut settings = settings();
     (settings.gateways, settings.limits.peers) = (100, true);
     let mut rig = Rig::new(settings);
-    calls_in_a_second(&mut rig, 1000, Result::Full);
+    calls_in_a_second(&mut rig, 1000, CallResult::Rejected);
     for id in 5000..5100 {
         let actions = rig.event(Event::Request(request(id, id)));
         let query = actions.iter().find_map(|a| match a {
-            Action::Tell { to, body } => Some((*to, body.clone())),
+            Action::SendMessage { to, body } => Some((*to, body.clone())),
             _ => None,
         });
         if let Some((to, body)) = query {
@@ -428,7 +430,7 @@
         let actions = owner.event(Event::Message { from: 0, body: query.clone() });
         added += count(&actions).map_or(0.0, |(_, amount)| amount);
         actions.into_iter().find_map(|a| match a {
-            Action::Tell { to: 0, body } => Some(body),
+            Action::SendMessage { to: 0, body } => Some(body),
             _ => None,
         })
     };
@@ -463,7 +465,7 @@
 #[test]
 fn new_settings_keep_quotas_health_and_open_requests() {
     let mut rig = Rig::new(settings());
-    let mut shared = Shared::default();
+    let mut shared = SharedCounter::default();
     // Nine of ten units are used by a request that stays open.
     let first = rig.request(1, 2, 9.0);
     let backend = sent(&shared.answer(&mut rig, first)).expect("inside the quota");
@@ -472,7 +474,13 @@
     for id in 100..200 {
         let actions = rig.event(Event::Request(request(id, id)));
         if let Some(target) = sent(&shared.answer(&mut rig, actions)) {
-            rig.outcome(id, 0, target, if target == failing { Result::Error } else { Result::Ok }, None);
+            rig.outcome(
+                id,
+                0,
+                target,
+                if target == failing { CallResult::Error } else { CallResult::Ok },
+                None,
+            );
         }
         if rig.gateway.avoided(rig.now) > 0 {
             break;
@@ -482,17 +490,20 @@
     assert!(avoided > 0, "a backend is ejected");
     let mut new_settings = settings();
     new_settings.limits.max_attempts = 1;
-    new_settings.classes.push(Class { effect: Effect::Safe, ..new_settings.classes[2] });
+    new_settings.classes.push(Class { idempotency: Idempotency::Idempotent, ..new_settings.classes[2] });
     rig.event(Event::Settings(new_settings));
     assert_eq!(rig.gateway.avoided(rig.now), avoided, "health is kept");
     // The open request keeps its class: it may have been executed, so it fails.
-    assert!(failed(&rig.outcome(1, 0, backend, Result::Reset, None)));
+    assert!(failed(&rig.outcome(1, 0, backend, CallResult::Reset, None)));
     // The new class is served, with the one attempt that is now allowed.
     let mut request = request(9000, 9000);
     request.class = 3;
     let actions = rig.event(Event::Request(request));
     let backend = sent(&shared.answer(&mut rig, actions)).expect("the class is known now");
-    assert!(refused(&rig.outcome(9000, 0, backend, Result::Full, None)).is_some(), "no second attempt");
+    assert!(
+        refused(&rig.outcome(9000, 0, backend, CallResult::Rejected, None)).is_some(),
+        "no second attempt"
+    );
     // The customer's units are still used.
     let actions = rig.request(9001, 0, 9.0);
     assert!(refused(&shared.answer(&mut rig, actions)).is_some(), "its token bucket is kept");
@@ -500,13 +511,13 @@
 
 /// A request of a separate customer whose body is still being received.
 fn streaming_request(id: u64) -> Request {
-    Request { class: 2, streams: true, ..request(id, id) }
+    Request { class: 2, body_streams: true, ..request(id, id) }
 }
 
 #[test]
 fn streaming_bodies_and_responses_do_not_count_as_load() {
     let mut rig = Rig::new(settings());
-    let mut shared = Shared::default();
+    let mut shared = SharedCounter::default();
     let mut admit = |rig: &mut Rig, request: Request| {
         let id = request.id;
         let actions = rig.event(Event::Request(request));
@@ -516,23 +527,23 @@
     for id in 1..400 {
         admit(&mut rig, streaming_request(id));
         admit(&mut rig, request(1000 + id, 1000 + id));
-        rig.event(Event::Started { id: 1000 + id, attempt: 0 });
+        rig.event(Event::ResponseStarted { id: 1000 + id, attempt: 0 });
         let backend = admit(&mut rig, request(2000 + id, 2000 + id));
         rig.now += 20.0;
-        rig.outcome(2000 + id, 0, backend, Result::Ok, None);
+        rig.outcome(2000 + id, 0, backend, CallResult::Ok, None);
     }
 }
 
 #[test]
 fn time_budget_of_a_streaming_body_starts_at_its_end() {
     let mut rig = Rig::new(settings());
-    let mut shared = Shared::default();
+    let mut shared = SharedCounter::default();
     let actions = rig.event(Event::Request(Request { class: 0, ..streaming_request(1) }));
     let backend = sent(&shared.answer(&mut rig, actions)).expect("sent");
     // The body takes longer than the whole time budget.
     rig.now += 5000.0;
-    rig.event(Event::Whole { id: 1, attempt: 0 });
+    rig.event(Event::BodySent { id: 1, attempt: 0 });
     rig.now += 50.0;
     // Rejected with its time budget left: another attempt is made.
-    assert!(sent(&rig.outcome(1, 0, backend, Result::Full, None)).is_some());
+    assert!(sent(&rig.outcome(1, 0, backend, CallResult::Rejected, None)).is_some());
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -12,14 +12,14 @@
 /// up to a tenth longer; then the longest suspicion, and two time-outs for a last word.
 fn bound(members: usize) -> f64 {
     let scale = (members as f64).log10().max(1.0);
-    ((9.0 * 1.1 + 12.0 * scale) * PERIOD + 2.0 * TIMEOUT) / 1000.0
+    ((9.0 * 1.1 + 12.0 * scale) * PERIOD_MS + 2.0 * TIMEOUT_MS) / 1000.0
 }
 
 /// News reaches all within so many seconds.
 const SPREAD: f64 = 3.0;
 
 fn down(world: &World, at: usize, name: &str) -> bool {
-    world.sees(at, name) == Some(State::Down)
+    world.state_of(at, name) == Some(State::Down)
 }
 
 // ---- Coming and going -------------------------------------------------------------------------------------
@@ -29,7 +29,7 @@
     for (places, within) in [(3, 5.0), (30, 10.0), (300, 20.0)] {
         let mut world = World::new(places, 1);
         (0..places).for_each(|at| world.start(at));
-        assert!(world.until(within, |world| world.agreed()).is_some(), "{places}");
+        assert!(world.run_until(within, |world| world.is_converged()).is_some(), "{places}");
         let view = world.view(0);
         assert_eq!((view.present, view.majority), (places as u32, Some(true)));
     }
@@ -40,29 +40,29 @@
     let mut world = World::new(5, 3);
     world.seeds = vec![0, 1, 2];
     [2, 3].into_iter().for_each(|at| world.start(at));
-    assert!(world.until(60.0, |world| world.agreed()).is_some(), "two of three seeds are down");
+    assert!(world.run_until(60.0, |world| world.is_converged()).is_some(), "two of three seeds are down");
     // Alone in the world, seeds are tried ever less often, but never given up.
     let mut world = World::new(2, 3);
     world.seeds = vec![0];
     world.start(1);
     world.run(600.0);
-    let tries = world.sent;
+    let tries = world.datagrams_sent;
     assert!((18..60).contains(&tries), "{tries} in ten minutes");
     world.start(0);
-    assert!(world.until(60.0, |world| world.agreed()).is_some());
+    assert!(world.run_until(60.0, |world| world.is_converged()).is_some());
 }
 
 #[test]
 fn a_member_that_dies_is_down_everywhere_within_the_bound() {
     for (places, seeds) in [(3, 0..20), (30, 0..10), (300, 0..2)] {
         for seed in seeds {
-            let mut world = World::whole(places, seed);
+            let mut world = World::converged(places, seed);
             world.run(10.0);
             world.kill(places - 1);
             let name = format!("n{}", places - 1);
-            let first = world.until(bound(places), |w| w.live().iter().any(|at| down(w, *at, &name)));
+            let first = world.run_until(bound(places), |w| w.live().iter().any(|at| down(w, *at, &name)));
             assert!(first.is_some(), "{places} members, seed {seed}");
-            let all = world.until(SPREAD, |w| w.live().iter().all(|at| down(w, *at, &name)));
+            let all = world.run_until(SPREAD, |w| w.live().iter().all(|at| down(w, *at, &name)));
             assert!(all.is_some(), "{places} members, seed {seed}");
             assert_eq!(world.view(0).present as usize, places - 1);
             assert_eq!(world.view(0).missing, [name.as_str().into()]);
@@ -73,28 +73,28 @@
 #[test]
 fn whoever_leaves_is_gone_without_a_suspicion() {
     for places in [3, 30, 300] {
-        let mut world = World::whole(places, 5);
+        let mut world = World::converged(places, 5);
         world.run(5.0);
         let since = world.now;
-        world.give(1, Event::Leave);
+        world.deliver(1, Event::Leave);
         world.kill(1);
-        let all = |w: &World| w.live().iter().all(|at| w.sees(*at, "n1") == Some(State::Left));
-        assert!(world.until(SPREAD, all).is_some(), "{places}");
+        let all = |w: &World| w.live().iter().all(|at| w.state_of(*at, "n1") == Some(State::Left));
+        assert!(world.run_until(SPREAD, all).is_some(), "{places}");
         for at in world.live() {
-            assert_eq!(world.saw(at, "n1", State::Suspect, since), 0);
+            assert_eq!(world.changes_to(at, "n1", State::Suspect, since), 0);
             assert!(world.view(at).missing.is_empty());
         }
         // And it is back at once.
         world.start(1);
-        assert!(world.until(5.0, |world| world.agreed()).is_some(), "{places}");
+        assert!(world.run_until(5.0, |world| world.is_converged()).is_some(), "{places}");
     }
 }
 
 #[test]
 fn a_restarted_process_replaces_its_former_self_whatever_old_news_goes_round() {
-    let mut world = World::whole(30, 7);
-    world.twice = 0.5;
-    world.delay = (0.2, 3000.0);
+    let mut world = World::converged(30, 7);
+    world.duplication = 0.5;
+    world.latency_ms = (0.2, 3000.0);
     world.run(5.0);
     let old = world.view(4).start;
     world.kill(4);
@@ -107,12 +107,12 @@
         let knows = |at: &usize| w.view(*at).members.iter().any(|m| &*m.name == "n4" && m.start == new);
         w.live().iter().filter(|at| **at != 4).all(knows)
     };
-    assert!(world.until(10.0, all).is_some());
-    world.delay = (0.2, 5.0);
+    assert!(world.run_until(10.0, all).is_some());
+    world.latency_ms = (0.2, 5.0);
     world.run(30.0);
-    assert!(world.agreed());
+    assert!(world.is_converged());
     for at in world.live().into_iter().filter(|at| *at != 4) {
-        assert_eq!(world.saw(at, "n4", State::Down, since), 0, "n{at}");
+        assert_eq!(world.changes_to(at, "n4", State::Down, since), 0, "n{at}");
         assert!(all(&world), "the former self came back");
     }
 }
@@ -122,15 +122,16 @@
 fn a_hand_over_on_one_address_is_never_seen_as_a_loss() {
     for places in [3, 30] {
         for gap in [0.0, 0.1, 0.5] {
-            let mut world = World::whole(places, 9);
+            let mut world = World::converged(places, 9);
             let since = world.now;
             world.kill(2);
             world.run(gap);
             world.start(2);
             world.run(40.0);
-            assert!(world.agreed());
+            assert!(world.is_converged());
             for at in world.live().into_iter().filter(|at| *at != 2) {
-                let gone = world.saw(at, "n2", State::Down, since) + world.saw(at, "n2", State::Left, since);
+                let gone = world.changes_to(at, "n2", State::Down, since)
+                    + world.changes_to(at, "n2", State::Left, since);
                 assert_eq!(gone, 0, "{places} members, {gap} s");
                 let fewest = world.node(at).present.iter().filter(|(when, ..)| *when >= since);
                 assert!(fewest.map(|(_, count, _)| *count).min().unwrap_or(places as u32) == places as u32);
@@ -141,16 +142,16 @@
 
 #[test]
 fn a_drained_member_is_present_and_told_as_draining() {
-    let mut world = World::whole(30, 2);
-    world.give(3, Event::Drain(true));
+    let mut world = World::converged(30, 2);
+    world.deliver(3, Event::Drain(true));
     let told = |w: &World, is: bool| {
         let tells = |at: &usize| w.view(*at).members.iter().any(|m| &*m.name == "n3" && m.draining == is);
         w.live().iter().filter(|at| **at != 3).all(tells)
     };
-    assert!(world.until(SPREAD, |w| told(w, true)).is_some());
-    assert!(world.agreed());
-    world.give(3, Event::Drain(false));
-    assert!(world.until(SPREAD, |w| told(w, false)).is_some());
+    assert!(world.run_until(SPREAD, |w| told(w, true)).is_some());
+    assert!(world.is_converged());
+    world.deliver(3, Event::Drain(false));
+    assert!(world.run_until(SPREAD, |w| told(w, false)).is_some());
 }
 
 // ---- Troubles ---------------------------------------------------------------------------------------------
@@ -158,15 +159,15 @@
 #[test]
 fn a_paused_process_comes_back_by_a_higher_incarnation() {
     for places in [3, 30] {
-        let mut world = World::whole(places, 11);
+        let mut world = World::converged(places, 11);
         let before = world.view(1).incarnation;
         let since = world.now;
         world.pause(1);
         let limit = bound(places) + SPREAD;
         let all = |w: &World| w.live().iter().filter(|at| **at != 1).all(|at| down(w, *at, "n1"));
-        assert!(world.until(limit, all).is_some(), "{places}");
+        assert!(world.run_until(limit, all).is_some(), "{places}");
         world.resume(1);
-        assert!(world.until(10.0, |world| world.agreed()).is_some(), "{places}");
+        assert!(world.run_until(10.0, |world| world.is_converged()).is_some(), "{places}");
         assert!(world.view(1).incarnation > before);
         // It is told so, or knows it by its own pause where its refutation came first.
         let warnings = &world.node(1).warnings;
@@ -174,23 +175,23 @@
         // What it missed it holds against nobody, and nobody is down for long.
         for at in world.live() {
             for other in world.live() {
-                let times = world.saw(at, &format!("n{other}"), State::Down, since);
+                let times = world.changes_to(at, &format!("n{other}"), State::Down, since);
                 assert_eq!(times, usize::from(other == 1 && at != 1), "n{at} of n{other}");
             }
         }
         world.run(60.0);
-        assert!(world.agreed());
+        assert!(world.is_converged());
     }
 }
 
 #[test]
 fn a_process_that_was_cut_off_is_told_that_it_was_held_to_be_down() {
-    let mut world = World::whole(30, 11);
-    world.passes = Box::new(|from, to| (from == 1) == (to == 1));
+    let mut world = World::converged(30, 11);
+    world.connected = Box::new(|from, to| (from == 1) == (to == 1));
     let all = |w: &World| w.live().iter().filter(|at| **at != 1).all(|at| down(w, *at, "n1"));
-    assert!(world.until(bound(30) + SPREAD, all).is_some());
-    world.passes = Box::new(|_, _| true);
-    assert!(world.until(60.0, |world| world.agreed()).is_some());
+    assert!(world.run_until(bound(30) + SPREAD, all).is_some());
+    world.connected = Box::new(|_, _| true);
+    assert!(world.run_until(60.0, |world| world.is_converged()).is_some());
     let told = world.node(1).warnings.iter().filter(|line| line.contains("was held to be down")).count();
     assert_eq!(told, 1, "{:?}", world.node(1).warnings);
     assert!(world.view(1).incarnation > 0);
@@ -198,16 +199,16 @@
 
 #[test]
 fn a_short_pause_is_refuted_and_nobody_goes_down() {
-    let mut world = World::whole(30, 12);
+    let mut world = World::converged(30, 12);
     let since = world.now;
     world.pause(1);
     world
-        .until(5.0, |w| w.live().iter().any(|at| w.sees(*at, "n1") == Some(State::Suspect)))
+        .run_until(5.0, |w| w.live().iter().any(|at| w.state_of(*at, "n1") == Some(State::Suspect)))
         .expect("missed");
     world.resume(1);
-    assert!(world.until(10.0, |world| world.agreed()).is_some());
+    assert!(world.run_until(10.0, |world| world.is_converged()).is_some());
     assert!(world.node(1).member.counts().refutations > 0);
-    let downs: usize = world.live().iter().map(|at| world.saw(*at, "n1", State::Down, since)).sum();
+    let downs: usize = world.live().iter().map(|at| world.changes_to(*at, "n1", State::Down, since)).sum();
     assert_eq!(downs, 0);
 }
 
@@ -215,13 +216,17 @@
 fn a_member_heard_by_way_of_others_is_present() {
     // n0 hears n1, n1 does not hear n0; both hear the others.
     for places in [3, 30] {
-        let mut world = World::whole(places, 13);
+        let mut world = World::converged(places, 13);
         let since = world.now;
-        world.passes = Box::new(|from, to| (from, to) != (0, 1));
+        world.connected = Box::new(|from, to| (from, to) != (0, 1));
         world.run(120.0);
         for at in world.live() {
             for other in ["n0", "n1"] {
-                assert_eq!(world.saw(at, other, State::Down, since), 0, "{places} members: n{at} of {other}");
+                assert_eq!(
+                    world.changes_to(at, other, State::Down, since),
+                    0,
+                    "{places} members: n{at} of {other}"
+                );
             }
         }
     }
@@ -230,8 +235,8 @@
 #[test]
 fn nobody_flaps_while_a_fifth_is_lost_and_the_rest_comes_twice_and_in_disorder() {
     for (places, seconds) in [(3, 3600.0), (30, 300.0), (300, 180.0)] {
-        let mut world = World::whole(places, 14);
-        (world.loss, world.twice, world.delay) = (0.2, 0.1, (0.2, 100.0));
+        let mut world = World::converged(places, 14);
+        (world.loss, world.duplication, world.latency_ms) = (0.2, 0.1, (0.2, 100.0));
         let since = world.now;
         world.run(seconds);
         for at in world.live() {
@@ -239,8 +244,8 @@
             let downs = changes.iter().filter(|c| c.0 >= since && c.3 == State::Down).count();
             assert_eq!(downs, 0, "{places} members: n{at}");
         }
-        (world.loss, world.delay) = (0.0, (0.2, 5.0));
-        assert!(world.until(30.0, |world| world.agreed()).is_some());
+        (world.loss, world.latency_ms) = (0.0, (0.2, 5.0));
+        assert!(world.run_until(30.0, |world| world.is_converged()).is_some());
     }
 }
 
@@ -248,23 +253,24 @@
 fn parts_that_were_cut_off_for_long_find_together_again() {
     // The seeds are all on one side. Down members are forgotten after 60 periods.
     for (places, cut, away) in [(3, 2, 150.0), (30, 18, 150.0), (300, 180, 100.0)] {
-        let mut world = World::whole(places, 15);
-        world.passes = Box::new(move |from, to| (from < cut) == (to < cut));
+        let mut world = World::converged(places, 15);
+        world.connected = Box::new(move |from, to| (from < cut) == (to < cut));
         world.run(away);
         let (one, other) = (world.view(0), world.view(places - 1));
         assert_eq!((one.present as usize, one.majority), (cut, Some(true)));
         assert_eq!((other.present as usize, other.majority), (places - cut, Some(false)));
         assert_eq!((one.missing.len(), other.missing.len()), (places - cut, cut));
         let since = world.now;
-        world.passes = Box::new(|_, _| true);
+        world.connected = Box::new(|_, _| true);
         // Each side looks for the other every ten periods, in a larger cluster the less often.
-        let healed = world.until(60.0, |world| world.agreed());
+        let healed = world.run_until(60.0, |world| world.is_converged());
         assert!(healed.is_some(), "{places}");
         assert!(world.view(0).missing.is_empty());
         // Whoever was present all the time on one's own side stayed so.
         for at in 0..cut {
-            let lost =
-                (0..cut).map(|other| world.saw(at, &format!("n{other}"), State::Down, since)).sum::<usize>();
+            let lost = (0..cut)
+                .map(|other| world.changes_to(at, &format!("n{other}"), State::Down, since))
+                .sum::<usize>();
             assert_eq!(lost, 0, "n{at}");
         }
     }
@@ -284,15 +290,15 @@
             world.live().iter().filter(|at| ![5, 30].contains(*at)).map(at).collect();
         others
     };
-    assert_eq!(holder(&world), [Some(place(30))].into(), "the later one");
-    assert_eq!((world.view(5).standing, world.view(5).rival), ("displaced", Some(place(30))));
+    assert_eq!(holder(&world), [Some(address_of(30))].into(), "the later one");
+    assert_eq!((world.view(5).standing, world.view(5).rival), ("displaced", Some(address_of(30))));
     assert!(world.node(5).warnings.iter().any(|line| line.contains("two processes bear the name n5")));
-    assert!(world.node(5).out);
+    assert!(world.node(5).removed);
     assert_eq!(world.view(30).standing, "member");
     // It stays so: nothing goes back and forth, and the loser says nothing.
     let (since, sent) = (world.now, world.node(5).member.counts().sent);
     world.run(200.0);
-    assert_eq!(holder(&world), [Some(place(30))].into());
+    assert_eq!(holder(&world), [Some(address_of(30))].into());
     assert_eq!(world.node(5).member.counts().sent, sent);
     for at in world.live().into_iter().filter(|at| ![5, 30].contains(at)) {
         let changes = world.node(at).changes.iter().filter(|c| c.0 > since && c.1 == "n5").count();
@@ -309,31 +315,33 @@
         world.run(20.0);
         let former = world.view(2).start;
         world.kill(2);
-        world.clock -= 3.6e6;
+        world.unix_start_ms -= 3.6e6;
         world.start_as(address, "n2");
         let limit = if address == 2 { 10.0 } else { 2.0 * bound(30) };
         let back = |w: &World| {
             let start = w.view(address).start;
             let sees = |at: &usize| {
                 let members = w.view(*at).members;
-                members.iter().any(|m| (m.addr, m.start, m.state) == (place(address), start, State::Alive))
+                members
+                    .iter()
+                    .any(|m| (m.addr, m.start, m.state) == (address_of(address), start, State::Alive))
             };
             w.live().iter().filter(|at| **at != address).all(sees) && w.view(address).standing == "member"
         };
-        assert!(world.until(limit, back).is_some(), "{places} members, address {address}");
+        assert!(world.run_until(limit, back).is_some(), "{places} members, address {address}");
         assert!(world.view(address).start > former);
     }
 }
 
 #[test]
 fn a_clock_that_jumps_while_it_runs_changes_nothing() {
-    let mut world = World::whole(30, 18);
+    let mut world = World::converged(30, 18);
     let since = world.now;
-    world.clock += 1e9;
+    world.unix_start_ms += 1e9;
     world.run(30.0);
-    world.clock -= 2e9;
+    world.unix_start_ms -= 2e9;
     world.run(30.0);
-    assert!(world.agreed());
+    assert!(world.is_converged());
     assert!(world.live().iter().all(|at| world.node(*at).changes.iter().all(|c| c.0 < since)));
 }
 
@@ -359,7 +367,7 @@
 
 #[test]
 fn a_fleet_of_which_seven_tenths_are_killed_and_restarted_does_not_storm() {
-    let mut world = World::whole(300, 19);
+    let mut world = World::converged(300, 19);
     world.run(60.0);
     let quiet = heaviest(&mut world, 60);
     (90..300).for_each(|at| world.kill(at));
@@ -370,20 +378,20 @@
     // Probes and their answers; gossip to three, five times a period; pages to whoever asks, 100 a period at most.
     assert!(quiet.0 <= 30.0 && kill.0 <= 60.0 && join.0 <= 300.0, "{quiet:?} {kill:?} {join:?}");
     assert!(join.1 <= 300_000.0, "{join:?}");
-    assert!(world.until(20.0, |world| world.agreed()).is_some());
+    assert!(world.run_until(20.0, |world| world.is_converged()).is_some());
 }
 
 #[test]
 fn other_settings_hold_from_the_moment_they_come() {
-    let mut world = World::whole(3, 20);
+    let mut world = World::converged(3, 20);
     let settings =
         Settings { period_ms: 100.0, timeout_ms: 50.0, expected: Some(9), ..world.settings("x", 9) };
-    (0..3).for_each(|at| world.give(at, Event::Settings(settings.clone())));
+    (0..3).for_each(|at| world.deliver(at, Event::Settings(settings.clone())));
     assert_eq!((world.view(0).expected, world.view(0).majority), (Some(9), Some(false)));
     // Name and address stay.
-    assert_eq!((&*world.view(0).name, world.view(0).addr), ("n0", place(0)));
+    assert_eq!((&*world.view(0).name, world.view(0).addr), ("n0", address_of(0)));
     world.kill(2);
-    assert!(world.until(bound(3) / 10.0 + 1.0, |w| down(w, 0, "n2") && down(w, 1, "n2")).is_some());
+    assert!(world.run_until(bound(3) / 10.0 + 1.0, |w| down(w, 0, "n2") && down(w, 1, "n2")).is_some());
 }
 
 // ---- Bad input --------------------------------------------------------------------------------------------
@@ -401,9 +409,9 @@
             if let Action::Send { to, bytes } = action {
                 heard.push(bytes.clone());
                 // Whatever is not b's address is lost, so that pings by way of others occur, too.
-                if to == place(1) && heard.len() % 3 != 0 {
+                if to == address_of(1) && heard.len() % 3 != 0 {
                     b.handle(now, Event::Datagram(bytes), &mut actions);
-                } else if to == place(0) {
+                } else if to == address_of(0) {
                     a.handle(now, Event::Datagram(bytes), &mut actions);
                 }
             }
@@ -524,12 +532,12 @@
 
 #[test]
 fn a_flood_from_strangers_is_cut_off_and_members_are_heard_all_the_same() {
-    let mut world = World::whole(3, 22);
+    let mut world = World::converged(3, 22);
     let since = world.now;
     for second in 0..60 {
         for number in 0..5_000 {
             let stranger = told(&format!("s{second}-{number}"), &[]);
-            world.give(0, Event::Datagram(stranger));
+            world.deliver(0, Event::Datagram(stranger));
         }
         world.run(1.0);
     }
@@ -539,16 +547,20 @@
     // Datagrams that come together with the flood are lost to it; probes go on by way of others.
     for at in 0..3 {
         for other in 0..3 {
-            assert_eq!(world.saw(at, &format!("n{other}"), State::Down, since), 0, "n{at} of n{other}");
+            assert_eq!(
+                world.changes_to(at, &format!("n{other}"), State::Down, since),
+                0,
+                "n{at} of n{other}"
+            );
         }
     }
 }
 
 #[test]
 fn absurd_figures_are_dropped_and_the_highest_incarnation_is_still_refuted() {
-    let mut world = World::whole(3, 23);
+    let mut world = World::converged(3, 23);
     let absurd = told("x", &[("n0".to_owned(), 2, u32::MAX)]);
-    world.give(0, Event::Datagram(absurd));
+    world.deliver(0, Event::Datagram(absurd));
     assert_eq!(dropped(&world.node(0).member, Dropped::Malformed), 1);
     // The highest that is taken, told of a member by its own address and start.
     let mut settings = world.settings("v", 2);
@@ -583,10 +595,10 @@
     for at in 0..60 {
         world.start_as(at, &format!("{at:064}"));
     }
-    assert!(world.until(60.0, |world| world.agreed()).is_some());
+    assert!(world.run_until(60.0, |world| world.is_converged()).is_some());
     (0..20).for_each(|at| world.kill(at));
     world.run(60.0);
-    assert!(world.longest <= DATAGRAM_MOST, "{}", world.longest);
+    assert!(world.max_datagram_bytes <= DATAGRAM_MOST, "{}", world.max_datagram_bytes);
 }
 
 // ---- Properties -------------------------------------------------------------------------------------------
@@ -618,20 +630,20 @@
                 3 => paused.drain(..).for_each(|at| world.resume(at)),
                 4 => {
                     let cut = chance.usize(..=places);
-                    world.passes = Box::new(move |from, to| (from < cut) == (to < cut));
+                    world.connected = Box::new(move |from, to| (from < cut) == (to < cut));
                 }
                 5 => {
                     let (one, other) = (chance.usize(..places), chance.usize(..places));
-                    world.passes = Box::new(move |from, to| (from, to) != (one, other));
+                    world.connected = Box::new(move |from, to| (from, to) != (one, other));
                 }
-                6 => (world.loss, world.twice) = (chance.f64() * 0.4, chance.f64() * 0.3),
-                _ => world.passes = Box::new(|_, _| true),
+                6 => (world.loss, world.duplication) = (chance.f64() * 0.4, chance.f64() * 0.3),
+                _ => world.connected = Box::new(|_, _| true),
             }
         }
         paused.drain(..).for_each(|at| world.resume(at));
-        world.passes = Box::new(|_, _| true);
-        (world.loss, world.twice) = (0.0, 0.0);
-        let whole = world.until(240.0, |world| world.agreed());
+        world.connected = Box::new(|_, _| true);
+        (world.loss, world.duplication) = (0.0, 0.0);
+        let whole = world.run_until(240.0, |world| world.is_converged());
         assert!(
             whole.is_some(),
             "seed {seed}: {:?}",
@@ -639,7 +651,7 @@
         );
         let since = world.now;
         world.run(60.0);
-        assert!(world.agreed(), "seed {seed}: it does not last");
+        assert!(world.is_converged(), "seed {seed}: it does not last");
         let moved = world
             .live()
             .iter()
@@ -651,11 +663,11 @@
 #[test]
 fn the_same_events_yield_the_same_actions() {
     let play = || {
-        let mut world = World::whole(30, 25);
+        let mut world = World::converged(30, 25);
         world.kill(3);
         world.loss = 0.1;
         world.run(30.0);
-        (world.sent, world.bytes, world.view(0))
+        (world.datagrams_sent, world.bytes_sent, world.view(0))
     };
     assert_eq!(play(), play());
 }
@@ -673,15 +685,15 @@
     for (places, runs) in [(3, 200), (30, 100), (300, 20)] {
         let (mut first, mut all, mut met) = (Vec::new(), Vec::new(), Vec::new());
         for seed in 0..runs {
-            let mut world = World::whole(places, 5000 + seed);
+            let mut world = World::converged(places, 5000 + seed);
             met.push(world.now / 1000.0);
             let more = world.rng.f64();
             world.run(20.0 + more);
             world.kill(places - 1);
             let (name, dies) = (format!("n{}", places - 1), world.now);
-            world.until(200.0, |w| w.live().iter().any(|at| down(w, *at, &name))).expect("somebody");
+            world.run_until(200.0, |w| w.live().iter().any(|at| down(w, *at, &name))).expect("somebody");
             first.push((world.now - dies) / 1000.0);
-            world.until(200.0, |w| w.live().iter().all(|at| down(w, *at, &name))).expect("all");
+            world.run_until(200.0, |w| w.live().iter().all(|at| down(w, *at, &name))).expect("all");
             all.push((world.now - dies) / 1000.0);
         }
         let (met, first, all) = (median(&mut met), median(&mut first), median(&mut all));
@@ -692,7 +704,7 @@
     }
     for (places, seconds) in [(3, 3600.0), (30, 600.0), (300, 120.0)] {
         for loss in [0.0, 0.05, 0.2, 0.3] {
-            let mut world = World::whole(places, 77);
+            let mut world = World::converged(places, 77);
             world.run(40.0);
             let before: Vec<_> =
                 world.live().iter().map(|at| world.node(*at).member.counts().clone()).collect();
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -27,7 +27,7 @@
     settings: Settings,
     now: f64,
     asked: BTreeMap<u64, Asked>,
-    states: BTreeMap<u32, State>,
+    states: BTreeMap<u32, BackendState>,
     counts: Vec<(u64, f64)>,
     timers: Vec<(f64, u64)>,
     /// A digest of all that was done.
@@ -60,18 +60,24 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send { id, backend, timeout_ms } => {
-                assert_eq!(self.states.get(&backend), Some(&State::Ready), "sent to a backend not ready");
+                assert_eq!(
+                    self.states.get(&backend),
+                    Some(&BackendState::Ready),
+                    "sent to a backend not ready"
+                );
                 let asked = self.asked.get_mut(&id).expect("a known request");
                 assert!(!asked.answered, "sent after the final answer");
                 assert!(timeout_ms > 0.0 && self.now + timeout_ms <= asked.ends + 1e-6);
                 assert!((asked.attempts.len() as u32) < self.settings.limits.max_attempts);
-                let second = self.settings.limits.second_copies;
+                let second = self.settings.limits.hedging;
                 assert!(second || asked.attempts.iter().all(|a| !a.live), "two attempts out at once");
                 let earlier: Vec<_> = asked.attempts.iter().filter(|a| a.ran || a.live).collect();
-                match self.settings.classes[asked.class].effect {
-                    Effect::Safe => {}
-                    Effect::Unsafe => assert!(earlier.is_empty(), "an unsafe request may run twice"),
-                    Effect::Keyed { window_ms, .. } => {
+                match self.settings.classes[asked.class].idempotency {
+                    Idempotency::Idempotent => {}
+                    Idempotency::NonIdempotent => {
+                        assert!(earlier.is_empty(), "an unsafe request may run twice")
+                    }
+                    Idempotency::Keyed { window_ms, .. } => {
                         for a in earlier {
                             assert_eq!(a.backend % 2, backend % 2, "a keyed repeat outside its zone");
                             assert!(self.now - a.sent < window_ms, "a keyed repeat outside its window");
@@ -84,7 +90,7 @@
             Action::Refuse { id, .. } => {
                 let asked = self.asked.get_mut(&id).expect("a known request");
                 assert!(!std::mem::replace(&mut asked.answered, true), "answered twice");
-                let safe = self.settings.classes[asked.class].effect == Effect::Safe;
+                let safe = self.settings.classes[asked.class].idempotency == Idempotency::Idempotent;
                 assert!(
                     safe || asked.attempts.iter().all(|a| !a.live && !a.ran),
                     "refused what may have run"
@@ -101,15 +107,24 @@
         }
     }
 
-    fn outcome(&mut self, id: u64, attempt: usize, result: Result) {
+    fn outcome(&mut self, id: u64, attempt: usize, result: CallResult) {
         let asked = self.asked.get_mut(&id).unwrap();
         let out = &mut asked.attempts[attempt];
         (out.live, out.ran) = (false, !result.never_ran());
         let (backend, took_ms) = (out.backend, self.now - out.sent);
-        asked.answered |= result == Result::Ok;
+        asked.answered |= result == CallResult::Ok;
         let (ended, units, load) = (asked.answered, Some(2.0), Load::default());
         let attempt = attempt as u8;
-        self.event(Event::Outcome(Outcome { id, attempt, backend, result, ended, units, took_ms, load }));
+        self.event(Event::Outcome(Outcome {
+            id,
+            attempt,
+            backend,
+            result,
+            is_final: ended,
+            units,
+            took_ms,
+            load,
+        }));
     }
 
     /// Brings the clock on: timers ring, time-outs fall due.
@@ -127,7 +142,7 @@
             for attempt in 0..self.asked[&id].attempts.len() {
                 let out = &self.asked[&id].attempts[attempt];
                 if out.live && out.ends <= now {
-                    self.outcome(id, attempt, Result::Timeout);
+                    self.outcome(id, attempt, CallResult::Timeout);
                 }
             }
             let asked = &self.asked[&id];
@@ -144,21 +159,28 @@
     // Of its own, so that whatever is told the other events are the same.
     let mut telling = fastrand::Rng::with_seed(seed);
     let mut settings = settings();
-    settings.limits.second_copies = second_copies;
-    settings.plans[0].max_out = 8;
+    settings.limits.hedging = second_copies;
+    settings.plans[0].max_in_flight = 8;
     settings.limits.peers = true;
     let mut w = World {
         gateway: Gateway::new(settings.clone(), seed, 0.0),
         settings,
         now: 0.0,
         asked: BTreeMap::new(),
-        states: (1..=6).map(|id| (id, State::Ready)).collect(),
+        states: (1..=6).map(|id| (id, BackendState::Ready)).collect(),
         counts: Vec::new(),
         timers: Vec::new(),
         done: DefaultHasher::new(),
     };
-    let entry = |id: u32, state, started| Listed { started, cell: id, ..common::listed(id, id % 2, state) };
-    w.event(Event::List { full: true, entries: (1..=6).map(|id| entry(id, State::Ready, 0.0)).collect() });
+    let entry = |id: u32, state, started| BackendEntry {
+        started,
+        cell: id,
+        ..common::backend_entry(id, id % 2, state)
+    };
+    w.event(Event::List {
+        full: true,
+        entries: (1..=6).map(|id| entry(id, BackendState::Ready, 0.0)).collect(),
+    });
     for id in 1..4000 {
         w.pass(rng.f64() * 8.0);
         let any = [0, 1, 2, 300, u32::MAX][telling.usize(0..5)];
@@ -172,8 +194,9 @@
         let odd = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
         match rng.u32(0..20) {
             0 => {
-                let load = Load { queue: Some(odd), service_ms: Some(odd), ..Load::default() };
-                let result = [Result::Ok, Result::Timeout, Result::ConnectFailed][rng.usize(0..3)];
+                let load = Load { queue_depth: Some(odd), service_ms: Some(odd), ..Load::default() };
+                let result =
+                    [CallResult::Ok, CallResult::Timeout, CallResult::ConnectFailed][rng.usize(0..3)];
                 w.event(Event::Probed { backend: rng.u32(0..9), result, took_ms: odd, load });
             }
             1 => {
@@ -200,11 +223,11 @@
                     class: class as u32,
                     units: rng.f64() * 3.0,
                     budget_ms,
-                    spread: 2.0,
-                    repeat: rng.bool(),
-                    streams: false,
+                    customer_gateways: 2.0,
+                    is_retry: rng.bool(),
+                    body_streams: false,
                     pool: 0,
-                    places: u64::MAX,
+                    zone_mask: u64::MAX,
                 }));
             }
             4..=7 => {
@@ -215,28 +238,31 @@
                 if !live.is_empty() {
                     let (id, attempt) = live[rng.usize(0..live.len())];
                     let all = [
-                        Result::Ok,
-                        Result::Ok,
-                        Result::Ok,
-                        Result::Error,
-                        Result::Full,
-                        Result::ConnectFailed,
-                        Result::Reset,
-                        Result::Cancelled,
+                        CallResult::Ok,
+                        CallResult::Ok,
+                        CallResult::Ok,
+                        CallResult::Error,
+                        CallResult::Rejected,
+                        CallResult::ConnectFailed,
+                        CallResult::Reset,
+                        CallResult::Cancelled,
                     ];
                     w.outcome(id, attempt, all[rng.usize(0..all.len())]);
                 }
             }
             8 => {
                 while let Some((name, amount)) = (!w.counts.is_empty()).then(|| w.counts.remove(0)) {
-                    let result = [Result::Ok, Result::Ok, Result::Timeout, Result::Full][rng.usize(0..4)];
+                    let result = [CallResult::Ok, CallResult::Ok, CallResult::Timeout, CallResult::Rejected]
+                        [rng.usize(0..4)];
                     let total = amount + rng.f64() * 12.0;
                     w.event(Event::Counted { name, result, total, took_ms: rng.f64() * 60.0 });
                 }
             }
             _ => {
                 let id = rng.u32(1..=6);
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][rng.usize(0..4)];
+                let state =
+                    [BackendState::Ready, BackendState::Ready, BackendState::Draining, BackendState::Gone]
+                        [rng.usize(0..4)];
                 let started = if rng.bool() { w.now } else { 0.0 };
                 w.states.insert(id, state);
                 w.event(Event::List { full: false, entries: vec![entry(id, state, started)] });
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,9 +19,9 @@
     let mut rig = Rig::new(open_settings());
     let backend = sent(&rig.request(1, 2, 1.0)).unwrap();
     rig.now += LATEST;
-    let actions = rig.outcome(1, 0, backend, Result::Timeout, None);
+    let actions = rig.outcome(1, 0, backend, CallResult::Timeout, None);
     assert!(failed(&actions), "an unsafe request that may have run is failed, not refused: {actions:?}");
-    let actions = rig.outcome(1, 0, backend, Result::Ok, None);
+    let actions = rig.outcome(1, 0, backend, CallResult::Ok, None);
     assert!(actions.is_empty(), "nothing follows a final answer: {actions:?}");
 }
 
@@ -41,7 +41,9 @@
 
 #[test]
 fn an_unsafe_request_goes_out_again_only_if_it_never_ran() {
-    for (result, again) in [(Result::Full, true), (Result::ConnectFailed, true), (Result::Reset, false)] {
+    for (result, again) in
+        [(CallResult::Rejected, true), (CallResult::ConnectFailed, true), (CallResult::Reset, false)]
+    {
         let mut rig = Rig::new(open_settings());
         let backend = sent(&rig.request(1, 2, 1.0)).unwrap();
         let actions = rig.outcome(1, 0, backend, result, None);
@@ -56,7 +58,7 @@
         let mut rig = Rig::new(open_settings());
         let first = sent(&rig.request(1, 1, 1.0)).unwrap();
         rig.now += after;
-        let actions = rig.outcome(1, 0, first, Result::Reset, None);
+        let actions = rig.outcome(1, 0, first, CallResult::Reset, None);
         let zone = |id| if id == 3 { 1 } else { 0 };
         assert_eq!(sent(&actions).map(zone), again.then_some(zone(first)));
         assert!(again || failed(&actions), "a refusal would promise too much: {actions:?}");
@@ -66,7 +68,7 @@
 #[test]
 fn nothing_goes_to_a_draining_or_gone_backend() {
     let mut rig = Rig::new(open_settings());
-    let entries = vec![listed(1, 0, State::Draining), listed(2, 0, State::Gone)];
+    let entries = vec![backend_entry(1, 0, BackendState::Draining), backend_entry(2, 0, BackendState::Gone)];
     rig.event(Event::List { full: false, entries });
     for id in 1..20 {
         let backend = sent(&rig.request(id, 0, 1.0));
@@ -80,7 +82,7 @@
 fn a_cold_backend_gets_no_more_than_is_surely_warm() {
     let mut rig = Rig::new(open_settings());
     rig.now += 60_000.0;
-    let mut fresh = listed(4, 0, State::Ready);
+    let mut fresh = backend_entry(4, 0, BackendState::Ready);
     fresh.started = rig.now;
     rig.event(Event::List { full: false, entries: vec![fresh] });
     let mut to_cold = 0;
@@ -89,7 +91,7 @@
         rig.now += 10.0;
         if let Some(backend) = sent(&rig.request(id, 0, 1.0)) {
             to_cold += usize::from(backend == 4);
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     assert!(to_cold <= 9, "{to_cold} of 100 to a backend at a quarter of its capacity");
@@ -104,7 +106,7 @@
         let backend = sent(&rig.request(id, 2, 1.0)).unwrap();
         to_one += usize::from(backend == 1);
         let broken = backend == 1 && (11..=10 + breaks).contains(&to_one);
-        rig.outcome(id, 0, backend, if broken { Result::Reset } else { Result::Ok }, None);
+        rig.outcome(id, 0, backend, if broken { CallResult::Reset } else { CallResult::Ok }, None);
     }
     to_one
 }
@@ -131,7 +133,7 @@
             to_bad += usize::from(backend == 1);
             let bad = backend == 1 && to_bad % 2 == 0;
             failures[usize::from(unsafe_one)] += usize::from(bad);
-            let result = if bad { Result::Error } else { Result::Ok };
+            let result = if bad { CallResult::Error } else { CallResult::Ok };
             next = sent(&rig.outcome(id, attempt, backend, result, None));
             attempt += 1;
         }
@@ -154,7 +156,7 @@
         rig.now += 10.0;
         if let Some(backend) = sent(&rig.request(id, 0, 2.0)) {
             units += 2.0;
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     units
@@ -185,7 +187,7 @@
         units += press(&mut rig, id..id + 1);
         rig.now += 10.0;
         let told = rig.event(Event::Message { from: 3, body: ask.clone() });
-        assert!(told.iter().any(|a| matches!(a, Action::Tell { to: 3, .. })));
+        assert!(told.iter().any(|a| matches!(a, Action::SendMessage { to: 3, .. })));
     }
     assert!(units <= 42.0, "half of 40 units and of 4 a second for 10 s: {units}");
 }
@@ -203,8 +205,8 @@
             id,
             attempt: 0,
             backend,
-            result: Result::Ok,
-            ended: true,
+            result: CallResult::Ok,
+            is_final: true,
             units: None,
             took_ms: 1900.0,
             load: Load::default(),
@@ -224,7 +226,7 @@
     for id in 1..=20 {
         let backend = sent(&rig.request(id, 0, 1.0)).unwrap();
         rig.now += 50.0;
-        rig.outcome(id, 0, backend, Result::Ok, None);
+        rig.outcome(id, 0, backend, CallResult::Ok, None);
         rig.now += 350.0;
     }
     sent(&rig.request(21, 0, 1.0)).unwrap();
@@ -238,7 +240,7 @@
     // looked stuck, and copies filled a pressed fleet.
     for second_copies in [false, true] {
         let mut s = open_settings();
-        s.limits.second_copies = second_copies;
+        s.limits.hedging = second_copies;
         let mut rig = Rig::new(s);
         let actions = rig.request(1, 0, 1.0);
         for action in actions {
@@ -258,14 +260,14 @@
     let mut s = open_settings();
     s.plans.push(s.plans[0]);
     let mut rig = Rig::new(s);
-    rig.event(Event::List { full: false, entries: vec![listed(3, 1, State::Gone)] });
+    rig.event(Event::List { full: false, entries: vec![backend_entry(3, 1, BackendState::Gone)] });
     let ask = |rig: &mut Rig, id, plan| {
         sent(&rig.event(Event::Request(Request { plan, ..request(id, id) }))).expect("sent")
     };
     let shut = ask(&mut rig, 1, 0);
-    let other = sent(&rig.outcome(1, 0, shut, Result::Full, None)).expect("tried elsewhere");
+    let other = sent(&rig.outcome(1, 0, shut, CallResult::Rejected, None)).expect("tried elsewhere");
     assert_ne!(shut, other);
-    rig.outcome(1, 1, other, Result::Ok, None);
+    rig.outcome(1, 1, other, CallResult::Ok, None);
     let mut seen = Vec::new();
     for id in 2..=12 {
         rig.now += 400.0;
@@ -273,7 +275,7 @@
         assert_eq!(backends[0], other, "plan 0 went back");
         seen.push(backends[1]);
         for (plan, backend) in backends.into_iter().enumerate() {
-            rig.outcome(id * 10 + plan as u64, 0, backend, Result::Ok, None);
+            rig.outcome(id * 10 + plan as u64, 0, backend, CallResult::Ok, None);
         }
     }
     assert!(seen.contains(&shut), "it has room for plan 1");
@@ -285,7 +287,7 @@
     for position in 0..100u32 {
         let settings = Settings { gateways: 100, position, ..open_settings() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let mut entries: Vec<_> = (1..=40).map(|id| listed(id, id % 2, State::Ready)).collect();
+        let mut entries: Vec<_> = (1..=40).map(|id| backend_entry(id, id % 2, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries: entries.clone() });
         for id in 0..50 {
             rig.now += 500.0;
@@ -295,7 +297,7 @@
             }
             let backend = sent(&rig.event(Event::Request(request(id, id)))).expect("sent");
             to[backend as usize] += usize::from(id >= 20);
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     to
@@ -314,12 +316,12 @@
     for position in 0..gateways {
         let settings = Settings { gateways, position, ..open_settings() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let entries = [1, 2].map(|id| listed(id, 0, State::Ready)).to_vec();
+        let entries = [1, 2].map(|id| backend_entry(id, 0, BackendState::Ready)).to_vec();
         rig.event(Event::List { full: true, entries: entries.clone() });
         for id in 0..65 {
             rig.now = (id * 200) as f64 + f64::from(position);
             if id == 50 {
-                let cold = Listed {
+                let cold = BackendEntry {
                     cold_until: rig.now + cold_ms,
                     cold_per_s: 3.6 / f64::from(gateways),
                     limited_until: rig.now + 3000.0,
@@ -332,7 +334,7 @@
             if backend == 1 && id >= 50 {
                 to_cold.push(rig.now);
             }
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     to_cold
@@ -370,7 +372,8 @@
     let one = |position| {
         let settings = Settings { gateways, position, ..open_settings() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let entries: Vec<_> = (1..=backends).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
+        let entries: Vec<_> =
+            (1..=backends).map(|id| backend_entry(id * 7919, id % 3, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries });
         let mut to = vec![0; backends as usize + 1];
         for id in 0..50 {
@@ -380,7 +383,7 @@
             while let Some(backend) = next {
                 let number = backend / 7919;
                 to[number as usize] += 1;
-                let result = if number <= dead { Result::ConnectFailed } else { Result::Ok };
+                let result = if number <= dead { CallResult::ConnectFailed } else { CallResult::Ok };
                 // Work differs from request to request.
                 let took = 20.0 + (id * 37 % 100) as f64;
                 next = sent(&rig.outcome_after(took, id, attempt, backend, result, None));
@@ -430,7 +433,8 @@
     for position in 0..100 {
         let settings = Settings { gateways: 100, position, ..open_settings() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let mut entries: Vec<_> = (1..=60).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
+        let mut entries: Vec<_> =
+            (1..=60).map(|id| backend_entry(id * 7919, id % 3, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries: entries.clone() });
         for id in 0..75 {
             rig.now = f64::from(position) * 2.0 + id as f64 * 200.0;
@@ -444,7 +448,7 @@
                     to[backend as usize / 7919].push(rig.now);
                 }
                 let took = 20.0 + (id * 37 % 100) as f64;
-                rig.outcome_after(took, id, 0, backend, Result::Ok, None);
+                rig.outcome_after(took, id, 0, backend, CallResult::Ok, None);
             }
         }
     }
@@ -473,7 +477,8 @@
     for (gateways, backends) in [(3, 10), (100, 60)] {
         let settings = Settings { gateways, ..open_settings() };
         let mut rig = Rig { gateway: Gateway::new(settings, 1, 1000.0), now: 1000.0 };
-        let mut entries: Vec<_> = (1..=backends).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
+        let mut entries: Vec<_> =
+            (1..=backends).map(|id| backend_entry(id * 7919, id % 3, BackendState::Ready)).collect();
         entries.iter_mut().for_each(|entry| entry.started = 900.0);
         rig.event(Event::List { full: true, entries });
         let mut served = 0;
@@ -481,7 +486,7 @@
             rig.now += 200.0;
             if let Some(backend) = sent(&rig.event(Event::Request(request(id, id)))) {
                 served += 1;
-                rig.outcome(id, 0, backend, Result::Ok, None);
+                rig.outcome(id, 0, backend, CallResult::Ok, None);
             }
         }
         assert!((5..25).contains(&served), "{served} of 25 in the first 5 s with {gateways} gateways");
@@ -503,7 +508,7 @@
 #[test]
 fn attempts_out_are_capped() {
     let mut s = open_settings();
-    s.plans[0].max_out = 2;
+    s.plans[0].max_in_flight = 2;
     let mut rig = Rig::new(s);
     assert!(sent(&rig.request(1, 0, 1.0)).is_some());
     assert!(sent(&rig.request(2, 0, 1.0)).is_some());
@@ -513,13 +518,13 @@
 #[test]
 fn odd_events_change_nothing() {
     let mut rig = Rig::new(settings());
-    assert!(rig.outcome(9, 3, 77, Result::Ok, Some(2.0)).is_empty());
-    assert!(rig.counted(12345, Result::Ok, f64::NAN).is_empty());
-    assert!(rig.event(Event::Gone { id: 4 }).is_empty());
-    rig.event(Event::List { full: false, entries: vec![listed(500, 3, State::Gone)] });
+    assert!(rig.outcome(9, 3, 77, CallResult::Ok, Some(2.0)).is_empty());
+    assert!(rig.counted(12345, CallResult::Ok, f64::NAN).is_empty());
+    assert!(rig.event(Event::ClientGone { id: 4 }).is_empty());
+    rig.event(Event::List { full: false, entries: vec![backend_entry(500, 3, BackendState::Gone)] });
     rig.event(Event::Timer { token: u64::MAX });
     let (name, _) = count(&rig.request(1, 0, 0.0)).unwrap();
-    assert!(sent(&rig.counted(name, Result::Ok, 0.0)).is_some(), "zero units are fine");
+    assert!(sent(&rig.counted(name, CallResult::Ok, 0.0)).is_some(), "zero units are fine");
     assert!(refused(&rig.request(2, 9, 1.0)).is_some(), "an unknown class is refused, not a crash");
     let actions = rig.request(3, 0, f64::NAN);
     assert!(count(&actions).is_none_or(|(_, amount)| amount.is_finite()));
@@ -531,7 +536,7 @@
         |s| (s.position, s.limits.peers) = (50, true),
         |s| s.plans[0].burst = 1.0,
         |s| s.plans[0].rate = 0.0,
-        |s| s.classes[0].aim_ms = 9000.0,
+        |s| s.classes[0].target_ms = 9000.0,
         |s| s.gateways = 0,
     ];
     for (case, change) in cases.iter().enumerate() {
@@ -540,7 +545,7 @@
         let mut rig = Rig::new(s);
         let mut actions = rig.request(1, 0, 3.0);
         if let Some((name, amount)) = count(&actions) {
-            actions.extend(rig.counted(name, Result::Ok, amount));
+            actions.extend(rig.counted(name, CallResult::Ok, amount));
         }
         assert!(sent(&actions).is_some() || refused(&actions).is_some(), "case {case}: {actions:?}");
     }
@@ -550,10 +555,10 @@
 fn a_fleet_of_one_backend_or_none_and_an_absurd_spread_are_fine() {
     for left in [1, 0] {
         let mut rig = Rig::new(open_settings());
-        let entries = [listed(1, 0, State::Ready)];
+        let entries = [backend_entry(1, 0, BackendState::Ready)];
         rig.event(Event::List { full: true, entries: entries[..left].to_vec() });
         for (id, spread) in [(1, 1e12), (2, 0.0), (3, f64::NAN)] {
-            let actions = rig.event(Event::Request(Request { spread, ..request(id, id) }));
+            let actions = rig.event(Event::Request(Request { customer_gateways: spread, ..request(id, id) }));
             assert_eq!(sent(&actions), (left == 1).then_some(1));
             assert_eq!(refused(&actions).is_some(), left == 0);
         }
@@ -565,15 +570,19 @@
     let mut rig = Rig::new(Settings { gateways: 100, ..open_settings() });
     rig.event(Event::List { full: true, entries: vec![] });
     assert!(refused(&rig.request(1, 0, 1.0)).is_some(), "refused at once");
-    let twice = vec![listed(2, 0, State::Ready), listed(3, 1, State::Ready), listed(2, 0, State::Draining)];
+    let twice = vec![
+        backend_entry(2, 0, BackendState::Ready),
+        backend_entry(3, 1, BackendState::Ready),
+        backend_entry(2, 0, BackendState::Draining),
+    ];
     rig.event(Event::List { full: true, entries: twice });
     // What was gone and is back may be cold; by then it is warm.
     rig.now += 20_000.0;
     for id in 2..10 {
         assert_eq!(sent(&rig.request(id, 0, 1.0)), Some(3), "the last word on 2 is that it drains");
-        rig.outcome(id, 0, 3, Result::Ok, None);
+        rig.outcome(id, 0, 3, CallResult::Ok, None);
     }
-    rig.event(Event::List { full: true, entries: vec![listed(1, 0, State::Ready)] });
+    rig.event(Event::List { full: true, entries: vec![backend_entry(1, 0, BackendState::Ready)] });
     rig.now += 20_000.0;
     assert_eq!(sent(&rig.request(20, 0, 1.0)), Some(1), "back with the whole list");
 }
@@ -581,21 +590,21 @@
 #[test]
 fn backends_that_leave_in_waves_get_nothing_once_it_is_told() {
     let mut rig = Rig::new(open_settings());
-    let entries: Vec<_> = (1..=9).map(|id| listed(id, id % 2, State::Ready)).collect();
+    let entries: Vec<_> = (1..=9).map(|id| backend_entry(id, id % 2, BackendState::Ready)).collect();
     rig.event(Event::List { full: true, entries });
     let mut id = 0;
     for wave in 0..4u32 {
         let gone = [wave * 2 + 1, wave * 2 + 2];
         rig.event(Event::List {
             full: false,
-            entries: gone.map(|id| listed(id, id % 2, State::Draining)).into(),
+            entries: gone.map(|id| backend_entry(id, id % 2, BackendState::Draining)).into(),
         });
         for _ in 0..30 {
             id += 1;
             rig.now += 20.0;
             let backend = sent(&rig.request(id, 0, 1.0)).expect("others are left");
             assert!(backend > gone[1], "{backend} is leaving");
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
 }
@@ -606,12 +615,12 @@
 /// in but the even part of what always is.
 fn crowded() -> Rig {
     let mut rig = Rig::new(Settings { gateways: 100, ..open_settings() });
-    let entries = (1..=60).map(|id| listed(id, 0, State::Ready)).collect();
+    let entries = (1..=60).map(|id| backend_entry(id, 0, BackendState::Ready)).collect();
     rig.event(Event::List { full: true, entries });
     for id in 1..=40 {
         let backend = sent(&rig.request(id, 0, 1.0)).expect("let in while nothing is known");
         rig.now += 500.0;
-        rig.outcome_after(500.0, id, 0, backend, Result::Ok, None);
+        rig.outcome_after(500.0, id, 0, backend, CallResult::Ok, None);
     }
     rig.now += 20_000.0;
     rig
@@ -625,7 +634,7 @@
         assert!(out.len() < 1000, "without end");
     }
     for (id, backend) in (from..).zip(&out) {
-        rig.outcome_after(1.0, id, 0, *backend, Result::Moot, None);
+        rig.outcome_after(1.0, id, 0, *backend, CallResult::NotSent, None);
     }
     out.len() as u64
 }
@@ -668,7 +677,7 @@
 fn few_gateways_present_keep_to_more_servers_each() {
     let targets = |present: Option<u32>| {
         let mut rig = Rig::new(Settings { gateways: 100, ..open_settings() });
-        let entries = (1..=200).map(|id| listed(id, 0, State::Ready)).collect();
+        let entries = (1..=200).map(|id| backend_entry(id, 0, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries });
         if let Some(present) = present {
             rig.event(Event::Gateways { present, majority: true });
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -6,8 +6,8 @@
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-pub const PERIOD: f64 = 1000.0;
-pub const TIMEOUT: f64 = 250.0;
+pub const PERIOD_MS: f64 = 1000.0;
+pub const TIMEOUT_MS: f64 = 250.0;
 
 /// Datagrams buffered for a paused process, as by its socket; further ones are lost.
 const MAX_BUFFERED_DATAGRAMS: usize = 200;
@@ -27,7 +27,7 @@
     /// Numbers of members present, and whether they are a majority.
     pub present: Vec<(f64, u32, Option<bool>)>,
     /// Whether the process reported that it is no longer a member.
-    pub out: bool,
+    pub removed: bool,
 }
 
 enum Scheduled {
@@ -45,28 +45,25 @@
     /// Share of datagrams lost.
     pub loss: f64,
     /// Share of datagrams duplicated.
-    pub twice: f64,
-    /// Minimum and maximum latency, in ms.
-    pub delay: (f64, f64),
+    pub duplication: f64,
+    /// Minimum and maximum.
+    pub latency_ms: (f64, f64),
     /// Whether datagrams pass from one node to another.
-    pub passes: Box<dyn Fn(usize, usize) -> bool>,
+    pub connected: Box<dyn Fn(usize, usize) -> bool>,
     pub seeds: Vec<usize>,
     pub expected: Option<u32>,
-    /// Unix time at the start of the simulation, in ms.
-    pub clock: f64,
-    /// Datagrams sent.
-    pub sent: u64,
-    /// Bytes sent.
-    pub bytes: u64,
-    /// Size of the largest datagram.
-    pub longest: usize,
+    /// Unix time at the start of the simulation.
+    pub unix_start_ms: f64,
+    pub datagrams_sent: u64,
+    pub bytes_sent: u64,
+    pub max_datagram_bytes: usize,
     /// Scheduled events, by time in microseconds and number.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled: std::collections::HashMap<u64, Scheduled>,
     last_number: u64,
 }
 
-pub fn place(index: usize) -> SocketAddrV4 {
+pub fn address_of(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, (index >> 8) as u8, index as u8), 7000)
 }
 
@@ -82,15 +79,15 @@
             nodes: (0..size).map(|_| None).collect(),
             rng: fastrand::Rng::with_seed(seed),
             loss: 0.0,
-            twice: 0.0,
-            delay: (0.2, 5.0),
-            passes: Box::new(|_, _| true),
+            duplication: 0.0,
+            latency_ms: (0.2, 5.0),
+            connected: Box::new(|_, _| true),
             seeds: (0..size.min(3)).collect(),
             expected: Some(size as u32),
-            clock: 1.7e12,
-            sent: 0,
-            bytes: 0,
-            longest: 0,
+            unix_start_ms: 1.7e12,
+            datagrams_sent: 0,
+            bytes_sent: 0,
+            max_datagram_bytes: 0,
             queue: BinaryHeap::new(),
             scheduled: Default::default(),
             last_number: 0,
@@ -98,10 +95,13 @@
     }
 
     /// A network with a process at each address, run until all of them know each other.
-    pub fn whole(size: usize, seed: u64) -> World {
+    pub fn converged(size: usize, seed: u64) -> World {
         let mut world = World::new(size, seed);
         (0..size).for_each(|index| world.start(index));
-        assert!(world.until(60.0, |world| world.agreed()).is_some(), "{size} members did not converge");
+        assert!(
+            world.run_until(60.0, |world| world.is_converged()).is_some(),
+            "{size} members did not converge"
+        );
         world
     }
 
@@ -109,11 +109,11 @@
         Settings {
             cluster: "granite".to_owned(),
             name: name.to_owned(),
-            advertise: place(index),
-            start: (self.clock + self.now) as u64,
-            seeds: self.seeds.iter().map(|index| place(*index)).collect(),
-            period_ms: PERIOD,
-            timeout_ms: TIMEOUT,
+            advertise: address_of(index),
+            start: (self.unix_start_ms + self.now) as u64,
+            seeds: self.seeds.iter().map(|index| address_of(*index)).collect(),
+            period_ms: PERIOD_MS,
+            timeout_ms: TIMEOUT_MS,
             expected: self.expected,
         }
     }
@@ -135,7 +135,7 @@
             changes: Vec::new(),
             warnings: Vec::new(),
             present: Vec::new(),
-            out: false,
+            removed: false,
         });
         self.schedule_timer(index);
     }
@@ -152,7 +152,7 @@
     pub fn resume(&mut self, index: usize) {
         self.node_mut(index).paused = false;
         for bytes in std::mem::take(&mut self.node_mut(index).buffered) {
-            self.give(index, Event::Datagram(bytes));
+            self.deliver(index, Event::Datagram(bytes));
         }
         let due = self.node(index).due;
         self.schedule(due, Scheduled::Due(index, due));
@@ -175,24 +175,24 @@
     }
 
     /// The state of a member in a node's view, if it is known there.
-    pub fn sees(&self, index: usize, name: &str) -> Option<State> {
+    pub fn state_of(&self, index: usize, name: &str) -> Option<State> {
         self.view(index).members.iter().find(|m| &*m.name == name).map(|m| m.state)
     }
 
     /// Whether each live process sees exactly the live ones as alive.
-    pub fn agreed(&self) -> bool {
+    pub fn is_converged(&self) -> bool {
         let live: Vec<_> = self.live();
         live.iter().all(|index| self.node(*index).member.present() as usize == live.len())
             && live.iter().all(|index| {
                 let members = self.view(*index).members;
                 let present: std::collections::BTreeSet<_> =
                     members.iter().filter(|m| m.state == State::Alive).map(|m| m.addr).collect();
-                live.iter().filter(|other| *other != index).all(|other| present.contains(&place(*other)))
+                live.iter().filter(|other| *other != index).all(|other| present.contains(&address_of(*other)))
             })
     }
 
     /// Number of changes of a member to this state that a node has reported since a time.
-    pub fn saw(&self, index: usize, name: &str, state: State, since: f64) -> usize {
+    pub fn changes_to(&self, index: usize, name: &str, state: State, since: f64) -> usize {
         let changes = &self.node(index).changes;
         changes
             .iter()
@@ -201,7 +201,7 @@
     }
 
     /// Passes an event to a node's member and carries out the resulting actions.
-    pub fn give(&mut self, index: usize, event: Event) {
+    pub fn deliver(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
         let now = self.now;
         let Some(node) = self.nodes[index].as_mut() else { return };
@@ -215,7 +215,7 @@
                 Action::Present { count, majority } => {
                     self.node_mut(index).present.push((now, count, majority))
                 }
-                Action::Out => self.node_mut(index).out = true,
+                Action::Out => self.node_mut(index).removed = true,
                 Action::Warn(line) => self.node_mut(index).warnings.push(line),
             }
         }
@@ -231,16 +231,17 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddrV4, bytes: Vec<u8>) {
-        self.sent += 1;
-        self.bytes += bytes.len() as u64;
-        self.longest = self.longest.max(bytes.len());
+        self.datagrams_sent += 1;
+        self.bytes_sent += bytes.len() as u64;
+        self.max_datagram_bytes = self.max_datagram_bytes.max(bytes.len());
         let to = index_of(to);
-        if to >= self.nodes.len() || !(self.passes)(from, to) || self.rng.f64() < self.loss {
+        if to >= self.nodes.len() || !(self.connected)(from, to) || self.rng.f64() < self.loss {
             return;
         }
-        let copies = 1 + usize::from(self.rng.f64() < self.twice);
+        let copies = 1 + usize::from(self.rng.f64() < self.duplication);
         for _ in 0..copies {
-            let when = self.now + self.delay.0 + self.rng.f64() * (self.delay.1 - self.delay.0);
+            let when =
+                self.now + self.latency_ms.0 + self.rng.f64() * (self.latency_ms.1 - self.latency_ms.0);
             self.schedule(when, Scheduled::Datagram(to, bytes.clone()));
         }
     }
@@ -261,7 +262,7 @@
                 if valid {
                     // The queue truncates times to whole microseconds.
                     self.now = self.now.max(due);
-                    self.give(index, Event::Due);
+                    self.deliver(index, Event::Due);
                 }
             }
             Some(Scheduled::Datagram(index, bytes)) => match self.nodes[index].as_mut() {
@@ -269,7 +270,7 @@
                     node.buffered.push(bytes)
                 }
                 Some(node) if node.paused => {}
-                Some(_) => self.give(index, Event::Datagram(bytes)),
+                Some(_) => self.deliver(index, Event::Datagram(bytes)),
                 None => {}
             },
             None => {}
@@ -285,7 +286,7 @@
     }
 
     /// Runs until the condition holds, and returns after how many seconds, or `None` at the limit.
-    pub fn until(&mut self, seconds: f64, mut condition: impl FnMut(&World) -> bool) -> Option<f64> {
+    pub fn run_until(&mut self, seconds: f64, mut condition: impl FnMut(&World) -> bool) -> Option<f64> {
         let start = self.now;
         loop {
             if condition(self) {
