--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -24,8 +24,8 @@
         }
         let (units, customer_id) = (request.units, request.customer);
         self.mean_units += (units - self.mean_units) * MEAN_GAIN;
-        let target_ms = self.settings.classes[class].aim_ms.min(request.budget_ms);
-        self.refresh_customer(now, customer_id, plan_index, request.spread);
+        let target_ms = self.settings.classes[class].target_ms.min(request.budget_ms);
+        self.refresh_customer(now, customer_id, plan_index, request.customer_gateways);
         let (deadline, target_deadline) = (now + request.budget_ms, now + target_ms);
         self.requests.insert(id, OpenRequest::new(request, deadline, target_deadline));
         // A customer known to be over its quota is refused without a call: peers can only have used more.
@@ -35,7 +35,7 @@
         let class_ms = self.classes[class].mean_ms;
         let by_peers = customer.peer_rate / self.mean_units.max(0.1) * class_ms / 1000.0;
         let in_flight = f64::from(customer.attempts_in_flight + customer.counter_calls) + by_peers.round();
-        let capped = plan.max_out > 0 && in_flight >= f64::from(plan.max_out);
+        let capped = plan.max_in_flight > 0 && in_flight >= f64::from(plan.max_in_flight);
         if capped || plan.rate > 0.0 && customer.balance.min(plan.burst) - customer.waiting_units < units {
             // Reading the count now and then keeps the balance up to date.
             let outdated = now - customer.last_call_at > MIN_COUNT_READ_INTERVAL_MS;
@@ -44,7 +44,7 @@
             }
             return self.handle_over_quota(now, id, actions);
         }
-        let early = Some(self.settings.rules.early_of_aim).filter(|share| *share > 0.0);
+        let early = Some(self.settings.rules.early_refusal_share).filter(|share| *share > 0.0);
         if self.expected_latency(now, id) > early.unwrap_or(ADMISSION_SHARE) * target_ms.max(0.0) {
             self.pool_load(pool).overloaded_at = now;
             self.summary.no_capacity += 1;
@@ -56,7 +56,7 @@
         let trusted = self.counter.is_trusted();
         // If the counter can't take all calls, plans that lose by unchecked requests have priority.
         let peers = self.settings.limits.peers;
-        let may_call = self.take_call(now, peers || plan.extra_worth > plan.excess_cost);
+        let may_call = self.take_call(now, peers || plan.excess_worth > plan.excess_cost);
         let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
         let home = home_gateway(customer_id, self.settings.gateways);
         if !may_call && peers && home != self.settings.position {
@@ -65,7 +65,7 @@
             (open.waiting, open.asked_peer) = (true, true);
             let (plan, units) = (plan_index as u8, units as f32);
             let ask = Message::BalanceRequest { id, customer: customer_id, plan, units };
-            actions.push(Action::Tell { to: home, body: ask.encode() });
+            actions.push(Action::SendMessage { to: home, body: ask.encode() });
             let wait_ms = target_ms * PEER_WAIT_SHARE;
             return actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms: wait_ms });
         }
@@ -95,9 +95,9 @@
         let overloaded_at = load.overloaded_at;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let plan = &self.settings.plans[open.plan()];
-        let target_ms = self.settings.classes[open.class()].aim_ms;
+        let target_ms = self.settings.classes[open.class()].target_ms;
         let spare = expected < OVER_QUOTA_SHARE * target_ms && now - overloaded_at > OVERLOAD_MEMORY_MS;
-        if plan.extra_worth > plan.excess_cost && spare {
+        if plan.excess_worth > plan.excess_cost && spare {
             open.within_quota = false;
             return self.send(now, id, actions);
         }
@@ -113,7 +113,7 @@
         let Some(open) = self.requests.get(&id) else { return f64::INFINITY };
         let pool = open.request.pool;
         let class_ms = self.classes[open.class()].mean_ms;
-        let target_ms = self.settings.classes[open.class()].aim_ms;
+        let target_ms = self.settings.classes[open.class()].target_ms;
         self.update_load(now, pool, 0.0, 0.0);
         if self.ready_backends(pool).next().is_none() {
             return f64::INFINITY;
@@ -163,7 +163,7 @@
             target_share: INITIAL_LATENCY_SHARE,
             updated_at: now,
             overloaded_at: f64::NEG_INFINITY,
-            retry_tokens: rules.further.map_or(MAX_RETRY_TOKENS, |further| further.most),
+            retry_tokens: rules.retry_budget.map_or(MAX_RETRY_TOKENS, |further| further.burst),
             requests_at: now,
             ..PoolLoad::default()
         }
--- a/src/choice/attempts.rs
+++ b/src/choice/attempts.rs
@@ -26,7 +26,7 @@
         let left_ms = open.deadline - now;
         let mut allowed = picked.is_some() && left_ms > 0.0;
         allowed &= (open.attempts.len() as u32) < self.settings.limits.max_attempts.max(1);
-        if let (Some((since, _)), Effect::Keyed { window_ms, .. }) = (open.executed, class.effect) {
+        if let (Some((since, _)), Idempotency::Keyed { window_ms, .. }) = (open.executed, class.idempotency) {
             allowed &= now - since < window_ms;
         }
         if first && plan.ceiling_rate > 0.0 {
@@ -43,13 +43,13 @@
             }
             if !open.attempts.iter().any(|attempt| attempt.in_flight) {
                 self.summary.unsent += 1;
-                self.finish(id, class.aim_ms / 2.0, Reason::Unsent, actions);
+                self.finish(id, class.target_ms / 2.0, Reason::Unsent, actions);
             }
             return;
         };
         let backend = self.backends.get_mut(&backend_id).expect("picked from the list");
         // A backend starts to process a streamed request only when its body is complete.
-        let processing = !request.streams;
+        let processing = !request.body_streams;
         if processing {
             backend.start_request(now);
         }
@@ -65,15 +65,18 @@
         let attempt = Attempt { backend: backend_id, sent_at: now, queue_depth, in_flight: true, processing };
         open.attempts.push(attempt);
         // Times out before the target if a late response earns nothing and costs more than wasted work.
-        let prices = &self.settings.prices;
+        let prices = &self.settings.penalties;
         let cut = class.late_worth <= 0.0 && prices.waste < prices.late_fail;
         let target_ms = open.target_deadline - now - TARGET_MARGIN_MS - 2.0 * self.settings.tick_ms;
         let max_ms = if cut { target_ms } else { left_ms };
         actions.push(Action::Send { id, backend: backend_id, timeout_ms: left_ms.min(max_ms.max(1.0)) });
         self.update_load(now, pool, f64::from(u8::from(processing)), 0.0);
         if first {
-            let (ratio, max) =
-                self.settings.rules.further.map_or((RETRY_RATIO, MAX_RETRY_TOKENS), |f| (f.share, f.most));
+            let (ratio, max) = self
+                .settings
+                .rules
+                .retry_budget
+                .map_or((RETRY_RATIO, MAX_RETRY_TOKENS), |f| (f.ratio, f.burst));
             let load = self.pool_load(pool);
             load.retry_tokens = (load.retry_tokens + ratio).min(max);
         }
@@ -83,7 +86,7 @@
     pub(super) fn handle_body_sent(&mut self, now: Millis, id: RequestId, attempt: u8) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let (budget_ms, pool) = (open.request.budget_ms, open.request.pool);
-        let target_ms = self.settings.classes[open.class()].aim_ms;
+        let target_ms = self.settings.classes[open.class()].target_ms;
         let Some(attempt) = open.attempts.get_mut(attempt as usize) else { return };
         if !attempt.in_flight || attempt.processing || open.streaming {
             return;
@@ -107,22 +110,22 @@
             return;
         }
         let (backend, took_ms, queue_depth) = (attempt.backend, now - attempt.sent_at, attempt.queue_depth);
-        self.end_processing(now, class, pool, took_ms, Result::Ok);
-        self.record_result(now, backend, class, plan, Result::Ok, took_ms, queue_depth);
+        self.end_processing(now, class, pool, took_ms, CallResult::Ok);
+        self.record_result(now, backend, class, plan, CallResult::Ok, took_ms, queue_depth);
     }
 
     /// Updates the pool's averages after a backend has stopped processing a request.
-    fn end_processing(&mut self, now: Millis, class: usize, pool: u32, took_ms: f64, result: Result) {
-        self.update_load(now, pool, -1.0, f64::from(u8::from(result == Result::Ok)));
-        if matches!(result, Result::Ok | Result::Timeout) {
-            let share = took_ms / self.settings.classes[class].aim_ms.max(1.0);
+    fn end_processing(&mut self, now: Millis, class: usize, pool: u32, took_ms: f64, result: CallResult) {
+        self.update_load(now, pool, -1.0, f64::from(u8::from(result == CallResult::Ok)));
+        if matches!(result, CallResult::Ok | CallResult::Timeout) {
+            let share = took_ms / self.settings.classes[class].target_ms.max(1.0);
             let load = self.pool_load(pool);
             load.target_share += (share.min(1.0) - load.target_share) * TARGET_SHARE_GAIN;
         }
     }
 
     pub(super) fn handle_outcome(&mut self, now: Millis, outcome: Outcome, actions: &mut Vec<Action>) {
-        let Outcome { id, attempt, result, ended, units, took_ms, .. } = outcome;
+        let Outcome { id, attempt, result, is_final: ended, units, took_ms, .. } = outcome;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = open.attempts.get_mut(attempt as usize) else { return };
         if !std::mem::take(&mut attempt.in_flight) {
@@ -134,7 +137,7 @@
         if let Some(customer) = self.customers.get_mut(&open.request.customer) {
             customer.attempts_in_flight = customer.attempts_in_flight.saturating_sub(1);
             // Settles the difference of the actual units with the customer's next charge.
-            if let (true, true, Some(units)) = (self.settings.settles, open.within_quota, units) {
+            if let (true, true, Some(units)) = (self.settings.units_are_estimates, open.within_quota, units) {
                 if units.is_finite() {
                     customer.balance -= units - open.request.units;
                     let plan = &self.settings.plans[plan_index];
@@ -159,31 +162,31 @@
         if open.attempts.iter().any(|attempt| attempt.in_flight) {
             return;
         }
-        let effect = self.settings.classes[class].effect;
+        let effect = self.settings.classes[class].idempotency;
         let worthwhile = self.settings.classes[class].late_worth > 0.0
             || now + self.classes[class].mean_ms < open.target_deadline;
         // Under a configured retry limit, a request that the backend rejected counts as a retry too.
-        let free = match self.settings.rules.further {
-            Some(_) => matches!(result, Result::ConnectFailed | Result::Moot),
+        let free = match self.settings.rules.retry_budget {
+            Some(_) => matches!(result, CallResult::ConnectFailed | CallResult::NotSent),
             None => result.never_ran(),
         };
-        let allowed = result.never_ran() || effect != Effect::Unsafe;
+        let allowed = result.never_ran() || effect != Idempotency::NonIdempotent;
         let retry = worthwhile && allowed && (free || self.pool_load(pool).retry_tokens >= 1.0);
         let open = &self.requests[&id];
-        if retry && result != Result::Moot && open.deadline > now && !open.streaming {
-            if !free && result != Result::Cancelled {
+        if retry && result != CallResult::NotSent && open.deadline > now && !open.streaming {
+            if !free && result != CallResult::Cancelled {
                 self.pool_load(pool).retry_tokens -= 1.0;
             }
             return self.send(now, id, actions);
         }
-        self.finish(id, self.settings.classes[class].aim_ms / 2.0, Reason::Unsent, actions);
+        self.finish(id, self.settings.classes[class].target_ms / 2.0, Reason::Unsent, actions);
     }
 
     /// Answers the request: refused if the client may safely retry, failed if an attempt may have executed.
     pub(super) fn finish(&mut self, id: RequestId, wait_ms: f64, reason: Reason, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
-        let repeatable = match self.settings.classes[open.class()].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        let repeatable = match self.settings.classes[open.class()].idempotency {
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. } => true,
             _ => open.executed.is_none() && !open.attempts.iter().any(|attempt| attempt.in_flight),
         };
         if repeatable {
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -16,7 +16,7 @@
             ready += 1.0;
             capacity += warm_share(&rules, now, backend).unwrap_or(1.0);
         }
-        let min_capacity = ready / (rules.fall_multiple / 2.0).max(1.0);
+        let min_capacity = ready / (rules.overload_multiple / 2.0).max(1.0);
         // Corrects the average for its start from 0.
         let known = 1.0 - (-(now - self.started_at).max(MIN_REQUEST_RATE_AGE_MS) / REQUEST_RATE_MS).exp();
         let part = self.pool_load(pool).requests_per_s / known / f64::max(capacity, min_capacity).max(1.0);
@@ -38,11 +38,11 @@
 /// Share of its capacity that a backend has for certain during warm-up; `None` if it is warm.
 pub(super) fn warm_share(rules: &Rules, now: Millis, backend: &Backend) -> Option<f64> {
     if backend.listed.cold_until > now {
-        return Some(rules.cold_from.clamp(0.05, 1.0));
+        return Some(rules.cold_capacity.clamp(0.05, 1.0));
     }
     let age = now - backend.warming_since?;
     (age < rules.warm_up_ms).then(|| {
-        let initial = rules.cold_from.clamp(0.05, 1.0);
+        let initial = rules.cold_capacity.clamp(0.05, 1.0);
         initial + (1.0 - initial) * (age / rules.warm_up_ms).clamp(0.0, 1.0)
     })
 }
--- a/src/choice/counting.rs
+++ b/src/choice/counting.rs
@@ -97,7 +97,7 @@
         match Message::decode(body).filter(|_| known && self.settings.limits.peers) {
             Some(Message::BalanceRequest { id, customer: customer_id, plan, units }) => {
                 let (plan, units) = (usize::from(plan), f64::from(units));
-                if plan >= self.settings.plans.len() || !(0.0..=self.settings.most_units).contains(&units) {
+                if plan >= self.settings.plans.len() || !(0.0..=self.settings.max_units).contains(&units) {
                     return;
                 }
                 // The spread is unknown: takes the least share of a ceiling, as nothing is sent from here.
@@ -113,12 +113,13 @@
                     self.charge(now, customer_id, plan, 0.0, RequestId::MAX, actions);
                 }
                 let response = Message::BalanceResponse { id, balance: balance as f32 };
-                actions.push(Action::Tell { to: from, body: response.encode() });
+                actions.push(Action::SendMessage { to: from, body: response.encode() });
             }
             Some(Message::BalanceResponse { id, balance }) => {
                 let open = self.requests.get(&id).filter(|open| open.asked_peer && open.waiting);
                 let Some(request) = open.map(|open| &open.request) else { return };
-                let (customer_id, plan, spread) = (request.customer, request.plan as usize, request.spread);
+                let (customer_id, plan, spread) =
+                    (request.customer, request.plan as usize, request.customer_gateways);
                 self.refresh_customer(now, customer_id, plan, spread);
                 let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
                 customer.balance = f64::from(balance);
@@ -159,7 +160,7 @@
     }
 
     pub(super) fn handle_counted(
-        &mut self, now: Millis, name: u64, result: Result, total: f64, took_ms: f64,
+        &mut self, now: Millis, name: u64, result: CallResult, total: f64, took_ms: f64,
         actions: &mut Vec<Action>,
     ) {
         let Some(queue) = self.counter.pending.get_mut(&name) else { return };
@@ -167,8 +168,9 @@
         if queue.is_empty() {
             self.counter.pending.remove(&name);
         }
-        let ok = result == Result::Ok && total.is_finite();
-        let target_ms = self.settings.classes.iter().map(|class| class.aim_ms).fold(f64::INFINITY, f64::min);
+        let ok = result == CallResult::Ok && total.is_finite();
+        let target_ms =
+            self.settings.classes.iter().map(|class| class.target_ms).fold(f64::INFINITY, f64::min);
         if ok {
             let age_ms = (now - self.counter.min_rtt_at).max(0.0);
             let aged_ms = self.counter.min_rtt_ms * (1.0 + age_ms / MIN_RTT_MEMORY_MS);
@@ -191,7 +193,7 @@
         } else {
             counter.consecutive_misses = counter.consecutive_misses.saturating_add(1);
             // A broken connection or a single slow response doesn't indicate overload.
-            let unrelated = result == Result::Reset || ok && counter.consecutive_misses == 1;
+            let unrelated = result == CallResult::Reset || ok && counter.consecutive_misses == 1;
             if !unrelated {
                 if !std::mem::replace(&mut counter.rate_cut, true) {
                     counter.rate_before_cut = Some(counter.calls_per_s);
@@ -207,7 +209,7 @@
     }
 
     /// Updates the balance from a total: an increase beyond this gateway's own charge is peer usage.
-    fn apply_total(&mut self, now: Millis, name: u64, call: &Call, total: Option<f64>, result: Result) {
+    fn apply_total(&mut self, now: Millis, name: u64, call: &Call, total: Option<f64>, result: CallResult) {
         let plan = &self.settings.plans[call.plan];
         let Some(customer) = self.customers.get_mut(&call.customer) else { return };
         customer.counter_calls = customer.counter_calls.saturating_sub(1);
@@ -250,7 +252,7 @@
                 customer.peer_rate = customer.peer_rate * keep + per_s * (1.0 - keep);
             }
         }
-        customer.balance = customer.balance.max(-self.settings.most_units.max(plan.burst / 4.0));
+        customer.balance = customer.balance.max(-self.settings.max_units.max(plan.burst / 4.0));
         customer.balance = customer.balance.min(plan.burst);
         (customer.usage, customer.usage_at) = (Some(usage), now);
     }
@@ -260,7 +262,7 @@
         let Some(open) = self.requests.get(&id).filter(|open| open.waiting) else { return true };
         let (request, asked_peer) = (open.request.clone(), open.asked_peer);
         self.stop_waiting(id);
-        self.refresh_customer(now, request.customer, request.plan as usize, request.spread);
+        self.refresh_customer(now, request.customer, request.plan as usize, request.customer_gateways);
         let plan = &self.settings.plans[request.plan as usize];
         let customer = self.customers.get_mut(&request.customer).expect("refreshed above");
         let within_quota = customer.balance >= request.units;
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -9,13 +9,13 @@
     /// The number of listed backends that get no requests: draining ones and ejected ones.
     pub fn out_of_rotation(&self, now: Millis) -> usize {
         let out = |b: &Backend| match b.listed.state {
-            State::Ready => {
+            BackendState::Ready => {
                 !self.in_panic(b.listed.pool)
                     && b.failure_points >= EJECTION_POINTS
                     && (now < b.ejected_until || b.in_flight > 0)
             }
-            State::Draining => true,
-            State::Gone => false,
+            BackendState::Draining => true,
+            BackendState::Gone => false,
         };
         self.backends.values().filter(|b| out(b)).count()
     }
@@ -29,12 +29,12 @@
     /// Updates a backend's load, latency and health after it has stopped processing an attempt.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn record_result(
-        &mut self, now: Millis, backend_id: BackendId, class: usize, plan: usize, result: Result,
+        &mut self, now: Millis, backend_id: BackendId, class: usize, plan: usize, result: CallResult,
         took_ms: f64, queue_depth: f64,
     ) {
         let Some(backend) = self.backends.get_mut(&backend_id) else { return };
         backend.in_flight = backend.in_flight.saturating_sub(1);
-        if result == Result::Ok && took_ms.is_finite() {
+        if result == CallResult::Ok && took_ms.is_finite() {
             let took_ms = took_ms.max(0.1);
             let class = &mut self.classes[class];
             let idle_ms = took_ms / ((queue_depth + ASSUMED_PEER_REQUESTS) / (1.0 + ASSUMED_PEER_REQUESTS));
@@ -51,31 +51,31 @@
     }
 
     pub(super) fn update_health(
-        &mut self, now: Millis, backend_id: BackendId, plan: usize, result: Result, took_ms: f64,
+        &mut self, now: Millis, backend_id: BackendId, plan: usize, result: CallResult, took_ms: f64,
     ) {
         let Some(pool) = self.backends.get(&backend_id).map(|b| b.listed.pool) else { return };
         let requests_per_s = self.pool_load(pool).requests_per_s;
         let Some(backend) = self.backends.get_mut(&backend_id) else { return };
-        if matches!(result, Result::Full | Result::ConnectFailed) {
+        if matches!(result, CallResult::Rejected | CallResult::ConnectFailed) {
             let until = now + FULL_MS.max(FULL_REQUESTS * 1000.0 / requests_per_s.max(1.0));
             backend.full_until.resize(self.settings.plans.len(), now);
             match result {
-                Result::Full => backend.full_until[plan] = until,
+                CallResult::Rejected => backend.full_until[plan] = until,
                 _ => backend.full_until.fill(until),
             }
         }
-        if matches!(result, Result::Ok | Result::Error) {
+        if matches!(result, CallResult::Ok | CallResult::Error) {
             let rate = backend.decayed_error_rate(now, ERROR_RATE_MEMORY_MS);
-            let sample = f64::from(u8::from(result == Result::Error));
+            let sample = f64::from(u8::from(result == CallResult::Error));
             (backend.error_rate, backend.error_rate_at) = (rate + ERROR_RATE_GAIN * (sample - rate), now);
         }
         match result {
-            Result::Ok => (backend.failure_points, backend.last_response_at) = (0, now),
-            Result::Full => backend.last_response_at = now,
+            CallResult::Ok => (backend.failure_points, backend.last_response_at) = (0, now),
+            CallResult::Rejected => backend.last_response_at = now,
             // The backend answered other requests meanwhile: this one was expensive.
-            Result::Timeout if backend.last_response_at > now - took_ms => {}
-            Result::Error | Result::Timeout | Result::ConnectFailed | Result::Reset => {
-                let points = if result == Result::Reset { RESET_POINTS } else { FAILURE_POINTS };
+            CallResult::Timeout if backend.last_response_at > now - took_ms => {}
+            CallResult::Error | CallResult::Timeout | CallResult::ConnectFailed | CallResult::Reset => {
+                let points = if result == CallResult::Reset { RESET_POINTS } else { FAILURE_POINTS };
                 backend.failure_points = backend.failure_points.saturating_add(points);
                 if backend.failure_points >= EJECTION_POINTS {
                     let doublings = (backend.failure_points - EJECTION_POINTS) / FAILURE_POINTS;
@@ -83,7 +83,7 @@
                     backend.ejected_until = now + EJECTION_MS * factor * (1.0 + 0.2 * self.rng.f64());
                 }
             }
-            Result::Cancelled | Result::Moot => {}
+            CallResult::Cancelled | CallResult::NotSent => {}
         }
     }
 }
--- a/src/choice/list.rs
+++ b/src/choice/list.rs
@@ -7,11 +7,11 @@
 use crate::state::*;
 
 impl Gateway {
-    pub(super) fn update_list(&mut self, now: Millis, full: bool, entries: Vec<Listed>) {
+    pub(super) fn update_list(&mut self, now: Millis, full: bool, entries: Vec<BackendEntry>) {
         if full {
             for backend in self.backends.values_mut() {
                 if !entries.iter().any(|entry| entry.id == backend.listed.id) {
-                    backend.listed.state = State::Gone;
+                    backend.listed.state = BackendState::Gone;
                 }
             }
         }
@@ -22,7 +22,8 @@
             match self.backends.get_mut(&entry.id) {
                 Some(backend) => {
                     // A backend that returns may be cold, whatever start time the list gives.
-                    let returned = backend.listed.state == State::Gone && entry.state == State::Ready;
+                    let returned =
+                        backend.listed.state == BackendState::Gone && entry.state == BackendState::Ready;
                     if returned || entry.started > backend.listed.started {
                         backend.warming_since = started.or(returned.then_some(now));
                         (backend.warm_up_tokens, backend.warm_up_tokens_at) = (self.rng.f64(), now);
@@ -35,7 +36,7 @@
                     }
                     backend.listed = entry;
                 }
-                None if entry.state != State::Gone || known => {
+                None if entry.state != BackendState::Gone || known => {
                     let rank = subset_rank(entry.id, self.settings.gateways, self.settings.position);
                     let mut backend = Backend::new(entry, started, now, rank);
                     backend.warm_up_tokens = self.rng.f64();
@@ -45,7 +46,7 @@
             }
         }
         self.backends.retain(|_, b| {
-            b.listed.state != State::Gone || b.in_flight > 0 || now - b.latency_at < IDLE_EXPIRY_MS
+            b.listed.state != BackendState::Gone || b.in_flight > 0 || now - b.latency_at < IDLE_EXPIRY_MS
         });
     }
 }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -40,7 +40,7 @@
     /// A gateway that starts now and knows only its settings.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         let initial =
-            |class: &Class| ClassLatency { mean_ms: class.aim_ms * INITIAL_LATENCY_SHARE, samples: 0.0 };
+            |class: &Class| ClassLatency { mean_ms: class.target_ms * INITIAL_LATENCY_SHARE, samples: 0.0 };
         Gateway {
             rng: fastrand::Rng::with_seed(seed),
             started_at: now,
@@ -64,7 +64,7 @@
         if !self.timer_started {
             self.timer_started = true;
             actions.push(Action::Timer { token: TOKEN_TICK, after_ms: TICK_MS });
-            if self.settings.list_asked {
+            if self.settings.list_polled {
                 actions.push(Action::Watch);
             }
         }
@@ -73,10 +73,10 @@
             Event::Settings(settings) => self.update_settings(settings),
             Event::ListFailed => self.list_retry_at = Some(now + EJECTION_MS * (1.0 + self.rng.f64())),
             Event::Request(request) => self.handle_request(now, request, actions),
-            Event::Whole { id, attempt } => self.handle_body_sent(now, id, attempt),
-            Event::Started { id, attempt } => self.handle_response_start(now, id, attempt),
+            Event::BodySent { id, attempt } => self.handle_body_sent(now, id, attempt),
+            Event::ResponseStarted { id, attempt } => self.handle_response_start(now, id, attempt),
             Event::Outcome(outcome) => self.handle_outcome(now, outcome, actions),
-            Event::Gone { id } => self.close(id, actions),
+            Event::ClientGone { id } => self.close(id, actions),
             Event::Timer { token } => match token & !TOKEN_ID_MASK {
                 TOKEN_WAIT => drop(self.decide_waiting(now, token & TOKEN_ID_MASK, actions)),
                 _ => self.tick(now, actions),
@@ -104,7 +104,7 @@
             backend.subset_rank = subset_rank(backend.listed.id, gateways, position);
         }
         for (number, class) in self.settings.classes.iter().enumerate() {
-            let mean_ms = if count > 0.0 { sum / count } else { class.aim_ms * INITIAL_LATENCY_SHARE };
+            let mean_ms = if count > 0.0 { sum / count } else { class.target_ms * INITIAL_LATENCY_SHARE };
             let initial = ClassLatency { mean_ms, samples: 0.0 };
             match self.classes.get_mut(number) {
                 Some(latency) if former.classes[number] != *class => *latency = initial,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! The state that a gateway keeps per customer, request, pool and backend. No decision is made here.
 
-use crate::interface::{BackendId, CustomerId, Listed, Millis, Request, RequestId};
+use crate::interface::{BackendEntry, BackendId, CustomerId, Millis, Request, RequestId};
 use std::collections::VecDeque;
 
 /// One customer as this gateway sees it.
@@ -158,7 +158,7 @@
 
 /// One backend as this gateway sees it.
 pub(crate) struct Backend {
-    pub(crate) listed: Listed,
+    pub(crate) listed: BackendEntry,
     /// Rank of the backend at this gateway, in [0, 1): those with the lowest ranks form its subset.
     pub(crate) subset_rank: f64,
     /// When it started or returned to the list, if it may still be warming up.
@@ -186,7 +186,9 @@
 }
 
 impl Backend {
-    pub(crate) fn new(listed: Listed, warming_since: Option<Millis>, now: Millis, subset_rank: f64) -> Self {
+    pub(crate) fn new(
+        listed: BackendEntry, warming_since: Option<Millis>, now: Millis, subset_rank: f64,
+    ) -> Self {
         Backend {
             listed,
             subset_rank,
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -27,7 +27,7 @@
     settings: Settings,
     now: f64,
     requests: BTreeMap<u64, RequestState>,
-    states: BTreeMap<u32, State>,
+    states: BTreeMap<u32, BackendState>,
     counts: Vec<(u64, f64)>,
     timers: Vec<(f64, u64)>,
     /// Hash of all actions.
@@ -60,21 +60,27 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send { id, backend, timeout_ms } => {
-                assert_eq!(self.states.get(&backend), Some(&State::Ready), "sent to a backend not ready");
+                assert_eq!(
+                    self.states.get(&backend),
+                    Some(&BackendState::Ready),
+                    "sent to a backend not ready"
+                );
                 let request = self.requests.get_mut(&id).expect("known request");
                 assert!(!request.answered, "sent after the final answer");
                 assert!(timeout_ms > 0.0 && self.now + timeout_ms <= request.deadline + 1e-6);
                 assert!((request.attempts.len() as u32) < self.settings.limits.max_attempts);
-                let copies = self.settings.limits.second_copies;
+                let copies = self.settings.limits.hedging;
                 assert!(
                     copies || request.attempts.iter().all(|a| !a.in_flight),
                     "two attempts in flight at once"
                 );
                 let earlier: Vec<_> = request.attempts.iter().filter(|a| a.executed || a.in_flight).collect();
-                match self.settings.classes[request.class].effect {
-                    Effect::Safe => {}
-                    Effect::Unsafe => assert!(earlier.is_empty(), "unsafe request may execute twice"),
-                    Effect::Keyed { window_ms, .. } => {
+                match self.settings.classes[request.class].idempotency {
+                    Idempotency::Idempotent => {}
+                    Idempotency::NonIdempotent => {
+                        assert!(earlier.is_empty(), "unsafe request may execute twice")
+                    }
+                    Idempotency::Keyed { window_ms, .. } => {
                         for a in earlier {
                             assert_eq!(a.backend % 2, backend % 2, "keyed request retried outside its zone");
                             assert!(
@@ -96,7 +102,7 @@
             Action::Refuse { id, .. } => {
                 let request = self.requests.get_mut(&id).expect("known request");
                 assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
-                let safe = self.settings.classes[request.class].effect == Effect::Safe;
+                let safe = self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
                 assert!(
                     safe || request.attempts.iter().all(|a| !a.in_flight && !a.executed),
                     "refused a request that may have executed"
@@ -113,15 +119,24 @@
         }
     }
 
-    fn outcome(&mut self, id: u64, attempt: usize, result: Result) {
+    fn outcome(&mut self, id: u64, attempt: usize, result: CallResult) {
         let request = self.requests.get_mut(&id).unwrap();
         let state = &mut request.attempts[attempt];
         (state.in_flight, state.executed) = (false, !result.never_ran());
         let (backend, took_ms) = (state.backend, self.now - state.sent_at);
-        request.answered |= result == Result::Ok;
+        request.answered |= result == CallResult::Ok;
         let (ended, units, load) = (request.answered, Some(2.0), Load::default());
         let attempt = attempt as u8;
-        self.event(Event::Outcome(Outcome { id, attempt, backend, result, ended, units, took_ms, load }));
+        self.event(Event::Outcome(Outcome {
+            id,
+            attempt,
+            backend,
+            result,
+            is_final: ended,
+            units,
+            took_ms,
+            load,
+        }));
     }
 
     /// Advances the clock: fires timers and attempt timeouts.
@@ -139,7 +154,7 @@
             for attempt in 0..self.requests[&id].attempts.len() {
                 let state = &self.requests[&id].attempts[attempt];
                 if state.in_flight && state.deadline <= now {
-                    self.outcome(id, attempt, Result::Timeout);
+                    self.outcome(id, attempt, CallResult::Timeout);
                 }
             }
             let request = &self.requests[&id];
@@ -157,21 +172,28 @@
     // A separate generator, so that the other events do not depend on the reports.
     let mut report_rng = fastrand::Rng::with_seed(seed);
     let mut settings = settings();
-    settings.limits.second_copies = second_copies;
-    settings.plans[0].max_out = 8;
+    settings.limits.hedging = second_copies;
+    settings.plans[0].max_in_flight = 8;
     settings.limits.peers = true;
     let mut sim = Simulation {
         gateway: Gateway::new(settings.clone(), seed, 0.0),
         settings,
         now: 0.0,
         requests: BTreeMap::new(),
-        states: (1..=6).map(|id| (id, State::Ready)).collect(),
+        states: (1..=6).map(|id| (id, BackendState::Ready)).collect(),
         counts: Vec::new(),
         timers: Vec::new(),
         digest: DefaultHasher::new(),
     };
-    let entry = |id: u32, state, started| Listed { started, cell: id, ..common::listed(id, id % 2, state) };
-    sim.event(Event::List { full: true, entries: (1..=6).map(|id| entry(id, State::Ready, 0.0)).collect() });
+    let entry = |id: u32, state, started| BackendEntry {
+        started,
+        cell: id,
+        ..common::backend_entry(id, id % 2, state)
+    };
+    sim.event(Event::List {
+        full: true,
+        entries: (1..=6).map(|id| entry(id, BackendState::Ready, 0.0)).collect(),
+    });
     for id in 1..4000 {
         sim.advance(rng.f64() * 8.0);
         let any = [0, 1, 2, 300, u32::MAX][report_rng.usize(0..5)];
@@ -187,8 +209,9 @@
         let number = [-1.0, f64::NAN, f64::INFINITY, 1e300, 3.0][rng.usize(0..5)];
         match rng.u32(0..20) {
             0 => {
-                let load = Load { queue: Some(number), service_ms: Some(number), ..Load::default() };
-                let result = [Result::Ok, Result::Timeout, Result::ConnectFailed][rng.usize(0..3)];
+                let load = Load { queue_depth: Some(number), service_ms: Some(number), ..Load::default() };
+                let result =
+                    [CallResult::Ok, CallResult::Timeout, CallResult::ConnectFailed][rng.usize(0..3)];
                 sim.event(Event::Probed { backend: rng.u32(0..9), result, took_ms: number, load });
             }
             1 => {
@@ -216,11 +239,11 @@
                     class: class as u32,
                     units: rng.f64() * 3.0,
                     budget_ms,
-                    spread: 2.0,
-                    repeat: rng.bool(),
-                    streams: false,
+                    customer_gateways: 2.0,
+                    is_retry: rng.bool(),
+                    body_streams: false,
                     pool: 0,
-                    places: u64::MAX,
+                    zone_mask: u64::MAX,
                 }));
             }
             4..=7 => {
@@ -231,28 +254,31 @@
                 if !in_flight.is_empty() {
                     let (id, attempt) = in_flight[rng.usize(0..in_flight.len())];
                     let results = [
-                        Result::Ok,
-                        Result::Ok,
-                        Result::Ok,
-                        Result::Error,
-                        Result::Full,
-                        Result::ConnectFailed,
-                        Result::Reset,
-                        Result::Cancelled,
+                        CallResult::Ok,
+                        CallResult::Ok,
+                        CallResult::Ok,
+                        CallResult::Error,
+                        CallResult::Rejected,
+                        CallResult::ConnectFailed,
+                        CallResult::Reset,
+                        CallResult::Cancelled,
                     ];
                     sim.outcome(id, attempt, results[rng.usize(0..results.len())]);
                 }
             }
             8 => {
                 while let Some((name, amount)) = (!sim.counts.is_empty()).then(|| sim.counts.remove(0)) {
-                    let result = [Result::Ok, Result::Ok, Result::Timeout, Result::Full][rng.usize(0..4)];
+                    let result = [CallResult::Ok, CallResult::Ok, CallResult::Timeout, CallResult::Rejected]
+                        [rng.usize(0..4)];
                     let total = amount + rng.f64() * 12.0;
                     sim.event(Event::Counted { name, result, total, took_ms: rng.f64() * 60.0 });
                 }
             }
             _ => {
                 let id = rng.u32(1..=6);
-                let state = [State::Ready, State::Ready, State::Draining, State::Gone][rng.usize(0..4)];
+                let state =
+                    [BackendState::Ready, BackendState::Ready, BackendState::Draining, BackendState::Gone]
+                        [rng.usize(0..4)];
                 let started = if rng.bool() { sim.now } else { 0.0 };
                 sim.states.insert(id, state);
                 sim.event(Event::List { full: false, entries: vec![entry(id, state, started)] });
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,12 +19,12 @@
     let mut rig = Rig::new(settings_without_quota());
     let backend = sent(&rig.request(1, 2, 1.0)).unwrap();
     rig.now += DEADLINE_MS;
-    let actions = rig.outcome(1, 0, backend, Result::Timeout, None);
+    let actions = rig.outcome(1, 0, backend, CallResult::Timeout, None);
     assert!(
         failed(&actions),
         "an unsafe request that may have executed must fail, not be refused: {actions:?}"
     );
-    let actions = rig.outcome(1, 0, backend, Result::Ok, None);
+    let actions = rig.outcome(1, 0, backend, CallResult::Ok, None);
     assert!(actions.is_empty(), "no action after the final answer: {actions:?}");
 }
 
@@ -44,7 +44,9 @@
 
 #[test]
 fn unsafe_requests_are_retried_only_if_never_executed() {
-    for (result, retried) in [(Result::Full, true), (Result::ConnectFailed, true), (Result::Reset, false)] {
+    for (result, retried) in
+        [(CallResult::Rejected, true), (CallResult::ConnectFailed, true), (CallResult::Reset, false)]
+    {
         let mut rig = Rig::new(settings_without_quota());
         let backend = sent(&rig.request(1, 2, 1.0)).unwrap();
         let actions = rig.outcome(1, 0, backend, result, None);
@@ -59,7 +61,7 @@
         let mut rig = Rig::new(settings_without_quota());
         let first = sent(&rig.request(1, 1, 1.0)).unwrap();
         rig.now += after_ms;
-        let actions = rig.outcome(1, 0, first, Result::Reset, None);
+        let actions = rig.outcome(1, 0, first, CallResult::Reset, None);
         let zone = |id| if id == 3 { 1 } else { 0 };
         assert_eq!(sent(&actions).map(zone), retried.then_some(zone(first)));
         assert!(retried || failed(&actions), "not safe to retry, so not refused: {actions:?}");
@@ -69,7 +71,7 @@
 #[test]
 fn draining_and_removed_backends_get_no_requests() {
     let mut rig = Rig::new(settings_without_quota());
-    let entries = vec![listed(1, 0, State::Draining), listed(2, 0, State::Gone)];
+    let entries = vec![backend_entry(1, 0, BackendState::Draining), backend_entry(2, 0, BackendState::Gone)];
     rig.event(Event::List { full: false, entries });
     for id in 1..20 {
         let backend = sent(&rig.request(id, 0, 1.0));
@@ -83,7 +85,7 @@
 fn cold_backends_get_only_their_warm_share() {
     let mut rig = Rig::new(settings_without_quota());
     rig.now += 60_000.0;
-    let mut fresh = listed(4, 0, State::Ready);
+    let mut fresh = backend_entry(4, 0, BackendState::Ready);
     fresh.started = rig.now;
     rig.event(Event::List { full: false, entries: vec![fresh] });
     let mut to_cold = 0;
@@ -92,7 +94,7 @@
         rig.now += 10.0;
         if let Some(backend) = sent(&rig.request(id, 0, 1.0)) {
             to_cold += usize::from(backend == 4);
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     assert!(to_cold <= 9, "{to_cold} of 100 requests to a backend at a quarter of its capacity");
@@ -107,7 +109,7 @@
         let backend = sent(&rig.request(id, 2, 1.0)).unwrap();
         to_backend += usize::from(backend == 1);
         let reset = backend == 1 && (11..=10 + resets).contains(&to_backend);
-        rig.outcome(id, 0, backend, if reset { Result::Reset } else { Result::Ok }, None);
+        rig.outcome(id, 0, backend, if reset { CallResult::Reset } else { CallResult::Ok }, None);
     }
     to_backend
 }
@@ -134,7 +136,7 @@
             to_failing += usize::from(backend == 1);
             let fails = backend == 1 && to_failing % 2 == 0;
             failures[usize::from(is_unsafe)] += usize::from(fails);
-            let result = if fails { Result::Error } else { Result::Ok };
+            let result = if fails { CallResult::Error } else { CallResult::Ok };
             next = sent(&rig.outcome(id, attempt, backend, result, None));
             attempt += 1;
         }
@@ -157,7 +159,7 @@
         rig.now += 10.0;
         if let Some(backend) = sent(&rig.request(id, 0, 2.0)) {
             units += 2.0;
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     units
@@ -188,7 +190,7 @@
         units += send_excess_load(&mut rig, id..id + 1);
         rig.now += 10.0;
         let actions = rig.event(Event::Message { from: 3, body: ask.clone() });
-        assert!(actions.iter().any(|a| matches!(a, Action::Tell { to: 3, .. })));
+        assert!(actions.iter().any(|a| matches!(a, Action::SendMessage { to: 3, .. })));
     }
     assert!(units <= 42.0, "more than half of 40 units and of 4 per second for 10 s: {units}");
 }
@@ -205,8 +207,8 @@
             id,
             attempt: 0,
             backend,
-            result: Result::Ok,
-            ended: true,
+            result: CallResult::Ok,
+            is_final: true,
             units: None,
             took_ms: 1900.0,
             load: Load::default(),
@@ -226,7 +228,7 @@
     for id in 1..=20 {
         let backend = sent(&rig.request(id, 0, 1.0)).unwrap();
         rig.now += 50.0;
-        rig.outcome(id, 0, backend, Result::Ok, None);
+        rig.outcome(id, 0, backend, CallResult::Ok, None);
         rig.now += 350.0;
     }
     sent(&rig.request(21, 0, 1.0)).unwrap();
@@ -239,7 +241,7 @@
     // Duplicates of attempts at rarely used backends, which all seemed to hang, overloaded the backends.
     for second_copies in [false, true] {
         let mut s = settings_without_quota();
-        s.limits.second_copies = second_copies;
+        s.limits.hedging = second_copies;
         let mut rig = Rig::new(s);
         let actions = rig.request(1, 0, 1.0);
         for action in actions {
@@ -259,14 +261,15 @@
     let mut s = settings_without_quota();
     s.plans.push(s.plans[0]);
     let mut rig = Rig::new(s);
-    rig.event(Event::List { full: false, entries: vec![listed(3, 1, State::Gone)] });
+    rig.event(Event::List { full: false, entries: vec![backend_entry(3, 1, BackendState::Gone)] });
     let send = |rig: &mut Rig, id, plan| {
         sent(&rig.event(Event::Request(Request { plan, ..request(id, id) }))).expect("sent")
     };
     let full = send(&mut rig, 1, 0);
-    let other = sent(&rig.outcome(1, 0, full, Result::Full, None)).expect("retried at another backend");
+    let other =
+        sent(&rig.outcome(1, 0, full, CallResult::Rejected, None)).expect("retried at another backend");
     assert_ne!(full, other);
-    rig.outcome(1, 1, other, Result::Ok, None);
+    rig.outcome(1, 1, other, CallResult::Ok, None);
     let mut used = Vec::new();
     for id in 2..=12 {
         rig.now += 400.0;
@@ -274,7 +277,7 @@
         assert_eq!(backends[0], other, "plan 0 was sent to the full backend");
         used.push(backends[1]);
         for (plan, backend) in backends.into_iter().enumerate() {
-            rig.outcome(id * 10 + plan as u64, 0, backend, Result::Ok, None);
+            rig.outcome(id * 10 + plan as u64, 0, backend, CallResult::Ok, None);
         }
     }
     assert!(used.contains(&full), "backend {full} has capacity for plan 1");
@@ -287,7 +290,7 @@
     for position in 0..100u32 {
         let settings = Settings { gateways: 100, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let mut entries: Vec<_> = (1..=40).map(|id| listed(id, id % 2, State::Ready)).collect();
+        let mut entries: Vec<_> = (1..=40).map(|id| backend_entry(id, id % 2, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries: entries.clone() });
         for id in 0..50 {
             rig.now += 500.0;
@@ -297,7 +300,7 @@
             }
             let backend = sent(&rig.event(Event::Request(request(id, id)))).expect("sent");
             sends[backend as usize] += usize::from(id >= 20);
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     sends
@@ -316,12 +319,12 @@
     for position in 0..gateways {
         let settings = Settings { gateways, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let entries = [1, 2].map(|id| listed(id, 0, State::Ready)).to_vec();
+        let entries = [1, 2].map(|id| backend_entry(id, 0, BackendState::Ready)).to_vec();
         rig.event(Event::List { full: true, entries: entries.clone() });
         for id in 0..65 {
             rig.now = (id * 200) as f64 + f64::from(position);
             if id == 50 {
-                let cold = Listed {
+                let cold = BackendEntry {
                     cold_until: rig.now + cold_ms,
                     cold_per_s: 3.6 / f64::from(gateways),
                     limited_until: rig.now + 3000.0,
@@ -334,7 +337,7 @@
             if backend == 1 && id >= 50 {
                 times.push(rig.now);
             }
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
     times
@@ -373,7 +376,8 @@
     let run = |position| {
         let settings = Settings { gateways, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let entries: Vec<_> = (1..=backends).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
+        let entries: Vec<_> =
+            (1..=backends).map(|id| backend_entry(id * 7919, id % 3, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries });
         let mut sends = vec![0; backends as usize + 1];
         for id in 0..50 {
@@ -383,7 +387,7 @@
             while let Some(backend) = next {
                 let number = backend / 7919;
                 sends[number as usize] += 1;
-                let result = if number <= dead { Result::ConnectFailed } else { Result::Ok };
+                let result = if number <= dead { CallResult::ConnectFailed } else { CallResult::Ok };
                 let took_ms = 20.0 + (id * 37 % 100) as f64;
                 next = sent(&rig.outcome_after(took_ms, id, attempt, backend, result, None));
                 attempt += 1;
@@ -432,7 +436,8 @@
     for position in 0..100 {
         let settings = Settings { gateways: 100, position, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, u64::from(position), 0.0), now: 0.0 };
-        let mut entries: Vec<_> = (1..=60).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
+        let mut entries: Vec<_> =
+            (1..=60).map(|id| backend_entry(id * 7919, id % 3, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries: entries.clone() });
         for id in 0..75 {
             rig.now = f64::from(position) * 2.0 + id as f64 * 200.0;
@@ -446,7 +451,7 @@
                     times[backend as usize / 7919].push(rig.now);
                 }
                 let took_ms = 20.0 + (id * 37 % 100) as f64;
-                rig.outcome_after(took_ms, id, 0, backend, Result::Ok, None);
+                rig.outcome_after(took_ms, id, 0, backend, CallResult::Ok, None);
             }
         }
     }
@@ -475,7 +480,8 @@
     for (gateways, backends) in [(3, 10), (100, 60)] {
         let settings = Settings { gateways, ..settings_without_quota() };
         let mut rig = Rig { gateway: Gateway::new(settings, 1, 1000.0), now: 1000.0 };
-        let mut entries: Vec<_> = (1..=backends).map(|id| listed(id * 7919, id % 3, State::Ready)).collect();
+        let mut entries: Vec<_> =
+            (1..=backends).map(|id| backend_entry(id * 7919, id % 3, BackendState::Ready)).collect();
         entries.iter_mut().for_each(|entry| entry.started = 900.0);
         rig.event(Event::List { full: true, entries });
         let mut served = 0;
@@ -483,7 +489,7 @@
             rig.now += 200.0;
             if let Some(backend) = sent(&rig.event(Event::Request(request(id, id)))) {
                 served += 1;
-                rig.outcome(id, 0, backend, Result::Ok, None);
+                rig.outcome(id, 0, backend, CallResult::Ok, None);
             }
         }
         assert!((5..25).contains(&served), "{served} of 25 served in the first 5 s with {gateways} gateways");
@@ -505,7 +511,7 @@
 #[test]
 fn attempts_in_flight_are_capped() {
     let mut s = settings_without_quota();
-    s.plans[0].max_out = 2;
+    s.plans[0].max_in_flight = 2;
     let mut rig = Rig::new(s);
     assert!(sent(&rig.request(1, 0, 1.0)).is_some());
     assert!(sent(&rig.request(2, 0, 1.0)).is_some());
@@ -515,13 +521,13 @@
 #[test]
 fn unexpected_events_are_ignored() {
     let mut rig = Rig::new(settings());
-    assert!(rig.outcome(9, 3, 77, Result::Ok, Some(2.0)).is_empty());
-    assert!(rig.counted(12345, Result::Ok, f64::NAN).is_empty());
-    assert!(rig.event(Event::Gone { id: 4 }).is_empty());
-    rig.event(Event::List { full: false, entries: vec![listed(500, 3, State::Gone)] });
+    assert!(rig.outcome(9, 3, 77, CallResult::Ok, Some(2.0)).is_empty());
+    assert!(rig.counted(12345, CallResult::Ok, f64::NAN).is_empty());
+    assert!(rig.event(Event::ClientGone { id: 4 }).is_empty());
+    rig.event(Event::List { full: false, entries: vec![backend_entry(500, 3, BackendState::Gone)] });
     rig.event(Event::Timer { token: u64::MAX });
     let (name, _) = count(&rig.request(1, 0, 0.0)).unwrap();
-    assert!(sent(&rig.counted(name, Result::Ok, 0.0)).is_some(), "zero units are valid");
+    assert!(sent(&rig.counted(name, CallResult::Ok, 0.0)).is_some(), "zero units are valid");
     assert!(refused(&rig.request(2, 9, 1.0)).is_some(), "an unknown class is refused");
     let actions = rig.request(3, 0, f64::NAN);
     assert!(count(&actions).is_none_or(|(_, amount)| amount.is_finite()));
@@ -533,7 +539,7 @@
         |s| (s.position, s.limits.peers) = (50, true),
         |s| s.plans[0].burst = 1.0,
         |s| s.plans[0].rate = 0.0,
-        |s| s.classes[0].aim_ms = 9000.0,
+        |s| s.classes[0].target_ms = 9000.0,
         |s| s.gateways = 0,
     ];
     for (case, change) in cases.iter().enumerate() {
@@ -542,7 +548,7 @@
         let mut rig = Rig::new(s);
         let mut actions = rig.request(1, 0, 3.0);
         if let Some((name, amount)) = count(&actions) {
-            actions.extend(rig.counted(name, Result::Ok, amount));
+            actions.extend(rig.counted(name, CallResult::Ok, amount));
         }
         assert!(sent(&actions).is_some() || refused(&actions).is_some(), "case {case}: {actions:?}");
     }
@@ -552,10 +558,10 @@
 fn one_or_no_backend_and_invalid_spreads_are_handled() {
     for left in [1, 0] {
         let mut rig = Rig::new(settings_without_quota());
-        let entries = [listed(1, 0, State::Ready)];
+        let entries = [backend_entry(1, 0, BackendState::Ready)];
         rig.event(Event::List { full: true, entries: entries[..left].to_vec() });
         for (id, spread) in [(1, 1e12), (2, 0.0), (3, f64::NAN)] {
-            let actions = rig.event(Event::Request(Request { spread, ..request(id, id) }));
+            let actions = rig.event(Event::Request(Request { customer_gateways: spread, ..request(id, id) }));
             assert_eq!(sent(&actions), (left == 1).then_some(1));
             assert_eq!(refused(&actions).is_some(), left == 0);
         }
@@ -567,15 +573,19 @@
     let mut rig = Rig::new(Settings { gateways: 100, ..settings_without_quota() });
     rig.event(Event::List { full: true, entries: vec![] });
     assert!(refused(&rig.request(1, 0, 1.0)).is_some(), "refused at once");
-    let twice = vec![listed(2, 0, State::Ready), listed(3, 1, State::Ready), listed(2, 0, State::Draining)];
+    let twice = vec![
+        backend_entry(2, 0, BackendState::Ready),
+        backend_entry(3, 1, BackendState::Ready),
+        backend_entry(2, 0, BackendState::Draining),
+    ];
     rig.event(Event::List { full: true, entries: twice });
     // Backends that return to the list start cold; wait until they are warm.
     rig.now += 20_000.0;
     for id in 2..10 {
         assert_eq!(sent(&rig.request(id, 0, 1.0)), Some(3), "the last entry of 2 says draining");
-        rig.outcome(id, 0, 3, Result::Ok, None);
+        rig.outcome(id, 0, 3, CallResult::Ok, None);
     }
-    rig.event(Event::List { full: true, entries: vec![listed(1, 0, State::Ready)] });
+    rig.event(Event::List { full: true, entries: vec![backend_entry(1, 0, BackendState::Ready)] });
     rig.now += 20_000.0;
     assert_eq!(sent(&rig.request(20, 0, 1.0)), Some(1), "1 returned with the full list");
 }
@@ -583,21 +593,21 @@
 #[test]
 fn backends_draining_in_waves_get_no_requests() {
     let mut rig = Rig::new(settings_without_quota());
-    let entries: Vec<_> = (1..=9).map(|id| listed(id, id % 2, State::Ready)).collect();
+    let entries: Vec<_> = (1..=9).map(|id| backend_entry(id, id % 2, BackendState::Ready)).collect();
     rig.event(Event::List { full: true, entries });
     let mut id = 0;
     for wave in 0..4u32 {
         let draining = [wave * 2 + 1, wave * 2 + 2];
         rig.event(Event::List {
             full: false,
-            entries: draining.map(|id| listed(id, id % 2, State::Draining)).into(),
+            entries: draining.map(|id| backend_entry(id, id % 2, BackendState::Draining)).into(),
         });
         for _ in 0..30 {
             id += 1;
             rig.now += 20.0;
             let backend = sent(&rig.request(id, 0, 1.0)).expect("other backends are ready");
             assert!(backend > draining[1], "{backend} is draining");
-            rig.outcome(id, 0, backend, Result::Ok, None);
+            rig.outcome(id, 0, backend, CallResult::Ok, None);
         }
     }
 }
@@ -606,12 +616,12 @@
 /// the minimum is admitted.
 fn overloaded() -> Rig {
     let mut rig = Rig::new(Settings { gateways: 100, ..settings_without_quota() });
-    let entries = (1..=60).map(|id| listed(id, 0, State::Ready)).collect();
+    let entries = (1..=60).map(|id| backend_entry(id, 0, BackendState::Ready)).collect();
     rig.event(Event::List { full: true, entries });
     for id in 1..=40 {
         let backend = sent(&rig.request(id, 0, 1.0)).expect("admitted before any response");
         rig.now += 500.0;
-        rig.outcome_after(500.0, id, 0, backend, Result::Ok, None);
+        rig.outcome_after(500.0, id, 0, backend, CallResult::Ok, None);
     }
     rig.now += 20_000.0;
     rig
@@ -625,7 +635,7 @@
         assert!(backends.len() < 1000, "no limit");
     }
     for (id, backend) in (from..).zip(&backends) {
-        rig.outcome_after(1.0, id, 0, *backend, Result::Moot, None);
+        rig.outcome_after(1.0, id, 0, *backend, CallResult::NotSent, None);
     }
     backends.len() as u64
 }
@@ -668,7 +678,7 @@
 fn fewer_gateways_use_larger_subsets() {
     let backends_used = |present: Option<u32>| {
         let mut rig = Rig::new(Settings { gateways: 100, ..settings_without_quota() });
-        let entries = (1..=200).map(|id| listed(id, 0, State::Ready)).collect();
+        let entries = (1..=200).map(|id| backend_entry(id, 0, BackendState::Ready)).collect();
         rig.event(Event::List { full: true, entries });
         if let Some(present) = present {
             rig.event(Event::Gateways { present, majority: true });
