--- a/overland/src/copy.rs
+++ b/overland/src/copy.rs
@@ -1,5 +1,5 @@
-//! What a proxy goes by, without sockets or clock: its copy of the agreed state, what it takes of its agent, how old the
-//! leader's last word is, and when it stops going by keys by itself.
+//! A proxy's replica of the state, without sockets or clock: how updates from the agent are applied, how long
+//! ago the leader was last heard, and when the proxy stops accepting keys (its lease).
 
 use crate::agreement::READS;
 use crate::news::{FromProxy, ToProxy};
@@ -7,88 +7,95 @@
 use crate::state::{Digest, State, Touched};
 use cherrytally::Millis;
 
-/// For so long after a settled leader's word a gateway sends backends as much as it likes, in ms. Without such a word any of
-/// them may have turned cold. It is longer than it takes to elect another leader, and shorter than a zone is emptied for.
+/// For how long after contact with a settled leader backends not known to be cold count as warm; later, any
+/// of them may have become cold. Longer than an election, shorter than the evacuation of a zone.
 const FULL_RATE_MS: Millis = 2000.0;
-/// A leader that comes so soon after a settled one's last word goes on with it, in ms: a heartbeat of each backend may have
-/// been missed, and is sent again at once.
-const GAP_MS: Millis = 3000.0;
+/// A new leader heard within this time after contact with a settled one counts as settled: at most one
+/// heartbeat of each backend was missed, and it is repeated at once.
+const LEADER_GAP_MS: Millis = 3000.0;
 
-/// A proxy's copy of the agreed state.
+/// A proxy's replica of the state.
 pub struct Copy {
     state: Option<State>,
     digest: Digest,
-    /// It differs from the agent's: its ranges are to be told.
+    /// The replica differs from the agent's; its range digests are due.
     differs: bool,
-    /// The moment of the last word of who leads.
-    fresh: Option<Millis>,
-    /// The moment of the last word of a leader that had heard every backend, or that went on with such a one. A process that
-    /// starts counts as just told: it is given the state as it is then.
-    settled: Millis,
-    /// For so long after that word it goes by the keys that it has, in ms; none where it always does.
-    lease: Option<Millis>,
+    /// When a leader was last heard.
+    leader_heard_at: Option<Millis>,
+    /// When a settled leader was last heard: one that has heard every backend, or that soon followed such a
+    /// leader. Zero at start-up, when the proxy is given the current state.
+    settled_at: Millis,
+    /// How long keys stay valid after a leader was heard; none if they always do.
+    lease_ms: Option<Millis>,
 }
 
-/// What came of news.
+/// The effects of a message from the agent.
 #[derive(Debug, Default, PartialEq)]
 pub struct Taken {
-    /// What of the copy is another now.
+    /// What changed in the replica.
     pub touched: Vec<Touched>,
-    /// Ranges of it were mended.
+    /// Whether ranges of the replica were repaired.
     pub mended: bool,
-    /// The leader was heard then, at the latest.
+    /// The latest time at which the leader is known to have been heard.
     pub word: Option<Millis>,
 }
 
 impl Copy {
-    /// No copy yet.
+    /// An empty replica.
     pub fn new(bounds: &Bounds) -> Self {
-        let lease = bounds.closed.then(|| bounds.lease().as_secs_f64() * 1000.0);
-        Copy { state: None, digest: Digest::default(), differs: false, fresh: None, settled: 0.0, lease }
+        let lease_ms = bounds.closed.then(|| bounds.lease().as_secs_f64() * 1000.0);
+        Copy {
+            state: None,
+            digest: Digest::default(),
+            differs: false,
+            leader_heard_at: None,
+            settled_at: 0.0,
+            lease_ms,
+        }
     }
 
-    /// A copy that no leader keeps up to date: it counts as told for good.
+    /// An empty replica without a leader; the leader always counts as settled.
     pub fn apart(bounds: &Bounds) -> Self {
-        Copy { settled: f64::INFINITY, ..Copy::new(bounds) }
+        Copy { settled_at: f64::INFINITY, ..Copy::new(bounds) }
     }
 
-    /// The copy, once there is one.
+    /// The state, once it was received.
     pub fn state(&self) -> Option<&State> {
         self.state.as_ref()
     }
 
-    /// The number of the last change in it, nought without one.
+    /// The index of the last applied change; zero without a state.
     pub fn held(&self) -> u64 {
         self.state.as_ref().map_or(0, |state| state.index)
     }
 
-    /// How long ago the leader's last word was, in ms.
+    /// How long ago the leader was last heard, in ms.
     pub fn word_age(&self, now: Millis) -> Option<Millis> {
-        self.fresh.map(|at| now - at)
+        self.leader_heard_at.map(|at| now - at)
     }
 
-    /// Whether it may still go by the keys that it has.
+    /// Whether the lease on its keys is still valid.
     pub fn in_touch(&self, now: Millis) -> bool {
-        self.lease.is_none_or(|lease| self.word_age(now).is_some_and(|age| age < lease))
+        self.lease_ms.is_none_or(|lease_ms| self.word_age(now).is_some_and(|age| age < lease_ms))
     }
 
-    /// Until when backends count as warm that are not known to be cold.
+    /// Until when backends not known to be cold count as warm.
     pub fn full_rate_until(&self) -> Millis {
-        self.settled + FULL_RATE_MS
+        self.settled_at + FULL_RATE_MS
     }
 
-    /// Whether backends count as warm that are not known to be cold.
+    /// Whether backends not known to be cold count as warm.
     pub fn has_full_rate(&self, now: Millis) -> bool {
         now < self.full_rate_until()
     }
 
-    /// What the agent is told.
+    /// The next message to the agent.
     pub fn word(&mut self, now: Millis, front: String, ready: bool) -> FromProxy {
         let ranges = self.state.as_ref().filter(|_| std::mem::take(&mut self.differs)).map(State::ranges);
         FromProxy { front, ready, held: self.held(), ranges, at: Some(now), reads: READS }
     }
 
-    /// Takes what the agent tells of the state, and how old that is.
+    /// Applies a message from the agent.
     pub fn take(&mut self, now: Millis, news: ToProxy) -> Taken {
         let ToProxy { whole, changes, age_ms, index, digest, mend, at, unsettled, .. } = news;
         let mut taken = Taken::default();
@@ -111,14 +118,16 @@
                 self.differs = true;
             }
         }
-        // It may have waited for long, where this process stood still. It was sent after `at`, and that old then.
+        // The message may have been queued while this process was suspended, so its age counts from `at`, the
+        // time of the last message that the agent had received from here, and not from its arrival.
         taken.word = at.filter(|at| age_ms >= 0.0 && *at <= now).map(|at| at - age_ms);
-        self.fresh = match (self.fresh, taken.word) {
-            (Some(fresh), Some(word)) => Some(fresh.max(word)),
-            (fresh, word) => fresh.or(word),
+        self.leader_heard_at = match (self.leader_heard_at, taken.word) {
+            (Some(known), Some(heard)) => Some(known.max(heard)),
+            (known, heard) => known.or(heard),
         };
-        if let Some(word) = taken.word.filter(|word| !unsettled || word - self.settled < GAP_MS) {
-            self.settled = self.settled.max(word);
+        let settled = taken.word.filter(|heard| !unsettled || heard - self.settled_at < LEADER_GAP_MS);
+        if let Some(heard) = settled {
+            self.settled_at = self.settled_at.max(heard);
         }
         taken
     }
--- a/overland/src/ledger.rs
+++ b/overland/src/ledger.rs
@@ -1,97 +1,99 @@
-//! What came of the operators' orders, as a part of the agreed state: each order that was taken or refused by an entry of
-//! the log is kept by its number and its digests, so that any member gives the same answer again.
+//! The outcomes of configuration updates, as part of the replicated state. Each update that a log entry
+//! accepted or rejected is recorded by its edition and digests, so that any member gives the same answer to a
+//! retry.
 
 use crate::news::{Configured, Ordered, Orders, Refused, Whole};
 use std::collections::VecDeque;
 
-/// Orders that were taken, the newest: at a hundred bytes each that is what a state may grow by. An order is sent again
-/// for seconds, and a busy day brings some hundreds; of one that lies further back nothing is claimed.
+/// Most accepted updates that are recorded, at about a hundred bytes each. Retries end within seconds and a
+/// busy day brings some hundreds of updates; the outcome of an older one is unknown.
 pub const TAKEN_MOST: usize = 4096;
-/// Orders that were refused by an entry, the newest: only copies of them that are still on their way ask, within seconds.
+/// Most rejected updates that are recorded; only copies still in flight ask for them, within seconds.
 pub const REFUSED_MOST: usize = 256;
 
-/// What tells an order from others.
+/// Identifies a configuration update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark {
-    /// The number that it brings.
+    /// The edition that it sets.
     pub edition: u64,
-    /// The number that it builds on; nought for the first.
+    /// The edition that it builds on; zero for the first.
     pub based_on: u64,
-    /// A digest of what it says: the same in other bytes has the same.
+    /// A digest of its content, independent of JSON formatting.
     pub order: u64,
-    /// A digest of its path and its bytes, which is what earlier programs kept.
+    /// A digest of the path and the raw bytes of the call, as earlier releases recorded it.
     pub call: u64,
 }
 
-/// Where an order stands in the agreed state.
+/// The recorded outcome of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It was taken, by this change; by one that is not known any more where there is none.
+    /// It was accepted, by the change with this index; none if the index is not recorded.
     Taken(Option<u64>),
-    /// It was refused.
+    /// It was rejected.
     Refused,
-    /// It may have been taken so long ago that it is forgotten.
+    /// Its outcome is no longer recorded; it may have been accepted.
     Forgotten,
-    /// It was never taken. It may still fit.
+    /// It was never accepted, and may still be.
     Untaken,
 }
 
-/// The orders that the agreed state remembers.
+/// The recorded outcomes of configuration updates.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
-    /// By rising number and change.
-    taken: VecDeque<Ordered>,
-    refused: VecDeque<Ordered>,
-    /// Orders of this number or below may be forgotten.
+    /// In order of edition and index.
+    accepted: VecDeque<Ordered>,
+    rejected: VecDeque<Ordered>,
+    /// Updates up to this edition may no longer be recorded.
     forgotten: u64,
-    /// Digests of calls that were taken by earlier programs.
-    calls: VecDeque<u64>,
+    /// Digests of calls that earlier releases accepted.
+    legacy_calls: VecDeque<u64>,
 }
 
 impl Ledger {
-    /// Where an order stands.
+    /// The recorded outcome of an update.
     pub fn standing(&self, mark: &Mark) -> Standing {
-        let is = |known: &&Ordered| {
-            known.edition == mark.edition
-                && (known.digests.contains(&mark.order) || known.digests.contains(&mark.call))
+        let is_same = |recorded: &&Ordered| {
+            recorded.edition == mark.edition
+                && (recorded.digests.contains(&mark.order) || recorded.digests.contains(&mark.call))
         };
-        if let Some(taken) = self.taken.iter().rev().find(is) {
-            return Standing::Taken(Some(taken.index));
+        if let Some(accepted) = self.accepted.iter().rev().find(is_same) {
+            return Standing::Taken(Some(accepted.index));
         }
-        if self.calls.contains(&mark.call) {
+        if self.legacy_calls.contains(&mark.call) {
             return Standing::Taken(None);
         }
-        if self.refused.iter().any(|known| is(&known)) {
+        if self.rejected.iter().any(|recorded| is_same(&recorded)) {
             return Standing::Refused;
         }
-        // What was taken has a number above the one that it builds on.
-        let maybe = mark.edition <= self.forgotten && mark.based_on < mark.edition;
-        if maybe {
+        // An accepted update always has an edition above its base.
+        let maybe_accepted = mark.edition <= self.forgotten && mark.based_on < mark.edition;
+        if maybe_accepted {
             Standing::Forgotten
         } else {
             Standing::Untaken
         }
     }
 
-    /// Whether the change with this number took an order. It is known for as long as the log holds the change.
+    /// Whether the change with this index accepted an update. Reliable for as long as the log holds the
+    /// change.
     pub fn took(&self, index: u64) -> bool {
-        self.taken.binary_search_by_key(&index, |known| known.index).is_ok()
+        self.accepted.binary_search_by_key(&index, |recorded| recorded.index).is_ok()
     }
 
-    /// An order is taken by a change.
+    /// Records an update that a change accepted.
     pub fn take(&mut self, index: u64, config: &Configured) {
         let digests = config.digests.iter().copied().chain([config.call]).collect();
-        self.taken.push_back(Ordered { edition: config.edition, index, digests });
-        if self.taken.len() > TAKEN_MOST {
-            if let Some(first) = self.taken.pop_front() {
+        self.accepted.push_back(Ordered { edition: config.edition, index, digests });
+        if self.accepted.len() > TAKEN_MOST {
+            if let Some(first) = self.accepted.pop_front() {
                 self.forgotten = self.forgotten.max(first.edition);
-                // Those of earlier programs are older.
-                self.calls.clear();
+                // Those are older than the one just dropped.
+                self.legacy_calls.clear();
             }
         }
     }
 
-    /// An order is refused by a change. One that was taken stays so.
+    /// Records an update that a change rejected, unless it was accepted before.
     pub fn refuse(&mut self, index: u64, refused: &Refused) {
         let mark = Mark {
             edition: refused.edition,
@@ -101,36 +103,36 @@
         };
         if self.standing(&mark) == Standing::Untaken {
             let digests = vec![refused.order];
-            self.refused.push_back(Ordered { edition: refused.edition, index, digests });
-            if self.refused.len() > REFUSED_MOST {
-                self.refused.pop_front();
+            self.rejected.push_back(Ordered { edition: refused.edition, index, digests });
+            if self.rejected.len() > REFUSED_MOST {
+                self.rejected.pop_front();
             }
         }
     }
 
-    /// Writes it into the message of a state.
+    /// Writes the ledger into a snapshot.
     pub fn write(&self, whole: &mut Whole) {
-        whole.calls = self.calls.iter().copied().collect();
+        whole.calls = self.legacy_calls.iter().copied().collect();
         whole.orders = Some(Box::new(Orders {
-            taken: self.taken.iter().cloned().collect(),
-            refused: self.refused.iter().cloned().collect(),
+            taken: self.accepted.iter().cloned().collect(),
+            refused: self.rejected.iter().cloned().collect(),
             forgotten: self.forgotten,
         }));
     }
 
-    /// Reads it from the message of a state.
+    /// Takes the ledger out of a snapshot.
     pub fn read(whole: &mut Whole) -> Self {
         let calls = std::mem::take(&mut whole.calls);
         let newest = whole.config.as_ref().map_or(0, |config| config.edition);
-        // An earlier program forgot calls without their numbers.
-        let full = whole.orders.is_none() && calls.len() >= TAKEN_MOST;
+        // Earlier releases dropped calls without recording up to which edition.
+        let may_lack_calls = whole.orders.is_none() && calls.len() >= TAKEN_MOST;
         let Orders { taken, refused, forgotten } =
             whole.orders.take().map(|orders| *orders).unwrap_or_default();
         Ledger {
-            taken: taken.into(),
-            refused: refused.into(),
-            forgotten: if full { newest } else { forgotten },
-            calls: calls.into(),
+            accepted: taken.into(),
+            rejected: refused.into(),
+            forgotten: if may_lack_calls { newest } else { forgotten },
+            legacy_calls: calls.into(),
         }
     }
 }
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -1,15 +1,15 @@
-//! What the system's processes tell one another: one message type for each link.
+//! The messages between the system's processes, and the changes and snapshots of the replicated state.
 
 use crate::difference::Difference;
 use prost::{Message, Oneof};
 
-/// A change of the agreed state.
+/// A change of the replicated state: the payload of a log entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct Change {
-    /// Which.
+    /// The change; none in an entry without one.
     #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7")]
     pub kind: Option<Kind>,
-    /// The backend that is gone said so itself: a beat of its that comes late brings it back no more.
+    /// For `BackendGone`: the backend deregistered itself, so a late heartbeat must not register it again.
     #[prost(bool, tag = "15")]
     pub left: bool,
 }
@@ -17,92 +17,93 @@
 /// The kinds of changes.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Kind {
-    /// A configuration was taken.
+    /// A configuration update.
     #[prost(message, tag = "1")]
     Configured(Configured),
-    /// A zone is emptied or taken back.
+    /// The evacuation of a zone starts or ends.
     #[prost(message, tag = "2")]
     Evacuated(Evacuated),
-    /// A backend is there, or tells something else of itself.
+    /// A backend is registered, or its registration changes.
     #[prost(message, tag = "3")]
     Backend(Backend),
-    /// A backend of this id is gone.
+    /// The backend with this id is removed.
     #[prost(string, tag = "4")]
     BackendGone(String),
-    /// A gateway is there.
+    /// A gateway is registered, or its registration changes.
     #[prost(message, tag = "5")]
     Gateway(Gateway),
-    /// The gateway of this machine is gone.
+    /// The gateway of this machine is removed.
     #[prost(string, tag = "6")]
     GatewayGone(String),
-    /// An order was refused for good.
+    /// A configuration update is rejected for good.
     #[prost(message, tag = "7")]
     Refused(Refused),
 }
 
-/// A configuration. As a change it is an order: it is taken where it fits what is in force, and changes nothing elsewhere.
+/// A configuration. As a change it is an update, accepted only on top of the edition that it names.
 #[derive(Clone, PartialEq, Message)]
 pub struct Configured {
-    /// Its number.
+    /// Its edition.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
-    /// The whole of it, as JSON.
+    /// The complete configuration, as JSON.
     #[prost(string, tag = "2")]
     pub text: String,
-    /// A digest of the call that brought it, path and bytes: the same call again is acknowledged again.
+    /// A digest of the call's path and raw bytes, by which earlier releases recognise a retry.
     #[prost(fixed64, tag = "3")]
     pub call: u64,
-    /// In a change: the number that it builds on. None in those of earlier programs, which compared before they proposed.
+    /// In a change: the edition that it builds on. None from earlier releases, which checked it before they
+    /// proposed.
     #[prost(uint64, optional, tag = "4")]
     pub based_on: Option<u64>,
-    /// In a change: digests of what the order said, and of the whole that it brings.
+    /// In a change: digests of the update's content and of the resulting complete configuration.
     #[prost(fixed64, repeated, tag = "5")]
     pub digests: Vec<u64>,
-    /// In a change, in place of the text: how it differs from the text of the version that it builds on.
+    /// In a change, instead of `text`: the difference from the text of the edition that it builds on.
     #[prost(message, optional, tag = "6")]
     pub difference: Option<Difference>,
 }
 
-/// An order on top of a version that was never in force.
+/// A rejected configuration update, whose base was not in force yet.
 #[derive(Clone, PartialEq, Message)]
 pub struct Refused {
-    /// The number that it was to bring.
+    /// The edition that it would have set.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
-    /// The number that it builds on.
+    /// The edition that it builds on.
     #[prost(uint64, tag = "2")]
     pub based_on: u64,
-    /// A digest of what it said.
+    /// A digest of its content.
     #[prost(fixed64, tag = "3")]
     pub order: u64,
 }
 
-/// What came of an order.
+/// The recorded outcome of a configuration update.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ordered {
-    /// The number that it brought.
+    /// The edition of the update.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
-    /// The change that decided.
+    /// The index of the change that accepted or rejected it.
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// Digests by which it is known again.
+    /// The digests that identify a retry of it.
     #[prost(fixed64, repeated, tag = "3")]
     pub digests: Vec<u64>,
 }
 
-/// A zone is emptied, or taken back.
+/// The start or end of a zone's evacuation.
 #[derive(Clone, PartialEq, Message)]
 pub struct Evacuated {
     /// The zone.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// False where it is taken back.
+    /// True at the start, false at the end.
     #[prost(bool, tag = "2")]
     pub on: bool,
 }
 
-/// A backend's life.
+/// The registration of a backend.
 #[derive(Clone, PartialEq, Message)]
 pub struct Backend {
     /// Its id.
@@ -111,27 +112,27 @@
     /// Its service.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// Where it is.
+    /// The address at which it takes requests.
     #[prost(string, tag = "3")]
     pub address: String,
     /// Its zone.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Most requests that it processes concurrently.
     #[prost(uint32, tag = "5")]
     pub berths: u32,
-    /// It takes nothing new.
+    /// It is draining: it accepts no new requests.
     #[prost(bool, tag = "6")]
     pub closing: bool,
-    /// It stays cold for so long from now on, in ms.
+    /// The rest of its warm-up time, in ms, when the message is made.
     #[prost(uint64, tag = "7")]
     pub cold_ms: u64,
-    /// The postmark of the beat that told this: an earlier beat changes nothing any more.
+    /// The postmark of the heartbeat that caused this; heartbeats with a lower one are ignored.
     #[prost(uint64, tag = "8")]
     pub postmark: u64,
 }
 
-/// A gateway.
+/// The registration of a gateway.
 #[derive(Clone, PartialEq, Message)]
 pub struct Gateway {
     /// Its machine.
@@ -140,21 +141,21 @@
     /// Its zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Where clients arrive.
+    /// The address at which it takes client connections.
     #[prost(string, tag = "3")]
     pub front: String,
 }
 
-/// The agreed state, whole.
+/// A snapshot of the replicated state.
 #[derive(Clone, PartialEq, Message)]
 pub struct Whole {
-    /// The number of the last change in it.
+    /// The index of the last change in it.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// The configuration in force.
     #[prost(message, optional, tag = "2")]
     pub config: Option<Configured>,
-    /// Zones that are emptied.
+    /// Zones being evacuated.
     #[prost(string, repeated, tag = "3")]
     pub evacuated: Vec<String>,
     /// The backends.
@@ -163,16 +164,16 @@
     /// The gateways.
     #[prost(message, repeated, tag = "5")]
     pub gateways: Vec<Gateway>,
-    /// Digests of the calls that brought configurations by earlier programs.
+    /// Digests of the configuration calls that earlier releases accepted.
     #[prost(fixed64, repeated, tag = "6")]
     pub calls: Vec<u64>,
-    /// Backends that said that they leave, the latest last.
+    /// Ids of backends that deregistered themselves, the most recent last.
     #[prost(string, repeated, tag = "15")]
     pub left: Vec<String>,
-    /// What came of the operators' orders.
+    /// The recorded outcomes of configuration updates.
     #[prost(message, optional, boxed, tag = "7")]
     pub orders: Option<Box<Orders>>,
-    /// Zones that were taken back lately. Earlier programs tell none.
+    /// Zones whose evacuation ended recently. Empty from earlier releases.
     #[prost(message, repeated, tag = "8")]
     pub taken_back: Vec<TakenBack>,
 }
@@ -183,65 +184,65 @@
     /// The zone.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// It was agreed on so long ago, in ms.
+    /// How long ago it was committed, in ms.
     #[prost(uint64, tag = "2")]
     pub ago_ms: u64,
 }
 
-/// What came of the operators' orders, as far as it is remembered.
+/// The recorded outcomes of configuration updates.
 #[derive(Clone, PartialEq, Message)]
 pub struct Orders {
-    /// Orders that were taken.
+    /// Accepted updates.
     #[prost(message, repeated, tag = "1")]
     pub taken: Vec<Ordered>,
-    /// Orders that were refused by a change.
+    /// Rejected updates.
     #[prost(message, repeated, tag = "2")]
     pub refused: Vec<Ordered>,
-    /// Orders of this number or below may be forgotten.
+    /// Updates up to this edition may no longer be recorded.
     #[prost(uint64, tag = "3")]
     pub forgotten: u64,
 }
 
-/// A range of the state and its digest. Copies with the same number compare them.
+/// The digest of one range of the state, compared between replicas at the same index.
 #[derive(Clone, PartialEq, Message)]
 pub struct Range {
-    /// Which.
+    /// The name of the range.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Of all that is in it.
+    /// The digest of its contents.
     #[prost(fixed64, tag = "2")]
     pub digest: u64,
 }
 
-/// Ranges of one's copy, for another that should be the same.
+/// The range digests of a replica.
 #[derive(Clone, PartialEq, Message)]
 pub struct Ranges {
-    /// The number of the last change in the copy.
+    /// The index of the last change in the replica.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// All ranges that hold something.
+    /// All ranges that are not empty.
     #[prost(message, repeated, tag = "2")]
     pub ranges: Vec<Range>,
 }
 
-/// What a copy lacks or has otherwise.
+/// Replacement contents for the ranges in which a replica differs.
 #[derive(Clone, PartialEq, Message)]
 pub struct Mend {
-    /// It mends a copy with this number alone.
+    /// The index at which the replica must be.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The names of the ranges that it replaces.
+    /// The names of the ranges to replace.
     #[prost(string, repeated, tag = "2")]
     pub names: Vec<String>,
-    /// What these ranges hold.
+    /// The contents of these ranges.
     #[prost(message, optional, tag = "3")]
     pub parts: Option<Whole>,
 }
 
-/// A change with its number.
+/// A change and its index.
 #[derive(Clone, PartialEq, Message)]
 pub struct Numbered {
-    /// The number; numbers climb, not always by one.
+    /// The index; indexes increase, with gaps.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// The change.
@@ -250,147 +251,147 @@
 }
 
 impl Numbered {
-    /// Whether it brings a configuration as its difference from the one before.
+    /// Whether it carries a configuration as its difference from the previous one.
     pub fn differs(&self) -> bool {
         let kind = self.change.as_ref().and_then(|change| change.kind.as_ref());
         matches!(kind, Some(Kind::Configured(config)) if config.difference.is_some())
     }
 }
 
-/// What an agent tells a core process.
+/// A message from an agent to a core process.
 #[derive(Clone, PartialEq, Message)]
 pub struct FromAgent {
-    /// Who it is, in the first word on a link and where it has changed.
+    /// The agent's gateway, in the first message on a link and when it has changed.
     #[prost(message, optional, tag = "1")]
     pub gateway: Option<Gateway>,
-    /// The proxy takes clients.
+    /// The proxy accepts clients.
     #[prost(bool, tag = "4")]
     pub ready: bool,
-    /// The number of the last change that the agent holds.
+    /// The index of the last change that the agent has applied.
     #[prost(uint64, tag = "5")]
     pub held: u64,
-    /// When it was sent, by the agent's own clock, in ms.
+    /// When it was sent, on the agent's clock, in ms.
     #[prost(double, tag = "6")]
     pub at: f64,
-    /// Changes from `held` on are wanted on this link.
+    /// The agent subscribes to the changes after `held` on this link.
     #[prost(bool, tag = "7")]
     pub follows: bool,
-    /// The number of the last change that the proxy goes by; nought where there is no proxy.
+    /// The index of the last change that the proxy has applied; zero without a proxy.
     #[prost(uint64, tag = "8")]
     pub applied: u64,
-    /// The copy differs from the leader's with the same number: its ranges.
+    /// The range digests of the agent's replica, if it differs from the leader's at the same index.
     #[prost(message, optional, tag = "9")]
     pub ranges: Option<Ranges>,
-    /// What it reads in changes: [`crate::agreement::READS`].
+    /// The format of changes that the sender can read: [`crate::agreement::READS`].
     #[prost(uint32, tag = "10")]
     pub reads: u32,
 }
 
-/// What a core process tells an agent.
+/// A message from a core process to an agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct ToAgent {
-    /// The whole state, where the agent's is too old.
+    /// A snapshot, if the agent is too far behind.
     #[prost(message, optional, tag = "1")]
     pub whole: Option<Whole>,
     /// Changes, in order.
     #[prost(message, repeated, tag = "2")]
     pub changes: Vec<Numbered>,
-    /// The answer to a word of the agent.
+    /// The reply to a message of the agent.
     #[prost(message, optional, tag = "3")]
     pub pulse: Option<Pulse>,
-    /// What differs in the agent's copy.
+    /// A repair of the agent's replica.
     #[prost(message, optional, tag = "4")]
     pub mend: Option<Mend>,
 }
 
-/// A core process's answer to a word of an agent.
+/// A core process's reply to a message of an agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct Pulse {
-    /// The agent's `at`.
+    /// The `at` of the agent's message.
     #[prost(double, tag = "1")]
     pub at: f64,
-    /// It leads, and a majority has said so lately.
+    /// It is the leader, and a majority has recently confirmed that.
     #[prost(bool, tag = "2")]
     pub leads: bool,
-    /// The term of who leads, as far as it knows.
+    /// The latest leader's term that it knows of.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// The number of the last change it has applied; the highest of all to a gateway that no copy is to be up to date for.
+    /// The index of the last change it has applied; the maximum if the gateway must not count as up to date.
     #[prost(uint64, tag = "4")]
     pub index: u64,
-    /// The members of the core, in the first answer on a link and where they have changed.
+    /// The members of the core, in the first reply on a link and when they have changed.
     #[prost(string, repeated, tag = "5")]
     pub members: Vec<String>,
-    /// The digest of the state with that number; nought where it is not told.
+    /// The digest of the state at that index; zero if not given.
     #[prost(fixed64, tag = "6")]
     pub digest: u64,
-    /// It has not heard every backend since it began to lead: some may have turned cold meanwhile.
+    /// Not every backend has sent a heartbeat since it became leader; some may have become cold.
     #[prost(bool, tag = "7")]
     pub unsettled: bool,
 }
 
-/// What an agent tells its proxy.
+/// A message from an agent to its proxy.
 #[derive(Clone, PartialEq, Message)]
 pub struct ToProxy {
-    /// The whole state.
+    /// A snapshot.
     #[prost(message, optional, tag = "1")]
     pub whole: Option<Whole>,
     /// Changes, in order.
     #[prost(message, repeated, tag = "2")]
     pub changes: Vec<Numbered>,
-    /// Where the counting gateway is, empty if that is not known.
+    /// The address of the counter, empty if unknown.
     #[prost(string, tag = "3")]
     pub counter: String,
-    /// The term of its duty.
+    /// The term in which it is the counter.
     #[prost(uint64, tag = "4")]
     pub term: u64,
-    /// The age of the last word of who leads, in ms; below nought if there was none.
+    /// How long ago the agent heard the leader, in ms; negative if never.
     #[prost(double, tag = "5")]
     pub age_ms: f64,
-    /// The number of the agent's copy.
+    /// The index of the agent's replica.
     #[prost(uint64, tag = "6")]
     pub index: u64,
     /// Its digest.
     #[prost(fixed64, tag = "7")]
     pub digest: u64,
-    /// What differs in the proxy's copy.
+    /// A repair of the proxy's replica.
     #[prost(message, optional, tag = "8")]
     pub mend: Option<Mend>,
-    /// The proxy's `at`, from the last word that the agent had of it: this was sent later.
+    /// The `at` of the last message that the agent received from the proxy before it sent this.
     #[prost(double, optional, tag = "9")]
     pub at: Option<f64>,
-    /// Who leads had not heard every backend yet when it gave its last word.
+    /// Not every backend had sent the leader a heartbeat when it was last heard; see [`Pulse::unsettled`].
     #[prost(bool, tag = "10")]
     pub unsettled: bool,
 }
 
-/// What a proxy tells its agent.
+/// A message from a proxy to its agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct FromProxy {
-    /// Where clients arrive.
+    /// The address at which it takes client connections.
     #[prost(string, tag = "1")]
     pub front: String,
-    /// It takes clients.
+    /// It accepts clients.
     #[prost(bool, tag = "2")]
     pub ready: bool,
-    /// The number of the last change that it holds.
+    /// The index of the last change that it has applied.
     #[prost(uint64, tag = "3")]
     pub held: u64,
-    /// The copy differs from the agent's with the same number: its ranges.
+    /// The range digests of the proxy's replica, if it differs from the agent's at the same index.
     #[prost(message, optional, tag = "4")]
     pub ranges: Option<Ranges>,
-    /// When it was sent, by the proxy's own clock, in ms.
+    /// When it was sent, on the proxy's clock, in ms.
     #[prost(double, optional, tag = "5")]
     pub at: Option<f64>,
-    /// What it reads in changes: [`crate::agreement::READS`].
+    /// The format of changes that the sender can read: [`crate::agreement::READS`].
     #[prost(uint32, tag = "6")]
     pub reads: u32,
 }
 
-/// Charges to the counting gateway.
+/// A batch of charges from a proxy to the counter.
 #[derive(Clone, PartialEq, Message)]
 pub struct Charges {
-    /// Counts up with each message on a connection.
+    /// The sequence number of the message on its connection.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// The charges.
@@ -398,30 +399,30 @@
     pub charges: Vec<Charge>,
 }
 
-/// A charge to one tenant's count.
+/// A charge to a tenant's quota.
 #[derive(Clone, PartialEq, Message)]
 pub struct Charge {
     /// The tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Units of requests to be sent.
+    /// Units for requests about to be sent.
     #[prost(uint64, tag = "2")]
     pub units: u64,
-    /// Units of requests that were not sent after all, to be taken off the window in which they were charged.
+    /// Units to refund, for requests that were charged but not sent.
     #[prost(uint64, tag = "3")]
     pub back: u64,
-    /// That window.
+    /// The window in which the refunded units were charged.
     #[prost(uint64, tag = "4")]
     pub window: u64,
 }
 
-/// Totals of the counting gateway.
+/// The counter's reply to a batch of charges.
 #[derive(Clone, PartialEq, Message)]
 pub struct Totals {
-    /// The number of the charges.
+    /// The sequence number of the batch.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// False while the holder of the duty can't vouch for a count.
+    /// False if the counter can't vouch for its counts.
     #[prost(bool, tag = "2")]
     pub sure: bool,
     /// One total for each charge, in order.
@@ -432,13 +433,13 @@
 /// A tenant's count after a charge.
 #[derive(Clone, PartialEq, Message)]
 pub struct Total {
-    /// Units in this window.
+    /// Units charged in the current window.
     #[prost(sint64, tag = "1")]
     pub units: i64,
-    /// The window's limit for those who reach the counter.
+    /// The window's limit for proxies that reach the counter.
     #[prost(sint64, tag = "2")]
     pub limit: i64,
-    /// What is left of the window, in ms.
+    /// The time left in the window, in ms.
     #[prost(uint32, tag = "3")]
     pub left_ms: u32,
     /// The window's number.
@@ -446,7 +447,7 @@
     pub window: u64,
 }
 
-/// The first message on a connection: who calls, and what for.
+/// The first message on a connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
     /// What the connection is for.
@@ -458,72 +459,73 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Purpose {
-    /// Nothing that is known.
+    /// Unknown.
     None = 0,
-    /// A core process speaks to another one.
+    /// Messages between core processes.
     Core = 1,
-    /// An agent follows the agreed state.
+    /// An agent replicates the state.
     Agent = 2,
-    /// A proxy charges units.
+    /// A proxy charges units to the counter.
     Counter = 3,
 }
 
-/// What a core process tells another one.
+/// A message between core processes.
 #[derive(Clone, PartialEq, Message)]
 pub struct CoreWord {
-    /// Its name: its control address.
+    /// The sender's name, which is its control address.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// The word.
+    /// The payload.
     #[prost(oneof = "Word", tags = "2, 3, 4, 5, 6, 7, 8")]
     pub word: Option<Word>,
 }
 
-/// The kinds of words between core processes.
+/// The payload of a message between core processes.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Word {
-    /// Of the agreement.
+    /// A message of the consensus protocol.
     #[prost(message, tag = "2")]
     Agreement(crate::agreement::Letter),
-    /// A call that came to one that does not lead.
+    /// A call forwarded to the leader.
     #[prost(message, tag = "3")]
     Call(Forwarded),
-    /// Its answer.
+    /// The answer to a forwarded call.
     #[prost(message, tag = "4")]
     Answer(Forwarded),
-    /// It is not among the members and wants to be.
+    /// A request of a non-member to become a member.
     #[prost(bool, tag = "5")]
     Join(bool),
-    /// The leader's copy: its number, and its digest as that of a range without a name.
+    /// The index of the leader's replica, and its digest as that of a range without a name.
     #[prost(message, tag = "6")]
     Compare(Ranges),
-    /// The ranges of a copy that differs.
+    /// The range digests of a replica that differs from the leader's.
     #[prost(message, tag = "7")]
     Differs(Ranges),
-    /// What differs in it.
+    /// A repair of that replica.
     #[prost(message, tag = "8")]
     Mend(Mend),
 }
 
-/// A call passed on to the leader, or its answer.
+/// A call forwarded to the leader, or its answer.
 #[derive(Clone, PartialEq, Message)]
 pub struct Forwarded {
-    /// Pairs the two.
+    /// Matches an answer to its call.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// The call's path; empty in an answer.
     #[prost(string, tag = "2")]
     pub path: String,
-    /// The body.
+    /// The body of the call or answer.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
-    /// The answer's status.
+    /// The HTTP status of an answer.
     #[prost(uint32, tag = "4")]
     pub status: u32,
-    /// Of a call: the leader's term; nought from earlier programs.
+    /// Of a call: the leader's term; zero from earlier releases.
     #[prost(uint64, tag = "5")]
     pub term: u64,
-    /// Of a call: when the leader said what was last heard of it, by its own clock, in ms. The call is no older than that.
+    /// Of a call: when the leader sent its last message that the sender had received, on the leader's clock,
+    /// in ms. An upper bound on the age of the call.
     #[prost(double, tag = "6")]
     pub said: f64,
 }
--- a/overland/src/state.rs
+++ b/overland/src/state.rs
@@ -1,9 +1,9 @@
-//! The agreed state: what every process of the system holds a copy of. It changes by numbered changes alone.
+//! The replicated state: the state machine of the Raft log, of which every process holds a replica. Apart
+//! from repairs of a replica that diverged, it changes only by applying log entries in order.
 
 use crate::ledger::{Ledger, Mark, Standing};
 use crate::news::{
-    Backend, Change, Configured, Gateway, Kind, Mend, Numbered, Range as Told, Ranges, Refused, TakenBack,
-    Whole,
+    Backend, Change, Configured, Gateway, Kind, Mend, Numbered, Range, Ranges, Refused, TakenBack, Whole,
 };
 use cherrytally::Millis;
 use prost::Message;
@@ -13,135 +13,136 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
 
-/// Ids of backends that left, the newest: twice as many as a site has backends may leave within the 30 s in which a late
-/// beat is looked for, and at 256 bytes at most they take half a MiB.
-const LEFT_MOST: usize = 2048;
+/// Most backend ids kept in [`State::left`]. Enough for twice a site's backends to leave within the 30 s in
+/// which a late heartbeat may arrive; at most 256 bytes each.
+const MAX_LEFT: usize = 2048;
 
-/// The end of an evacuation is remembered for so long, in ms: backends are cold for some seconds after it.
+/// How long the end of a zone's evacuation is remembered; its backends warm up for some seconds after it.
 const TAKEN_BACK_MS: Millis = 60_000.0;
 
-/// A backend, and until when it is cold by the clock of whoever holds the copy.
+/// A registered backend and its warm-up deadline.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known {
-    /// What it tells of itself.
+    /// Its registration.
     pub backend: Backend,
-    /// Until then it is cold.
+    /// When it has warmed up, on the clock of the replica's owner; zero if it is warm.
     pub cold_until: Millis,
 }
 
-/// A copy of the agreed state.
+/// A replica of the state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
-    /// The number of the last change in it.
+    /// The index of the last applied change.
     pub index: u64,
     /// The configuration in force.
     pub config: Option<Configured>,
-    /// Zones that are emptied.
+    /// Zones being evacuated.
     pub evacuated: BTreeSet<String>,
-    /// Zones whose evacuation ended lately, and when, by the clock of whoever holds the copy. The beginning may never have been
-    /// agreed on: their backends may be cold all the same.
+    /// Zones whose evacuation ended recently, and when, on the clock of the replica's owner. The start of the
+    /// evacuation may never have been committed; the zone's backends may be cold all the same.
     pub taken_back: BTreeMap<String, Millis>,
     /// Backends by id.
     pub backends: BTreeMap<String, Known>,
     /// Gateways by machine.
     pub gateways: BTreeMap<String, Gateway>,
-    /// Backends that said that they leave, the latest last.
+    /// Ids of backends that deregistered themselves, the most recent last.
     pub left: VecDeque<String>,
-    /// What came of the operators' orders; in the copies of the core alone.
+    /// The outcomes of configuration updates; only in the replicas of core processes.
     pub ledger: Ledger,
 }
 
-/// What is to be done with an order, by the state.
+/// How a configuration update relates to the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fit {
-    /// It was taken, by this change.
+    /// It was accepted, by the change with this index.
     Taken(u64),
-    /// It may have been taken long ago: nothing is claimed.
+    /// Its outcome is no longer recorded; it may have been accepted.
     Forgotten,
-    /// It fits: nothing was taken on top of what it builds on.
+    /// Its base is the edition in force.
     Fits,
-    /// It builds on a version that was not in force up to now.
+    /// Its base has not been in force yet.
     Ahead,
-    /// Another version is in place, and it can't be taken any more.
+    /// Another edition replaced its base; it can't be accepted any more.
     Late,
-    /// Its number is not above the one that it builds on.
+    /// Its edition is not above its base.
     Backward,
 }
 
-/// The range of the configuration.
-const CONFIG: &str = "config";
-/// The range of zones that are emptied.
-const EVACUATED: &str = "evacuated";
+/// The name of the range that holds the configuration.
+const CONFIG_RANGE: &str = "config";
+/// The name of the range that holds the evacuated zones.
+const EVACUATED_RANGE: &str = "evacuated";
 
-/// The range of a zone's backends and gateways.
-fn cell(zone: &str) -> String {
+/// The name of the range that holds a zone's backends and gateways.
+fn zone_range(zone: &str) -> String {
     format!("cell {zone}")
 }
 
-/// What digests are made with: the same in all processes.
+/// The hash function of digests, with fixed keys: digests are compared between processes.
 pub(crate) fn hasher() -> SipHasher13 {
     SipHasher13::new_with_keys(0x6f61, 0x6b66)
 }
 
-/// The digest of some bytes: the same in all processes.
+/// The digest of a byte string.
 pub(crate) fn digest(bytes: &[u8]) -> u64 {
     let mut hasher = hasher();
     hasher.write(bytes);
     hasher.finish()
 }
 
-/// A digest that is told is reckoned no more often, in ms: it takes all backends and the configuration, some milliseconds at
-/// a size of thousands, and a copy that differs is a fault, and rare.
-const DIGEST_MS: Millis = 1000.0;
+/// Shortest time between two digests computed for a message: each hashes the configuration and all backends,
+/// which takes milliseconds with thousands of backends.
+const MIN_DIGEST_INTERVAL_MS: Millis = 1000.0;
 
-/// The digest of a copy, reckoned once for each of its numbers.
+/// Caches the digest of a replica at its current index.
 pub struct Digest {
-    /// Of which number, and what it is; nought if none is known.
-    known: Cell<(u64, u64)>,
-    /// When it was last reckoned to be told.
-    told: Cell<Millis>,
+    /// The index and the digest; digest zero if none is cached.
+    cached: Cell<(u64, u64)>,
+    /// When [`Digest::lately`] last computed a digest.
+    computed_at: Cell<Millis>,
 }
 
 impl Default for Digest {
     fn default() -> Self {
-        Digest { known: Cell::default(), told: Cell::new(f64::NEG_INFINITY) }
+        Digest { cached: Cell::default(), computed_at: Cell::new(f64::NEG_INFINITY) }
     }
 }
 
 impl Digest {
-    /// The digest of all ranges; never nought.
+    /// The digest of all ranges; never zero.
     pub fn of(&self, state: &State) -> u64 {
-        if let Some(digest) = self.known(state) {
+        if let Some(digest) = self.cached(state) {
             return digest;
         }
         let digest = digest(&Ranges { index: 0, ..state.ranges() }.encode_to_vec()).max(1);
-        self.known.set((state.index, digest));
+        self.cached.set((state.index, digest));
         digest
     }
 
-    fn known(&self, state: &State) -> Option<u64> {
-        let (index, digest) = self.known.get();
+    fn cached(&self, state: &State) -> Option<u64> {
+        let (index, digest) = self.cached.get();
         (index == state.index && digest != 0).then_some(digest)
     }
 
-    /// The same, to be told to others; nought, which tells nothing, where another one was reckoned a moment ago.
+    /// The digest if it is cached or none was computed here within the last second; otherwise zero, which
+    /// receivers ignore.
     pub fn lately(&self, now: Millis, state: &State) -> u64 {
-        if self.known(state).is_none() {
-            if now - self.told.get() < DIGEST_MS {
+        if self.cached(state).is_none() {
+            if now - self.computed_at.get() < MIN_DIGEST_INTERVAL_MS {
                 return 0;
             }
-            self.told.set(now);
+            self.computed_at.set(now);
         }
         self.of(state)
     }
 
-    /// The copy was mended.
+    /// Drops the cached digest; needed when a replica changes without a new index.
     pub fn forget(&self) {
-        self.known.set((0, 0));
+        self.cached.set((0, 0));
     }
 }
 
-/// What a change touched.
+/// The part of the state that a change affected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Touched {
     /// The configuration.
@@ -150,14 +151,14 @@
     Backends,
     /// Gateways.
     Gateways,
-    /// A configuration that can't be read by this copy: it is not what the others have, and is to be mended.
+    /// The configuration, but its difference does not apply to this replica, which must be repaired.
     Unread,
     /// Nothing.
     Nothing,
 }
 
 impl State {
-    /// Takes in the next change. The one function that changes a copy.
+    /// Applies the next change. Apart from [`State::mend`], nothing else modifies a replica.
     pub fn apply(&mut self, now: Millis, index: u64, change: Option<&Change>) -> Touched {
         self.index = index;
         match change.and_then(|change| change.kind.as_ref()) {
@@ -177,13 +178,13 @@
                 Touched::Backends
             }
             Some(Kind::Backend(backend)) => {
-                let known = self.backends.get(&backend.id).map_or(0, |known| known.backend.postmark);
-                if backend.postmark < known {
-                    // A leader took it that had not applied all of its log yet.
+                let applied = self.backends.get(&backend.id).map_or(0, |known| known.backend.postmark);
+                if backend.postmark < applied {
+                    // An old heartbeat, proposed by a leader that had not applied its whole log yet.
                     return Touched::Nothing;
                 }
                 self.left.retain(|id| *id != backend.id);
-                // Whoever had the address before is gone: an address has one life at a time.
+                // An address belongs to one backend at a time, so the previous owner is gone.
                 self.backends
                     .retain(|id, known| *id == backend.id || known.backend.address != backend.address);
                 let cold_until = if backend.cold_ms > 0 { now + backend.cold_ms as f64 } else { 0.0 };
@@ -195,7 +196,7 @@
                 if change.is_some_and(|change| change.left) {
                     self.left.retain(|left| left != id);
                     self.left.push_back(id.clone());
-                    if self.left.len() > LEFT_MOST {
+                    if self.left.len() > MAX_LEFT {
                         self.left.pop_front();
                     }
                 }
@@ -213,21 +214,22 @@
         }
     }
 
-    /// The number of the configuration in force; nought before the first.
+    /// The edition of the configuration in force; zero before the first.
     pub fn edition(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.edition)
     }
 
-    /// Takes or refuses an order, by what is in force: the same at every copy. Numbers in force only rise, so that at most
-    /// one order is ever taken on top of each.
+    /// Accepts or rejects a configuration update by the edition in force, identically on every replica.
+    /// Editions only increase, so at most one update is ever accepted on top of each.
     fn configure(&mut self, index: u64, config: &Configured) -> Touched {
         let current = self.edition();
-        // An earlier program compared before it proposed, and its entries were all taken.
+        // Earlier releases checked the base before they proposed, so their entries are always accepted.
         let based_on = config.based_on.unwrap_or(current);
         if config.based_on.is_some() && (based_on != current || config.edition <= current) {
             if based_on > current {
                 let order = config.digests.first().copied().unwrap_or(config.call);
-                self.ledger.refuse(index, &Refused { edition: config.edition, based_on, order });
+                let refused = Refused { edition: config.edition, based_on, order };
+                self.ledger.refuse(index, &refused);
             }
             return Touched::Nothing;
         }
@@ -237,7 +239,7 @@
             Some(difference) => self.config.as_ref().and_then(|config| difference.applied(&config.text)),
         };
         let Some(text) = text else {
-            log::error!("state: what r{} changes can't be read", config.edition);
+            log::error!("state: failed to apply r{}: it is a difference from another text", config.edition);
             return Touched::Unread;
         };
         let Configured { edition, call, .. } = *config;
@@ -245,7 +247,7 @@
         Touched::Config
     }
 
-    /// What is to be done with an order. What it says of one that was taken, is late or goes backward holds for good.
+    /// Compares a configuration update with the state. `Taken`, `Late` and `Backward` are final.
     pub fn fit(&self, mark: &Mark) -> Fit {
         match self.ledger.standing(mark) {
             Standing::Taken(index) => Fit::Taken(index.unwrap_or(self.index)),
@@ -260,21 +262,22 @@
         }
     }
 
-    /// Takes in numbered changes that follow; those that are in it already are passed over.
+    /// Applies changes in order; skips those that are applied already.
     pub fn follow(&mut self, now: Millis, changes: &[Numbered]) -> Vec<Touched> {
         let new = changes.iter().filter(|numbered| numbered.index > self.index).collect::<Vec<_>>();
         new.into_iter().map(|numbered| self.apply(now, numbered.index, numbered.change.as_ref())).collect()
     }
 
-    /// The copy as a message. What came of the operators' orders and who left are for the core alone.
-    pub fn whole(&self, now: Millis, calls: bool) -> Whole {
+    /// A snapshot of the replica. `for_core` adds what only core processes need: the ledger and the
+    /// deregistered backends.
+    pub fn whole(&self, now: Millis, for_core: bool) -> Whole {
         let backend = |known: &Known| {
-            let left = (known.cold_until - now).max(0.0);
-            Backend { cold_ms: left.ceil() as u64, ..known.backend.clone() }
+            let remaining_ms = (known.cold_until - now).max(0.0);
+            Backend { cold_ms: remaining_ms.ceil() as u64, ..known.backend.clone() }
         };
-        let lately = self.taken_back.iter().filter(|(_, at)| now - **at < TAKEN_BACK_MS);
+        let recent = self.taken_back.iter().filter(|(_, at)| now - **at < TAKEN_BACK_MS);
         let taken_back =
-            lately.map(|(zone, at)| TakenBack { zone: zone.clone(), ago_ms: (now - at).max(0.0) as u64 });
+            recent.map(|(zone, at)| TakenBack { zone: zone.clone(), ago_ms: (now - at).max(0.0) as u64 });
         let mut whole = Whole {
             taken_back: taken_back.collect(),
             index: self.index,
@@ -284,43 +287,44 @@
             gateways: self.gateways.values().cloned().collect(),
             ..Whole::default()
         };
-        if calls {
+        if for_core {
             self.ledger.write(&mut whole);
             whole.left = self.left.iter().cloned().collect();
         }
         whole
     }
 
-    // ---- Comparing copies ---------------------------------------------------------------------------------------
+    // ---- Anti-entropy: comparing and repairing replicas ---------------------------------------------------
 
-    /// The digests of all ranges that hold something: the configuration, the zones that are emptied, and each zone's cell
-    /// of backends and gateways. How long a backend stays cold is reckoned by each copy for itself and is no part of it.
+    /// The digests of all ranges that are not empty: the configuration, the evacuated zones, and each zone's
+    /// backends and gateways. Not compared: warm-up times, which each replica keeps on its own clock, and
+    /// postmarks.
     pub fn ranges(&self) -> Ranges {
         let mut hashers: BTreeMap<String, SipHasher13> = BTreeMap::new();
-        let mut add = |range: String, what: &[u8]| {
+        let mut add = |range: String, bytes: &[u8]| {
             let hasher = hashers.entry(range).or_insert_with(hasher);
-            hasher.write_usize(what.len());
-            hasher.write(what);
+            hasher.write_usize(bytes.len());
+            hasher.write(bytes);
         };
         if let Some(config) = &self.config {
-            add(CONFIG.to_owned(), &config.encode_to_vec());
+            add(CONFIG_RANGE.to_owned(), &config.encode_to_vec());
         }
         for zone in &self.evacuated {
-            add(EVACUATED.to_owned(), zone.as_bytes());
+            add(EVACUATED_RANGE.to_owned(), zone.as_bytes());
         }
         for known in self.backends.values() {
-            let lasting = Backend { cold_ms: 0, postmark: 0, ..known.backend.clone() };
-            add(cell(&lasting.zone), &lasting.encode_to_vec());
+            let compared = Backend { cold_ms: 0, postmark: 0, ..known.backend.clone() };
+            add(zone_range(&compared.zone), &compared.encode_to_vec());
         }
         for gateway in self.gateways.values() {
-            add(cell(&gateway.zone), &gateway.encode_to_vec());
+            add(zone_range(&gateway.zone), &gateway.encode_to_vec());
         }
-        let told = |(name, hasher): (String, SipHasher13)| Told { name, digest: hasher.finish() };
-        Ranges { index: self.index, ranges: hashers.into_iter().map(told).collect() }
+        let range = |(name, hasher): (String, SipHasher13)| Range { name, digest: hasher.finish() };
+        Ranges { index: self.index, ranges: hashers.into_iter().map(range).collect() }
     }
 
-    /// What another copy with the same number lacks or has otherwise; none where it has another number, or the same in
-    /// all ranges.
+    /// The ranges in which a replica with these digests differs from this one; none if it is at another index
+    /// or does not differ.
     pub fn mend_for(&self, now: Millis, theirs: &Ranges) -> Option<Mend> {
         if theirs.index != self.index {
             return None;
@@ -336,46 +340,47 @@
         }
         let wanted = |range: &str| names.iter().any(|name| name == range);
         let mut parts = self.whole(now, false);
-        parts.config = parts.config.filter(|_| wanted(CONFIG));
-        parts.evacuated.retain(|_| wanted(EVACUATED));
-        parts.backends.retain(|backend| wanted(&cell(&backend.zone)));
-        parts.gateways.retain(|gateway| wanted(&cell(&gateway.zone)));
+        parts.config = parts.config.filter(|_| wanted(CONFIG_RANGE));
+        parts.evacuated.retain(|_| wanted(EVACUATED_RANGE));
+        parts.backends.retain(|backend| wanted(&zone_range(&backend.zone)));
+        parts.gateways.retain(|gateway| wanted(&zone_range(&gateway.zone)));
         Some(Mend { index: self.index, names, parts: Some(parts) })
     }
 
-    /// Replaces ranges of a copy that differed. False where it is of another number by now: nothing is touched then.
+    /// Replaces the ranges that differed. False if the replica is at another index by now; it is then left
+    /// unchanged.
     pub fn mend(&mut self, now: Millis, mend: Mend) -> bool {
         let (true, Some(parts)) = (mend.index == self.index, mend.parts) else { return false };
         let mended = |range: &str| mend.names.iter().any(|name| name == range);
-        let other = State::from_whole(now, parts);
-        if mended(CONFIG) {
-            self.config = other.config;
+        let replacement = State::from_whole(now, parts);
+        if mended(CONFIG_RANGE) {
+            self.config = replacement.config;
         }
-        if mended(EVACUATED) {
-            self.evacuated = other.evacuated;
+        if mended(EVACUATED_RANGE) {
+            self.evacuated = replacement.evacuated;
         }
-        self.backends.retain(|_, known| !mended(&cell(&known.backend.zone)));
-        self.backends.extend(other.backends);
-        self.gateways.retain(|_, gateway| !mended(&cell(&gateway.zone)));
-        self.gateways.extend(other.gateways);
+        self.backends.retain(|_, known| !mended(&zone_range(&known.backend.zone)));
+        self.backends.extend(replacement.backends);
+        self.gateways.retain(|_, gateway| !mended(&zone_range(&gateway.zone)));
+        self.gateways.extend(replacement.gateways);
         true
     }
 
-    /// A copy from a message.
+    /// A replica restored from a snapshot.
     pub fn from_whole(now: Millis, mut whole: Whole) -> Self {
         let ledger = Ledger::read(&mut whole);
         let known = |backend: Backend| {
             let cold_until = if backend.cold_ms > 0 { now + backend.cold_ms as f64 } else { 0.0 };
             (backend.id.clone(), Known { backend, cold_until })
         };
-        let taken_back = whole.taken_back.into_iter().map(|of| (of.zone, now - of.ago_ms as f64));
+        let taken_back = whole.taken_back.into_iter().map(|ended| (ended.zone, now - ended.ago_ms as f64));
         State {
             taken_back: taken_back.collect(),
             index: whole.index,
             config: whole.config,
             evacuated: whole.evacuated.into_iter().collect(),
             backends: whole.backends.into_iter().map(known).collect(),
-            gateways: whole.gateways.into_iter().map(|g| (g.node.clone(), g)).collect(),
+            gateways: whole.gateways.into_iter().map(|gateway| (gateway.node.clone(), gateway)).collect(),
             left: whole.left.into(),
             ledger,
         }
--- a/overland/src/store/journal.rs
+++ b/overland/src/store/journal.rs
@@ -1,8 +1,8 @@
-//! The library's journal, where a loss of power tore its last batch.
+//! Repairs fjall's journal after a power loss tore its last batch.
 //!
-//! The library drops a last batch that has no end. One that has its end and not all that was written before it (the
-//! sectors of one write reach the disk in any order) it takes for damage, and opens nothing. Here such a batch loses its
-//! end, too, so that the library drops it by its own rule.
+//! fjall drops a last batch without an end marker. A batch that has its end marker but lacks earlier sectors
+//! (the sectors of one write reach the disk in any order) it reports as corruption and refuses to open. Here
+//! such a batch loses its end marker, too, so that fjall drops it.
 
 use std::ffi::OsStr;
 use std::fs::{self, File};
@@ -10,13 +10,12 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// Bytes that are read at a time.
-const CHUNK: u64 = 64 * 1024;
+const READ_CHUNK_BYTES: u64 = 64 * 1024;
 
-/// The newest journal in a store's folder: they are numbered.
-fn newest(folder: &Path) -> io::Result<Option<PathBuf>> {
+/// The journal file with the highest number in a store's directory.
+fn newest_journal(dir: &Path) -> io::Result<Option<PathBuf>> {
     let mut newest: Option<(u64, PathBuf)> = None;
-    for file in fs::read_dir(folder)? {
+    for file in fs::read_dir(dir)? {
         let path = file?.path();
         if path.extension() != Some(OsStr::new("jnl")) {
             continue;
@@ -27,11 +26,11 @@
     Ok(newest.map(|(_, path)| path))
 }
 
-/// Where what was written ends: a journal is made of noughts, and written from its start.
-fn written(file: &File) -> io::Result<u64> {
+/// The length of the written part: a journal file is preallocated with zeros and written from its start.
+fn written_length(file: &File) -> io::Result<u64> {
     let mut end = file.metadata()?.len();
     while end > 0 {
-        let start = end.saturating_sub(CHUNK);
+        let start = end.saturating_sub(READ_CHUNK_BYTES);
         let mut bytes = vec![0; (end - start) as usize];
         file.read_exact_at(&mut bytes, start)?;
         if let Some(last) = bytes.iter().rposition(|byte| *byte != 0) {
@@ -42,18 +41,18 @@
     Ok(0)
 }
 
-/// Takes the end off the last batch of the newest journal. False where there is none.
+/// Truncates the end marker of the last batch in the newest journal. False if there is no such batch.
 ///
 /// # Errors
 ///
-/// The disk takes nothing.
-pub(super) fn drop_torn_batch(folder: &Path) -> io::Result<bool> {
-    let Some(path) = newest(folder)? else { return Ok(false) };
+/// The journal can't be read or written.
+pub(super) fn drop_torn_batch(dir: &Path) -> io::Result<bool> {
+    let Some(path) = newest_journal(dir)? else { return Ok(false) };
     let file = File::options().read(true).write(true).open(path)?;
-    let end = written(&file)?;
-    if end > 0 {
-        file.set_len(end - 1)?;
+    let length = written_length(&file)?;
+    if length > 0 {
+        file.set_len(length - 1)?;
         file.sync_all()?;
     }
-    Ok(end > 0)
+    Ok(length > 0)
 }
--- a/overland/src/store/mark.rs
+++ b/overland/src/store/mark.rs
@@ -1,4 +1,5 @@
-//! The mark beside a store: the number of its last save. What a store lacks of it, it has lost.
+//! The watermark file beside a store: the number of its last durable save. A store behind its watermark has
+//! lost data.
 
 use super::digest;
 use std::cell::Cell;
@@ -7,48 +8,48 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-const NAME: &str = "core.mark";
+const FILE_NAME: &str = "core.mark";
 
-/// Brings the names in a folder to disk: what was made, renamed or removed there.
-pub(super) fn sync_folder(folder: &Path) -> io::Result<()> {
-    File::open(folder)?.sync_all()
+/// Syncs a directory, so that files created, renamed or removed in it stay so after a power loss.
+pub(super) fn sync_dir(dir: &Path) -> io::Result<()> {
+    File::open(dir)?.sync_all()
 }
 
-/// The number of the last save, beside the store. It is brought to disk with the first save of a start only: after a loss of
-/// power it may be older than the store, never newer.
-pub(super) struct Mark {
+/// The watermark file. It is synced only at the first save after a start: after a power loss it may be older
+/// than the store, never newer.
+pub(super) struct Watermark {
     file: File,
-    folder: PathBuf,
-    confirmed: Cell<bool>,
+    dir: PathBuf,
+    synced: Cell<bool>,
 }
 
-impl Mark {
-    pub(super) fn open(folder: &Path) -> io::Result<Self> {
+impl Watermark {
+    pub(super) fn open(dir: &Path) -> io::Result<Self> {
         let file =
-            File::options().read(true).write(true).create(true).truncate(false).open(folder.join(NAME))?;
-        Ok(Mark { file, folder: folder.to_owned(), confirmed: Cell::new(false) })
+            File::options().read(true).write(true).create(true).truncate(false).open(dir.join(FILE_NAME))?;
+        Ok(Watermark { file, dir: dir.to_owned(), synced: Cell::new(false) })
     }
 
-    /// None where there is none, or none that can be read: the store stands for itself then.
-    pub(super) fn read(folder: &Path) -> io::Result<Option<u64>> {
-        let bytes = match fs::read(folder.join(NAME)) {
+    /// None if the file is missing or its checksum is wrong: the store is then trusted without it.
+    pub(super) fn read(dir: &Path) -> io::Result<Option<u64>> {
+        let bytes = match fs::read(dir.join(FILE_NAME)) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error),
         };
-        let word = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_le_bytes);
-        let (saves, known) = (word(0), word(8));
-        Ok(saves.filter(|saves| known == Some(digest(&saves.to_le_bytes()))))
+        let u64_at = |offset: usize| bytes.get(offset..offset + 8)?.try_into().ok().map(u64::from_le_bytes);
+        let (save_number, checksum) = (u64_at(0), u64_at(8));
+        Ok(save_number.filter(|number| checksum == Some(digest(&number.to_le_bytes()))))
     }
 
-    /// To be called when the save of this number is on disk.
-    pub(super) fn write(&self, saves: u64) -> io::Result<()> {
-        let mut bytes = saves.to_le_bytes().to_vec();
-        bytes.extend(digest(&saves.to_le_bytes()).to_le_bytes());
+    /// Must be called only once the save of this number is durable.
+    pub(super) fn write(&self, save_number: u64) -> io::Result<()> {
+        let mut bytes = save_number.to_le_bytes().to_vec();
+        bytes.extend(digest(&save_number.to_le_bytes()).to_le_bytes());
         self.file.write_all_at(&bytes, 0)?;
-        if !self.confirmed.replace(true) {
+        if !self.synced.replace(true) {
             self.file.sync_all()?;
-            sync_folder(&self.folder)?;
+            sync_dir(&self.dir)?;
         }
         Ok(())
     }
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -1,12 +1,13 @@
-//! What a core process must not forget, on disk. What was damaged there is found at a start, and is then as good as
-//! forgotten: the process starts as one with an empty disk that founds nothing, and the others fill it up.
+//! The durable store of a core process, on fjall. Corruption is detected at start-up; the process then starts
+//! with an empty store, does not bootstrap a cluster, and is caught up by the other members.
 //!
-//! Each record ends in a digest of what is before it; the vow, which each save writes, names the form, the last entry and
-//! the number of the save. A mark beside the store names that number, too, written when the save is on disk: a store that
-//! is behind its mark has lost what it had brought to disk.
+//! Each record ends in a digest of the bytes before it. Each save also writes the hard state ([`Vow`]) with
+//! the format version, the last log index and the number of the save. The watermark file beside the store
+//! holds the number of the last durable save: a store behind its watermark has lost data.
 //!
-//! A loss of power may tear the save that was under way. Nobody was told of that save, so it is dropped, and all before it
-//! stands: [`Store::open`] never takes a torn last save for damage. Damage is what a save that was on disk has lost.
+//! A power loss may tear the save in progress. No save is acknowledged before it is durable, so a torn last
+//! save is dropped and everything before it is kept. [`Store::open`] reports corruption only if a durable
+//! save is lost.
 
 mod journal;
 mod mark;
@@ -19,7 +20,7 @@
 use crate::state::digest;
 use eyre::{bail, Result, WrapErr};
 use fjall::{Database, JournalRecoveryError, Keyspace, KeyspaceCreateOptions, PersistMode};
-use mark::Mark;
+use mark::Watermark;
 use prost::Message;
 use std::cell::Cell;
 use std::fs;
@@ -27,57 +28,53 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-/// Bytes of memory that the store may hold for reads.
-const CACHE: u64 = 1 << 20;
-/// Bytes of its journal at most: the disk is small.
-const JOURNAL: u64 = 64 << 20;
-/// Bytes of what was saved that are held in memory until they go from the journal to a table: at a start so much is read
-/// again, and the library would hold 64 MiB of the 256 that a process has.
-const UNSORTED: u64 = 8 << 20;
+const CACHE_BYTES: u64 = 1 << 20;
+/// Small, as the process has little disk space.
+const MAX_JOURNAL_BYTES: u64 = 64 << 20;
+/// Read again at start-up. fjall's default of 64 MiB is too much for a process limited to 256 MiB.
+const MEMTABLE_BYTES: u64 = 8 << 20;
 
-/// The form that is written. Fields are only added to it, so that the program before it reads it, too.
-const FORM: u32 = 1;
-/// The newest form that is read: that of the next program, from which one goes back.
-const FORM_READ: u32 = FORM + 1;
-/// The field of a record's digest.
-const DIGEST: u32 = 15;
-/// Bytes of that field: its tag, and eight.
-const DIGEST_BYTES: usize = 9;
+/// The format version that is written. Fields are only ever added, so that the previous release can read it.
+const FORMAT_VERSION: u32 = 1;
+/// The newest format version that is read: that of the next release, for downgrades.
+const MAX_READABLE_VERSION: u32 = FORMAT_VERSION + 1;
+/// The protobuf tag of a record's digest.
+const DIGEST_TAG: u32 = 15;
+/// The encoded digest field: one byte of tag and eight of value.
+const DIGEST_FIELD_BYTES: usize = 9;
 
-const VOW: &[u8] = b"vow";
-const BASE: &[u8] = b"base";
-const ENTRY: u8 = b'e';
+const VOW_KEY: &[u8] = b"vow";
+const BASE_KEY: &[u8] = b"base";
+const ENTRY_KEY_PREFIX: u8 = b'e';
 
-/// The disk's form of [`Vow`].
+/// [`Vow`] as stored.
 #[derive(Clone, PartialEq, Message)]
-struct VowForm {
+struct StoredVow {
     #[prost(uint64, tag = "1")]
     term: u64,
     #[prost(string, optional, tag = "2")]
     vote: Option<String>,
     #[prost(bool, tag = "3")]
     counts: bool,
-    /// Nought as the first program wrote it, which knew none of what follows.
+    /// Zero if written by the first release, which had none of the fields below.
     #[prost(uint32, tag = "4")]
-    form: u32,
-    /// The number of the last entry.
+    format_version: u32,
     #[prost(uint64, tag = "5")]
-    last: u64,
-    /// Counts the saves.
+    last_index: u64,
     #[prost(uint64, tag = "6")]
-    saves: u64,
+    save_number: u64,
 }
 
-/// The digest of a record.
+/// The digest that ends each record.
 #[derive(Clone, PartialEq, Message)]
-struct Seal {
+struct StoredDigest {
     #[prost(fixed64, optional, tag = "15")]
     digest: Option<u64>,
 }
 
-/// The disk's form of [`Base`].
+/// [`Base`] as stored.
 #[derive(Clone, PartialEq, Message)]
-struct BaseForm {
+struct StoredBase {
     #[prost(uint64, tag = "1")]
     index: u64,
     #[prost(uint64, tag = "2")]
@@ -88,27 +85,27 @@
     state: Vec<u8>,
 }
 
-/// Where a core process keeps what it must not forget.
+/// The durable storage of a core process.
 pub trait Disk {
-    /// Opens what is there, and reads it: nothing where the disk is empty.
+    /// Opens the storage and reads its contents: none if it is empty.
     ///
     /// # Errors
     ///
-    /// The disk takes nothing now ([`takes_nothing`] says so), or can't be used at all.
+    /// The disk is unavailable for now ([`takes_nothing`] returns true), or can't be used at all.
     fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)>;
 }
 
-/// An open store.
+/// Opened storage.
 pub trait Saves {
-    /// Brings it to disk. When this returns it is there.
+    /// Writes atomically; the data is durable on return.
     ///
     /// # Errors
     ///
-    /// The disk takes nothing. What is on it is what was there before, or this.
+    /// The disk is unavailable. It holds either its previous contents or the new ones.
     fn save(&self, save: &Save) -> Result<()>;
 }
 
-/// The disk of a machine: a folder.
+/// Storage in a directory of the local file system.
 pub struct Folder(pub PathBuf);
 
 impl Disk for Folder {
@@ -118,65 +115,66 @@
     }
 }
 
-/// The store of one core process.
+/// The fjall store of one core process.
 pub struct Store {
     database: Database,
-    keys: Keyspace,
-    mark: Mark,
-    saves: Cell<u64>,
-    last: Cell<u64>,
+    keyspace: Keyspace,
+    watermark: Watermark,
+    /// The number of the last save.
+    save_number: Cell<u64>,
+    last_index: Cell<u64>,
 }
 
-/// What came of opening the library's files.
-enum Opened {
-    /// They can be read.
-    Files(Database, Keyspace),
-    /// The disk takes nothing; another start may find it otherwise.
-    Passes(fjall::Error),
-    /// The journal holds a batch that is whole by its ends and not what was written, and why.
-    Torn(String),
-    /// They can't be read, and why.
-    Damaged(String),
+/// The result of opening fjall's files.
+enum OpenedFiles {
+    Readable(Database, Keyspace),
+    /// The disk is unavailable for now; a later attempt may succeed.
+    Unavailable(fjall::Error),
+    /// The last batch of the journal is torn, and why.
+    TornJournal(String),
+    /// The files can't be read, and why.
+    Corrupt(String),
 }
 
-/// What was read of a disk.
-enum Read {
-    Nothing,
-    /// What it holds, the number of its last save, and that of its last entry.
-    Held(Saved, u64, u64),
-    /// It can't go by what it holds, and why.
-    Damaged(String),
+enum Contents {
+    Empty,
+    Valid {
+        saved: Saved,
+        save_number: u64,
+        last_index: u64,
+    },
+    /// Why the contents can't be used.
+    Corrupt(String),
 }
 
 fn entry_key(index: u64) -> [u8; 9] {
-    let mut key = [ENTRY; 9];
+    let mut key = [ENTRY_KEY_PREFIX; 9];
     key[1..].copy_from_slice(&index.to_be_bytes());
     key
 }
 
-/// A record with its digest behind it.
-fn sealed(message: &impl Message) -> Vec<u8> {
+fn encode_with_digest(message: &impl Message) -> Vec<u8> {
     let mut bytes = message.encode_to_vec();
     let digest = digest(&bytes);
-    prost::encoding::fixed64::encode(DIGEST, &digest, &mut bytes);
+    prost::encoding::fixed64::encode(DIGEST_TAG, &digest, &mut bytes);
     bytes
 }
 
-/// A record that is what was written. One without a digest is of the first program.
-fn opened<M: Message + Default>(bytes: &[u8]) -> Result<M> {
-    if let Some(digest) = Seal::decode(bytes)?.digest {
-        let before = bytes.len().checked_sub(DIGEST_BYTES).and_then(|end| bytes.get(..end));
-        if before.map(self::digest) != Some(digest) {
-            bail!("a record is not what was written");
+/// Decodes a record and verifies its digest. Records of the first release have none.
+fn decode_verified<M: Message + Default>(bytes: &[u8]) -> Result<M> {
+    if let Some(digest) = StoredDigest::decode(bytes)?.digest {
+        let digested = bytes.len().checked_sub(DIGEST_FIELD_BYTES).and_then(|end| bytes.get(..end));
+        if digested.map(self::digest) != Some(digest) {
+            bail!("a record has a wrong digest");
         }
     }
     Ok(M::decode(bytes)?)
 }
 
-/// An error that says nothing of what is on the disk: another start may find it gone.
-fn passing(error: &io::Error) -> bool {
-    /// Too many open files.
-    const FILES: [i32; 2] = [23, 24];
+/// Whether an error says nothing about what is stored, and may be gone at a later attempt.
+fn is_transient_io(error: &io::Error) -> bool {
+    /// ENFILE and EMFILE.
+    const TOO_MANY_OPEN_FILES: [i32; 2] = [23, 24];
     let kinds = [
         ErrorKind::StorageFull,
         ErrorKind::QuotaExceeded,
@@ -184,75 +182,85 @@
         ErrorKind::PermissionDenied,
         ErrorKind::OutOfMemory,
     ];
-    kinds.contains(&error.kind()) || error.raw_os_error().is_some_and(|code| FILES.contains(&code))
+    kinds.contains(&error.kind())
+        || error.raw_os_error().is_some_and(|code| TOO_MANY_OPEN_FILES.contains(&code))
 }
 
-fn passes(error: &fjall::Error) -> bool {
+fn is_transient(error: &fjall::Error) -> bool {
     match error {
-        fjall::Error::Io(error) => passing(error),
-        fjall::Error::Storage(fjall::LsmError::Io(error)) => passing(error),
+        fjall::Error::Io(error) => is_transient_io(error),
+        fjall::Error::Storage(fjall::LsmError::Io(error)) => is_transient_io(error),
         fjall::Error::Locked => true,
         _ => false,
     }
 }
 
-/// Whether an error only says that the disk takes nothing now: there may be room later.
+/// Whether an error only means that the disk is unavailable for now, for example because it is full.
 pub fn takes_nothing(error: &eyre::Report) -> bool {
     error.chain().any(|cause| {
-        let library = cause.downcast_ref::<fjall::Error>();
-        // An open store takes nothing any more once a write has failed.
-        let library = library.is_some_and(|error| passes(error) || matches!(error, fjall::Error::Poisoned));
-        library || cause.downcast_ref::<io::Error>().is_some_and(passing)
+        let fjall_error = cause.downcast_ref::<fjall::Error>();
+        // An open store rejects all writes once one has failed.
+        let fjall_error =
+            fjall_error.is_some_and(|error| is_transient(error) || matches!(error, fjall::Error::Poisoned));
+        fjall_error || cause.downcast_ref::<io::Error>().is_some_and(is_transient_io)
     })
 }
 
 impl Store {
-    /// Opens the store in a folder, and reads what it holds: nothing where the disk is empty, and the vow of a process that
-    /// counts for nothing where it was damaged. The damaged store is set aside beside the new one.
+    /// Opens the store in a directory and reads its contents: none if it is empty, and the default if it was
+    /// corrupt, so that the process has no vote until it is caught up. A corrupt store is kept as
+    /// `core.damaged` beside the new one.
     ///
     /// # Errors
     ///
-    /// The disk takes nothing (it is full, or may not be written), or holds a form of a later program.
-    pub fn open(folder: &Path) -> Result<(Self, Option<Saved>)> {
-        fs::create_dir_all(folder)?;
-        let (path, aside) = (folder.join("core"), folder.join("core.damaged"));
-        let marked = Mark::read(folder)?;
-        // A start that ended right after it had set a damaged store aside finds that alone.
-        let held = marked.is_some() || aside.exists();
-        let why = match Self::open_at(&path, folder)? {
-            Ok((_, Read::Held(_, saves, _))) if saves > 0 && marked.is_some_and(|mark| mark > saves) => {
-                format!("save {saves} is its last, and {} were made", marked.unwrap_or(0))
+    /// The disk is unavailable (full, or not writable), or the store has the format of a later release.
+    pub fn open(dir: &Path) -> Result<(Self, Option<Saved>)> {
+        fs::create_dir_all(dir)?;
+        let (path, corrupt_path) = (dir.join("core"), dir.join("core.damaged"));
+        let watermark = Watermark::read(dir)?;
+        // A process killed right after it renamed a corrupt store leaves only `core.damaged`.
+        let existed = watermark.is_some() || corrupt_path.exists();
+        let why = match Self::open_at(&path, dir)? {
+            Ok((_, Contents::Valid { save_number, .. }))
+                if save_number > 0 && watermark.is_some_and(|watermark| watermark > save_number) =>
+            {
+                format!("its last save is {save_number}, behind the watermark {}", watermark.unwrap_or(0))
             }
-            Ok((store, Read::Held(saved, saves, last))) => {
-                store.saves.set(saves.max(marked.unwrap_or(0)));
-                store.last.set(last);
-                // A disk that takes nothing more is found before anybody goes by what it will hold.
+            Ok((store, Contents::Valid { saved, save_number, last_index })) => {
+                store.save_number.set(save_number.max(watermark.unwrap_or(0)));
+                store.last_index.set(last_index);
+                // Find out that the disk is not writable before the process takes part.
                 let vow = saved.vow.clone();
-                store.save(&Save { vow, entries: None, base: None }).wrap_err("the disk takes nothing")?;
+                store
+                    .save(&Save { vow, entries: None, base: None })
+                    .wrap_err("failed to write to the store")?;
                 return Ok((store, Some(saved)));
             }
-            Ok((store, Read::Nothing)) if !held => return Ok((store, None)),
-            Ok((_, Read::Nothing)) => "it is empty, and was not".to_owned(),
-            Ok((_, Read::Damaged(why))) | Err(why) => why,
+            Ok((store, Contents::Empty)) if !existed => return Ok((store, None)),
+            Ok((_, Contents::Empty)) => "it is empty, but was written to before".to_owned(),
+            Ok((_, Contents::Corrupt(why))) | Err(why) => why,
         };
         invariants::violated(Invariant::DiskHoldsWhatWasSaved, &why);
         log::error!("store: the disk is damaged: {why}: it is set aside and filled up from the others");
-        Self::begin_anew(&path, &aside, folder, marked.unwrap_or(0))
+        Self::replace_corrupt(&path, &corrupt_path, dir, watermark.unwrap_or(0))
     }
 
-    /// Sets a damaged store aside and begins one that counts for nothing. Its saves are counted on from those of the damaged
-    /// one: behind a loss of power the mark may be that one's again.
-    fn begin_anew(path: &Path, aside: &Path, folder: &Path, marked: u64) -> Result<(Self, Option<Saved>)> {
-        if aside.exists() && path.exists() {
-            fs::remove_dir_all(aside)?;
+    /// Renames a corrupt store and creates a new one without a vote. Save numbers continue from those of the
+    /// corrupt store, as a power loss may bring back its watermark.
+    fn replace_corrupt(
+        path: &Path, corrupt_path: &Path, dir: &Path, watermark: u64,
+    ) -> Result<(Self, Option<Saved>)> {
+        if corrupt_path.exists() && path.exists() {
+            fs::remove_dir_all(corrupt_path)?;
         }
         if path.exists() {
-            fs::rename(path, aside)?;
+            fs::rename(path, corrupt_path)?;
         }
-        // No loss of power brings the damaged store back in the new one's place.
-        mark::sync_folder(folder)?;
-        let (store, _) = Self::open_at(path, folder)?.map_err(|why| eyre::eyre!("a new store: {why}"))?;
-        store.saves.set(marked);
+        // Otherwise a power loss could undo the rename.
+        mark::sync_dir(dir)?;
+        let (store, _) =
+            Self::open_at(path, dir)?.map_err(|why| eyre::eyre!("failed to create a new store: {why}"))?;
+        store.save_number.set(watermark);
         let saved = Saved::default();
         store.save(&Save {
             vow: saved.vow.clone(),
@@ -262,143 +270,153 @@
         Ok((store, Some(saved)))
     }
 
-    /// Opens and reads what is there; why it can't be gone by, where it can't.
-    fn open_at(path: &Path, folder: &Path) -> Result<std::result::Result<(Self, Read), String>> {
-        let (database, keys) = match Self::open_library(path)? {
+    /// Opens and reads the store; the inner error says why its files can't be opened.
+    fn open_at(path: &Path, dir: &Path) -> Result<std::result::Result<(Self, Contents), String>> {
+        let (database, keyspace) = match Self::open_database(path)? {
             Ok(opened) => opened,
             Err(why) => return Ok(Err(why)),
         };
-        let mark = Mark::open(folder)?;
-        let store = Store { database, keys, mark, saves: Cell::new(0), last: Cell::new(0) };
-        // What a later program wrote is not damage.
-        let form = match catch_unwind(AssertUnwindSafe(|| store.form())) {
-            Ok(form) => form.unwrap_or(0),
+        let watermark = Watermark::open(dir)?;
+        let store =
+            Store { database, keyspace, watermark, save_number: Cell::new(0), last_index: Cell::new(0) };
+        // The format of a later release is not corruption.
+        let version = match catch_unwind(AssertUnwindSafe(|| store.format_version())) {
+            Ok(version) => version.unwrap_or(0),
             Err(_) => 0,
         };
-        if form > FORM_READ {
-            bail!("the disk is of form {form}, and this program reads up to {FORM_READ}");
+        if version > MAX_READABLE_VERSION {
+            bail!("the store has format version {version}, newer than the supported {MAX_READABLE_VERSION}");
         }
-        let read = match catch_unwind(AssertUnwindSafe(|| store.read())) {
-            Ok(Ok(read)) => read,
-            Ok(Err(error)) => Read::Damaged(error.to_string()),
-            Err(_) => Read::Damaged("its files can't be read".to_owned()),
+        let contents = match catch_unwind(AssertUnwindSafe(|| store.read())) {
+            Ok(Ok(contents)) => contents,
+            Ok(Err(error)) => Contents::Corrupt(error.to_string()),
+            Err(_) => Contents::Corrupt("its files can't be read".to_owned()),
         };
-        Ok(Ok((store, read)))
+        Ok(Ok((store, contents)))
     }
 
-    /// Opens the library's files. Where its journal ends in a batch that it does not read, that batch is dropped and the
-    /// files are opened once more: whether that was more than the save under way, the number of the last save tells.
-    fn open_library(path: &Path) -> Result<std::result::Result<(Database, Keyspace), String>> {
-        match Self::try_library(path) {
-            Opened::Files(database, keys) => Ok(Ok((database, keys))),
-            Opened::Passes(error) => Err(error).wrap_err("the disk takes nothing"),
-            Opened::Torn(why) => {
+    /// Opens fjall's files. If the last batch of the journal is torn, drops it and opens them again; the save
+    /// number later shows whether that lost more than the save in progress.
+    fn open_database(path: &Path) -> Result<std::result::Result<(Database, Keyspace), String>> {
+        match Self::try_open_database(path) {
+            OpenedFiles::Readable(database, keyspace) => Ok(Ok((database, keyspace))),
+            OpenedFiles::Unavailable(error) => Err(error).wrap_err("the disk is unavailable"),
+            OpenedFiles::TornJournal(why) => {
                 if !journal::drop_torn_batch(path)? {
                     return Ok(Err(why));
                 }
                 log::warn!("store: the save that was under way is torn and dropped: {why}");
-                match Self::try_library(path) {
-                    Opened::Files(database, keys) => Ok(Ok((database, keys))),
-                    Opened::Passes(error) => Err(error).wrap_err("the disk takes nothing"),
-                    Opened::Torn(why) | Opened::Damaged(why) => Ok(Err(why)),
+                match Self::try_open_database(path) {
+                    OpenedFiles::Readable(database, keyspace) => Ok(Ok((database, keyspace))),
+                    OpenedFiles::Unavailable(error) => Err(error).wrap_err("the disk is unavailable"),
+                    OpenedFiles::TornJournal(why) | OpenedFiles::Corrupt(why) => Ok(Err(why)),
                 }
             }
-            Opened::Damaged(why) => Ok(Err(why)),
+            OpenedFiles::Corrupt(why) => Ok(Err(why)),
         }
     }
 
-    fn try_library(path: &Path) -> Opened {
+    fn try_open_database(path: &Path) -> OpenedFiles {
         let open = || -> std::result::Result<(Database, Keyspace), fjall::Error> {
             let database = Database::builder(path)
-                .cache_size(CACHE)
-                .max_journaling_size(JOURNAL)
+                .cache_size(CACHE_BYTES)
+                .max_journaling_size(MAX_JOURNAL_BYTES)
                 .worker_threads(1)
                 .open()?;
-            let keys = database
-                .keyspace("agreement", || KeyspaceCreateOptions::default().max_memtable_size(UNSORTED))?;
-            Ok((database, keys))
+            let keyspace = database.keyspace("agreement", || {
+                KeyspaceCreateOptions::default().max_memtable_size(MEMTABLE_BYTES)
+            })?;
+            Ok((database, keyspace))
         };
-        // The library ends in a panic on some files that it did not write so.
+        // fjall panics on some corrupt files.
         match catch_unwind(AssertUnwindSafe(open)) {
-            Ok(Ok((database, keys))) => Opened::Files(database, keys),
-            Ok(Err(error)) if passes(&error) => Opened::Passes(error),
+            Ok(Ok((database, keyspace))) => OpenedFiles::Readable(database, keyspace),
+            Ok(Err(error)) if is_transient(&error) => OpenedFiles::Unavailable(error),
             Ok(Err(fjall::Error::JournalRecovery(error)))
                 if error != JournalRecoveryError::InvalidFileName =>
             {
-                Opened::Torn(error.to_string())
+                OpenedFiles::TornJournal(error.to_string())
             }
-            Ok(Err(error)) => Opened::Damaged(error.to_string()),
-            Err(_) => Opened::Damaged("its files can't be read".to_owned()),
+            Ok(Err(error)) => OpenedFiles::Corrupt(error.to_string()),
+            Err(_) => OpenedFiles::Corrupt("its files can't be read".to_owned()),
         }
     }
 
-    /// The form that the vow names.
-    fn form(&self) -> Result<u32> {
-        let vow = self.keys.get(VOW)?.map(|vow| opened::<VowForm>(&vow)).transpose()?;
-        Ok(vow.map_or(0, |vow| vow.form))
+    fn format_version(&self) -> Result<u32> {
+        let vow = self.keyspace.get(VOW_KEY)?.map(|vow| decode_verified::<StoredVow>(&vow)).transpose()?;
+        Ok(vow.map_or(0, |vow| vow.format_version))
     }
 
-    fn read(&self) -> Result<Read> {
-        let Some(vow) = self.keys.get(VOW)? else {
-            let any = self.keys.iter().next().is_some();
-            return Ok(if any { Read::Damaged("it holds no vow".into()) } else { Read::Nothing });
+    fn read(&self) -> Result<Contents> {
+        let Some(vow) = self.keyspace.get(VOW_KEY)? else {
+            let any = self.keyspace.iter().next().is_some();
+            return Ok(if any {
+                Contents::Corrupt("the hard state is missing".into())
+            } else {
+                Contents::Empty
+            });
         };
-        let VowForm { term, vote, counts, form, last, saves } = opened(&vow)?;
-        let base = match self.keys.get(BASE)? {
-            Some(base) => opened(&base)?,
-            // A member with an empty disk keeps the terms that it hears of before it is sent a state.
-            None if !counts => BaseForm::default(),
-            None => bail!("it holds no state"),
+        let StoredVow { term, vote, counts, format_version, last_index, save_number } =
+            decode_verified(&vow)?;
+        let base = match self.keyspace.get(BASE_KEY)? {
+            Some(base) => decode_verified(&base)?,
+            // A member with an empty disk saves the terms it sees before it is sent a snapshot.
+            None if !counts => StoredBase::default(),
+            None => bail!("the snapshot is missing"),
         };
-        let BaseForm { index, term: base_term, members, state } = base;
+        let StoredBase { index, term: base_term, members, state } = base;
         let mut entries = Vec::new();
-        for pair in self.keys.range(entry_key(index + 1)..=entry_key(u64::MAX)) {
+        for pair in self.keyspace.range(entry_key(index + 1)..=entry_key(u64::MAX)) {
             let (key, value) = pair.into_inner()?;
-            let entry: Entry = opened(&value)?;
-            // Each save takes away what is no longer the log.
+            let entry: Entry = decode_verified(&value)?;
+            // Each save removes the entries that are no longer part of the log.
             if entry.index != index + 1 + entries.len() as u64 || *key != entry_key(entry.index) {
-                bail!("the log has a gap before {}", entry.index);
+                bail!("the log has a gap before index {}", entry.index);
             }
             entries.push(entry);
         }
-        let end = index + entries.len() as u64;
-        if form > 0 && end != last {
-            bail!("the log ends with {end}, and {last} was its last");
+        let log_end = index + entries.len() as u64;
+        if format_version > 0 && log_end != last_index {
+            bail!("the log ends at index {log_end} instead of {last_index}");
         }
         let vow = Vow { term, vote, counts };
         let saved = Saved { vow, base: Base { index, term: base_term, members, state }, entries };
-        Ok(Read::Held(saved, saves, end))
+        Ok(Contents::Valid { saved, save_number, last_index: log_end })
     }
 }
 
 impl Saves for Store {
     fn save(&self, save: &Save) -> Result<()> {
         let mut batch = self.database.batch();
-        let (mut last, saves) = (self.last.get(), self.saves.get() + 1);
+        let (mut last_index, save_number) = (self.last_index.get(), self.save_number.get() + 1);
         if let Some(base) = &save.base {
             let Base { index, term, members, state } = base.clone();
-            for pair in self.keys.range(entry_key(0)..=entry_key(index)) {
-                batch.remove(&self.keys, pair.key()?);
+            for pair in self.keyspace.range(entry_key(0)..=entry_key(index)) {
+                batch.remove(&self.keyspace, pair.key()?);
             }
-            batch.insert(&self.keys, BASE, sealed(&BaseForm { index, term, members, state }));
-            last = last.max(index);
+            let stored = StoredBase { index, term, members, state };
+            batch.insert(&self.keyspace, BASE_KEY, encode_with_digest(&stored));
+            last_index = last_index.max(index);
         }
         if let Some((first, entries)) = &save.entries {
-            for pair in self.keys.range(entry_key(first + entries.len() as u64)..=entry_key(u64::MAX)) {
-                batch.remove(&self.keys, pair.key()?);
+            let behind_entries = entry_key(first + entries.len() as u64)..=entry_key(u64::MAX);
+            for pair in self.keyspace.range(behind_entries) {
+                batch.remove(&self.keyspace, pair.key()?);
             }
             for entry in entries {
-                batch.insert(&self.keys, entry_key(entry.index), sealed(entry));
+                batch.insert(&self.keyspace, entry_key(entry.index), encode_with_digest(entry));
             }
-            last = (first + entries.len() as u64).saturating_sub(1);
+            last_index = (first + entries.len() as u64).saturating_sub(1);
         }
         let Vow { term, vote, counts } = save.vow.clone();
-        batch.insert(&self.keys, VOW, sealed(&VowForm { term, vote, counts, form: FORM, last, saves }));
+        let stored =
+            StoredVow { term, vote, counts, format_version: FORMAT_VERSION, last_index, save_number };
+        batch.insert(&self.keyspace, VOW_KEY, encode_with_digest(&stored));
         batch.commit()?;
         self.database.persist(PersistMode::SyncAll)?;
-        self.last.set(last);
-        self.saves.set(saves);
-        self.mark.write(saves)?;
+        self.last_index.set(last_index);
+        self.save_number.set(save_number);
+        self.watermark.write(save_number)?;
         Ok(())
     }
 }
--- a/overland/src/store/pace.rs
+++ b/overland/src/store/pace.rs
@@ -1,29 +1,31 @@
-//! Whether a disk is slow, beside what is usual for it.
+//! Detects a disk that is slow compared with its own usual save latency.
 
-/// A disk that took longer than so many times its usual time, in so many saves in a row, and longer than this, in ms, is
-/// slow: its owner should not lead, as each change waits for it.
-const SLOW: (f64, u32, f64) = (6.0, 3, 5.0);
-/// Weight of a save that is not slow, in the usual time; a quicker one shows at once what the disk can do.
+/// A save is slow if it takes longer than this multiple of the usual latency and longer than [`MIN_SLOW_MS`].
+const SLOW_FACTOR: f64 = 6.0;
+/// Saves below this are never slow.
+const MIN_SLOW_MS: f64 = 5.0;
+/// Slow saves in a row after which the disk counts as slow.
+const SLOW_SAVES_IN_A_ROW: u32 = 3;
+/// Smoothing weight of a save slower than the usual latency; a faster one replaces the usual latency at once.
 const USUAL_GAIN: f64 = 0.1;
 
-/// Whether a disk is slow, by the time that saves take.
+/// Tracks save latency. The owner of a slow disk should not lead, as each change waits for the leader's disk.
 #[derive(Debug, Default)]
 pub struct Pace {
     usual_ms: Option<f64>,
-    slow: u32,
+    slow_in_a_row: u32,
 }
 
 impl Pace {
-    /// A save took so long, in ms. True if the disk is slow by now.
+    /// Records the latency of a save; returns whether the disk now counts as slow.
     pub fn saved(&mut self, took_ms: f64) -> bool {
-        let (times, in_a_row, least_ms) = SLOW;
-        let usual = *self.usual_ms.get_or_insert(took_ms);
-        if took_ms > (usual * times).max(least_ms) {
-            self.slow = self.slow.saturating_add(1);
+        let usual_ms = *self.usual_ms.get_or_insert(took_ms);
+        if took_ms > (usual_ms * SLOW_FACTOR).max(MIN_SLOW_MS) {
+            self.slow_in_a_row = self.slow_in_a_row.saturating_add(1);
         } else {
-            self.slow = 0;
-            self.usual_ms = Some(took_ms.min(usual + (took_ms - usual) * USUAL_GAIN));
+            self.slow_in_a_row = 0;
+            self.usual_ms = Some(took_ms.min(usual_ms + (took_ms - usual_ms) * USUAL_GAIN));
         }
-        self.slow >= in_a_row
+        self.slow_in_a_row >= SLOW_SAVES_IN_A_ROW
     }
 }
--- a/overland/tests/bounds/mod.rs
+++ b/overland/tests/bounds/mod.rs
@@ -1,9 +1,9 @@
-//! The figures of the rules that tests go by.
+//! The bounds that tests use.
 
 use overland::settings::Bounds;
 use std::time::Duration;
 
-/// The figures of the rules in drawn histories.
+/// The bounds in randomised tests.
 pub fn bounds() -> Bounds {
     Bounds {
         ack: Duration::from_millis(8000),
--- a/overland/tests/copies.rs
+++ b/overland/tests/copies.rs
@@ -1,9 +1,9 @@
-//! Copies of the state that were damaged, compared by ranges and mended, against the plain way: the whole copy anew.
+//! Anti-entropy: replicas that diverged are detected by range digests, and repaired to equal the original.
 
 use overland::news::{Backend, Change, Configured, Evacuated, Gateway, Kind};
 use overland::state::{Digest, State};
 
-fn change(rng: &mut fastrand::Rng) -> Change {
+fn random_change(rng: &mut fastrand::Rng) -> Change {
     let zone = ["a", "b", "c"][rng.usize(0..3)].to_owned();
     let number = rng.u32(0..12);
     let kind = match rng.u32(0..8) {
@@ -33,18 +33,18 @@
     Change { kind: Some(kind), left: rng.bool() }
 }
 
-fn state(rng: &mut fastrand::Rng) -> State {
+fn random_state(rng: &mut fastrand::Rng) -> State {
     let mut state = State::default();
     for index in 1..60 {
-        state.apply(index as f64 * 10.0, index, Some(&change(rng)));
+        state.apply(index as f64 * 10.0, index, Some(&random_change(rng)));
     }
     state
 }
 
-/// What must be the same in all copies.
-fn lasting(state: &State) -> State {
+/// The part of the state that must be equal in all replicas.
+fn comparable(state: &State) -> State {
     let mut state = state.clone();
-    // What orders calls is for the core alone, and an older process in the middle of an upgrade knows nothing of it.
+    // Only core processes hold these, and not those of an older release during an upgrade.
     state.ledger = Default::default();
     state.left.clear();
     state.taken_back.clear();
@@ -56,88 +56,93 @@
 }
 
 #[test]
-fn a_damaged_copy_is_found_and_made_whole_by_what_differs() {
+fn diverged_replica_is_detected_and_repaired() {
     bolero::check!().with_iterations(500).with_type::<u64>().for_each(|seed| {
         let mut rng = fastrand::Rng::with_seed(*seed);
-        let (right, later) = (state(&mut rng), 700.0 + rng.f64() * 5000.0);
-        // A copy that came whole and a copy that followed are the same, whenever they are looked at.
-        let mut copy = State::from_whole(later, right.whole(later, false));
+        let (original, later) = (random_state(&mut rng), 700.0 + rng.f64() * 5000.0);
+        // A replica restored from a snapshot has the same digests at any time.
+        let mut replica = State::from_whole(later, original.whole(later, false));
         let digest = Digest::default();
-        assert_eq!((digest.of(&copy), copy.ranges()), (Digest::default().of(&right), right.ranges()));
-        assert!(right.mend_for(later, &copy.ranges()).is_none());
-        // Damage that no numbered change tells of.
-        let before = copy.clone();
+        assert_eq!(
+            (digest.of(&replica), replica.ranges()),
+            (Digest::default().of(&original), original.ranges())
+        );
+        assert!(original.mend_for(later, &replica.ranges()).is_none());
+        // Diverge without a new index.
+        let before = replica.clone();
         for _ in 0..1 + rng.usize(0..4) {
-            copy.apply(later, right.index, Some(&change(&mut rng)));
+            replica.apply(later, original.index, Some(&random_change(&mut rng)));
         }
         digest.forget();
-        let same = lasting(&before) == lasting(&copy);
-        assert_eq!(digest.of(&copy) == Digest::default().of(&right), same, "found where there is any");
-        let mend = right.mend_for(later, &copy.ranges());
+        let same = comparable(&before) == comparable(&replica);
+        assert_eq!(
+            digest.of(&replica) == Digest::default().of(&original),
+            same,
+            "any divergence is detected"
+        );
+        let mend = original.mend_for(later, &replica.ranges());
         assert_eq!(mend.is_none(), same);
         let Some(mend) = mend else { return };
-        // What is sent is what differs: cells that are the same stay.
+        // Only zones that differ are sent.
         let parts = mend.parts.clone().expect("parts");
         for zone in ["a", "b", "c"] {
-            let of = |state: &State| {
-                let state = lasting(state);
+            let in_zone = |state: &State| {
+                let state = comparable(state);
                 let backends: Vec<_> =
                     state.backends.into_values().filter(|known| known.backend.zone == zone).collect();
-                (
-                    backends,
-                    state.gateways.into_values().filter(|gateway| gateway.zone == zone).collect::<Vec<_>>(),
-                )
+                let gateways: Vec<_> =
+                    state.gateways.into_values().filter(|gateway| gateway.zone == zone).collect();
+                (backends, gateways)
             };
-            let sent = parts.backends.iter().any(|b| b.zone == zone)
-                || parts.gateways.iter().any(|g| g.zone == zone);
-            assert!(!sent || of(&copy) != of(&right), "{zone} is the same");
+            let sent = parts.backends.iter().any(|backend| backend.zone == zone)
+                || parts.gateways.iter().any(|gateway| gateway.zone == zone);
+            assert!(!sent || in_zone(&replica) != in_zone(&original), "zone {zone} does not differ");
         }
-        assert!(copy.mend(later, mend.clone()));
-        assert_eq!(lasting(&copy), lasting(&right));
+        assert!(replica.mend(later, mend.clone()));
+        assert_eq!(comparable(&replica), comparable(&original));
         digest.forget();
-        assert_eq!(digest.of(&copy), Digest::default().of(&right));
-        // A copy that has gone on is not touched by what mends an older one.
-        copy.apply(later, right.index + 1, Some(&change(&mut rng)));
-        let gone_on = copy.clone();
-        assert!(!copy.mend(later, mend) && copy == gone_on);
-        assert!(right.mend_for(later, &copy.ranges()).is_none());
+        assert_eq!(digest.of(&replica), Digest::default().of(&original));
+        // A replica at a later index is left unchanged.
+        replica.apply(later, original.index + 1, Some(&random_change(&mut rng)));
+        let later_replica = replica.clone();
+        assert!(!replica.mend(later, mend) && replica == later_replica);
+        assert!(original.mend_for(later, &replica.ranges()).is_none());
     });
 }
 
-/// Each change would be a digest of all backends at each gateway: it is told once in a second while changes come, and at
-/// once again when they rest.
+/// Each digest hashes all backends, so under a stream of changes it is computed once a second.
 #[test]
-fn a_digest_is_told_once_a_second_while_changes_come() {
+fn digest_is_computed_at_most_once_a_second() {
     let mut state = State::default();
     let digest = Digest::default();
-    let mut told = Vec::new();
+    let mut computed = Vec::new();
     for round in 0..200 {
         state.apply(0.0, round + 1, None);
         let now = round as f64 * 25.0;
         if digest.lately(now, &state) != 0 {
-            told.push(now);
+            computed.push(now);
         }
     }
-    assert_eq!(told, [0.0, 1000.0, 2000.0, 3000.0, 4000.0]);
+    assert_eq!(computed, [0.0, 1000.0, 2000.0, 3000.0, 4000.0]);
     assert_eq!(digest.lately(4980.0, &state), 0);
     assert_eq!(digest.lately(5000.0, &state), digest.of(&state));
-    // One that is known is told at any time.
+    // A cached digest is given at any time.
     assert_eq!(digest.lately(5001.0, &state), digest.of(&state));
 }
 
-/// Where the beginning of an evacuation was never agreed on, its end still tells that the zone's backends may be cold, also to
-/// a copy that is made of a whole state; not for long.
+/// A zone's backends may be cold after an evacuation whose start was never committed. Its end is kept for a
+/// minute, also in snapshots.
 #[test]
-fn the_end_of_an_evacuation_is_known_without_its_beginning() {
+fn end_of_an_evacuation_is_kept_without_its_start() {
     let mut state = State::default();
     let end = Change { kind: Some(Kind::Evacuated(Evacuated { zone: "a".into(), on: false })), left: false };
     state.apply(5_000.0, 1, Some(&end));
     assert_eq!(state.taken_back.get("a"), Some(&5_000.0));
-    let later = State::from_whole(100.0, state.whole(7_000.0, false));
+    let restored = State::from_whole(100.0, state.whole(7_000.0, false));
     assert_eq!(
-        later.taken_back.get("a"),
+        restored.taken_back.get("a"),
         Some(&-1_900.0),
-        "two seconds before it was made, by its own clock"
+        "two seconds before the snapshot, on the replica's clock"
     );
     assert!(State::from_whole(0.0, state.whole(70_000.0, false)).taken_back.is_empty());
 }
--- a/overland/tests/difference.rs
+++ b/overland/tests/difference.rs
@@ -1,54 +1,54 @@
-//! Differences of texts, against the plain model: the new text itself.
+//! Delta encoding of texts: the decoded text must equal the original one.
 
 use overland::difference::{Difference, Piece};
 use prost::Message;
 
-/// A text of objects, as configurations are, drawn from few kinds so that some are the same.
-fn text(rng: &mut fastrand::Rng, objects: usize) -> String {
+/// Random objects, like those of a configuration, with some duplicates.
+fn objects(rng: &mut fastrand::Rng, count: usize) -> String {
     let object = |rng: &mut fastrand::Rng| {
         let (name, weight) = (rng.u32(0..40), rng.u32(0..4));
         format!(r#"{{"name":"r{name}é","split":[{{"service":"s{}","weight":{weight}}}]}}"#, rng.u32(0..5))
     };
-    (0..objects).map(|_| object(rng)).collect::<Vec<_>>().join(",")
+    (0..count).map(|_| object(rng)).collect::<Vec<_>>().join(",")
 }
 
-/// Some objects go, come, move or change in a few bytes.
-fn changed(rng: &mut fastrand::Rng, old: &str) -> String {
-    let mut parts: Vec<String> = old.split_inclusive('}').map(str::to_owned).collect();
+/// Removes, adds, moves or modifies some objects.
+fn modified(rng: &mut fastrand::Rng, old: &str) -> String {
+    let mut chunks: Vec<String> = old.split_inclusive('}').map(str::to_owned).collect();
     for _ in 0..rng.usize(0..6) {
-        let at = rng.usize(0..=parts.len());
+        let at = rng.usize(0..=chunks.len());
         match rng.u32(0..4) {
-            0 => parts.insert(at, text(rng, 2)),
-            1 if at < parts.len() => drop(parts.remove(at)),
-            2 if at < parts.len() => {
-                let part = parts.remove(at);
-                let to = rng.usize(0..=parts.len());
-                parts.insert(to, part);
+            0 => chunks.insert(at, objects(rng, 2)),
+            1 if at < chunks.len() => drop(chunks.remove(at)),
+            2 if at < chunks.len() => {
+                let chunk = chunks.remove(at);
+                let to = rng.usize(0..=chunks.len());
+                chunks.insert(to, chunk);
             }
-            _ if at < parts.len() => parts[at] = parts[at].replace("weight", "weighs").replace('1', "12"),
+            _ if at < chunks.len() => chunks[at] = chunks[at].replace("weight", "weighs").replace('1', "12"),
             _ => {}
         }
     }
-    parts.concat()
+    chunks.concat()
 }
 
 #[test]
-fn a_text_is_what_its_difference_makes_of_the_other() {
+fn applying_a_difference_restores_the_new_text() {
     bolero::check!().with_iterations(2000).with_type::<u64>().for_each(|seed| {
         let mut rng = fastrand::Rng::with_seed(*seed);
-        let objects = rng.usize(0..60);
-        let old = text(&mut rng, objects);
-        let new = if rng.u32(0..8) == 0 { text(&mut rng, 20) } else { changed(&mut rng, &old) };
+        let count = rng.usize(0..60);
+        let old = objects(&mut rng, count);
+        let new = if rng.u32(0..8) == 0 { objects(&mut rng, 20) } else { modified(&mut rng, &old) };
         let difference = Difference::between(&old, &new);
         assert_eq!(difference.applied(&old), Some(new.clone()));
-        // From any other text it makes nothing.
-        let other = changed(&mut rng, &old);
+        // Applied to any other text it fails.
+        let other = modified(&mut rng, &old);
         assert!(difference.applied(&other).is_none_or(|text| text == new));
     });
 }
 
 #[test]
-fn a_change_of_one_route_of_thousands_takes_some_hundred_bytes() {
+fn change_of_one_route_encodes_in_under_200_bytes() {
     let route = |number: usize, ms: u32| format!(r#"{{"name":"r{number}","timeout":"{ms}ms"}}"#);
     let routes = |changed: usize| {
         let all = (0..7600).map(|number| route(number, if number == changed { 900 } else { 2500 }));
@@ -61,9 +61,10 @@
     assert_eq!(difference.applied(&old), Some(new));
 }
 
-/// Pieces from outside: beyond the old text, longer than any text may be, in the middle of a letter.
+/// Malformed differences: a range beyond the old text, an integer overflow, invalid UTF-8, an oversized
+/// result.
 #[test]
-fn a_difference_that_does_not_fit_makes_nothing() {
+fn malformed_difference_is_rejected() {
     let piece = |from, length, fresh: &[u8]| Piece { from, length, fresh: fresh.to_vec() };
     for pieces in [
         vec![piece(2, 9, b"")],
--- a/overland/tests/full_disk.rs
+++ b/overland/tests/full_disk.rs
@@ -1,5 +1,5 @@
-//! A core process whose disk takes nothing for a while: it goes on running, promises nothing, says why, and takes its part
-//! again as soon as there is room.
+//! A core process whose disk is full: it keeps running, acknowledges nothing, reports the cause, and recovers
+//! as soon as the disk has space.
 
 mod kept;
 mod processes;
@@ -14,15 +14,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A disk in memory that can be full.
+/// An in-memory disk that can be full.
 #[derive(Clone, Default)]
-struct Memory {
+struct MemoryDisk {
     full: Arc<AtomicBool>,
-    holds: Arc<Mutex<Option<Saved>>>,
+    contents: Arc<Mutex<Option<Saved>>>,
 }
 
-impl Memory {
-    fn takes(&self) -> Result<()> {
+impl MemoryDisk {
+    fn check_space(&self) -> Result<()> {
         let full = self.full.load(Ordering::SeqCst);
         if full {
             Err(Report::new(Error::from(ErrorKind::StorageFull)).wrap_err("saving"))
@@ -32,25 +32,25 @@
     }
 }
 
-impl Disk for Memory {
+impl Disk for MemoryDisk {
     fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)> {
-        self.takes()?;
-        Ok((Box::new(self.clone()), self.holds.lock().expect("whole").clone()))
+        self.check_space()?;
+        Ok((Box::new(self.clone()), self.contents.lock().expect("not poisoned").clone()))
     }
 }
 
-impl Saves for Memory {
+impl Saves for MemoryDisk {
     fn save(&self, save: &Save) -> Result<()> {
-        self.takes()?;
-        kept::keep(&mut self.holds.lock().expect("whole"), save.clone());
+        self.check_space()?;
+        kept::keep(&mut self.contents.lock().expect("not poisoned"), save.clone());
         Ok(())
     }
 }
 
-/// A core process by itself, which founds the system and leads it. Its control address.
-fn lone_core(disk: Memory) -> String {
+/// Starts a core process that bootstraps a cluster of one. Returns its control address.
+fn start_single_core(disk: MemoryDisk) -> String {
     let (control, inner) = (port("127.0.0.1"), inner_ports());
-    let file = format!(
+    let settings = format!(
         "sender:\n  node: \"core-1\"\n  role: \"core\"\n  machine_class: \"sorting\"\n  ip: \"127.0.0.1\"\n  zone: \"a\"\n  \
          region: \"r\"\n  first_start: true\n  data_dir: \"/nowhere\"\n  limits:\n    memory_mb: 256\n    fds: 4096\n\
          network:\n  docks_at:\n    control: \"127.0.0.1:{control}\"\n  inner_ports:\n    - {inner}\n    - {}\n  seeds:\n    \
@@ -58,60 +58,62 @@
          ack: \"8000ms\"\n    grace: \"6s\"\n    closed: false\n    revoke: \"5000ms\"\n    ttl_max: \"5s\"\n",
         inner + 1
     );
-    let settings = Settings::read(&file).expect("sound settings");
+    let settings = Settings::read(&settings).expect("valid settings");
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let changed = async || std::future::pending().await;
         let core = Control::run_on(settings, Box::new(disk), changed);
-        tokio::task::LocalSet::new().block_on(&runtime, core).expect("it runs");
+        tokio::task::LocalSet::new().block_on(&runtime, core).expect("the core process runs");
     });
     format!("127.0.0.1:{control}")
 }
 
-/// The status of an order.
-fn order(core: &str) -> Option<u16> {
+fn start_evacuation(core: &str) -> Option<u16> {
     call(core, "POST", "/api/Evacuate.Start/a", "", "").map(|answer| answer.status)
 }
 
+fn end_evacuation(core: &str) -> Option<u16> {
+    call(core, "POST", "/api/Evacuate.End/a", "", "").map(|answer| answer.status)
+}
+
 fn status(core: &str) -> Option<String> {
     call(core, "GET", "/api/Status", "", "").map(|answer| answer.body)
 }
 
 #[test]
-fn a_full_disk_ends_no_process() {
-    let disk = Memory::default();
-    let core = lone_core(disk.clone());
-    until("a leader that takes orders", || order(&core).filter(|status| *status == 200));
+fn process_with_a_full_disk_acknowledges_nothing_and_recovers() {
+    let disk = MemoryDisk::default();
+    let core = start_single_core(disk.clone());
+    until("a leader that accepts calls", || start_evacuation(&core).filter(|status| *status == 200));
     disk.full.store(true, Ordering::SeqCst);
-    let change = |core: &str| call(core, "POST", "/api/Evacuate.End/a", "", "").map(|answer| answer.status);
-    assert_eq!(change(&core), Some(503), "what can't be kept is not acknowledged");
-    assert_eq!(order(&core), Some(503), "nothing is answered for all");
-    let told = status(&core).expect("an answer");
-    assert!(told.contains("the disk takes nothing") && !told.contains("\"vouches\":true"), "{told}");
+    assert_eq!(end_evacuation(&core), Some(503), "a change that can't be saved is not acknowledged");
+    assert_eq!(start_evacuation(&core), Some(503), "no call is answered as leader");
+    let body = status(&core).expect("an answer");
+    assert!(body.contains("the disk takes nothing") && !body.contains("\"vouches\":true"), "{body}");
     disk.full.store(false, Ordering::SeqCst);
-    until("a leader that takes orders again", || change(&core).filter(|status| *status == 200));
-    let told = status(&core).expect("an answer");
-    assert!(told.contains("\"vouches\":true") && !told.contains("takes nothing"), "{told}");
+    until("a leader that accepts calls again", || end_evacuation(&core).filter(|status| *status == 200));
+    let body = status(&core).expect("an answer");
+    assert!(body.contains("\"vouches\":true") && !body.contains("takes nothing"), "{body}");
 }
 
 #[test]
-fn a_process_that_starts_with_a_full_disk_waits_for_room() {
-    let disk = Memory::default();
+fn process_started_with_a_full_disk_waits_for_space() {
+    let disk = MemoryDisk::default();
     disk.full.store(true, Ordering::SeqCst);
-    let core = lone_core(disk.clone());
-    let told = until("a status", || status(&core));
-    assert!(told.contains("the disk takes nothing"), "{told}");
-    assert_eq!(order(&core), Some(503));
+    let core = start_single_core(disk.clone());
+    let body = until("a status", || status(&core));
+    assert!(body.contains("the disk takes nothing"), "{body}");
+    assert_eq!(start_evacuation(&core), Some(503));
     disk.full.store(false, Ordering::SeqCst);
-    until("a leader that takes orders", || order(&core).filter(|status| *status == 200));
+    until("a leader that accepts calls", || start_evacuation(&core).filter(|status| *status == 200));
 }
 
 #[test]
-fn what_only_room_can_mend_is_known_from_a_broken_disk() {
+fn unavailable_disk_is_distinguished_from_a_broken_one() {
     let report = |kind: ErrorKind| Report::new(Error::from(kind)).wrap_err("saving");
     assert!(takes_nothing(&report(ErrorKind::StorageFull)));
     assert!(takes_nothing(&report(ErrorKind::ReadOnlyFilesystem)));
     assert!(takes_nothing(&Report::new(fjall::Error::Poisoned)));
     assert!(!takes_nothing(&report(ErrorKind::InvalidData)));
-    assert!(!takes_nothing(&eyre::eyre!("the disk is of form 9")));
+    assert!(!takes_nothing(&eyre::eyre!("the store has format version 9")));
 }
--- a/overland/tests/kept/mod.rs
+++ b/overland/tests/kept/mod.rs
@@ -1,25 +1,25 @@
-//! What a disk holds after a save, as both kinds of drawn histories keep it.
-#![allow(dead_code)] // Each test program takes what it needs of it.
+//! An in-memory model of a store, and a check of invariants, shared by test programs.
+#![allow(dead_code)] // Each test program uses only a part.
 
 use overland::agreement::{Save, Saved};
 use overland::invariants::violated_on_this_thread;
 
-/// A save is put to what the disk had.
-pub fn keep(disk: &mut Option<Saved>, save: Save) {
-    let disk = disk.get_or_insert_with(Saved::default);
-    disk.vow = save.vow;
+/// Applies a save to the contents of a store.
+pub fn keep(contents: &mut Option<Saved>, save: Save) {
+    let contents = contents.get_or_insert_with(Saved::default);
+    contents.vow = save.vow;
     if let Some(base) = save.base {
-        let behind = disk.entries.iter().position(|entry| entry.index > base.index);
-        disk.entries.drain(..behind.unwrap_or(disk.entries.len()));
-        disk.base = base;
+        let first_kept = contents.entries.iter().position(|entry| entry.index > base.index);
+        contents.entries.drain(..first_kept.unwrap_or(contents.entries.len()));
+        contents.base = base;
     }
     if let Some((first, entries)) = save.entries {
-        disk.entries.retain(|entry| entry.index < first);
-        disk.entries.extend(entries);
+        contents.entries.retain(|entry| entry.index < first);
+        contents.entries.extend(entries);
     }
 }
 
-/// What was violated before a history began.
+/// Checks that no invariant is violated on this thread from [`Watched::begin`] on.
 pub struct Watched(u64);
 
 impl Watched {
@@ -27,13 +27,9 @@
         Watched(violated_on_this_thread())
     }
 
-    /// Nothing was violated since.
+    /// Panics if an invariant was violated.
     pub fn holds(&self) {
         let Watched(before) = self;
-        assert_eq!(
-            violated_on_this_thread(),
-            *before,
-            "an invariant is violated; its line stands in the log"
-        );
+        assert_eq!(violated_on_this_thread(), *before, "an invariant is violated; see the log");
     }
 }
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -1,5 +1,4 @@
-//! The disk of a core process: what is damaged on it is found at a start, and nothing else is ever read from it than what
-//! was saved last.
+//! The store of a core process: corruption is detected at start-up, and only the last save is ever read back.
 
 use overland::agreement::{Base, Entry, Save, Saved, Vow};
 use overland::invariants::violated_on_this_thread;
@@ -8,14 +7,14 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Saves as a member makes them: entries, a log that is cut, a state in place of the first entries.
-fn fill(folder: &Path, saves: u64) -> Saved {
-    let (store, held) = Store::open(folder).expect("an empty disk");
-    assert!(held.is_none());
+/// Makes a store like a member's, with appended entries and a compacted log, and returns its contents.
+fn fill_store(dir: &Path, saves: u64) -> Saved {
+    let (store, contents) = Store::open(dir).expect("opens an empty directory");
+    assert!(contents.is_none());
     let members = vec!["a".to_owned(), "b".to_owned(), "c".to_owned()];
     let mut saved = Saved::default();
     let mut save = |store: &Store, save: Save| {
-        store.save(&save).expect("it is saved");
+        store.save(&save).expect("saves");
         saved.vow = save.vow;
         if let Some(base) = save.base {
             saved.entries.retain(|entry| entry.index > base.index);
@@ -39,23 +38,23 @@
     saved
 }
 
-fn copy(from: &Path, to: &Path) {
-    fs::create_dir_all(to).expect("a folder");
-    for entry in fs::read_dir(from).expect("a folder").flatten() {
+fn copy_dir(from: &Path, to: &Path) {
+    fs::create_dir_all(to).expect("creates a directory");
+    for entry in fs::read_dir(from).expect("reads a directory").flatten() {
         let (path, to) = (entry.path(), to.join(entry.file_name()));
         if path.is_dir() {
-            copy(&path, &to);
+            copy_dir(&path, &to);
         } else {
-            fs::copy(&path, &to).expect("a copy");
+            fs::copy(&path, &to).expect("copies a file");
         }
     }
 }
 
-fn files(folder: &Path) -> Vec<PathBuf> {
+fn files_in(dir: &Path) -> Vec<PathBuf> {
     let mut all = Vec::new();
-    for entry in fs::read_dir(folder).expect("a folder").flatten() {
+    for entry in fs::read_dir(dir).expect("reads a directory").flatten() {
         if entry.path().is_dir() {
-            all.extend(files(&entry.path()));
+            all.extend(files_in(&entry.path()));
         } else {
             all.push(entry.path());
         }
@@ -64,42 +63,43 @@
     all
 }
 
-/// Damages copies of a disk in drawn places. What is read is what was saved last, or nothing that counts.
-fn damaged(times: u64, damage: impl Fn(&mut fastrand::Rng, &Path) -> bool) -> u64 {
-    let folder = tempfile::tempdir().expect("a folder");
-    let saved = fill(folder.path(), 60);
-    let mut found = 0;
-    for seed in 0..times {
+/// Corrupts a random file in each of `runs` copies of a store; opening one must give its contents or report
+/// it as corrupt. Returns how often it was reported.
+fn corrupt_copies(runs: u64, corrupt: impl Fn(&mut fastrand::Rng, &Path) -> bool) -> u64 {
+    let dir = tempfile::tempdir().expect("a directory");
+    let saved = fill_store(dir.path(), 60);
+    let mut reported = 0;
+    for seed in 0..runs {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let other = tempfile::tempdir().expect("a folder");
-        copy(folder.path(), other.path());
-        let all = files(other.path());
+        let copy = tempfile::tempdir().expect("a directory");
+        copy_dir(dir.path(), copy.path());
+        let all = files_in(copy.path());
         let file = &all[rng.usize(0..all.len())];
-        if !damage(&mut rng, file) {
+        if !corrupt(&mut rng, file) {
             continue;
         }
-        let (store, held) = Store::open(other.path()).expect("it starts");
-        let held = held.expect("it was not empty");
-        let lost = held == Saved::default();
-        assert!(lost || held == saved, "{seed}: {} and something else is read", file.display());
-        found += u64::from(lost);
+        let (store, contents) = Store::open(copy.path()).expect("opens");
+        let contents = contents.expect("not empty");
+        let lost = contents == Saved::default();
+        assert!(lost || contents == saved, "seed {seed}: {}: read neither save nor default", file.display());
+        reported += u64::from(lost);
         drop(store);
-        // It goes on from there, and stays as it is.
-        let (_, again) = Store::open(other.path()).expect("it starts again");
-        assert_eq!(again, Some(held), "{seed}: {}", file.display());
+        let (_, reopened) = Store::open(copy.path()).expect("opens again");
+        assert_eq!(reopened, Some(contents), "seed {seed}: {}", file.display());
     }
-    found
+    reported
 }
 
-fn histories(few: u64) -> u64 {
-    std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(few)
+/// The number of runs: that in the environment variable `HISTORIES`, if set.
+fn runs(default: u64) -> u64 {
+    std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn a_flipped_byte_is_found_or_harmless() {
-    let found = damaged(histories(12), |rng, file| {
-        let mut bytes = fs::read(file).expect("a file");
-        // What was written is in front; the rest of a journal is nought.
+fn flipped_bit_is_detected_or_harmless() {
+    let reported = corrupt_copies(runs(12), |rng, file| {
+        let mut bytes = fs::read(file).expect("reads a file");
+        // A journal is preallocated with zeros; flip a bit in its written part.
         let end = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |at| at + 1);
         if end == 0 {
             return false;
@@ -107,147 +107,151 @@
         bytes[rng.usize(0..end)] ^= 1 << rng.u32(0..8);
         fs::write(file, bytes).is_ok()
     });
-    assert!(found > 0, "no damage was found");
+    assert!(reported > 0, "no corruption was detected");
 }
 
 #[test]
-fn a_torn_file_is_found_or_harmless() {
-    let found = damaged(histories(8), |rng, file| {
-        let bytes = fs::read(file).expect("a file");
+fn truncated_file_is_detected_or_harmless() {
+    let reported = corrupt_copies(runs(8), |rng, file| {
+        let bytes = fs::read(file).expect("reads a file");
         let end = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |at| at + 1);
         end > 0 && fs::write(file, &bytes[..rng.usize(0..end)]).is_ok()
     });
-    assert!(found > 0, "no damage was found");
+    assert!(reported > 0, "no corruption was detected");
 }
 
 #[test]
-fn a_store_that_is_lost_beside_its_mark_is_no_empty_disk() {
-    let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 10);
-    fs::remove_dir_all(folder.path().join("core")).expect("it was there");
-    let (_, held) = Store::open(folder.path()).expect("it starts");
-    assert_eq!(held, Some(Saved::default()));
+fn missing_store_beside_a_watermark_is_corruption() {
+    let dir = tempfile::tempdir().expect("a directory");
+    fill_store(dir.path(), 10);
+    fs::remove_dir_all(dir.path().join("core")).expect("removes the store");
+    let (_, contents) = Store::open(dir.path()).expect("opens");
+    assert_eq!(contents, Some(Saved::default()));
 }
 
-/// Entries one by one in the log, and a state in place of them each 512: the disk stays small and opens at once.
+/// Appends a long log with a snapshot every 512 entries: the store stays small and opens quickly.
 #[test]
-fn a_long_log_stays_small_on_disk() {
+fn compacted_log_stays_small_on_disk() {
     let entries = if std::env::var("HISTORIES").is_ok() { 100_000 } else { 3000 };
-    let folder = tempfile::tempdir().expect("a folder");
-    let (store, _) = Store::open(folder.path()).expect("an empty disk");
+    let dir = tempfile::tempdir().expect("a directory");
+    let (store, _) = Store::open(dir.path()).expect("opens an empty directory");
     let vow = Vow { term: 1, vote: None, counts: true };
     let base = |index| Base { index, term: 1, members: vec!["a".into()], state: vec![3; 300_000] };
-    store.save(&Save { vow: vow.clone(), entries: None, base: Some(base(1)) }).expect("it is saved");
+    store.save(&Save { vow: vow.clone(), entries: None, base: Some(base(1)) }).expect("saves");
     let mut first = 2;
     while first < entries {
         let entry = |index: u64| Entry { index, term: 1, data: vec![index as u8; 120], ..Entry::default() };
-        // As many as come while one save is under way.
+        // About as many entries as arrive during one save.
         let entries = (first..first + 64).map(entry).collect::<Vec<_>>();
-        store
-            .save(&Save { vow: vow.clone(), entries: Some((first, entries)), base: None })
-            .expect("it is saved");
+        store.save(&Save { vow: vow.clone(), entries: Some((first, entries)), base: None }).expect("saves");
         first += 64;
         if first % 512 < 64 {
             let base = Some(base(first - 1));
-            store.save(&Save { vow: vow.clone(), entries: None, base }).expect("it is saved");
+            store.save(&Save { vow: vow.clone(), entries: None, base }).expect("saves");
         }
     }
     drop(store);
-    let bytes: u64 = files(folder.path()).iter().map(|file| fs::metadata(file).expect("a file").len()).sum();
+    let bytes: u64 = files_in(dir.path()).iter().map(|file| fs::metadata(file).expect("a file").len()).sum();
     let before = std::time::Instant::now();
-    let (_, held) = Store::open(folder.path()).expect("it opens");
+    let (_, contents) = Store::open(dir.path()).expect("opens");
     eprintln!("{entries} entries: {} KiB on disk, opened in {:?}", bytes / 1024, before.elapsed());
-    let held = held.expect("it was not empty");
-    assert_eq!(held.base.index + held.entries.len() as u64, first - 1);
+    let contents = contents.expect("not empty");
+    assert_eq!(contents.base.index + contents.entries.len() as u64, first - 1);
     assert!(bytes < 160 << 20, "{bytes} bytes on disk");
 }
 
-/// The vow of the first program, and what the form may add.
+/// The stored hard state of the first release, plus fields of later ones.
 #[derive(Clone, PartialEq, Message)]
-struct VowForm {
+struct StoredVow {
     #[prost(uint64, tag = "1")]
     term: u64,
     #[prost(bool, tag = "3")]
     counts: bool,
     #[prost(uint32, tag = "4")]
-    form: u32,
+    format_version: u32,
     #[prost(uint64, tag = "5")]
-    last: u64,
+    last_index: u64,
     #[prost(uint64, tag = "6")]
-    saves: u64,
+    save_number: u64,
     #[prost(uint64, tag = "9")]
-    more: u64,
+    unknown_field: u64,
 }
 
-/// A disk that another program wrote, without digests: this vow, a state of number 4, and one entry.
-fn written(vow: VowForm) -> eyre::Result<Option<Saved>> {
-    let folder = tempfile::tempdir().expect("a folder");
-    let database = fjall::Database::builder(folder.path().join("core")).open().expect("a store");
-    let keys = database.keyspace("agreement", fjall::KeyspaceCreateOptions::default).expect("keys");
+/// Opens a store that another release wrote, without digests: this hard state, a snapshot at index 4, and one
+/// entry.
+fn open_written_by_other_release(vow: StoredVow) -> eyre::Result<Option<Saved>> {
+    let dir = tempfile::tempdir().expect("a directory");
+    let database = fjall::Database::builder(dir.path().join("core")).open().expect("creates a store");
+    let keyspace =
+        database.keyspace("agreement", fjall::KeyspaceCreateOptions::default).expect("creates a keyspace");
     let entry = Entry { index: 5, term: 1, data: vec![1], ..Entry::default() };
-    keys.insert("vow", vow.encode_to_vec()).expect("it is written");
-    // Number and term, one member, no state.
-    keys.insert("base", [8, 4, 16, 1, 26, 1, b'a']).expect("it is written");
-    keys.insert([b"e", &5u64.to_be_bytes()[..]].concat(), entry.encode_to_vec()).expect("it is written");
-    database.persist(fjall::PersistMode::SyncAll).expect("it is on disk");
-    drop((keys, database));
-    Store::open(folder.path()).map(|(_, held)| held)
+    keyspace.insert("vow", vow.encode_to_vec()).expect("writes");
+    // Index 4, term 1, one member, no state.
+    keyspace.insert("base", [8, 4, 16, 1, 26, 1, b'a']).expect("writes");
+    keyspace.insert([b"e", &5u64.to_be_bytes()[..]].concat(), entry.encode_to_vec()).expect("writes");
+    database.persist(fjall::PersistMode::SyncAll).expect("syncs");
+    drop((keyspace, database));
+    Store::open(dir.path()).map(|(_, contents)| contents)
 }
 
 #[test]
-fn forms_of_the_program_before_and_after_are_read_and_no_later_ones() {
-    let first = VowForm { term: 7, counts: true, ..VowForm::default() };
-    let next = VowForm { form: 2, last: 5, saves: 9, more: 3, ..first.clone() };
+fn formats_of_the_previous_and_next_release_are_read_and_later_ones_rejected() {
+    let first = StoredVow { term: 7, counts: true, ..StoredVow::default() };
+    let next =
+        StoredVow { format_version: 2, last_index: 5, save_number: 9, unknown_field: 3, ..first.clone() };
     for vow in [first, next.clone()] {
-        let held = written(vow).expect("it is read").expect("it was not empty");
-        assert_eq!((held.vow.term, held.vow.counts, held.base.index, held.entries.len()), (7, true, 4, 1));
+        let contents = open_written_by_other_release(vow).expect("opens").expect("not empty");
+        let read = (contents.vow.term, contents.vow.counts, contents.base.index, contents.entries.len());
+        assert_eq!(read, (7, true, 4, 1));
     }
-    // It is not taken for damage: it stays as it is, for the program that wrote it.
-    assert!(written(VowForm { form: 3, ..next }).is_err());
+    // An error, and not corruption: the store is left as it is for the release that wrote it.
+    assert!(open_written_by_other_release(StoredVow { format_version: 3, ..next }).is_err());
 }
 
-/// The number of the first byte that differs and of the one behind the last; a file that grew was nought before.
-fn changed(before: &[u8], after: &[u8]) -> Option<(usize, usize)> {
+/// The range of bytes that differ; the new part of a file that grew counts as zeros before.
+fn changed_range(before: &[u8], after: &[u8]) -> Option<(usize, usize)> {
     let differs = |at: &usize| before.get(*at).copied().unwrap_or(0) != after[*at];
     let first = (0..after.len()).find(differs)?;
     let last = (0..after.len()).rfind(differs)?;
     Some((first, last + 1))
 }
 
-/// What a loss of power leaves of the save that was under way: of each sector that it wrote, what was there before or what
-/// was written, by lot. Its mark is not written before all of it is on disk.
-fn lose_power(rng: &mut fastrand::Rng, before: &Path, disk: &Path) {
+/// Simulates a power loss during the last save: a random subset of the sectors that it wrote is reverted. The
+/// watermark is reverted, too, as it is written only after the save is durable.
+fn lose_power(rng: &mut fastrand::Rng, before: &Path, after: &Path) {
     let sector = [64, 512, 4096][rng.usize(0..3)];
-    let kept = rng.f64();
-    let mark = |folder: &Path| folder.join("core.mark");
-    fs::copy(mark(before), mark(disk)).expect("a mark");
-    for path in files(disk) {
-        let old = before.join(path.strip_prefix(disk).expect("a file of the disk"));
+    let kept_share = rng.f64();
+    let watermark = |dir: &Path| dir.join("core.mark");
+    fs::copy(watermark(before), watermark(after)).expect("copies the watermark");
+    for path in files_in(after) {
+        let old = before.join(path.strip_prefix(after).expect("a file of the store"));
         let old = fs::read(old).unwrap_or_default();
-        let mut bytes = fs::read(&path).expect("a file");
-        let Some((first, behind)) = changed(&old, &bytes) else { continue };
-        for at in (first..behind).step_by(sector) {
-            if rng.f64() >= kept {
-                let end = (at + sector).min(behind);
-                let was = |byte: usize| old.get(byte).copied().unwrap_or(0);
-                bytes[at..end].iter_mut().zip(at..).for_each(|(byte, place)| *byte = was(place));
+        let mut bytes = fs::read(&path).expect("reads a file");
+        let Some((first, end)) = changed_range(&old, &bytes) else { continue };
+        for start in (first..end).step_by(sector) {
+            if rng.f64() >= kept_share {
+                let sector_end = (start + sector).min(end);
+                let old_byte = |offset: usize| old.get(offset).copied().unwrap_or(0);
+                let sector_bytes = bytes[start..sector_end].iter_mut();
+                sector_bytes.zip(start..).for_each(|(byte, offset)| *byte = old_byte(offset));
             }
         }
-        fs::write(&path, bytes).expect("it is written");
+        fs::write(&path, bytes).expect("writes a file");
     }
 }
 
-/// Power is lost while a save is under way. The disk holds that save or the one before it, and it counts.
+/// After a power loss during a save the store holds that save or the previous one, and is not reported as
+/// corrupt.
 #[test]
-fn a_loss_of_power_takes_nothing_that_was_saved() {
-    for seed in 0..histories(40) {
+fn power_loss_keeps_every_completed_save() {
+    for seed in 0..runs(40) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut saved = fill(folder.path(), rng.u64(8..30));
-        let (store, held) = Store::open(folder.path()).expect("it opens");
-        assert_eq!(held, Some(saved.clone()));
-        let before = tempfile::tempdir().expect("a folder");
-        copy(folder.path(), before.path());
+        let dir = tempfile::tempdir().expect("a directory");
+        let mut saved = fill_store(dir.path(), rng.u64(8..30));
+        let (store, contents) = Store::open(dir.path()).expect("opens");
+        assert_eq!(contents, Some(saved.clone()));
+        let before = tempfile::tempdir().expect("a directory");
+        copy_dir(dir.path(), before.path());
         let first = saved.base.index + saved.entries.len() as u64 + 1;
         let data = |index: u64| vec![index as u8 | 1; 1 << rng.u32(4..13)];
         let entries: Vec<_> = (first..first + 1 + seed % 3).map(data).collect();
@@ -258,79 +262,79 @@
             ..Entry::default()
         };
         let entries: Vec<_> = entries.into_iter().enumerate().map(entry).collect();
-        let earlier = saved.clone();
+        let previous = saved.clone();
         saved.entries.extend(entries.clone());
         saved.vow.term += 1;
         store
             .save(&Save { vow: saved.vow.clone(), entries: Some((first, entries)), base: None })
-            .expect("it is saved");
+            .expect("saves");
         for _ in 0..8 {
-            let disk = tempfile::tempdir().expect("a folder");
-            copy(folder.path(), disk.path());
-            lose_power(&mut rng, before.path(), disk.path());
-            let (store, held) = Store::open(disk.path()).expect("it starts");
-            let held = held.expect("it was not empty");
-            assert!(held == saved || held == earlier, "{seed}: what was saved is lost: {:?}", held.vow);
-            // It goes on from there.
-            let vow = Vow { term: 99, ..held.vow.clone() };
-            store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("it is saved");
+            let copy = tempfile::tempdir().expect("a directory");
+            copy_dir(dir.path(), copy.path());
+            lose_power(&mut rng, before.path(), copy.path());
+            let (store, contents) = Store::open(copy.path()).expect("opens");
+            let contents = contents.expect("not empty");
+            let kept = contents == saved || contents == previous;
+            assert!(kept, "seed {seed}: a completed save is lost: {:?}", contents.vow);
+            let vow = Vow { term: 99, ..contents.vow.clone() };
+            store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("saves");
             drop(store);
-            let (_, again) = Store::open(disk.path()).expect("it starts again");
-            assert_eq!(again, Some(Saved { vow, ..held }), "{seed}");
+            let (_, reopened) = Store::open(copy.path()).expect("opens again");
+            assert_eq!(reopened, Some(Saved { vow, ..contents }), "seed {seed}");
         }
     }
 }
 
-/// A member with an empty disk hears of a term, and ends before it is sent a state: nothing is damaged.
+/// A member that saved a term but was killed before it was sent a snapshot is not corrupt.
 #[test]
-fn a_disk_that_was_not_filled_yet_is_not_damaged() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (store, held) = Store::open(folder.path()).expect("an empty disk");
-    assert_eq!(held, None);
+fn store_without_a_snapshot_yet_is_not_corrupt() {
+    let dir = tempfile::tempdir().expect("a directory");
+    let (store, contents) = Store::open(dir.path()).expect("opens an empty directory");
+    assert_eq!(contents, None);
     let vow = Vow { term: 7, vote: None, counts: false };
-    store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("it is saved");
+    store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("saves");
     drop(store);
-    let before = violated_on_this_thread();
-    let (_, held) = Store::open(folder.path()).expect("it starts");
-    assert_eq!(held, Some(Saved { vow, ..Saved::default() }));
-    assert_eq!(violated_on_this_thread(), before);
-    assert!(!folder.path().join("core.damaged").exists(), "it was set aside");
+    let violations_before = violated_on_this_thread();
+    let (_, contents) = Store::open(dir.path()).expect("opens");
+    assert_eq!(contents, Some(Saved { vow, ..Saved::default() }));
+    assert_eq!(violated_on_this_thread(), violations_before);
+    assert!(!dir.path().join("core.damaged").exists(), "it was reported as corrupt");
 }
 
-/// The mark's writes are not brought to disk by themselves: behind a loss of power it may be the one of the store that was
-/// set aside.
+/// The watermark is not synced at each save: after a power loss it may be that of the replaced corrupt store.
 #[test]
-fn a_mark_of_the_store_that_was_set_aside_damages_nothing() {
-    let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 60);
-    let mark = fs::read(folder.path().join("core.mark")).expect("a mark");
-    let journal =
-        files(folder.path()).into_iter().find(|path| path.extension().is_some_and(|of| of == "jnl"));
-    fs::write(journal.expect("a journal"), [1; 100]).expect("it is damaged");
-    let (store, held) = Store::open(folder.path()).expect("it starts");
-    assert_eq!(held, Some(Saved::default()));
+fn watermark_of_the_replaced_store_is_not_corruption() {
+    let dir = tempfile::tempdir().expect("a directory");
+    fill_store(dir.path(), 60);
+    let watermark = fs::read(dir.path().join("core.mark")).expect("reads the watermark");
+    let journal = files_in(dir.path())
+        .into_iter()
+        .find(|path| path.extension().is_some_and(|extension| extension == "jnl"));
+    fs::write(journal.expect("a journal"), [1; 100]).expect("corrupts the journal");
+    let (store, contents) = Store::open(dir.path()).expect("opens");
+    assert_eq!(contents, Some(Saved::default()));
     let saved = Saved { vow: Vow { term: 7, vote: None, counts: true }, ..Saved::default() };
     for _ in 0..3 {
-        store.save(&Save { vow: saved.vow.clone(), entries: None, base: None }).expect("it is saved");
+        store.save(&Save { vow: saved.vow.clone(), entries: None, base: None }).expect("saves");
     }
     drop(store);
-    fs::write(folder.path().join("core.mark"), mark).expect("it is written");
-    let (_, held) = Store::open(folder.path()).expect("it starts");
-    assert_eq!(held, Some(saved));
+    fs::write(dir.path().join("core.mark"), watermark).expect("writes the watermark");
+    let (_, contents) = Store::open(dir.path()).expect("opens");
+    assert_eq!(contents, Some(saved));
 }
 
 #[test]
-fn a_disk_is_slow_beside_what_is_usual_for_it() {
+fn disk_is_slow_only_compared_with_its_usual_latency() {
     let mut pace = Pace::default();
-    let mut after = |times: &[f64]| times.iter().map(|ms| pace.saved(*ms)).last();
-    // The first save makes its files, too.
-    assert_eq!(after(&[30.0, 0.6, 0.7, 0.5]), Some(false));
-    // Thirty times as long, or hanging once.
-    assert_eq!(after(&[18.0, 18.0]), Some(false));
-    assert_eq!(after(&[18.0]), Some(true));
-    assert_eq!(after(&[0.6, 3000.0, 0.6, 0.6]), Some(false));
-    // Little more than usual, however long that lasts.
-    assert_eq!(after(&[3.0; 50]), Some(false));
-    let mut slow_from_the_first = Pace::default();
-    assert!(!(0..50).any(|_| slow_from_the_first.saved(12.0)));
+    let mut slow_after = |latencies: &[f64]| latencies.iter().map(|ms| pace.saved(*ms)).last();
+    // The first save also creates files.
+    assert_eq!(slow_after(&[30.0, 0.6, 0.7, 0.5]), Some(false));
+    // Slow after three saves in a row, and not after a single stall.
+    assert_eq!(slow_after(&[18.0, 18.0]), Some(false));
+    assert_eq!(slow_after(&[18.0]), Some(true));
+    assert_eq!(slow_after(&[0.6, 3000.0, 0.6, 0.6]), Some(false));
+    // Below the minimum latency of a slow save, for any time.
+    assert_eq!(slow_after(&[3.0; 50]), Some(false));
+    let mut always_slow = Pace::default();
+    assert!(!(0..50).any(|_| always_slow.saved(12.0)));
 }
