--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -6,10 +6,10 @@
 use cherrytally::{Class, Millis};
 use overland::agreement::READS;
 use overland::follow::{Action, Event, Follow};
-use overland::news::{FromAgent, FromProxy, Kind, Numbered, ToAgent, ToProxy, Whole};
+use overland::news::{FromAgent, FromProxy, IndexedChange, Kind, StateSnapshot, ToAgent, ToProxy};
 use overland::routes::{Numbers, Table, Zones};
 use overland::settings::Settings;
-use overland::state::{Digest, State, Touched};
+use overland::state::{DigestCache, State, Touched};
 use overland::tally::Tally;
 use prost::Message;
 use rustix::time::{clock_gettime, ClockId};
@@ -127,7 +127,7 @@
     settings: Settings,
     zones: Zones,
     state: Option<State>,
-    digest: Digest,
+    digest: DigestCache,
     differs: bool,
     table: Option<Table>,
     routes: Numbers,
@@ -146,7 +146,7 @@
             backends: false,
             zones: Zones::new(&settings.zones),
             state: None,
-            digest: Digest::default(),
+            digest: DigestCache::default(),
             differs: false,
             table: None,
             routes: Numbers::default(),
@@ -161,18 +161,26 @@
     pub fn word(&mut self, now: Millis) -> FromProxy {
         let differs = std::mem::take(&mut self.differs);
         FromProxy {
-            front: self.settings.front.map(|front| front.to_string()).unwrap_or_default(),
+            client_addr: self.settings.front.map(|front| front.to_string()).unwrap_or_default(),
             ready: self.serves() && self.in_touch(now),
-            held: self.held(),
-            ranges: self.state.as_ref().filter(|_| differs).map(State::ranges),
-            at: Some(now),
-            reads: READS,
+            applied_index: self.held(),
+            ranges: self.state.as_ref().filter(|_| differs).map(State::range_digests),
+            sent_at: Some(now),
+            readable_format: READS,
         }
     }
 
     /// Takes in a message. The edition that it goes by from now on, if that has changed.
     pub fn take(&mut self, now: Millis, news: ToProxy) -> Option<u64> {
-        let ToProxy { whole, changes, age_ms, index, digest, mend, .. } = news;
+        let ToProxy {
+            snapshot: whole,
+            changes,
+            leader_contact_age_ms: age_ms,
+            index,
+            digest,
+            repair: mend,
+            ..
+        } = news;
         if age_ms >= 0.0 {
             let at = now - age_ms;
             self.fresh = Some(self.fresh.map_or(at, |fresh| fresh.max(at)));
@@ -184,13 +192,13 @@
         }
         let mut touched = Vec::new();
         if let Some(whole) = whole.filter(|whole| whole.index > held) {
-            self.state = Some(State::from_whole(now, whole));
+            self.state = Some(State::from_snapshot(now, whole));
             touched = vec![Touched::Config, Touched::Gateways];
         }
         if let Some(state) = &mut self.state {
-            touched.extend(state.follow(now, &changes));
-            if mend.is_some_and(|mend| state.mend(now, mend)) {
-                self.digest.forget();
+            touched.extend(state.apply_all(now, &changes));
+            if mend.is_some_and(|mend| state.repair(now, mend)) {
+                self.digest.invalidate();
                 touched.extend([Touched::Config, Touched::Gateways]);
             }
             if digest != 0 && state.index == index && self.digest.of(state) != digest {
@@ -205,7 +213,7 @@
 
     /// Whether it goes by a configuration and has a backend to send to.
     fn serves(&self) -> bool {
-        let open = |state: &State| state.backends.values().any(|known| !known.backend.closing);
+        let open = |state: &State| state.backends.values().any(|known| !known.backend.draining);
         match self.holds {
             Holds::All => self.table.is_some() && self.state.as_ref().is_some_and(open),
             Holds::Number => self.number.1 > 0 && self.backends,
@@ -217,18 +225,18 @@
     }
 
     /// Goes on to the number of what came, where it holds no more than that.
-    fn count(&mut self, held: u64, whole: Option<&Whole>, changes: &[Numbered]) -> Option<u64> {
+    fn count(&mut self, held: u64, whole: Option<&StateSnapshot>, changes: &[IndexedChange]) -> Option<u64> {
         let before = self.number.1;
         if let Some(whole) = whole.filter(|whole| whole.index > held) {
-            self.backends = whole.backends.iter().any(|backend| !backend.closing);
+            self.backends = whole.backends.iter().any(|backend| !backend.draining);
             self.number = (whole.index, whole.config.as_ref().map_or(before, |config| config.edition));
         }
         let follows = self.number.0 > 0;
         for numbered in changes.iter().filter(|numbered| follows && numbered.index > held) {
             self.number.0 = numbered.index;
             match numbered.change.as_ref().and_then(|change| change.kind.as_ref()) {
-                Some(Kind::Configured(config)) => self.number.1 = config.edition,
-                Some(Kind::Backend(backend)) => self.backends |= !backend.closing,
+                Some(Kind::Config(config)) => self.number.1 = config.edition,
+                Some(Kind::Backend(backend)) => self.backends |= !backend.draining,
                 _ => {}
             }
         }
@@ -301,7 +309,7 @@
     /// A core process said something.
     pub fn said(&mut self, now: Millis, core: String, news: Box<ToAgent>, out: &mut Vec<Out>) {
         let kind = match &*news {
-            ToAgent { whole: Some(_), .. } => 0,
+            ToAgent { snapshot: Some(_), .. } => 0,
             ToAgent { changes, .. } if !changes.is_empty() => 1,
             _ => 2,
         };
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/weigh.rs
@@ -10,7 +10,7 @@
 use overland::member::{Action, Event, Member, TICK_MS};
 use overland::news::{Charge, Charges, FromAgent, Gateway, ToProxy};
 use overland::settings::Settings;
-use overland::state::{Digest, State};
+use overland::state::{DigestCache, State};
 use prost::Message;
 use serde::{Deserialize, Serialize};
 
@@ -208,7 +208,7 @@
             gateway: Some(Gateway {
                 node: format!("counter-{gateway}"),
                 zone: zone_of(gateway).0,
-                front: format!("10.1.{}.{}:8080", gateway / 250, gateway % 250 + 1),
+                client_addr: format!("10.1.{}.{}:8080", gateway / 250, gateway % 250 + 1),
             }),
             ..self.word(true)
         };
@@ -221,12 +221,12 @@
         FromAgent {
             gateway: None,
             ready,
-            held: index,
-            at: self.now,
-            follows: true,
-            applied: index,
+            applied_index: index,
+            sent_at: self.now,
+            subscribes: true,
+            proxy_applied_index: index,
             ranges: None,
-            reads: READS,
+            readable_format: READS,
         }
     }
 
@@ -284,23 +284,27 @@
     note("leader: each further Put adds, until the log is cut", "MB", mb(heap.now().saturating_sub(before)));
     alone.meet(0);
     alone.pass(TICK_MS);
-    let digest = Digest::default();
+    let digest = DigestCache::default();
     let state = alone.member.state();
     note(
         "digest of a copy, once for each change",
         "ms",
         1000.0
             * cost(|| {
-                digest.forget();
+                digest.invalidate();
                 digest.of(state);
             }),
     );
-    let whole = state.whole(0.0, false);
+    let whole = state.snapshot(0.0, false);
     let bytes = whole.encode_to_vec();
     note("encoding a whole state", "ms", 1000.0 * cost(|| drop(whole.encode_to_vec())));
-    note("decoding a whole state", "ms", 1000.0 * cost(|| drop(overland::news::Whole::decode(&bytes[..]))));
+    note(
+        "decoding a whole state",
+        "ms",
+        1000.0 * cost(|| drop(overland::news::StateSnapshot::decode(&bytes[..]))),
+    );
     let before = heap.now();
-    let copy = State::from_whole(0.0, whole.clone());
+    let copy = State::from_snapshot(0.0, whole.clone());
     note("a copy of the state", "MB", mb(heap.now().saturating_sub(before)));
     drop(copy);
     drop(bytes);
@@ -310,7 +314,8 @@
     heap.peak();
     let mut proxy = HollowProxy::new(settings, Holds::All);
     let start = thread_s();
-    let edition = proxy.take(0.0, ToProxy { whole: Some(whole), age_ms: 0.0, ..ToProxy::default() });
+    let edition =
+        proxy.take(0.0, ToProxy { snapshot: Some(whole), leader_contact_age_ms: 0.0, ..ToProxy::default() });
     note("proxy: taking a configuration, until it is in force", "ms", 1000.0 * (thread_s() - start));
     edition.ok_or("the proxy does not go by the drawn configuration")?;
     note("proxy: held of it, with its copy", "MB", mb(heap.now().saturating_sub(before)));
@@ -399,9 +404,13 @@
     let mut at = 0;
     let mut charges = |of: usize| {
         at += 1;
-        let charge =
-            |k: usize| Charge { tenant: names[(at * 7 + k) % tenants].clone(), units: 2, back: 0, window: 0 };
-        Charges { number: at as u64, charges: (0..of).map(charge).collect() }
+        let charge = |k: usize| Charge {
+            tenant: names[(at * 7 + k) % tenants].clone(),
+            units: 2,
+            refund: 0,
+            window: 0,
+        };
+        Charges { sequence: at as u64, charges: (0..of).map(charge).collect() }
     };
     let kinds = [(1, "leader: a message of one charge"), (10, "leader: a message of ten charges")];
     for (of, what) in kinds {
--- a/overland/src/calls.rs
+++ b/overland/src/calls.rs
@@ -2,7 +2,7 @@
 //! behind one handler.
 
 use crate::config::{Envelope, Invalid};
-use crate::ledger::Mark;
+use crate::ledger::UpdateId;
 use crate::news::{Backend, Evacuated};
 use crate::status::Status;
 use cherrytally::Millis;
@@ -234,10 +234,10 @@
             service: form.service,
             address: form.address,
             zone: form.zone,
-            berths: form.berths.unwrap_or(0),
-            closing,
+            max_concurrency: form.berths.unwrap_or(0),
+            draining: closing,
             cold_ms: cold.as_millis() as u64,
-            postmark: form.postmark.unwrap_or(u64::MAX),
+            heartbeat_seq: form.postmark.unwrap_or(u64::MAX),
         };
         Ok(Beat { backend })
     }
@@ -281,17 +281,17 @@
     /// It changes named items; otherwise it brings a whole configuration.
     pub patch: bool,
     /// What tells it from others; none where it can't be read.
-    pub mark: Option<Mark>,
+    pub mark: Option<UpdateId>,
 }
 
 impl Order {
     fn read(called: &Called, patch: bool) -> Order {
         let envelope = Envelope::read(called.body);
-        let mark = envelope.as_ref().ok().map(|envelope| Mark {
+        let mark = envelope.as_ref().ok().map(|envelope| UpdateId {
             edition: envelope.edition,
             based_on: envelope.based_on,
-            order: envelope.digest(patch),
-            call: digest(called),
+            content_digest: envelope.digest(patch),
+            call_digest: digest(called),
         });
         Order { envelope, patch, mark }
     }
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -4,10 +4,10 @@
 use crate::calls::{Refusal, Reply};
 use crate::link::{self, framed, Incoming, Outgoing, AGENT_MOST, CHARGES_MOST, HELLO_MOST, MOST};
 use crate::member::{Action, Event, Member, TICK_MS, WRITTEN_MS};
-use crate::news::{Charges, CoreWord, FromAgent, Hello, Purpose, Word};
+use crate::news::{Charges, CoreMessage, FromAgent, Hello, Purpose, Word};
 use crate::settings::{Settings, Watch};
 use crate::status::Status;
-use crate::store::{takes_nothing, Disk, Folder, Saves};
+use crate::store::{disk_unavailable, DirectoryDisk, Disk, DurableStore};
 use cherrytally::Millis;
 use eyre::{eyre, Result, WrapErr};
 use http_body_util::{BodyExt, Full, Limited};
@@ -60,7 +60,7 @@
 /// What a core process needs to take its part.
 struct Running {
     member: Member,
-    store: Box<dyn Saves>,
+    store: Box<dyn DurableStore>,
 }
 
 /// Whether a core process takes its part.
@@ -99,7 +99,7 @@
     pub async fn run(settings: Settings, mut watch: Watch) -> Result<()> {
         let folder = settings.data_dir.clone().ok_or_else(|| eyre!("sender.data_dir is missing"))?;
         let seeds = async move || watch.changed().await.seeds;
-        Self::run_on(settings, Box::new(Folder(folder)), seeds).await
+        Self::run_on(settings, Box::new(DirectoryDisk(folder)), seeds).await
     }
 
     /// The same on this disk, with the seeds that `changed` tells whenever others are named.
@@ -179,7 +179,7 @@
                 *self.duty.borrow_mut() = Duty::Takes(Box::new(running));
                 Ok(())
             }
-            Err(error) if takes_nothing(&error) => {
+            Err(error) if disk_unavailable(&error) => {
                 self.wait_for_disk(&error);
                 Ok(())
             }
@@ -290,10 +290,10 @@
         match action {
             Action::Save(save) => return self.save(&save),
             Action::Tell { to, word } => {
-                self.tell(&to, CoreWord { from: self.me.clone(), word: Some(*word) });
+                self.tell(&to, CoreMessage { from: self.me.clone(), payload: Some(*word) });
             }
             Action::Pass { to, from } => {
-                self.tell(&to, CoreWord { from, word: Some(Word::Join(true)) });
+                self.tell(&to, CoreMessage { from, payload: Some(Word::Join(true)) });
             }
             Action::Answer { call, reply } => {
                 if let Some(to) = self.calls.borrow_mut().remove(&call) {
@@ -318,7 +318,7 @@
         let start = Instant::now();
         match running.store.save(save) {
             Ok(()) => Ok(Some(Event::Saved { took_ms: start.elapsed().as_secs_f64() * 1000.0 })),
-            Err(error) if takes_nothing(&error) => Err(error),
+            Err(error) if disk_unavailable(&error) => Err(error),
             Err(error) => {
                 log::error!("core: the disk is broken: {error:#}");
                 std::process::exit(1);
@@ -346,7 +346,7 @@
         Some(self.settings.inner_at(address.ip()))
     }
 
-    fn tell(self: &Rc<Self>, to: &Name, word: CoreWord) {
+    fn tell(self: &Rc<Self>, to: &Name, word: CoreMessage) {
         let mut peers = self.peers.borrow_mut();
         let told = Instant::now();
         match peers.get_mut(to) {
@@ -561,9 +561,9 @@
         Ok(())
     }
 
-    async fn hear_core(&self, mut from: Incoming<CoreWord>) -> std::io::Result<()> {
+    async fn hear_core(&self, mut from: Incoming<CoreMessage>) -> std::io::Result<()> {
         loop {
-            if let CoreWord { from, word: Some(word) } = from.next().await? {
+            if let CoreMessage { from, payload: Some(word) } = from.next().await? {
                 self.control.step(Event::Heard { from, word });
             }
         }
--- a/overland/src/copy.rs
+++ b/overland/src/copy.rs
@@ -4,7 +4,7 @@
 use crate::agreement::READS;
 use crate::news::{FromProxy, ToProxy};
 use crate::settings::Bounds;
-use crate::state::{Digest, State, Touched};
+use crate::state::{DigestCache, State, Touched};
 use cherrytally::Millis;
 
 /// For how long after contact with a settled leader backends not known to be cold count as warm; later, any
@@ -15,9 +15,9 @@
 const LEADER_GAP_MS: Millis = 3000.0;
 
 /// A proxy's replica of the state.
-pub struct Copy {
+pub struct StateReplica {
     state: Option<State>,
-    digest: Digest,
+    digest: DigestCache,
     /// The replica differs from the agent's; its range digests are due.
     differs: bool,
     /// When a leader was last heard.
@@ -31,22 +31,22 @@
 
 /// The effects of a message from the agent.
 #[derive(Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct Effects {
     /// What changed in the replica.
     pub touched: Vec<Touched>,
     /// Whether ranges of the replica were repaired.
-    pub mended: bool,
+    pub repaired: bool,
     /// The latest time at which the leader is known to have been heard.
-    pub word: Option<Millis>,
+    pub leader_heard_at: Option<Millis>,
 }
 
-impl Copy {
+impl StateReplica {
     /// An empty replica.
     pub fn new(bounds: &Bounds) -> Self {
         let lease_ms = bounds.closed.then(|| bounds.lease().as_secs_f64() * 1000.0);
-        Copy {
+        StateReplica {
             state: None,
-            digest: Digest::default(),
+            digest: DigestCache::default(),
             differs: false,
             leader_heard_at: None,
             settled_at: 0.0,
@@ -55,8 +55,8 @@
     }
 
     /// An empty replica without a leader; the leader always counts as settled.
-    pub fn apart(bounds: &Bounds) -> Self {
-        Copy { settled_at: f64::INFINITY, ..Copy::new(bounds) }
+    pub fn standalone(bounds: &Bounds) -> Self {
+        StateReplica { settled_at: f64::INFINITY, ..StateReplica::new(bounds) }
     }
 
     /// The state, once it was received.
@@ -65,18 +65,18 @@
     }
 
     /// The index of the last applied change; zero without a state.
-    pub fn held(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.state.as_ref().map_or(0, |state| state.index)
     }
 
     /// How long ago the leader was last heard, in ms.
-    pub fn word_age(&self, now: Millis) -> Option<Millis> {
+    pub fn leader_contact_age(&self, now: Millis) -> Option<Millis> {
         self.leader_heard_at.map(|at| now - at)
     }
 
     /// Whether the lease on its keys is still valid.
-    pub fn in_touch(&self, now: Millis) -> bool {
-        self.lease_ms.is_none_or(|lease_ms| self.word_age(now).is_some_and(|age| age < lease_ms))
+    pub fn lease_is_valid(&self, now: Millis) -> bool {
+        self.lease_ms.is_none_or(|lease_ms| self.leader_contact_age(now).is_some_and(|age| age < lease_ms))
     }
 
     /// Until when backends not known to be cold count as warm.
@@ -90,45 +90,67 @@
     }
 
     /// The next message to the agent.
-    pub fn word(&mut self, now: Millis, front: String, ready: bool) -> FromProxy {
-        let ranges = self.state.as_ref().filter(|_| std::mem::take(&mut self.differs)).map(State::ranges);
-        FromProxy { front, ready, held: self.held(), ranges, at: Some(now), reads: READS }
+    pub fn message(&mut self, now: Millis, client_addr: String, ready: bool) -> FromProxy {
+        let ranges =
+            self.state.as_ref().filter(|_| std::mem::take(&mut self.differs)).map(State::range_digests);
+        FromProxy {
+            client_addr,
+            ready,
+            applied_index: self.applied_index(),
+            ranges,
+            sent_at: Some(now),
+            readable_format: READS,
+        }
     }
 
     /// Applies a message from the agent.
-    pub fn take(&mut self, now: Millis, news: ToProxy) -> Taken {
-        let ToProxy { whole, changes, age_ms, index, digest, mend, at, unsettled, .. } = news;
-        let mut taken = Taken::default();
-        let held = self.held();
-        if let Some(whole) = whole.filter(|whole| whole.index > held) {
-            self.state = Some(State::from_whole(now, whole));
-            taken.touched = vec![Touched::Config, Touched::Backends, Touched::Gateways];
+    pub fn apply(&mut self, now: Millis, message: ToProxy) -> Effects {
+        let ToProxy {
+            snapshot,
+            changes,
+            leader_contact_age_ms,
+            index,
+            digest,
+            repair,
+            request_sent_at,
+            unsettled,
+            ..
+        } = message;
+        let mut effects = Effects::default();
+        let applied_index = self.applied_index();
+        if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.index > applied_index) {
+            self.state = Some(State::from_snapshot(now, snapshot));
+            effects.touched = vec![Touched::Config, Touched::Backends, Touched::Gateways];
         }
         if let Some(state) = &mut self.state {
-            taken.touched.extend(state.follow(now, &changes));
-            let names = mend.as_ref().map(|mend| mend.names.join(", ")).unwrap_or_default();
-            if mend.is_some_and(|mend| state.mend(now, mend)) {
+            effects.touched.extend(state.apply_all(now, &changes));
+            let names = repair.as_ref().map(|repair| repair.names.join(", ")).unwrap_or_default();
+            if repair.is_some_and(|repair| state.repair(now, repair)) {
                 log::warn!("proxy: mended: {names}");
-                taken.mended = true;
-                self.digest.forget();
-                taken.touched.extend([Touched::Config, Touched::Backends, Touched::Gateways]);
+                effects.repaired = true;
+                self.digest.invalidate();
+                effects.touched.extend([Touched::Config, Touched::Backends, Touched::Gateways]);
             }
             if digest != 0 && state.index == index && self.digest.of(state) != digest {
                 log::warn!("proxy: the copy of change {index} differs from the agent's");
                 self.differs = true;
             }
         }
-        // The message may have been queued while this process was suspended, so its age counts from `at`, the
-        // time of the last message that the agent had received from here, and not from its arrival.
-        taken.word = at.filter(|at| age_ms >= 0.0 && *at <= now).map(|at| at - age_ms);
-        self.leader_heard_at = match (self.leader_heard_at, taken.word) {
+        // The message may have been queued while this process was suspended, so its age counts from
+        // `request_sent_at`, the time of the last message that the agent had received from here, and not from
+        // its arrival.
+        effects.leader_heard_at = request_sent_at
+            .filter(|at| leader_contact_age_ms >= 0.0 && *at <= now)
+            .map(|at| at - leader_contact_age_ms);
+        self.leader_heard_at = match (self.leader_heard_at, effects.leader_heard_at) {
             (Some(known), Some(heard)) => Some(known.max(heard)),
             (known, heard) => known.or(heard),
         };
-        let settled = taken.word.filter(|heard| !unsettled || heard - self.settled_at < LEADER_GAP_MS);
+        let settled =
+            effects.leader_heard_at.filter(|heard| !unsettled || heard - self.settled_at < LEADER_GAP_MS);
         if let Some(heard) = settled {
             self.settled_at = self.settled_at.max(heard);
         }
-        taken
+        effects
     }
 }
--- a/overland/src/difference.rs
+++ b/overland/src/difference.rs
@@ -14,13 +14,13 @@
 pub struct Piece {
     /// The offset of the copied range in the old text.
     #[prost(uint64, tag = "1")]
-    pub from: u64,
+    pub offset: u64,
     /// The length of the copied range.
     #[prost(uint64, tag = "2")]
     pub length: u64,
     /// The bytes inserted after it.
     #[prost(bytes = "vec", tag = "3")]
-    pub fresh: Vec<u8>,
+    pub inserted: Vec<u8>,
 }
 
 /// A text, encoded as its difference from another.
@@ -56,15 +56,15 @@
         let mut pieces = vec![Piece::default()];
         for chunk in chunks(new.as_bytes()) {
             let last = pieces.len() - 1;
-            let Piece { from, length, fresh } = &mut pieces[last];
-            let copied_end = (*from + *length) as usize;
-            if fresh.is_empty() && old[copied_end..].starts_with(chunk) {
+            let Piece { offset, length, inserted } = &mut pieces[last];
+            let copied_end = (*offset + *length) as usize;
+            if inserted.is_empty() && old[copied_end..].starts_with(chunk) {
                 *length += chunk.len() as u64;
             } else if let Some(offset) = offsets.get(chunk) {
-                let (from, length) = (*offset as u64, chunk.len() as u64);
-                pieces.push(Piece { from, length, fresh: Vec::new() });
+                let (offset, length) = (*offset as u64, chunk.len() as u64);
+                pieces.push(Piece { offset, length, inserted: Vec::new() });
             } else {
-                fresh.extend_from_slice(chunk);
+                inserted.extend_from_slice(chunk);
             }
         }
         for first in 0..pieces.len() {
@@ -75,17 +75,17 @@
 
     /// Reconstructs the new text from the old one; none if `old` is not the text that the difference was made
     /// from.
-    pub fn applied(&self, old: &str) -> Option<String> {
+    pub fn apply(&self, old: &str) -> Option<String> {
         let mut text = Vec::with_capacity(old.len().min(MAX_TEXT_BYTES));
-        for Piece { from, length, fresh } in &self.pieces {
-            let from = usize::try_from(*from).ok()?;
-            let until = from.checked_add(usize::try_from(*length).ok()?)?;
-            let copied = old.as_bytes().get(from..until)?;
-            if text.len() + copied.len() + fresh.len() > MAX_TEXT_BYTES {
+        for Piece { offset, length, inserted } in &self.pieces {
+            let start = usize::try_from(*offset).ok()?;
+            let end = start.checked_add(usize::try_from(*length).ok()?)?;
+            let copied = old.as_bytes().get(start..end)?;
+            if text.len() + copied.len() + inserted.len() > MAX_TEXT_BYTES {
                 return None;
             }
             text.extend_from_slice(copied);
-            text.extend_from_slice(fresh);
+            text.extend_from_slice(inserted);
         }
         String::from_utf8(text).ok().filter(|text| digest(text.as_bytes()) == self.digest)
     }
@@ -95,15 +95,15 @@
 /// that of the next piece backwards, within a chunk.
 fn extend_copies(old: &[u8], pieces: &mut [Piece]) {
     let [piece, rest @ ..] = pieces else { return };
-    let copied_end = (piece.from + piece.length) as usize;
-    let prefix = common_prefix_length(piece.fresh.iter().copied(), old[copied_end..].iter().copied());
-    piece.fresh.drain(..prefix);
+    let copied_end = (piece.offset + piece.length) as usize;
+    let prefix = common_prefix_length(piece.inserted.iter().copied(), old[copied_end..].iter().copied());
+    piece.inserted.drain(..prefix);
     piece.length += prefix as u64;
     if let [next, ..] = rest {
-        let before_next = &old[..next.from as usize];
+        let before_next = &old[..next.offset as usize];
         let suffix =
-            common_prefix_length(piece.fresh.iter().rev().copied(), before_next.iter().rev().copied());
-        piece.fresh.truncate(piece.fresh.len() - suffix);
-        (next.from, next.length) = (next.from - suffix as u64, next.length + suffix as u64);
+            common_prefix_length(piece.inserted.iter().rev().copied(), before_next.iter().rev().copied());
+        piece.inserted.truncate(piece.inserted.len() - suffix);
+        (next.offset, next.length) = (next.offset - suffix as u64, next.length + suffix as u64);
     }
 }
--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -3,9 +3,9 @@
 //! goes out as [`Action`]s; [`Follow::due`] tells when it wants to be told of time.
 
 use crate::agreement::READS;
-use crate::news::{FromAgent, FromProxy, Gateway, Mend, Numbered, Pulse, ToAgent, ToProxy};
+use crate::news::{FromAgent, FromProxy, Gateway, HeartbeatReply, IndexedChange, Repair, ToAgent, ToProxy};
 use crate::settings::Settings;
-use crate::state::{Digest, State, Touched};
+use crate::state::{DigestCache, State, Touched};
 use cherrytally::Millis;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -86,7 +86,7 @@
     inner: u16,
     seeds: Vec<String>,
     state: Option<State>,
-    digest: Digest,
+    digest: DigestCache,
     /// The copy differs from the leader's: its ranges are to be told.
     differs: bool,
     /// The link to the proxy, and what it last told on it.
@@ -117,7 +117,7 @@
             inner: settings.inner_ports.0,
             seeds: Vec::new(),
             state: None,
-            digest: Digest::default(),
+            digest: DigestCache::default(),
             differs: false,
             proxy: None,
             cores: BTreeMap::new(),
@@ -176,8 +176,8 @@
             Event::Said { core, news } => self.heard(now, &core, *news, out),
             Event::ProxyOpen(link) => {
                 self.proxy = Some((link, FromProxy::default()));
-                let whole = self.state.as_ref().map(|state| state.whole(now, false));
-                self.feed(now, ToProxy { whole, ..ToProxy::default() }, out);
+                let whole = self.state.as_ref().map(|state| state.snapshot(now, false));
+                self.feed(now, ToProxy { snapshot: whole, ..ToProxy::default() }, out);
             }
             Event::ProxyClosed(link) => {
                 if self.proxy.as_ref().is_some_and(|(of, _)| *of == link) {
@@ -236,12 +236,12 @@
             let word = FromAgent {
                 gateway,
                 ready: proxy.is_some_and(|proxy| proxy.ready),
-                held: self.held(),
-                at: now,
-                follows,
-                applied: proxy.map_or(0, |proxy| proxy.held),
-                ranges: self.state.as_ref().filter(|_| tells).map(State::ranges),
-                reads: READS,
+                applied_index: self.held(),
+                sent_at: now,
+                subscribes: follows,
+                proxy_applied_index: proxy.map_or(0, |proxy| proxy.applied_index),
+                ranges: self.state.as_ref().filter(|_| tells).map(State::range_digests),
+                readable_format: READS,
             };
             out.push(Action::Say { core, word: Box::new(word) });
         }
@@ -263,35 +263,35 @@
     }
 
     fn gateway(&self) -> Gateway {
-        let front = self.proxy.as_ref().map_or(String::new(), |(_, proxy)| proxy.front.clone());
-        Gateway { node: self.node.clone(), zone: self.zone.clone(), front }
+        let front = self.proxy.as_ref().map_or(String::new(), |(_, proxy)| proxy.client_addr.clone());
+        Gateway { node: self.node.clone(), zone: self.zone.clone(), client_addr: front }
     }
 
     fn heard(&mut self, now: Millis, core: &str, news: ToAgent, out: &mut Vec<Action>) {
-        let ToAgent { whole, changes, pulse, mend } = news;
+        let ToAgent { snapshot: whole, changes, heartbeat_reply: pulse, repair: mend } = news;
         let Some(link) = self.links.get_mut(core) else { return };
         link.heard = now;
         let before = self.held();
         let mut tell = false;
         if let Some(whole) = whole.filter(|whole| whole.index > before) {
             self.awaited = whole.index;
-            self.state = Some(State::from_whole(now, whole.clone()));
-            self.feed(now, ToProxy { whole: Some(whole), ..ToProxy::default() }, out);
+            self.state = Some(State::from_snapshot(now, whole.clone()));
+            self.feed(now, ToProxy { snapshot: Some(whole), ..ToProxy::default() }, out);
             tell = true;
         }
         if let Some(state) = &mut self.state {
-            if state.follow(now, &changes).contains(&Touched::Config) {
+            if state.apply_all(now, &changes).contains(&Touched::Config) {
                 self.awaited = state.index;
             }
         }
         if self.held() != before {
-            let read = self.proxy.as_ref().is_some_and(|(_, word)| word.reads >= READS);
-            if !changes.is_empty() && (read || !changes.iter().any(Numbered::differs)) {
+            let read = self.proxy.as_ref().is_some_and(|(_, word)| word.readable_format >= READS);
+            if !changes.is_empty() && (read || !changes.iter().any(IndexedChange::has_difference)) {
                 self.feed(now, ToProxy { changes, ..ToProxy::default() }, out);
             } else if !changes.is_empty() {
                 // The proxy is of an earlier program.
-                let whole = self.state.as_ref().map(|state| state.whole(now, false));
-                self.feed(now, ToProxy { whole, ..ToProxy::default() }, out);
+                let whole = self.state.as_ref().map(|state| state.snapshot(now, false));
+                self.feed(now, ToProxy { snapshot: whole, ..ToProxy::default() }, out);
             }
         }
         if let Some(mend) = mend {
@@ -306,8 +306,8 @@
     }
 
     /// A core process answered a word. True if there is something to tell.
-    fn pulse(&mut self, now: Millis, core: &str, pulse: Pulse, out: &mut Vec<Action>) -> bool {
-        let Pulse { at, leads, term, index, members, digest, unsettled } = pulse;
+    fn pulse(&mut self, now: Millis, core: &str, pulse: HeartbeatReply, out: &mut Vec<Action>) -> bool {
+        let HeartbeatReply { request_sent_at: at, leads, term, index, members, digest, unsettled } = pulse;
         for member in &members {
             self.know(now, member.clone(), out);
         }
@@ -348,11 +348,11 @@
     }
 
     /// Ranges of the copy are replaced by the leader's.
-    fn mend(&mut self, now: Millis, mend: Mend) {
+    fn mend(&mut self, now: Millis, mend: Repair) {
         let names = mend.names.join(", ");
-        if self.state.as_mut().is_some_and(|state| state.mend(now, mend)) {
+        if self.state.as_mut().is_some_and(|state| state.repair(now, mend)) {
             log::warn!("agent: mended: {names}");
-            self.digest.forget();
+            self.digest.invalidate();
         }
     }
 
@@ -367,10 +367,10 @@
         out.push(Action::Feed(Box::new(ToProxy {
             counter: counter.unwrap_or_default(),
             term: self.leader.as_ref().map_or(0, |(_, term)| *term),
-            age_ms: self.fresh.map_or(-1.0, |fresh| now - fresh),
+            leader_contact_age_ms: self.fresh.map_or(-1.0, |fresh| now - fresh),
             index: self.held(),
-            digest: self.state.as_ref().map_or(0, |state| self.digest.lately(now, state)),
-            at: self.proxy.as_ref().and_then(|(_, word)| word.at),
+            digest: self.state.as_ref().map_or(0, |state| self.digest.rate_limited(now, state)),
+            request_sent_at: self.proxy.as_ref().and_then(|(_, word)| word.sent_at),
             unsettled: self.unsettled,
             ..news
         })));
@@ -383,14 +383,16 @@
             return;
         }
         let before = std::mem::replace(known, word);
-        let changed = FromProxy { at: known.at, held: known.held, ..before.clone() } != *known;
+        let changed =
+            FromProxy { sent_at: known.sent_at, applied_index: known.applied_index, ..before.clone() }
+                != *known;
         // What else it holds is told with the next word: nobody waits for a backend's change to be held everywhere.
-        let awaited = before.held < self.awaited && known.held >= self.awaited;
-        let mend = self.state.as_ref().and_then(|state| state.mend_for(now, ranges.as_ref()?));
+        let awaited = before.applied_index < self.awaited && known.applied_index >= self.awaited;
+        let mend = self.state.as_ref().and_then(|state| state.repair_for(now, ranges.as_ref()?));
         if mend.is_some() {
-            self.feed(now, ToProxy { mend, ..ToProxy::default() }, out);
+            self.feed(now, ToProxy { repair: mend, ..ToProxy::default() }, out);
         }
-        if before.at.is_none() {
+        if before.sent_at.is_none() {
             // From now on it can tell how old what it hears is.
             self.feed(now, ToProxy::default(), out);
         }
--- a/overland/src/member/count.rs
+++ b/overland/src/member/count.rs
@@ -50,21 +50,21 @@
     pub(super) fn charged(&mut self, now: Millis, link: u64, charges: &Charges, out: &mut Vec<Action>) {
         let vouches = self.vouches(now);
         let unused = self.unused_shares(now);
-        let Charges { number, charges } = charges;
+        let Charges { sequence: number, charges } = charges;
         let mut totals = Vec::with_capacity(charges.len());
         let Count { counter, limits } = &mut self.count;
         for charge in charges {
             let Some(counter) = counter.as_mut().filter(|_| vouches) else { break };
             let limit = limits.get(&charge.tenant).copied().unwrap_or_default();
-            let Charge { units, back, window, .. } = *charge;
+            let Charge { units, refund: back, window, .. } = *charge;
             let units = tally::Charge { units, back, window };
             let counted = counter.charge(now, &charge.tenant, limit, units, unused);
             let left_ms = counted.left_ms.ceil().max(0.0) as u32;
             let (units, limit, window) = (counted.units, counted.limit, counted.window);
-            totals.push(Total { units, limit, left_ms, window });
+            totals.push(Total { units, limit, remaining_ms: left_ms, window });
         }
         let sure = totals.len() == charges.len();
-        out.push(Action::Count { link, totals: Totals { number: *number, sure, totals } });
+        out.push(Action::Count { link, totals: Totals { sequence: *number, authoritative: sure, totals } });
     }
 
     /// The part of the gateways' shares that nobody uses.
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -4,7 +4,7 @@
 use super::{Action, Caller, Member, Next, Stage, Waiting, CALL_MS};
 use crate::agreement::{Event, Letter, Name};
 use crate::calls::{Called, Refusal, Reply};
-use crate::news::{Forwarded, Range, Ranges, Word};
+use crate::news::{ForwardedCall, RangeDigest, RangeDigests, Word};
 use cherrytally::Millis;
 use std::net::SocketAddr;
 
@@ -58,17 +58,17 @@
             Word::Answer(answer) => self.answered(&from, answer, out),
             Word::Compare(theirs) => self.compared(&from, &theirs, out),
             Word::Differs(theirs) => {
-                let mend = self.state.mend_for(now, &theirs);
+                let mend = self.state.repair_for(now, &theirs);
                 if let Some(mend) = mend.filter(|_| self.leads()) {
-                    self.tell(&from, Word::Mend(mend), out);
+                    self.tell(&from, Word::Repair(mend), out);
                 }
             }
-            Word::Mend(_) if self.agreement.leader() != Some(&from) => {}
-            Word::Mend(mend) => {
+            Word::Repair(_) if self.agreement.leader() != Some(&from) => {}
+            Word::Repair(mend) => {
                 let names = mend.names.join(", ");
-                if !self.leads() && self.state.mend(now, mend) {
+                if !self.leads() && self.state.repair(now, mend) {
                     log::warn!("core: mended: {names}");
-                    self.digest.forget();
+                    self.digest.invalidate();
                     self.whole = None;
                     self.unread = false;
                 }
@@ -110,7 +110,14 @@
         self.number = number.wrapping_add(1);
         let path = format!("{} {}", called.method, called.path);
         let (term, said) = (self.agreement.term(), self.agreement.leader_said());
-        let call = Forwarded { number, path, body: called.body.to_vec(), status: 0, term, said };
+        let call = ForwardedCall {
+            call_id: number,
+            path,
+            body: called.body.to_vec(),
+            status: 0,
+            term,
+            leader_sent_at: said,
+        };
         self.tell(&to, Word::Call(call), out);
         let (granted, until) = (Refusal::Later.reply(), now + CALL_MS);
         let stage = Stage::Passed(Passed { to, number });
@@ -124,11 +131,11 @@
     }
 
     /// A call that another core process passed on.
-    fn passed_on(&mut self, now: Millis, from: Name, call: &Forwarded, out: &mut Vec<Action>) {
+    fn passed_on(&mut self, now: Millis, from: Name, call: &ForwardedCall, out: &mut Vec<Action>) {
         let Some((method, path)) = call.path.split_once(' ') else { return };
-        let caller = Caller::Member(from, call.number);
+        let caller = Caller::Member(from, call.call_id);
         // What a caller has given up and sent again must not take effect once more, over what came after it.
-        let late = call.term != self.agreement.term() || now - call.said > ON_ITS_WAY_MS;
+        let late = call.term != self.agreement.term() || now - call.leader_sent_at > ON_ITS_WAY_MS;
         if call.term > 0 && late {
             return self.refuse(&caller, &Refusal::Later, out);
         }
@@ -141,8 +148,8 @@
     }
 
     /// The answer to a call that was passed on.
-    fn answered(&mut self, from: &Name, answer: Forwarded, out: &mut Vec<Action>) {
-        let Forwarded { number, body, status, .. } = answer;
+    fn answered(&mut self, from: &Name, answer: ForwardedCall, out: &mut Vec<Action>) {
+        let ForwardedCall { call_id: number, body, status, .. } = answer;
         let mine = |stage: &Stage| matches!(stage, Stage::Passed(p) if p.number == number && p.to == *from);
         let caller = self.calls.iter().find(|(_, w)| mine(&w.stage)).map(|(caller, _)| caller.clone());
         let (Some(caller), Ok(status)) = (caller, u16::try_from(status)) else { return };
@@ -154,19 +161,19 @@
     // ---- Copies that are compared ---------------------------------------------------------------------------
 
     /// The leader told the digest of its copy: where one's own differs its ranges are told.
-    fn compared(&self, leader: &Name, theirs: &Ranges, out: &mut Vec<Action>) {
+    fn compared(&self, leader: &Name, theirs: &RangeDigests, out: &mut Vec<Action>) {
         let digest = theirs.ranges.first().map(|whole| whole.digest);
         let same = theirs.index != self.state.index || digest == Some(self.digest.of(&self.state));
         if !same && self.agreement.leader() == Some(leader) {
             log::warn!("core: the copy of change {} differs from the leader's", self.state.index);
-            self.tell(leader, Word::Differs(self.state.ranges()), out);
+            self.tell(leader, Word::Differs(self.state.range_digests()), out);
         }
     }
 
     /// Tells the other members the digest of one's copy.
     pub(super) fn compare(&self, out: &mut Vec<Action>) {
-        let whole = Range { name: String::new(), digest: self.digest.of(&self.state) };
-        let ranges = Ranges { index: self.state.index, ranges: vec![whole] };
+        let whole = RangeDigest { name: String::new(), digest: self.digest.of(&self.state) };
+        let ranges = RangeDigests { index: self.state.index, ranges: vec![whole] };
         for member in self.agreement.members() {
             self.tell(member, Word::Compare(ranges.clone()), out);
         }
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -14,11 +14,11 @@
 use crate::agreement::{self, Agreement, Entry, Letter, Name, Save, Saved};
 use crate::calls::{self, Called, Outcome, Refusal, Reply, Served, Serves};
 use crate::invariants::{self, Invariant};
-use crate::ledger::Mark;
-use crate::news::{Change, Charges, Forwarded, FromAgent, Kind, ToAgent, Totals, Whole, Word};
+use crate::ledger::UpdateId;
+use crate::news::{Change, Charges, ForwardedCall, FromAgent, Kind, StateSnapshot, ToAgent, Totals, Word};
 use crate::settings::Settings;
-use crate::state::{Digest, State, Touched};
-use crate::store::Pace;
+use crate::state::{DigestCache, State, Touched};
+use crate::store::SaveLatency;
 use bytes::Bytes;
 use cherrytally::Millis;
 use eyre::{eyre, Result};
@@ -219,9 +219,9 @@
     /// An order that is heard, and not proposed yet.
     Heard(calls::Order),
     /// Its change is about to be proposed; an order's, where there is a mark.
-    Proposing(Option<Mark>),
+    Proposing(Option<UpdateId>),
     /// Its change is proposed as this entry, in this term.
-    Proposed { index: u64, term: u64, mark: Option<Mark> },
+    Proposed { index: u64, term: u64, mark: Option<UpdateId> },
     /// Its change is agreed on, and waits to be in force at every gateway.
     Enforcing { index: u64 },
 }
@@ -241,7 +241,7 @@
     seeds: Vec<SocketAddr>,
     agreement: Agreement,
     state: State,
-    digest: Digest,
+    digest: DigestCache,
     /// What the agreement wanted that is not done yet: a save comes first.
     behind: VecDeque<agreement::Action>,
     /// What it is to be told after that.
@@ -253,7 +253,7 @@
     applied: bool,
     /// The agents were told that it leads.
     told: bool,
-    pace: Pace,
+    pace: SaveLatency,
     /// When it last handed over for its slow disk, or as agents did not reach it.
     handed: Option<Millis>,
     /// How many rounds it has been ill placed as a leader, one after the other.
@@ -289,10 +289,10 @@
     ) -> Result<(Member, Option<Save>)> {
         let address = settings.control.ok_or_else(|| eyre!("network.docks_at.control is missing"))?;
         let me = address.to_string();
-        let mut whole = Whole::default();
+        let mut whole = StateSnapshot::default();
         let mut damaged = false;
         if let Some(saved) = &disk {
-            match Whole::decode(&saved.base.state[..]) {
+            match StateSnapshot::decode(&saved.base.state[..]) {
                 Ok(read) => whole = read,
                 Err(_) => damaged = true,
             }
@@ -324,21 +324,21 @@
             saved.base.index,
             if founds { "founds" } else { "known" }
         );
-        let state = State { index: saved.base.index, ..State::from_whole(now, whole) };
+        let state = State { index: saved.base.index, ..State::from_snapshot(now, whole) };
         let member = Member {
             seeds: settings.seeds.clone(),
             agreement: Agreement::new(me.clone(), saved, seed, now).reading(readable),
             settings,
             me,
             state,
-            digest: Digest::default(),
+            digest: DigestCache::default(),
             behind: VecDeque::new(),
             next: VecDeque::new(),
             saving: false,
             unread: false,
             applied: false,
             told: false,
-            pace: Pace::default(),
+            pace: SaveLatency::default(),
             handed: None,
             ill_placed: 0,
             calls: BTreeMap::new(),
@@ -489,7 +489,7 @@
     /// A save is done: what waited for it goes on.
     fn saved(&mut self, now: Millis, took_ms: f64) {
         self.saving = false;
-        if self.pace.saved(took_ms) {
+        if self.pace.record(took_ms) {
             self.hand_over(now, "the disk is slow");
         }
     }
@@ -555,9 +555,9 @@
         }
         let (index, term) = (self.agreement.last() + 1, self.agreement.term());
         let kind = match kind {
-            Kind::Configured(config) => {
+            Kind::Config(config) => {
                 self.orders.propose(&config, index, term);
-                Kind::Configured(self.shortened(config))
+                Kind::Config(self.shortened(config))
             }
             kind => kind,
         };
@@ -569,7 +569,7 @@
             self.become_stage(&caller, Stage::Proposed { index, term, mark });
         }
         let left = matches!(&kind, Kind::BackendGone(id) if self.presence.left(id));
-        Some(agreement::Event::Propose(Change { kind: Some(kind), left }.encode_to_vec()))
+        Some(agreement::Event::Propose(Change { kind: Some(kind), deregistered: left }.encode_to_vec()))
     }
 
     fn act(&mut self, now: Millis, action: agreement::Action, out: &mut Vec<Action>) {
@@ -582,13 +582,13 @@
                 self.tell(&to, Word::Agreement(Letter { say: Some(say) }), out);
             }
             agreement::Action::Apply(entry) => self.apply(now, &entry, out),
-            agreement::Action::Restore { index, state } => match Whole::decode(&state[..]) {
+            agreement::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
                 Ok(whole) => {
                     let former = self.state.index;
                     invariants::check(Invariant::StateClimbs, index >= former, || {
                         format!("the state of {index} takes the place of that of {former}")
                     });
-                    self.state = State { index, ..State::from_whole(now, whole) };
+                    self.state = State { index, ..State::from_snapshot(now, whole) };
                     (self.applied, self.unread, self.whole) = (true, false, None);
                 }
                 Err(_) => out.push(Action::Stop(format!("the state {index} that was sent can't be read"))),
@@ -615,7 +615,7 @@
         if touched == Touched::Config {
             self.take_limits();
         }
-        if let Some(Kind::Configured(config)) = change.as_ref().and_then(|change| change.kind.as_ref()) {
+        if let Some(Kind::Config(config)) = change.as_ref().and_then(|change| change.kind.as_ref()) {
             self.log_order(config, touched == Touched::Config);
         }
         self.orders.decided(entry.index);
@@ -663,7 +663,7 @@
         if !index.is_multiple_of(LOG_MOST) && self.agreement.log_bytes(index) < LOG_BYTES {
             return;
         }
-        let state = self.state.whole(now, true).encode_to_vec();
+        let state = self.state.snapshot(now, true).encode_to_vec();
         let mut actions = Vec::new();
         self.agreement.compact(self.state.index, state, &mut actions);
         self.behind.extend(actions);
@@ -728,7 +728,7 @@
             Caller::Outside(call) => out.push(Action::Answer { call: *call, reply }),
             Caller::Member(name, number) => {
                 let (body, status) = (reply.body.into_bytes(), u32::from(reply.status));
-                let answer = Forwarded { number: *number, body, status, ..Forwarded::default() };
+                let answer = ForwardedCall { call_id: *number, body, status, ..ForwardedCall::default() };
                 self.tell(name, Word::Answer(answer), out);
             }
         }
@@ -758,7 +758,7 @@
 
 /// Whether a state can be read.
 fn readable(state: &[u8]) -> bool {
-    Whole::decode(state).is_ok()
+    StateSnapshot::decode(state).is_ok()
 }
 
 /// The change in an entry; none in those of the agreement's own.
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -11,9 +11,9 @@
 use crate::calls::{Answers, Done, Evacuate, Get, Order, Outcome, Patch, Put, Refusal, TakeBack};
 use crate::config::{digest_of_whole, Envelope};
 use crate::difference::Difference;
-use crate::ledger::Mark;
-use crate::news::{Configured, Kind, Refused};
-use crate::state::Fit;
+use crate::ledger::UpdateId;
+use crate::news::{ConfigRevision, Kind, RejectedUpdate};
+use crate::state::UpdateCheck;
 use cherrytally::Millis;
 use prost::Message;
 use std::collections::VecDeque;
@@ -49,8 +49,8 @@
     }
 
     /// An order is proposed as this entry.
-    pub(super) fn propose(&mut self, config: &Configured, index: u64, term: u64) {
-        let order = config.digests.first().copied().unwrap_or(config.call);
+    pub(super) fn propose(&mut self, config: &ConfigRevision, index: u64, term: u64) {
+        let order = config.digests.first().copied().unwrap_or(config.call_digest);
         self.proposed.push(Proposed { order, edition: config.edition, index, term });
     }
 
@@ -151,7 +151,7 @@
         }
     }
 
-    fn mark_of(&self, caller: &Caller) -> Option<Mark> {
+    fn mark_of(&self, caller: &Caller) -> Option<UpdateId> {
         match &self.calls.get(caller)?.stage {
             Stage::Heard(order) => order.mark,
             _ => None,
@@ -168,20 +168,22 @@
             (Ok(_), None) => return Step::End(Refusal::Later),
         };
         let proposed = &self.orders.proposed;
-        if let Some(same) = proposed.iter().find(|proposed| proposed.order == mark.order) {
+        if let Some(same) = proposed.iter().find(|proposed| proposed.order == mark.content_digest) {
             return Step::Join { index: same.index, term: same.term };
         }
-        match self.state.fit(mark) {
-            Fit::Taken(index) => Step::Taken(index),
+        match self.state.check_update(mark) {
+            UpdateCheck::Accepted(index) => Step::Taken(index),
             // All that is proposed is decided within moments.
-            Fit::Fits | Fit::Ahead if proposed.len() >= PROPOSED_MOST => Step::Wait,
-            Fit::Ahead if proposed.iter().any(|proposed| proposed.edition == mark.based_on) => Step::Wait,
+            UpdateCheck::Applicable | UpdateCheck::Ahead if proposed.len() >= PROPOSED_MOST => Step::Wait,
+            UpdateCheck::Ahead if proposed.iter().any(|proposed| proposed.edition == mark.based_on) => {
+                Step::Wait
+            }
             // It is refused by an entry: a copy of it that comes late must not find that it fits by then.
-            Fit::Ahead => {
-                let Mark { edition, based_on, order, .. } = *mark;
-                Step::Propose(Kind::Refused(Refused { edition, based_on, order }))
+            UpdateCheck::Ahead => {
+                let UpdateId { edition, based_on, content_digest: order, .. } = *mark;
+                Step::Propose(Kind::Rejected(RejectedUpdate { edition, based_on, content_digest: order }))
             }
-            Fit::Fits => match self.brought_by(envelope, mark, order.patch) {
+            UpdateCheck::Applicable => match self.brought_by(envelope, mark, order.patch) {
                 Ok(kind) => Step::Propose(kind),
                 Err(refusal) => Step::End(refusal),
             },
@@ -190,44 +192,53 @@
     }
 
     /// The change that an order wants which fits.
-    fn brought_by(&self, envelope: &Envelope, mark: &Mark, patch: bool) -> Result<Kind, Refusal> {
+    fn brought_by(&self, envelope: &Envelope, mark: &UpdateId, patch: bool) -> Result<Kind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
         let envelope = envelope.clone();
         let (_, text) = if patch { envelope.patched(current) } else { envelope.whole() }?;
-        let Mark { edition, based_on, order, call } = *mark;
+        let UpdateId { edition, based_on, content_digest: order, call_digest: call } = *mark;
         log::info!("core: proposes r{edition} on top of r{based_on}");
         let digests = vec![order, digest_of_whole(based_on, &text)];
         let based_on = Some(based_on);
-        Ok(Kind::Configured(Configured { edition, text, call, based_on, digests, difference: None }))
+        Ok(Kind::Config(ConfigRevision {
+            edition,
+            text,
+            call_digest: call,
+            based_on,
+            digests,
+            difference: None,
+        }))
     }
 
     /// A configuration that is to be proposed, as its difference from the one in force, on which it builds, where all who
     /// are sent the log read that and it is shorter. It is taken nowhere else than on top of that one.
-    pub(super) fn shortened(&self, config: Configured) -> Configured {
+    pub(super) fn shortened(&self, config: ConfigRevision) -> ConfigRevision {
         let known = self.state.config.as_ref().filter(|known| config.based_on == Some(known.edition));
         let Some(known) = known.filter(|_| self.agreement.all_read()) else { return config };
         let difference = Difference::between(&known.text, &config.text);
         if difference.encoded_len() >= config.text.len() / 2 {
             return config;
         }
-        Configured { text: String::new(), difference: Some(difference), ..config }
+        ConfigRevision { text: String::new(), difference: Some(difference), ..config }
     }
 
-    fn refusal_of(&self, fit: Fit, mark: &Mark) -> Refusal {
+    fn refusal_of(&self, fit: UpdateCheck, mark: &UpdateId) -> Refusal {
         let current = self.state.edition();
         match fit {
-            Fit::Late => Refusal::Conflict(format!("r{current} is in place")),
-            Fit::Backward => {
+            UpdateCheck::Stale => Refusal::Conflict(format!("r{current} is in place")),
+            UpdateCheck::NotIncreasing => {
                 Refusal::Bad(format!("edition r{} is not above r{}", mark.edition, mark.based_on))
             }
-            Fit::Forgotten => Refusal::Unclear(format!("r{} lies too far back to tell", mark.edition)),
+            UpdateCheck::Unrecorded => {
+                Refusal::Unclear(format!("r{} lies too far back to tell", mark.edition))
+            }
             // Decided, and neither taken nor refused: it was another order's entry.
-            Fit::Taken(_) | Fit::Fits | Fit::Ahead => Refusal::Later,
+            UpdateCheck::Accepted(_) | UpdateCheck::Applicable | UpdateCheck::Ahead => Refusal::Later,
         }
     }
 
     /// Tells what applying an order's entry gave, where this process leads.
-    pub(super) fn log_order(&self, config: &Configured, taken: bool) {
+    pub(super) fn log_order(&self, config: &ConfigRevision, taken: bool) {
         if !self.leads() {
             return;
         }
@@ -240,9 +251,9 @@
     }
 
     /// An order's entry is applied: its caller goes on by what that gave.
-    pub(super) fn decided(&mut self, now: Millis, caller: &Caller, mark: &Mark, out: &mut Vec<Action>) {
-        match self.state.fit(mark) {
-            Fit::Taken(index) => {
+    pub(super) fn decided(&mut self, now: Millis, caller: &Caller, mark: &UpdateId, out: &mut Vec<Action>) {
+        match self.state.check_update(mark) {
+            UpdateCheck::Accepted(index) => {
                 self.become_stage(caller, Stage::Enforcing { index });
                 self.enforce(now, out);
             }
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -71,14 +71,14 @@
 impl Answers<Beat> for Member {
     fn answer(&mut self, now: Millis, Beat { backend }: Beat) -> Granted<BeatAnswer> {
         let answer = BeatAnswer { beat_address: self.me.clone() };
-        let agreed = self.state.backends.get(&backend.id).map(|known| known.backend.postmark);
+        let agreed = self.state.backends.get(&backend.id).map(|known| known.backend.heartbeat_seq);
         if self.has_left(now, &backend.id) {
             return Ok(Outcome::Now(answer));
         }
         let presence = &mut self.presence;
         let last = presence.beats.entry(backend.id.clone()).or_insert((now, 0));
         last.0 = now;
-        let postmark = backend.postmark;
+        let postmark = backend.heartbeat_seq;
         if postmark < last.1.max(agreed.unwrap_or(0)) {
             // An earlier call that comes late says nothing new.
             return Ok(Outcome::Now(answer));
@@ -86,7 +86,7 @@
         last.1 = postmark;
         let known = self.state.backends.get(&backend.id).is_some_and(|known| {
             let cold_until = now + backend.cold_ms as f64;
-            let same = Backend { cold_ms: 0, postmark, ..known.backend.clone() }
+            let same = Backend { cold_ms: 0, heartbeat_seq: postmark, ..known.backend.clone() }
                 == Backend { cold_ms: 0, ..backend.clone() };
             same && (backend.cold_ms == 0 || cold_until < known.cold_until + COLD_SLACK_MS)
         });
@@ -120,9 +120,9 @@
         let near: Vec<_> =
             ready.values().filter(|word| region(&word.zone) == Some(of.region.as_str())).collect();
         let mut addresses: Vec<String> = if near.len() >= ADDRESSES_LEAST {
-            near.iter().map(|word| word.front.clone()).collect()
+            near.iter().map(|word| word.client_addr.clone()).collect()
         } else {
-            ready.values().map(|word| word.front.clone()).collect()
+            ready.values().map(|word| word.client_addr.clone()).collect()
         };
         self.rng.shuffle(&mut addresses);
         addresses.truncate(ADDRESSES);
@@ -147,7 +147,7 @@
         let told = self.presence.left(id);
         told || (now - self.presence.since < LEFT_MS
             && !self.state.backends.contains_key(id)
-            && self.state.left.iter().any(|left| left == id))
+            && self.state.deregistered.iter().any(|left| left == id))
     }
 
     /// Notes that every backend was heard once, and that the state holds all that they told.
@@ -179,7 +179,7 @@
         presence.beats.retain(|id, _| state.backends.contains_key(id));
         presence.left.retain(|_, at| now - *at < LEFT_MS);
         let heard = self.agents.values().filter(|agent| now - agent.heard < HEARD_MS);
-        let known = heard.map(|agent| &agent.gateway).filter(|gateway| !gateway.front.is_empty());
+        let known = heard.map(|agent| &agent.gateway).filter(|gateway| !gateway.client_addr.is_empty());
         let new = known.filter(|gateway| state.gateways.get(&gateway.node) != Some(gateway));
         changes.extend(new.cloned().map(Kind::Gateway));
         changes
@@ -194,16 +194,16 @@
             GatewayLine {
                 node: gateway.node.clone(),
                 zone: gateway.zone.clone(),
-                front: gateway.front.clone(),
+                front: gateway.client_addr.clone(),
                 ready: agent.is_some_and(|agent| agent.word.ready),
-                held: agent.map_or(0, |agent| agent.word.held),
-                applied: agent.map_or(0, |agent| agent.word.applied),
+                held: agent.map_or(0, |agent| agent.word.applied_index),
+                applied: agent.map_or(0, |agent| agent.word.proxy_applied_index),
                 heard_ms: agent.map(|agent| (now - agent.heard).max(0.0) as u64),
             }
         };
         let mut services = BTreeMap::new();
         for known in state.backends.values() {
-            let Backend { service, zone, closing, berths, .. } = &known.backend;
+            let Backend { service, zone, draining: closing, max_concurrency: berths, .. } = &known.backend;
             let line: &mut ServiceLine = services.entry((service, zone)).or_default();
             if *closing {
                 line.closing += 1;
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -3,7 +3,7 @@
 use super::{change_in, Action, Member, Next};
 use crate::agreement::{Entry, Name, READS};
 use crate::link::framed;
-use crate::news::{Change, FromAgent, Gateway, Kind, Numbered, Pulse, ToAgent};
+use crate::news::{Change, FromAgent, Gateway, HeartbeatReply, IndexedChange, Kind, ToAgent};
 use bytes::Bytes;
 use cherrytally::Millis;
 
@@ -39,9 +39,9 @@
     pub(super) fn agent_said(&mut self, now: Millis, link: u64, mut word: FromAgent, out: &mut Vec<Action>) {
         let leads = self.vouches(now);
         let members = self.agreement.members().to_vec();
-        let (follows, held, applied) = (word.follows, word.held, word.applied);
+        let (follows, held, applied) = (word.subscribes, word.applied_index, word.proxy_applied_index);
         let ranges = word.ranges.take().filter(|_| leads);
-        let mend = ranges.and_then(|theirs| self.state.mend_for(now, &theirs));
+        let mend = ranges.and_then(|theirs| self.state.repair_for(now, &theirs));
         let agent = self.agents.entry(link).or_insert_with(|| Agent {
             gateway: Gateway::default(),
             word: FromAgent::default(),
@@ -58,18 +58,18 @@
         }
         let told = if agent.members == members { Vec::new() } else { members.clone() };
         agent.members = members;
-        let (gateway, at) = (agent.gateway.clone(), agent.word.at);
-        let pulse = Pulse { members: told, ..self.pulse_at(now, at, leads, &gateway) };
+        let (gateway, at) = (agent.gateway.clone(), agent.word.sent_at);
+        let pulse = HeartbeatReply { members: told, ..self.pulse_at(now, at, leads, &gateway) };
         if leads {
             self.presence.told(now, &gateway.node, applied);
         }
-        if leads && !self.is_named(&gateway) && !gateway.front.is_empty() {
+        if leads && !self.is_named(&gateway) && !gateway.client_addr.is_empty() {
             self.next.push_back(Next::Propose(Kind::Gateway(gateway), None));
         }
         if follows {
             self.push_to(now, link, out);
         }
-        let news = ToAgent { pulse: Some(pulse), mend, ..ToAgent::default() };
+        let news = ToAgent { heartbeat_reply: Some(pulse), repair: mend, ..ToAgent::default() };
         // Orders that now are in force everywhere are answered at the next tick: a look at all gateways for each word of each
         // would be their square for every order.
         out.push(Action::Say { link, news: Box::new(news) });
@@ -79,8 +79,8 @@
     pub(super) fn pulse(&self, now: Millis, out: &mut Vec<Action>) {
         let leads = self.vouches(now);
         for (link, agent) in &self.agents {
-            let pulse = Some(self.pulse_at(now, agent.word.at, leads, &agent.gateway));
-            let news = Box::new(ToAgent { pulse, ..ToAgent::default() });
+            let pulse = Some(self.pulse_at(now, agent.word.sent_at, leads, &agent.gateway));
+            let news = Box::new(ToAgent { heartbeat_reply: pulse, ..ToAgent::default() });
             out.push(Action::Say { link: *link, news });
         }
     }
@@ -92,12 +92,12 @@
     }
 
     /// The answer to a word that was sent then. A gateway that is not named yet is up to date by no number.
-    fn pulse_at(&self, now: Millis, at: Millis, leads: bool, gateway: &Gateway) -> Pulse {
-        let digest = if leads { self.digest.lately(now, &self.state) } else { 0 };
+    fn pulse_at(&self, now: Millis, at: Millis, leads: bool, gateway: &Gateway) -> HeartbeatReply {
+        let digest = if leads { self.digest.rate_limited(now, &self.state) } else { 0 };
         let (term, members) = (self.agreement.term(), Vec::new());
         let index = if self.is_named(gateway) { self.state.index } else { u64::MAX };
         let unsettled = !self.presence.is_settled();
-        Pulse { at, leads, term, index, members, digest, unsettled }
+        HeartbeatReply { request_sent_at: at, leads, term, index, members, digest, unsettled }
     }
 
     /// Sends all agents that follow what is new: at once after a pause, else with what comes until the next round. A fleet's
@@ -108,14 +108,14 @@
             return;
         }
         self.pushed = now;
-        let follow = self.agents.iter().filter(|(_, agent)| agent.word.follows);
+        let follow = self.agents.iter().filter(|(_, agent)| agent.word.subscribes);
         let links: Vec<_> = follow.map(|(link, _)| *link).collect();
         links.into_iter().for_each(|link| self.push_to(now, link, out));
     }
 
     fn push_to(&mut self, now: Millis, link: u64, out: &mut Vec<Action>) {
         let Some(agent) = self.agents.get(&link) else { return };
-        let (sent, reads) = (agent.sent, agent.word.reads >= READS);
+        let (sent, reads) = (agent.sent, agent.word.readable_format >= READS);
         if sent >= self.state.index {
             return;
         }
@@ -136,28 +136,28 @@
 
     /// The changes behind this number, as agents are told them; none where the log no longer has them, or where one of them
     /// is a difference and an agent of an earlier program, which reads whole texts alone, is told.
-    fn changes_since(&self, index: u64, reads: bool) -> Option<Vec<Numbered>> {
+    fn changes_since(&self, index: u64, reads: bool) -> Option<Vec<IndexedChange>> {
         // An order that was refused is a number alone to them.
         let stands = |entry: &&Entry, change: &Change| match &change.kind {
-            Some(Kind::Configured(_)) => self.state.ledger.took(entry.index),
-            Some(Kind::Refused(_)) => false,
+            Some(Kind::Config(_)) => self.state.ledger.accepted_at(entry.index),
+            Some(Kind::Rejected(_)) => false,
             _ => true,
         };
         let change = |entry| change_in(entry).filter(|change| stands(&entry, change));
         let entries = self.agreement.since(index)?;
         let changes: Vec<_> =
-            entries.map(|entry| Numbered { index: entry.index, change: change(entry) }).collect();
-        Some(changes).filter(|changes| reads || !changes.iter().any(Numbered::differs))
+            entries.map(|entry| IndexedChange { index: entry.index, change: change(entry) }).collect();
+        Some(changes).filter(|changes| reads || !changes.iter().any(IndexedChange::has_difference))
     }
 
     /// The whole state as a message, and the changes since. It is made once for all that need it within moments: at a
     /// fleet's start that is everyone, and each would take a copy of all backends.
-    fn whole_for(&mut self, now: Millis, reads: bool) -> (Bytes, Vec<Numbered>) {
+    fn whole_for(&mut self, now: Millis, reads: bool) -> (Bytes, Vec<IndexedChange>) {
         let kept = self.whole.as_ref().filter(|kept| now - kept.at < WHOLE_MS);
         let kept = kept.and_then(|kept| Some((kept.bytes.clone(), self.changes_since(kept.index, reads)?)));
         kept.unwrap_or_else(|| {
-            let whole = Some(self.state.whole(now, false));
-            let bytes = Bytes::from(framed(&ToAgent { whole, ..ToAgent::default() }));
+            let whole = Some(self.state.snapshot(now, false));
+            let bytes = Bytes::from(framed(&ToAgent { snapshot: whole, ..ToAgent::default() }));
             self.whole = Some(Kept { at: now, index: self.state.index, bytes: bytes.clone() });
             (bytes, Vec::new())
         })
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -11,7 +11,7 @@
     pub kind: Option<Kind>,
     /// For `BackendGone`: the backend deregistered itself, so a late heartbeat must not register it again.
     #[prost(bool, tag = "15")]
-    pub left: bool,
+    pub deregistered: bool,
 }
 
 /// The kinds of changes.
@@ -19,7 +19,7 @@
 pub enum Kind {
     /// A configuration update.
     #[prost(message, tag = "1")]
-    Configured(Configured),
+    Config(ConfigRevision),
     /// The evacuation of a zone starts or ends.
     #[prost(message, tag = "2")]
     Evacuated(Evacuated),
@@ -37,12 +37,12 @@
     GatewayGone(String),
     /// A configuration update is rejected for good.
     #[prost(message, tag = "7")]
-    Refused(Refused),
+    Rejected(RejectedUpdate),
 }
 
 /// A configuration. As a change it is an update, accepted only on top of the edition that it names.
 #[derive(Clone, PartialEq, Message)]
-pub struct Configured {
+pub struct ConfigRevision {
     /// Its edition.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
@@ -51,7 +51,7 @@
     pub text: String,
     /// A digest of the call's path and raw bytes, by which earlier releases recognise a retry.
     #[prost(fixed64, tag = "3")]
-    pub call: u64,
+    pub call_digest: u64,
     /// In a change: the edition that it builds on. None from earlier releases, which checked it before they
     /// proposed.
     #[prost(uint64, optional, tag = "4")]
@@ -66,7 +66,7 @@
 
 /// A rejected configuration update, whose base was not in force yet.
 #[derive(Clone, PartialEq, Message)]
-pub struct Refused {
+pub struct RejectedUpdate {
     /// The edition that it would have set.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
@@ -75,12 +75,12 @@
     pub based_on: u64,
     /// A digest of its content.
     #[prost(fixed64, tag = "3")]
-    pub order: u64,
+    pub content_digest: u64,
 }
 
 /// The recorded outcome of a configuration update.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ordered {
+pub struct UpdateOutcome {
     /// The edition of the update.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
@@ -120,16 +120,16 @@
     pub zone: String,
     /// Most requests that it processes concurrently.
     #[prost(uint32, tag = "5")]
-    pub berths: u32,
+    pub max_concurrency: u32,
     /// It is draining: it accepts no new requests.
     #[prost(bool, tag = "6")]
-    pub closing: bool,
+    pub draining: bool,
     /// The rest of its warm-up time, in ms, when the message is made.
     #[prost(uint64, tag = "7")]
     pub cold_ms: u64,
-    /// The postmark of the heartbeat that caused this; heartbeats with a lower one are ignored.
+    /// The sequence number of the heartbeat that caused this (`postmark` in calls); lower ones are ignored.
     #[prost(uint64, tag = "8")]
-    pub postmark: u64,
+    pub heartbeat_seq: u64,
 }
 
 /// The registration of a gateway.
@@ -143,18 +143,18 @@
     pub zone: String,
     /// The address at which it takes client connections.
     #[prost(string, tag = "3")]
-    pub front: String,
+    pub client_addr: String,
 }
 
 /// A snapshot of the replicated state.
 #[derive(Clone, PartialEq, Message)]
-pub struct Whole {
+pub struct StateSnapshot {
     /// The index of the last change in it.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// The configuration in force.
     #[prost(message, optional, tag = "2")]
-    pub config: Option<Configured>,
+    pub config: Option<ConfigRevision>,
     /// Zones being evacuated.
     #[prost(string, repeated, tag = "3")]
     pub evacuated: Vec<String>,
@@ -166,21 +166,21 @@
     pub gateways: Vec<Gateway>,
     /// Digests of the configuration calls that earlier releases accepted.
     #[prost(fixed64, repeated, tag = "6")]
-    pub calls: Vec<u64>,
+    pub legacy_call_digests: Vec<u64>,
     /// Ids of backends that deregistered themselves, the most recent last.
     #[prost(string, repeated, tag = "15")]
-    pub left: Vec<String>,
+    pub deregistered: Vec<String>,
     /// The recorded outcomes of configuration updates.
     #[prost(message, optional, boxed, tag = "7")]
-    pub orders: Option<Box<Orders>>,
+    pub update_outcomes: Option<Box<UpdateOutcomes>>,
     /// Zones whose evacuation ended recently. Empty from earlier releases.
     #[prost(message, repeated, tag = "8")]
-    pub taken_back: Vec<TakenBack>,
+    pub evacuation_ends: Vec<EvacuationEnd>,
 }
 
 /// The end of a zone's evacuation.
 #[derive(Clone, PartialEq, Message)]
-pub struct TakenBack {
+pub struct EvacuationEnd {
     /// The zone.
     #[prost(string, tag = "1")]
     pub zone: String,
@@ -191,21 +191,21 @@
 
 /// The recorded outcomes of configuration updates.
 #[derive(Clone, PartialEq, Message)]
-pub struct Orders {
+pub struct UpdateOutcomes {
     /// Accepted updates.
     #[prost(message, repeated, tag = "1")]
-    pub taken: Vec<Ordered>,
+    pub accepted: Vec<UpdateOutcome>,
     /// Rejected updates.
     #[prost(message, repeated, tag = "2")]
-    pub refused: Vec<Ordered>,
+    pub rejected: Vec<UpdateOutcome>,
     /// Updates up to this edition may no longer be recorded.
     #[prost(uint64, tag = "3")]
-    pub forgotten: u64,
+    pub dropped_up_to: u64,
 }
 
 /// The digest of one range of the state, compared between replicas at the same index.
 #[derive(Clone, PartialEq, Message)]
-pub struct Range {
+pub struct RangeDigest {
     /// The name of the range.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -216,18 +216,18 @@
 
 /// The range digests of a replica.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ranges {
+pub struct RangeDigests {
     /// The index of the last change in the replica.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// All ranges that are not empty.
     #[prost(message, repeated, tag = "2")]
-    pub ranges: Vec<Range>,
+    pub ranges: Vec<RangeDigest>,
 }
 
 /// Replacement contents for the ranges in which a replica differs.
 #[derive(Clone, PartialEq, Message)]
-pub struct Mend {
+pub struct Repair {
     /// The index at which the replica must be.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -236,12 +236,12 @@
     pub names: Vec<String>,
     /// The contents of these ranges.
     #[prost(message, optional, tag = "3")]
-    pub parts: Option<Whole>,
+    pub parts: Option<StateSnapshot>,
 }
 
 /// A change and its index.
 #[derive(Clone, PartialEq, Message)]
-pub struct Numbered {
+pub struct IndexedChange {
     /// The index; indexes increase, with gaps.
     #[prost(uint64, tag = "1")]
     pub index: u64,
@@ -250,11 +250,11 @@
     pub change: Option<Change>,
 }
 
-impl Numbered {
+impl IndexedChange {
     /// Whether it carries a configuration as its difference from the previous one.
-    pub fn differs(&self) -> bool {
+    pub fn has_difference(&self) -> bool {
         let kind = self.change.as_ref().and_then(|change| change.kind.as_ref());
-        matches!(kind, Some(Kind::Configured(config)) if config.difference.is_some())
+        matches!(kind, Some(Kind::Config(config)) if config.difference.is_some())
     }
 }
 
@@ -269,22 +269,22 @@
     pub ready: bool,
     /// The index of the last change that the agent has applied.
     #[prost(uint64, tag = "5")]
-    pub held: u64,
+    pub applied_index: u64,
     /// When it was sent, on the agent's clock, in ms.
     #[prost(double, tag = "6")]
-    pub at: f64,
-    /// The agent subscribes to the changes after `held` on this link.
+    pub sent_at: f64,
+    /// The agent subscribes to the changes after `applied_index` on this link.
     #[prost(bool, tag = "7")]
-    pub follows: bool,
+    pub subscribes: bool,
     /// The index of the last change that the proxy has applied; zero without a proxy.
     #[prost(uint64, tag = "8")]
-    pub applied: u64,
+    pub proxy_applied_index: u64,
     /// The range digests of the agent's replica, if it differs from the leader's at the same index.
     #[prost(message, optional, tag = "9")]
-    pub ranges: Option<Ranges>,
+    pub ranges: Option<RangeDigests>,
     /// The format of changes that the sender can read: [`crate::agreement::READS`].
     #[prost(uint32, tag = "10")]
-    pub reads: u32,
+    pub readable_format: u32,
 }
 
 /// A message from a core process to an agent.
@@ -292,24 +292,24 @@
 pub struct ToAgent {
     /// A snapshot, if the agent is too far behind.
     #[prost(message, optional, tag = "1")]
-    pub whole: Option<Whole>,
+    pub snapshot: Option<StateSnapshot>,
     /// Changes, in order.
     #[prost(message, repeated, tag = "2")]
-    pub changes: Vec<Numbered>,
+    pub changes: Vec<IndexedChange>,
     /// The reply to a message of the agent.
     #[prost(message, optional, tag = "3")]
-    pub pulse: Option<Pulse>,
+    pub heartbeat_reply: Option<HeartbeatReply>,
     /// A repair of the agent's replica.
     #[prost(message, optional, tag = "4")]
-    pub mend: Option<Mend>,
+    pub repair: Option<Repair>,
 }
 
 /// A core process's reply to a message of an agent.
 #[derive(Clone, PartialEq, Message)]
-pub struct Pulse {
-    /// The `at` of the agent's message.
+pub struct HeartbeatReply {
+    /// The `sent_at` of the agent's message.
     #[prost(double, tag = "1")]
-    pub at: f64,
+    pub request_sent_at: f64,
     /// It is the leader, and a majority has recently confirmed that.
     #[prost(bool, tag = "2")]
     pub leads: bool,
@@ -335,10 +335,10 @@
 pub struct ToProxy {
     /// A snapshot.
     #[prost(message, optional, tag = "1")]
-    pub whole: Option<Whole>,
+    pub snapshot: Option<StateSnapshot>,
     /// Changes, in order.
     #[prost(message, repeated, tag = "2")]
-    pub changes: Vec<Numbered>,
+    pub changes: Vec<IndexedChange>,
     /// The address of the counter, empty if unknown.
     #[prost(string, tag = "3")]
     pub counter: String,
@@ -347,7 +347,7 @@
     pub term: u64,
     /// How long ago the agent heard the leader, in ms; negative if never.
     #[prost(double, tag = "5")]
-    pub age_ms: f64,
+    pub leader_contact_age_ms: f64,
     /// The index of the agent's replica.
     #[prost(uint64, tag = "6")]
     pub index: u64,
@@ -356,11 +356,12 @@
     pub digest: u64,
     /// A repair of the proxy's replica.
     #[prost(message, optional, tag = "8")]
-    pub mend: Option<Mend>,
-    /// The `at` of the last message that the agent received from the proxy before it sent this.
+    pub repair: Option<Repair>,
+    /// The `sent_at` of the last message that the agent received from the proxy before it sent this.
     #[prost(double, optional, tag = "9")]
-    pub at: Option<f64>,
-    /// Not every backend had sent the leader a heartbeat when it was last heard; see [`Pulse::unsettled`].
+    pub request_sent_at: Option<f64>,
+    /// Not every backend had sent the leader a heartbeat when it was last heard; see
+    /// [`HeartbeatReply::unsettled`].
     #[prost(bool, tag = "10")]
     pub unsettled: bool,
 }
@@ -370,22 +371,22 @@
 pub struct FromProxy {
     /// The address at which it takes client connections.
     #[prost(string, tag = "1")]
-    pub front: String,
+    pub client_addr: String,
     /// It accepts clients.
     #[prost(bool, tag = "2")]
     pub ready: bool,
     /// The index of the last change that it has applied.
     #[prost(uint64, tag = "3")]
-    pub held: u64,
+    pub applied_index: u64,
     /// The range digests of the proxy's replica, if it differs from the agent's at the same index.
     #[prost(message, optional, tag = "4")]
-    pub ranges: Option<Ranges>,
+    pub ranges: Option<RangeDigests>,
     /// When it was sent, on the proxy's clock, in ms.
     #[prost(double, optional, tag = "5")]
-    pub at: Option<f64>,
+    pub sent_at: Option<f64>,
     /// The format of changes that the sender can read: [`crate::agreement::READS`].
     #[prost(uint32, tag = "6")]
-    pub reads: u32,
+    pub readable_format: u32,
 }
 
 /// A batch of charges from a proxy to the counter.
@@ -393,7 +394,7 @@
 pub struct Charges {
     /// The sequence number of the message on its connection.
     #[prost(uint64, tag = "2")]
-    pub number: u64,
+    pub sequence: u64,
     /// The charges.
     #[prost(message, repeated, tag = "3")]
     pub charges: Vec<Charge>,
@@ -410,7 +411,7 @@
     pub units: u64,
     /// Units to refund, for requests that were charged but not sent.
     #[prost(uint64, tag = "3")]
-    pub back: u64,
+    pub refund: u64,
     /// The window in which the refunded units were charged.
     #[prost(uint64, tag = "4")]
     pub window: u64,
@@ -421,10 +422,10 @@
 pub struct Totals {
     /// The sequence number of the batch.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub sequence: u64,
     /// False if the counter can't vouch for its counts.
     #[prost(bool, tag = "2")]
-    pub sure: bool,
+    pub authoritative: bool,
     /// One total for each charge, in order.
     #[prost(message, repeated, tag = "3")]
     pub totals: Vec<Total>,
@@ -441,7 +442,7 @@
     pub limit: i64,
     /// The time left in the window, in ms.
     #[prost(uint32, tag = "3")]
-    pub left_ms: u32,
+    pub remaining_ms: u32,
     /// The window's number.
     #[prost(uint64, tag = "4")]
     pub window: u64,
@@ -471,13 +472,13 @@
 
 /// A message between core processes.
 #[derive(Clone, PartialEq, Message)]
-pub struct CoreWord {
+pub struct CoreMessage {
     /// The sender's name, which is its control address.
     #[prost(string, tag = "1")]
     pub from: String,
     /// The payload.
     #[prost(oneof = "Word", tags = "2, 3, 4, 5, 6, 7, 8")]
-    pub word: Option<Word>,
+    pub payload: Option<Word>,
 }
 
 /// The payload of a message between core processes.
@@ -488,30 +489,30 @@
     Agreement(crate::agreement::Letter),
     /// A call forwarded to the leader.
     #[prost(message, tag = "3")]
-    Call(Forwarded),
+    Call(ForwardedCall),
     /// The answer to a forwarded call.
     #[prost(message, tag = "4")]
-    Answer(Forwarded),
+    Answer(ForwardedCall),
     /// A request of a non-member to become a member.
     #[prost(bool, tag = "5")]
     Join(bool),
     /// The index of the leader's replica, and its digest as that of a range without a name.
     #[prost(message, tag = "6")]
-    Compare(Ranges),
+    Compare(RangeDigests),
     /// The range digests of a replica that differs from the leader's.
     #[prost(message, tag = "7")]
-    Differs(Ranges),
+    Differs(RangeDigests),
     /// A repair of that replica.
     #[prost(message, tag = "8")]
-    Mend(Mend),
+    Repair(Repair),
 }
 
 /// A call forwarded to the leader, or its answer.
 #[derive(Clone, PartialEq, Message)]
-pub struct Forwarded {
+pub struct ForwardedCall {
     /// Matches an answer to its call.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub call_id: u64,
     /// The call's path; empty in an answer.
     #[prost(string, tag = "2")]
     pub path: String,
@@ -527,5 +528,5 @@
     /// Of a call: when the leader sent its last message that the sender had received, on the leader's clock,
     /// in ms. An upper bound on the age of the call.
     #[prost(double, tag = "6")]
-    pub said: f64,
+    pub leader_sent_at: f64,
 }
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -3,7 +3,7 @@
 use crate::agent::{self, feed};
 use crate::ahead::{Ahead, Begun, Front};
 use crate::charging::Pending;
-use crate::copy::{Copy, Taken};
+use crate::copy::{Effects, StateReplica};
 use crate::figures::{Figures, Present};
 use crate::invariants::{self, Invariant};
 use crate::link::{self, Incoming, Outgoing};
@@ -128,7 +128,7 @@
     places_most: usize,
     phase: watch::Sender<Phase>,
     busy: Cell<usize>,
-    copy: RefCell<Copy>,
+    copy: RefCell<StateReplica>,
     table: RefCell<Option<Rc<Table>>>,
     routes: RefCell<Numbers>,
     pools: RefCell<Numbers>,
@@ -212,7 +212,7 @@
             places_most: places,
             phase: watch::Sender::new(Phase::Serves),
             busy: Cell::new(0),
-            copy: RefCell::new(Copy::new(&settings.bounds)),
+            copy: RefCell::new(StateReplica::new(&settings.bounds)),
             table: RefCell::default(),
             routes: RefCell::default(),
             pools: RefCell::default(),
@@ -237,7 +237,7 @@
     ) -> Result<Rc<Self>> {
         let (proxy, _) =
             Self::new(settings, seed, speech, |places| Backends::over(dial, places, CONNECT_MS, IDLE_MS))?;
-        *proxy.copy.borrow_mut() = Copy::apart(&proxy.settings.bounds);
+        *proxy.copy.borrow_mut() = StateReplica::standalone(&proxy.settings.bounds);
         proxy.heard(news);
         Ok(proxy)
     }
@@ -341,7 +341,7 @@
         let mut incoming = Incoming::<ToProxy>::new(read);
         let ended = loop {
             let ready = self.ready();
-            out.send(&self.copy.borrow_mut().word(self.now(), self.front.to_string(), ready));
+            out.send(&self.copy.borrow_mut().message(self.now(), self.front.to_string(), ready));
             let next = tokio::select! {
                 next = incoming.next() => next,
                 () = self.told.notified() => continue,
@@ -358,7 +358,8 @@
     /// Goes by what its agent tells.
     pub fn heard(self: &Rc<Self>, news: ToProxy) {
         let (now, counter) = (self.now(), news.counter.parse().ok());
-        let Taken { touched, mended, word } = self.copy.borrow_mut().take(now, news);
+        let Effects { touched, repaired: mended, leader_heard_at: word } =
+            self.copy.borrow_mut().apply(now, news);
         if mended {
             self.figures.copy_mended();
         }
@@ -444,7 +445,7 @@
             let per_s = table.as_ref().and_then(|table| table.cold_per_s.get(&pool)).copied().unwrap_or(0.0);
             let cold_ms = table.as_ref().and_then(|table| table.cold_ms.get(&pool)).copied().unwrap_or(0.0);
             // Backends of a zone that was taken back may have turned cold meanwhile.
-            let taken_back = state.taken_back.get(&b.zone).map_or(0.0, |at| at + cold_ms);
+            let taken_back = state.evacuation_ends.get(&b.zone).map_or(0.0, |at| at + cold_ms);
             let cold_until = known.cold_until.max(taken_back);
             let cold_until = if cold_until > mine { theirs + cold_until - mine } else { 0.0 };
             let cold = per_s > 0.0 && cold_until > theirs;
@@ -459,8 +460,8 @@
                 zone,
                 kind: 0,
                 cell: 0,
-                state: if b.closing { Stands::Draining } else { Stands::Ready },
-                size: f64::from(b.berths.max(1)),
+                state: if b.draining { Stands::Draining } else { Stands::Ready },
+                size: f64::from(b.max_concurrency.max(1)),
                 started: 0.0,
                 pool,
                 far,
@@ -481,7 +482,7 @@
 
     /// Whether it may still go by the keys that it has.
     fn in_touch(&self) -> bool {
-        self.copy.borrow().in_touch(self.now())
+        self.copy.borrow().lease_is_valid(self.now())
     }
 
     /// Whether clients are to come.
@@ -496,11 +497,11 @@
             open: self.busy.get(),
             backend_connections: self.driver.backends().open(),
             backends: self.driver.listed(),
-            change: self.copy.borrow().held(),
+            change: self.copy.borrow().applied_index(),
             word_age: self
                 .copy
                 .borrow()
-                .word_age(self.now())
+                .leader_contact_age(self.now())
                 .map(|ms| Duration::from_secs_f64(ms.max(0.0) / 1000.0)),
             ready: self.ready(),
         };
@@ -574,14 +575,14 @@
             tokio::select! {
                 _ = counter.changed() => break,
                 totals = incoming.next() => {
-                    let Ok(Totals { number, sure, totals }) = totals else { break };
+                    let Ok(Totals { sequence: number, authoritative: sure, totals }) = totals else { break };
                     let Some(answers) = waiting.answered(number) else { continue };
                     for (at, answer) in answers.into_iter().enumerate() {
                         let total = totals.get(at).filter(|_| sure);
                         let counted = total.map(|total| Counted {
                             units: total.units,
                             limit: total.limit,
-                            left_ms: f64::from(total.left_ms),
+                            left_ms: f64::from(total.remaining_ms),
                             window: total.window,
                         });
                         // It may have waited long enough.
@@ -593,12 +594,12 @@
                     let (mut charges, mut answers) = (Vec::new(), Vec::new());
                     let mut next = Some(first);
                     while let Some(Charging { tenant, charge: tally::Charge { units, back, window }, answer }) = next {
-                        charges.push(Charge { tenant, units, back, window });
+                        charges.push(Charge { tenant, units, refund: back, window });
                         answers.push(answer);
                         next = charging.try_recv().ok();
                     }
                     let Some(number) = waiting.sent(answers) else { break };
-                    if !out.send(&Charges { number, charges }) {
+                    if !out.send(&Charges { sequence: number, charges }) {
                         break;
                     }
                 }
--- a/overland/src/state.rs
+++ b/overland/src/state.rs
@@ -1,9 +1,10 @@
 //! The replicated state: the state machine of the Raft log, of which every process holds a replica. Apart
 //! from repairs of a replica that diverged, it changes only by applying log entries in order.
 
-use crate::ledger::{Ledger, Mark, Standing};
+use crate::ledger::{Ledger, UpdateId, UpdateStatus};
 use crate::news::{
-    Backend, Change, Configured, Gateway, Kind, Mend, Numbered, Range, Ranges, Refused, TakenBack, Whole,
+    Backend, Change, ConfigRevision, EvacuationEnd, Gateway, IndexedChange, Kind, RangeDigest, RangeDigests,
+    RejectedUpdate, Repair, StateSnapshot,
 };
 use cherrytally::Millis;
 use prost::Message;
@@ -13,16 +14,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
 
-/// Most backend ids kept in [`State::left`]. Enough for twice a site's backends to leave within the 30 s in
-/// which a late heartbeat may arrive; at most 256 bytes each.
-const MAX_LEFT: usize = 2048;
+/// Most backend ids kept in [`State::deregistered`]. Enough for twice a site's backends to leave within the
+/// 30 s in which a late heartbeat may arrive; at most 256 bytes each.
+const MAX_DEREGISTERED: usize = 2048;
 
 /// How long the end of a zone's evacuation is remembered; its backends warm up for some seconds after it.
-const TAKEN_BACK_MS: Millis = 60_000.0;
+const EVACUATION_END_KEPT_MS: Millis = 60_000.0;
 
 /// A registered backend and its warm-up deadline.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct RegisteredBackend {
     /// Its registration.
     pub backend: Backend,
     /// When it has warmed up, on the clock of the replica's owner; zero if it is warm.
@@ -35,37 +36,37 @@
     /// The index of the last applied change.
     pub index: u64,
     /// The configuration in force.
-    pub config: Option<Configured>,
+    pub config: Option<ConfigRevision>,
     /// Zones being evacuated.
     pub evacuated: BTreeSet<String>,
     /// Zones whose evacuation ended recently, and when, on the clock of the replica's owner. The start of the
     /// evacuation may never have been committed; the zone's backends may be cold all the same.
-    pub taken_back: BTreeMap<String, Millis>,
+    pub evacuation_ends: BTreeMap<String, Millis>,
     /// Backends by id.
-    pub backends: BTreeMap<String, Known>,
+    pub backends: BTreeMap<String, RegisteredBackend>,
     /// Gateways by machine.
     pub gateways: BTreeMap<String, Gateway>,
     /// Ids of backends that deregistered themselves, the most recent last.
-    pub left: VecDeque<String>,
+    pub deregistered: VecDeque<String>,
     /// The outcomes of configuration updates; only in the replicas of core processes.
     pub ledger: Ledger,
 }
 
 /// How a configuration update relates to the current state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fit {
+pub enum UpdateCheck {
     /// It was accepted, by the change with this index.
-    Taken(u64),
+    Accepted(u64),
     /// Its outcome is no longer recorded; it may have been accepted.
-    Forgotten,
+    Unrecorded,
     /// Its base is the edition in force.
-    Fits,
+    Applicable,
     /// Its base has not been in force yet.
     Ahead,
     /// Another edition replaced its base; it can't be accepted any more.
-    Late,
+    Stale,
     /// Its edition is not above its base.
-    Backward,
+    NotIncreasing,
 }
 
 /// The name of the range that holds the configuration.
@@ -95,26 +96,26 @@
 const MIN_DIGEST_INTERVAL_MS: Millis = 1000.0;
 
 /// Caches the digest of a replica at its current index.
-pub struct Digest {
+pub struct DigestCache {
     /// The index and the digest; digest zero if none is cached.
     cached: Cell<(u64, u64)>,
-    /// When [`Digest::lately`] last computed a digest.
+    /// When [`DigestCache::rate_limited`] last computed a digest.
     computed_at: Cell<Millis>,
 }
 
-impl Default for Digest {
+impl Default for DigestCache {
     fn default() -> Self {
-        Digest { cached: Cell::default(), computed_at: Cell::new(f64::NEG_INFINITY) }
+        DigestCache { cached: Cell::default(), computed_at: Cell::new(f64::NEG_INFINITY) }
     }
 }
 
-impl Digest {
+impl DigestCache {
     /// The digest of all ranges; never zero.
     pub fn of(&self, state: &State) -> u64 {
         if let Some(digest) = self.cached(state) {
             return digest;
         }
-        let digest = digest(&Ranges { index: 0, ..state.ranges() }.encode_to_vec()).max(1);
+        let digest = digest(&RangeDigests { index: 0, ..state.range_digests() }.encode_to_vec()).max(1);
         self.cached.set((state.index, digest));
         digest
     }
@@ -126,7 +127,7 @@
 
     /// The digest if it is cached or none was computed here within the last second; otherwise zero, which
     /// receivers ignore.
-    pub fn lately(&self, now: Millis, state: &State) -> u64 {
+    pub fn rate_limited(&self, now: Millis, state: &State) -> u64 {
         if self.cached(state).is_none() {
             if now - self.computed_at.get() < MIN_DIGEST_INTERVAL_MS {
                 return 0;
@@ -137,7 +138,7 @@
     }
 
     /// Drops the cached digest; needed when a replica changes without a new index.
-    pub fn forget(&self) {
+    pub fn invalidate(&self) {
         self.cached.set((0, 0));
     }
 }
@@ -152,19 +153,19 @@
     /// Gateways.
     Gateways,
     /// The configuration, but its difference does not apply to this replica, which must be repaired.
-    Unread,
+    Unreadable,
     /// Nothing.
     Nothing,
 }
 
 impl State {
-    /// Applies the next change. Apart from [`State::mend`], nothing else modifies a replica.
+    /// Applies the next change. Apart from [`State::repair`], nothing else modifies a replica.
     pub fn apply(&mut self, now: Millis, index: u64, change: Option<&Change>) -> Touched {
         self.index = index;
         match change.and_then(|change| change.kind.as_ref()) {
-            Some(Kind::Configured(config)) => self.configure(index, config),
-            Some(Kind::Refused(refused)) => {
-                self.ledger.refuse(index, refused);
+            Some(Kind::Config(config)) => self.configure(index, config),
+            Some(Kind::Rejected(rejected)) => {
+                self.ledger.record_rejected(index, rejected);
                 Touched::Nothing
             }
             Some(Kind::Evacuated(evacuated)) => {
@@ -172,32 +173,33 @@
                     self.evacuated.insert(evacuated.zone.clone());
                 } else {
                     self.evacuated.remove(&evacuated.zone);
-                    self.taken_back.retain(|_, at| now - *at < TAKEN_BACK_MS);
-                    self.taken_back.insert(evacuated.zone.clone(), now);
+                    self.evacuation_ends.retain(|_, at| now - *at < EVACUATION_END_KEPT_MS);
+                    self.evacuation_ends.insert(evacuated.zone.clone(), now);
                 }
                 Touched::Backends
             }
             Some(Kind::Backend(backend)) => {
-                let applied = self.backends.get(&backend.id).map_or(0, |known| known.backend.postmark);
-                if backend.postmark < applied {
-                    // An old heartbeat, proposed by a leader that had not applied its whole log yet.
+                let applied = self.backends.get(&backend.id).map_or(0, |known| known.backend.heartbeat_seq);
+                if backend.heartbeat_seq < applied {
+                    // An old heartbeat, proposed by a leader that had not applied its snapshot log yet.
                     return Touched::Nothing;
                 }
-                self.left.retain(|id| *id != backend.id);
+                self.deregistered.retain(|id| *id != backend.id);
                 // An address belongs to one backend at a time, so the previous owner is gone.
                 self.backends
                     .retain(|id, known| *id == backend.id || known.backend.address != backend.address);
                 let cold_until = if backend.cold_ms > 0 { now + backend.cold_ms as f64 } else { 0.0 };
-                self.backends.insert(backend.id.clone(), Known { backend: backend.clone(), cold_until });
+                self.backends
+                    .insert(backend.id.clone(), RegisteredBackend { backend: backend.clone(), cold_until });
                 Touched::Backends
             }
             Some(Kind::BackendGone(id)) => {
                 self.backends.remove(id);
-                if change.is_some_and(|change| change.left) {
-                    self.left.retain(|left| left != id);
-                    self.left.push_back(id.clone());
-                    if self.left.len() > MAX_LEFT {
-                        self.left.pop_front();
+                if change.is_some_and(|change| change.deregistered) {
+                    self.deregistered.retain(|other| other != id);
+                    self.deregistered.push_back(id.clone());
+                    if self.deregistered.len() > MAX_DEREGISTERED {
+                        self.deregistered.pop_front();
                     }
                 }
                 Touched::Backends
@@ -221,85 +223,85 @@
 
     /// Accepts or rejects a configuration update by the edition in force, identically on every replica.
     /// Editions only increase, so at most one update is ever accepted on top of each.
-    fn configure(&mut self, index: u64, config: &Configured) -> Touched {
+    fn configure(&mut self, index: u64, config: &ConfigRevision) -> Touched {
         let current = self.edition();
         // Earlier releases checked the base before they proposed, so their entries are always accepted.
         let based_on = config.based_on.unwrap_or(current);
         if config.based_on.is_some() && (based_on != current || config.edition <= current) {
             if based_on > current {
-                let order = config.digests.first().copied().unwrap_or(config.call);
-                let refused = Refused { edition: config.edition, based_on, order };
-                self.ledger.refuse(index, &refused);
+                let content_digest = config.digests.first().copied().unwrap_or(config.call_digest);
+                let rejected = RejectedUpdate { edition: config.edition, based_on, content_digest };
+                self.ledger.record_rejected(index, &rejected);
             }
             return Touched::Nothing;
         }
-        self.ledger.take(index, config);
+        self.ledger.record_accepted(index, config);
         let text = match &config.difference {
             None => Some(config.text.clone()),
-            Some(difference) => self.config.as_ref().and_then(|config| difference.applied(&config.text)),
+            Some(difference) => self.config.as_ref().and_then(|config| difference.apply(&config.text)),
         };
         let Some(text) = text else {
             log::error!("state: failed to apply r{}: it is a difference from another text", config.edition);
-            return Touched::Unread;
+            return Touched::Unreadable;
         };
-        let Configured { edition, call, .. } = *config;
-        self.config = Some(Configured { edition, text, call, ..Configured::default() });
+        let ConfigRevision { edition, call_digest, .. } = *config;
+        self.config = Some(ConfigRevision { edition, text, call_digest, ..ConfigRevision::default() });
         Touched::Config
     }
 
-    /// Compares a configuration update with the state. `Taken`, `Late` and `Backward` are final.
-    pub fn fit(&self, mark: &Mark) -> Fit {
-        match self.ledger.standing(mark) {
-            Standing::Taken(index) => Fit::Taken(index.unwrap_or(self.index)),
-            Standing::Refused => Fit::Late,
-            _ if mark.edition <= mark.based_on => Fit::Backward,
-            Standing::Forgotten => Fit::Forgotten,
-            Standing::Untaken => match mark.based_on.cmp(&self.edition()) {
-                Ordering::Equal => Fit::Fits,
-                Ordering::Greater => Fit::Ahead,
-                Ordering::Less => Fit::Late,
+    /// Compares a configuration update with the state. `Accepted`, `Stale` and `NotIncreasing` are final.
+    pub fn check_update(&self, update: &UpdateId) -> UpdateCheck {
+        match self.ledger.status(update) {
+            UpdateStatus::Accepted(index) => UpdateCheck::Accepted(index.unwrap_or(self.index)),
+            UpdateStatus::Rejected => UpdateCheck::Stale,
+            _ if update.edition <= update.based_on => UpdateCheck::NotIncreasing,
+            UpdateStatus::Unrecorded => UpdateCheck::Unrecorded,
+            UpdateStatus::NotAccepted => match update.based_on.cmp(&self.edition()) {
+                Ordering::Equal => UpdateCheck::Applicable,
+                Ordering::Greater => UpdateCheck::Ahead,
+                Ordering::Less => UpdateCheck::Stale,
             },
         }
     }
 
     /// Applies changes in order; skips those that are applied already.
-    pub fn follow(&mut self, now: Millis, changes: &[Numbered]) -> Vec<Touched> {
+    pub fn apply_all(&mut self, now: Millis, changes: &[IndexedChange]) -> Vec<Touched> {
         let new = changes.iter().filter(|numbered| numbered.index > self.index).collect::<Vec<_>>();
         new.into_iter().map(|numbered| self.apply(now, numbered.index, numbered.change.as_ref())).collect()
     }
 
     /// A snapshot of the replica. `for_core` adds what only core processes need: the ledger and the
     /// deregistered backends.
-    pub fn whole(&self, now: Millis, for_core: bool) -> Whole {
-        let backend = |known: &Known| {
+    pub fn snapshot(&self, now: Millis, for_core: bool) -> StateSnapshot {
+        let backend = |known: &RegisteredBackend| {
             let remaining_ms = (known.cold_until - now).max(0.0);
             Backend { cold_ms: remaining_ms.ceil() as u64, ..known.backend.clone() }
         };
-        let recent = self.taken_back.iter().filter(|(_, at)| now - **at < TAKEN_BACK_MS);
-        let taken_back =
-            recent.map(|(zone, at)| TakenBack { zone: zone.clone(), ago_ms: (now - at).max(0.0) as u64 });
-        let mut whole = Whole {
-            taken_back: taken_back.collect(),
+        let recent = self.evacuation_ends.iter().filter(|(_, at)| now - **at < EVACUATION_END_KEPT_MS);
+        let evacuation_ends =
+            recent.map(|(zone, at)| EvacuationEnd { zone: zone.clone(), ago_ms: (now - at).max(0.0) as u64 });
+        let mut snapshot = StateSnapshot {
+            evacuation_ends: evacuation_ends.collect(),
             index: self.index,
             config: self.config.clone(),
             evacuated: self.evacuated.iter().cloned().collect(),
             backends: self.backends.values().map(backend).collect(),
             gateways: self.gateways.values().cloned().collect(),
-            ..Whole::default()
+            ..StateSnapshot::default()
         };
         if for_core {
-            self.ledger.write(&mut whole);
-            whole.left = self.left.iter().cloned().collect();
+            self.ledger.write(&mut snapshot);
+            snapshot.deregistered = self.deregistered.iter().cloned().collect();
         }
-        whole
+        snapshot
     }
 
     // ---- Anti-entropy: comparing and repairing replicas ---------------------------------------------------
 
     /// The digests of all ranges that are not empty: the configuration, the evacuated zones, and each zone's
     /// backends and gateways. Not compared: warm-up times, which each replica keeps on its own clock, and
-    /// postmarks.
-    pub fn ranges(&self) -> Ranges {
+    /// heartbeat sequence numbers.
+    pub fn range_digests(&self) -> RangeDigests {
         let mut hashers: BTreeMap<String, SipHasher13> = BTreeMap::new();
         let mut add = |range: String, bytes: &[u8]| {
             let hasher = hashers.entry(range).or_insert_with(hasher);
@@ -313,75 +315,76 @@
             add(EVACUATED_RANGE.to_owned(), zone.as_bytes());
         }
         for known in self.backends.values() {
-            let compared = Backend { cold_ms: 0, postmark: 0, ..known.backend.clone() };
+            let compared = Backend { cold_ms: 0, heartbeat_seq: 0, ..known.backend.clone() };
             add(zone_range(&compared.zone), &compared.encode_to_vec());
         }
         for gateway in self.gateways.values() {
             add(zone_range(&gateway.zone), &gateway.encode_to_vec());
         }
-        let range = |(name, hasher): (String, SipHasher13)| Range { name, digest: hasher.finish() };
-        Ranges { index: self.index, ranges: hashers.into_iter().map(range).collect() }
+        let range = |(name, hasher): (String, SipHasher13)| RangeDigest { name, digest: hasher.finish() };
+        RangeDigests { index: self.index, ranges: hashers.into_iter().map(range).collect() }
     }
 
     /// The ranges in which a replica with these digests differs from this one; none if it is at another index
     /// or does not differ.
-    pub fn mend_for(&self, now: Millis, theirs: &Ranges) -> Option<Mend> {
+    pub fn repair_for(&self, now: Millis, theirs: &RangeDigests) -> Option<Repair> {
         if theirs.index != self.index {
             return None;
         }
-        let by_name = |ranges: Ranges| -> BTreeMap<String, u64> {
+        let by_name = |ranges: RangeDigests| -> BTreeMap<String, u64> {
             ranges.ranges.into_iter().map(|range| (range.name, range.digest)).collect()
         };
-        let (mine, theirs) = (by_name(self.ranges()), by_name(theirs.clone()));
+        let (mine, theirs) = (by_name(self.range_digests()), by_name(theirs.clone()));
         let names: BTreeSet<_> = mine.keys().chain(theirs.keys()).cloned().collect();
         let names: Vec<_> = names.into_iter().filter(|name| mine.get(name) != theirs.get(name)).collect();
         if names.is_empty() {
             return None;
         }
         let wanted = |range: &str| names.iter().any(|name| name == range);
-        let mut parts = self.whole(now, false);
+        let mut parts = self.snapshot(now, false);
         parts.config = parts.config.filter(|_| wanted(CONFIG_RANGE));
         parts.evacuated.retain(|_| wanted(EVACUATED_RANGE));
         parts.backends.retain(|backend| wanted(&zone_range(&backend.zone)));
         parts.gateways.retain(|gateway| wanted(&zone_range(&gateway.zone)));
-        Some(Mend { index: self.index, names, parts: Some(parts) })
+        Some(Repair { index: self.index, names, parts: Some(parts) })
     }
 
     /// Replaces the ranges that differed. False if the replica is at another index by now; it is then left
     /// unchanged.
-    pub fn mend(&mut self, now: Millis, mend: Mend) -> bool {
-        let (true, Some(parts)) = (mend.index == self.index, mend.parts) else { return false };
-        let mended = |range: &str| mend.names.iter().any(|name| name == range);
-        let replacement = State::from_whole(now, parts);
-        if mended(CONFIG_RANGE) {
+    pub fn repair(&mut self, now: Millis, repair: Repair) -> bool {
+        let (true, Some(parts)) = (repair.index == self.index, repair.parts) else { return false };
+        let replaced = |range: &str| repair.names.iter().any(|name| name == range);
+        let replacement = State::from_snapshot(now, parts);
+        if replaced(CONFIG_RANGE) {
             self.config = replacement.config;
         }
-        if mended(EVACUATED_RANGE) {
+        if replaced(EVACUATED_RANGE) {
             self.evacuated = replacement.evacuated;
         }
-        self.backends.retain(|_, known| !mended(&zone_range(&known.backend.zone)));
+        self.backends.retain(|_, known| !replaced(&zone_range(&known.backend.zone)));
         self.backends.extend(replacement.backends);
-        self.gateways.retain(|_, gateway| !mended(&zone_range(&gateway.zone)));
+        self.gateways.retain(|_, gateway| !replaced(&zone_range(&gateway.zone)));
         self.gateways.extend(replacement.gateways);
         true
     }
 
     /// A replica restored from a snapshot.
-    pub fn from_whole(now: Millis, mut whole: Whole) -> Self {
-        let ledger = Ledger::read(&mut whole);
+    pub fn from_snapshot(now: Millis, mut snapshot: StateSnapshot) -> Self {
+        let ledger = Ledger::read(&mut snapshot);
         let known = |backend: Backend| {
             let cold_until = if backend.cold_ms > 0 { now + backend.cold_ms as f64 } else { 0.0 };
-            (backend.id.clone(), Known { backend, cold_until })
+            (backend.id.clone(), RegisteredBackend { backend, cold_until })
         };
-        let taken_back = whole.taken_back.into_iter().map(|ended| (ended.zone, now - ended.ago_ms as f64));
+        let evacuation_ends =
+            snapshot.evacuation_ends.into_iter().map(|ended| (ended.zone, now - ended.ago_ms as f64));
         State {
-            taken_back: taken_back.collect(),
-            index: whole.index,
-            config: whole.config,
-            evacuated: whole.evacuated.into_iter().collect(),
-            backends: whole.backends.into_iter().map(known).collect(),
-            gateways: whole.gateways.into_iter().map(|gateway| (gateway.node.clone(), gateway)).collect(),
-            left: whole.left.into(),
+            evacuation_ends: evacuation_ends.collect(),
+            index: snapshot.index,
+            config: snapshot.config,
+            evacuated: snapshot.evacuated.into_iter().collect(),
+            backends: snapshot.backends.into_iter().map(known).collect(),
+            gateways: snapshot.gateways.into_iter().map(|gateway| (gateway.node.clone(), gateway)).collect(),
+            deregistered: snapshot.deregistered.into(),
             ledger,
         }
     }
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -13,7 +13,7 @@
 mod mark;
 mod pace;
 
-pub use pace::Pace;
+pub use pace::SaveLatency;
 
 use crate::agreement::{Base, Entry, Save, Saved, Vow};
 use crate::invariants::{self, Invariant};
@@ -91,12 +91,12 @@
     ///
     /// # Errors
     ///
-    /// The disk is unavailable for now ([`takes_nothing`] returns true), or can't be used at all.
-    fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)>;
+    /// The disk is unavailable for now ([`disk_unavailable`] returns true), or can't be used at all.
+    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<Saved>)>;
 }
 
 /// Opened storage.
-pub trait Saves {
+pub trait DurableStore {
     /// Writes atomically; the data is durable on return.
     ///
     /// # Errors
@@ -106,10 +106,10 @@
 }
 
 /// Storage in a directory of the local file system.
-pub struct Folder(pub PathBuf);
+pub struct DirectoryDisk(pub PathBuf);
 
-impl Disk for Folder {
-    fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)> {
+impl Disk for DirectoryDisk {
+    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<Saved>)> {
         let (store, saved) = Store::open(&self.0)?;
         Ok((Box::new(store), saved))
     }
@@ -196,7 +196,7 @@
 }
 
 /// Whether an error only means that the disk is unavailable for now, for example because it is full.
-pub fn takes_nothing(error: &eyre::Report) -> bool {
+pub fn disk_unavailable(error: &eyre::Report) -> bool {
     error.chain().any(|cause| {
         let fjall_error = cause.downcast_ref::<fjall::Error>();
         // An open store rejects all writes once one has failed.
@@ -385,7 +385,7 @@
     }
 }
 
-impl Saves for Store {
+impl DurableStore for Store {
     fn save(&self, save: &Save) -> Result<()> {
         let mut batch = self.database.batch();
         let (mut last_index, save_number) = (self.last_index.get(), self.save_number.get() + 1);
--- a/overland/src/store/pace.rs
+++ b/overland/src/store/pace.rs
@@ -11,14 +11,14 @@
 
 /// Tracks save latency. The owner of a slow disk should not lead, as each change waits for the leader's disk.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct SaveLatency {
     usual_ms: Option<f64>,
     slow_in_a_row: u32,
 }
 
-impl Pace {
+impl SaveLatency {
     /// Records the latency of a save; returns whether the disk now counts as slow.
-    pub fn saved(&mut self, took_ms: f64) -> bool {
+    pub fn record(&mut self, took_ms: f64) -> bool {
         let usual_ms = *self.usual_ms.get_or_insert(took_ms);
         if took_ms > (usual_ms * SLOW_FACTOR).max(MIN_SLOW_MS) {
             self.slow_in_a_row = self.slow_in_a_row.saturating_add(1);
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -5,7 +5,7 @@
 use overland::agreement::{Base, Install, Letter, Saved, Say, Vow};
 use overland::member::{Action, Event, Member};
 use overland::news::Word;
-use overland::state::Known;
+use overland::state::RegisteredBackend;
 use simulated::{Place, SnapshotMutant, World};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
@@ -44,7 +44,7 @@
     }
 
     /// As the leader has it.
-    fn known(world: &World, leader: usize) -> Option<&Known> {
+    fn known(world: &World, leader: usize) -> Option<&RegisteredBackend> {
         world.cores[leader].running.as_ref().and_then(|member| member.state().backends.get("i-1"))
     }
 }
@@ -71,13 +71,13 @@
     Lonely::beat(&mut world, first, "open", 1);
     Lonely::beat(&mut world, first, "open", 2);
     Lonely::beat(&mut world, first, "closing", 4);
-    assert!(Lonely::known(&world, first).is_some_and(|known| known.backend.closing));
+    assert!(Lonely::known(&world, first).is_some_and(|known| known.backend.draining));
     let next = next_leader(&mut world);
     Lonely::beat(&mut world, next, "open", 3);
-    assert!(Lonely::known(&world, next).is_some_and(|known| known.backend.closing), "a late beat opened it");
+    assert!(Lonely::known(&world, next).is_some_and(|known| known.backend.draining), "a late beat opened it");
     // One that was sent later counts.
     Lonely::beat(&mut world, next, "open", 5);
-    assert!(Lonely::known(&world, next).is_some_and(|known| !known.backend.closing));
+    assert!(Lonely::known(&world, next).is_some_and(|known| !known.backend.draining));
 }
 
 /// A backend leaves, the leader is lost, and a beat that was sent before comes to the next.
@@ -107,7 +107,7 @@
         let Some(leader) = world.leader() else { continue };
         let Some(member) = &world.cores[leader].running else { continue };
         for id in world.judge.closing.keys() {
-            let open = member.state().backends.get(id).is_some_and(|known| !known.backend.closing);
+            let open = member.state().backends.get(id).is_some_and(|known| !known.backend.draining);
             assert!(!open, "{id} is open at {:.0}, and its closing was acknowledged", world.now);
         }
     }
@@ -310,10 +310,10 @@
 fn alike(world: &World) {
     let lead = world.cores[leader(world)].running.as_ref().expect("it runs");
     let whole = |member: &Member| {
-        let mut whole = member.state().whole(0.0, true);
+        let mut whole = member.state().snapshot(0.0, true);
         // By each copy's own clock, and of each start: how long a backend stays cold, and how long ago a zone was taken back.
         whole.backends.iter_mut().for_each(|backend| backend.cold_ms = 0);
-        whole.taken_back.clear();
+        whole.evacuation_ends.clear();
         whole
     };
     for name in lead.agreement().members() {
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -5,7 +5,7 @@
 mod simulated;
 
 use overland::agreement::{Append, Install, Letter, Say};
-use overland::news::{FromAgent, Gateway, Mend, Whole, Word};
+use overland::news::{FromAgent, Gateway, Repair, StateSnapshot, Word};
 use simulated::troubles::{Trouble, ALL};
 use simulated::{Input, Place, World};
 
@@ -113,9 +113,12 @@
                 _ => Say::Succeed(term),
             };
             let index = world.cores[core].running.as_ref().expect("it runs").state().index;
-            let mend = Mend { index, names: vec!["cell z1".into()], parts: Some(Whole::default()) };
-            let word =
-                if world.rng.bool() { Word::Agreement(Letter { say: Some(say) }) } else { Word::Mend(mend) };
+            let mend = Repair { index, names: vec!["cell z1".into()], parts: Some(StateSnapshot::default()) };
+            let word = if world.rng.bool() {
+                Word::Agreement(Letter { say: Some(say) })
+            } else {
+                Word::Repair(mend)
+            };
             world.input(core, Input::Heard(name, Box::new(word)));
             sent += 1;
             world.pass(world.now + 20.0);
@@ -135,7 +138,7 @@
     world.begin();
     world.pass(8_000.0);
     let leader = world.leader().expect("a leader");
-    let gateway = Gateway { node: "late".into(), zone: "z0".into(), front: "10.1.0.99:80".into() };
+    let gateway = Gateway { node: "late".into(), zone: "z0".into(), client_addr: "10.1.0.99:80".into() };
     let word = FromAgent { gateway: Some(gateway), ready: true, ..FromAgent::default() };
     let knows = |world: &World| {
         let member = world.cores[leader].running.as_ref().expect("it runs");
--- a/overland/tests/difference.rs
+++ b/overland/tests/difference.rs
@@ -40,10 +40,10 @@
         let old = objects(&mut rng, count);
         let new = if rng.u32(0..8) == 0 { objects(&mut rng, 20) } else { modified(&mut rng, &old) };
         let difference = Difference::between(&old, &new);
-        assert_eq!(difference.applied(&old), Some(new.clone()));
+        assert_eq!(difference.apply(&old), Some(new.clone()));
         // Applied to any other text it fails.
         let other = modified(&mut rng, &old);
-        assert!(difference.applied(&other).is_none_or(|text| text == new));
+        assert!(difference.apply(&other).is_none_or(|text| text == new));
     });
 }
 
@@ -58,14 +58,14 @@
     let difference = Difference::between(&old, &new);
     let bytes = difference.encoded_len();
     assert!(bytes < 200, "{bytes} bytes of {}", new.len());
-    assert_eq!(difference.applied(&old), Some(new));
+    assert_eq!(difference.apply(&old), Some(new));
 }
 
 /// Malformed differences: a range beyond the old text, an integer overflow, invalid UTF-8, an oversized
 /// result.
 #[test]
 fn malformed_difference_is_rejected() {
-    let piece = |from, length, fresh: &[u8]| Piece { from, length, fresh: fresh.to_vec() };
+    let piece = |offset, length, inserted: &[u8]| Piece { offset, length, inserted: inserted.to_vec() };
     for pieces in [
         vec![piece(2, 9, b"")],
         vec![piece(u64::MAX, 2, b"")],
@@ -73,6 +73,6 @@
         vec![piece(0, 0, &[0xc3])],
         vec![piece(0, 6, b""); 8 << 20],
     ] {
-        assert_eq!(Difference { pieces, digest: 0 }.applied("abcdef"), None);
+        assert_eq!(Difference { pieces, digest: 0 }.apply("abcdef"), None);
     }
 }
--- a/overland/tests/full_disk.rs
+++ b/overland/tests/full_disk.rs
@@ -8,7 +8,7 @@
 use overland::agreement::{Save, Saved};
 use overland::control::Control;
 use overland::settings::Settings;
-use overland::store::{takes_nothing, Disk, Saves};
+use overland::store::{disk_unavailable, Disk, DurableStore};
 use processes::{call, inner_ports, port, until};
 use std::io::{Error, ErrorKind};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,16 +33,16 @@
 }
 
 impl Disk for MemoryDisk {
-    fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)> {
+    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<Saved>)> {
         self.check_space()?;
         Ok((Box::new(self.clone()), self.contents.lock().expect("not poisoned").clone()))
     }
 }
 
-impl Saves for MemoryDisk {
+impl DurableStore for MemoryDisk {
     fn save(&self, save: &Save) -> Result<()> {
         self.check_space()?;
-        kept::keep(&mut self.contents.lock().expect("not poisoned"), save.clone());
+        kept::apply_save(&mut self.contents.lock().expect("not poisoned"), save.clone());
         Ok(())
     }
 }
@@ -111,9 +111,9 @@
 #[test]
 fn unavailable_disk_is_distinguished_from_a_broken_one() {
     let report = |kind: ErrorKind| Report::new(Error::from(kind)).wrap_err("saving");
-    assert!(takes_nothing(&report(ErrorKind::StorageFull)));
-    assert!(takes_nothing(&report(ErrorKind::ReadOnlyFilesystem)));
-    assert!(takes_nothing(&Report::new(fjall::Error::Poisoned)));
-    assert!(!takes_nothing(&report(ErrorKind::InvalidData)));
-    assert!(!takes_nothing(&eyre::eyre!("the store has format version 9")));
+    assert!(disk_unavailable(&report(ErrorKind::StorageFull)));
+    assert!(disk_unavailable(&report(ErrorKind::ReadOnlyFilesystem)));
+    assert!(disk_unavailable(&Report::new(fjall::Error::Poisoned)));
+    assert!(!disk_unavailable(&report(ErrorKind::InvalidData)));
+    assert!(!disk_unavailable(&eyre::eyre!("the store has format version 9")));
 }
--- a/overland/tests/histories/mod.rs
+++ b/overland/tests/histories/mod.rs
@@ -5,7 +5,7 @@
 #[path = "../kept/mod.rs"]
 mod kept;
 
-use kept::{keep, Watched};
+use kept::{apply_save, InvariantCheck};
 use overland::agreement::{Action, Agreement, Entry, Event, Saved, Say, Sizes};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -116,7 +116,7 @@
     troubled: bool,
     /// Things that have happened.
     pub events: u64,
-    watched: Watched,
+    watched: InvariantCheck,
 }
 
 fn name(number: usize) -> String {
@@ -153,7 +153,7 @@
             nervous,
             troubled: false,
             events: 0,
-            watched: Watched::begin(),
+            watched: InvariantCheck::start(),
         }
     }
 
@@ -271,7 +271,7 @@
                 {
                     self.model.told = self.model.told.max(*first);
                 }
-                keep(&mut machine.disk, save);
+                apply_save(&mut machine.disk, save);
             }
             Action::Send { to, say } => {
                 for _ in 0..if self.rng.f64() < 0.05 { 2 } else { 1 } {
@@ -349,7 +349,7 @@
                 }
             }
         }
-        self.watched.holds();
+        self.watched.assert_none_violated();
     }
 
     /// A machine is lost for good.
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -6,7 +6,8 @@
 use overland::follow::Event;
 use overland::link::framed;
 use overland::news::{
-    Backend, Change, Configured, FromAgent, Gateway, Hello, Kind, Numbered, Pulse, ToAgent, Whole,
+    Backend, Change, ConfigRevision, FromAgent, Gateway, HeartbeatReply, Hello, IndexedChange, Kind,
+    StateSnapshot, ToAgent,
 };
 use overland::settings::Settings;
 use prost::Message;
@@ -43,8 +44,8 @@
     /// The next word. It is answered by one who does not lead, which changes nothing: a silent link would be ended.
     fn word(&mut self) -> FromAgent {
         let word: FromAgent = self.next();
-        let pulse = Pulse { at: word.at, ..Pulse::default() };
-        self.say(&ToAgent { pulse: Some(pulse), ..ToAgent::default() });
+        let pulse = HeartbeatReply { request_sent_at: word.sent_at, ..HeartbeatReply::default() };
+        self.say(&ToAgent { heartbeat_reply: Some(pulse), ..ToAgent::default() });
         word
     }
 
@@ -55,16 +56,24 @@
 
 /// What a word says, whenever it was said.
 fn said(word: &FromAgent) -> FromAgent {
-    FromAgent { at: 0.0, gateway: None, ..word.clone() }
+    FromAgent { sent_at: 0.0, gateway: None, ..word.clone() }
 }
 
 fn pulse(index: u64, digest: u64) -> ToAgent {
-    let pulse = Pulse { at: 1.0, leads: true, term: 3, index, members: Vec::new(), digest, unsettled: false };
-    ToAgent { pulse: Some(pulse), ..ToAgent::default() }
+    let pulse = HeartbeatReply {
+        request_sent_at: 1.0,
+        leads: true,
+        term: 3,
+        index,
+        members: Vec::new(),
+        digest,
+        unsettled: false,
+    };
+    ToAgent { heartbeat_reply: Some(pulse), ..ToAgent::default() }
 }
 
 fn changes(from: u64, kinds: Vec<Kind>) -> ToAgent {
-    let numbered = |(at, kind)| Numbered {
+    let numbered = |(at, kind)| IndexedChange {
         index: from + at as u64,
         change: Some(Change { kind: Some(kind), ..Change::default() }),
     };
@@ -78,7 +87,7 @@
     let configured = |edition| {
         let text =
             Envelope::read(drawn.put(edition).as_bytes()).and_then(Envelope::whole).expect("it is valid").1;
-        Configured { edition, text, call: edition, ..Configured::default() }
+        ConfigRevision { edition, text, call_digest: edition, ..ConfigRevision::default() }
     };
     let backend = Backend {
         id: "i-1".into(),
@@ -86,19 +95,27 @@
         address: "10.0.0.1:80".into(),
         ..Backend::default()
     };
-    let gateway = Gateway { node: "other".into(), zone: "zone-hall-1".into(), front: "10.0.0.2:80".into() };
+    let gateway =
+        Gateway { node: "other".into(), zone: "zone-hall-1".into(), client_addr: "10.0.0.2:80".into() };
     // Without a backend a proxy wants no clients.
     let known = Backend { id: "i-0".into(), address: "10.0.0.9:80".into(), ..backend.clone() };
-    let whole = Whole { index: 5, config: Some(configured(1)), backends: vec![known], ..Whole::default() };
+    let whole = StateSnapshot {
+        index: 5,
+        config: Some(configured(1)),
+        backends: vec![known],
+        ..StateSnapshot::default()
+    };
     vec![
-        (pulse(5, 0), |word| word.follows),
-        (ToAgent { whole: Some(whole), ..ToAgent::default() }, |word| word.applied == 5),
+        (pulse(5, 0), |word| word.subscribes),
+        (ToAgent { snapshot: Some(whole), ..ToAgent::default() }, |word| word.proxy_applied_index == 5),
         (pulse(5, 0), |word| word.ready),
-        (changes(6, vec![Kind::Configured(configured(2))]), |word| word.applied == 6),
-        (changes(7, vec![Kind::Backend(backend), Kind::Gateway(gateway)]), |word| word.applied == 8),
+        (changes(6, vec![Kind::Config(configured(2))]), |word| word.proxy_applied_index == 6),
+        (changes(7, vec![Kind::Backend(backend), Kind::Gateway(gateway)]), |word| {
+            word.proxy_applied_index == 8
+        }),
         // Numbers that are held already change nothing, and those behind them do.
         (changes(8, vec![Kind::GatewayGone("other".into()), Kind::BackendGone("i-1".into())]), |word| {
-            word.applied == 9
+            word.proxy_applied_index == 9
         }),
         // A digest that is not that of the copy: its ranges are told.
         (pulse(9, 1), |word| word.ranges.is_some()),
@@ -124,7 +141,7 @@
     core.next::<Hello>();
     // The proxy has come, too, and the agent tells of it.
     let start = Instant::now();
-    while core.word().gateway.is_none_or(|gateway| gateway.front.is_empty()) {}
+    while core.word().gateway.is_none_or(|gateway| gateway.client_addr.is_empty()) {}
     let mut words = Vec::new();
     for (news, shown) in history {
         core.say(news);
@@ -150,7 +167,7 @@
     let (mut now, mut out) = (0.0, Vec::new());
     let mut hollow = Hollow::new(&settings, holds, now, &mut out);
     hollow.event(now, Event::Open(core.to_owned()), &mut out);
-    let met = out.iter().any(|out| matches!(out, Out::Say(_, word) if word.gateway.as_ref().is_some_and(|g| g.front == "127.0.0.78:8099")));
+    let met = out.iter().any(|out| matches!(out, Out::Say(_, word) if word.gateway.as_ref().is_some_and(|g| g.client_addr == "127.0.0.78:8099")));
     assert!(met, "the first word on a link tells who it is");
     let mut words = Vec::new();
     for (news, shown) in history {
@@ -187,7 +204,7 @@
 /// Words as they are compared: what comes again in a row counts once, and so does one whose time fell between the agent's
 /// taking a change in and its proxy's, which is one number apart.
 fn told(mut words: Vec<FromAgent>) -> Vec<FromAgent> {
-    words.retain(|word| word.applied == 0 || word.applied == word.held);
+    words.retain(|word| word.proxy_applied_index == 0 || word.proxy_applied_index == word.applied_index);
     words.dedup();
     words
 }
--- a/overland/tests/kept/mod.rs
+++ b/overland/tests/kept/mod.rs
@@ -5,7 +5,7 @@
 use overland::invariants::violated_on_this_thread;
 
 /// Applies a save to the contents of a store.
-pub fn keep(contents: &mut Option<Saved>, save: Save) {
+pub fn apply_save(contents: &mut Option<Saved>, save: Save) {
     let contents = contents.get_or_insert_with(Saved::default);
     contents.vow = save.vow;
     if let Some(base) = save.base {
@@ -19,17 +19,17 @@
     }
 }
 
-/// Checks that no invariant is violated on this thread from [`Watched::begin`] on.
-pub struct Watched(u64);
+/// Checks that no invariant is violated on this thread from [`InvariantCheck::start`] on.
+pub struct InvariantCheck(u64);
 
-impl Watched {
-    pub fn begin() -> Self {
-        Watched(violated_on_this_thread())
+impl InvariantCheck {
+    pub fn start() -> Self {
+        InvariantCheck(violated_on_this_thread())
     }
 
     /// Panics if an invariant was violated.
-    pub fn holds(&self) {
-        let Watched(before) = self;
+    pub fn assert_none_violated(&self) {
+        let InvariantCheck(before) = self;
         assert_eq!(violated_on_this_thread(), *before, "an invariant is violated; see the log");
     }
 }
--- a/overland/tests/link.rs
+++ b/overland/tests/link.rs
@@ -58,7 +58,7 @@
     let words: Vec<FromAgent> = (0..200)
         .map(|n| FromAgent {
             gateway: Some(Gateway { node: "g".repeat(rng.usize(0..900)), ..Gateway::default() }),
-            held: n,
+            applied_index: n,
             ..FromAgent::default()
         })
         .collect();
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -5,7 +5,9 @@
 
 use overland::difference::Difference;
 use overland::follow::{self, Follow};
-use overland::news::{Change, Configured, FromProxy, Kind, Numbered, Pulse, ToAgent, Whole};
+use overland::news::{
+    Change, ConfigRevision, FromProxy, HeartbeatReply, IndexedChange, Kind, StateSnapshot, ToAgent,
+};
 use overland::state::{State, Touched};
 use prost::Message;
 use simulated::{racers, Place, World};
@@ -51,7 +53,7 @@
     let first = (0..agreement.last()).find(|index| agreement.since(*index).is_some()).expect("a log");
     let entries = agreement.since(first).into_iter().flatten();
     let configs = entries.filter_map(|entry| match Change::decode(&entry.data[..]).ok()?.kind? {
-        Kind::Configured(config) => Some(config.difference.is_some()),
+        Kind::Config(config) => Some(config.difference.is_some()),
         _ => None,
     });
     let configs = configs.collect::<Vec<_>>();
@@ -123,8 +125,11 @@
     let seed = seeds[0].to_string();
     agent.handle(0.0, follow::Event::Open(seed.clone()), &mut out);
     let told = |members: Vec<String>| {
-        let pulse = Some(Pulse { leads: true, term: 1, members, ..Pulse::default() });
-        follow::Event::Said { core: seed.clone(), news: Box::new(ToAgent { pulse, ..ToAgent::default() }) }
+        let pulse = Some(HeartbeatReply { leads: true, term: 1, members, ..HeartbeatReply::default() });
+        follow::Event::Said {
+            core: seed.clone(),
+            news: Box::new(ToAgent { heartbeat_reply: pulse, ..ToAgent::default() }),
+        }
     };
     agent.handle(0.0, told(vec![seed.clone(), member.clone()]), &mut out);
     // Members are told again only where they have changed.
@@ -142,7 +147,8 @@
     let seeds = vec![simulated::core_address(0), simulated::core_address(1)];
     let mut out = Vec::new();
     let mut agent = Follow::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
-    let word = follow::Event::Proxy { link: 1, word: FromProxy { at: Some(0.0), ..FromProxy::default() } };
+    let word =
+        follow::Event::Proxy { link: 1, word: FromProxy { sent_at: Some(0.0), ..FromProxy::default() } };
     let opened = [
         follow::Event::Open(old.clone()),
         follow::Event::Open(new.clone()),
@@ -160,8 +166,11 @@
         fed.collect::<Vec<_>>()
     };
     let leads = |core: &String, term: u64| {
-        let pulse = Some(Pulse { leads: true, term, ..Pulse::default() });
-        follow::Event::Said { core: core.clone(), news: Box::new(ToAgent { pulse, ..ToAgent::default() }) }
+        let pulse = Some(HeartbeatReply { leads: true, term, ..HeartbeatReply::default() });
+        follow::Event::Said {
+            core: core.clone(),
+            news: Box::new(ToAgent { heartbeat_reply: pulse, ..ToAgent::default() }),
+        }
     };
     assert_eq!(hears(leads(&new, 6)), [6]);
     hears(follow::Event::Closed(new.clone()));
@@ -169,15 +178,15 @@
     assert_eq!(hears(leads(&old, 7)), [7]);
 }
 
-fn configured(edition: u64, text: &str) -> Configured {
-    Configured { edition, text: text.to_owned(), call: edition, ..Configured::default() }
+fn configured(edition: u64, text: &str) -> ConfigRevision {
+    ConfigRevision { edition, text: text.to_owned(), call_digest: edition, ..ConfigRevision::default() }
 }
 
 /// The change from one text to another, as a difference.
-fn as_difference(index: u64, edition: u64, old: &str, new: &str) -> Numbered {
+fn as_difference(index: u64, edition: u64, old: &str, new: &str) -> IndexedChange {
     let difference = Some(Difference::between(old, new));
-    let config = Configured { based_on: Some(edition - 1), difference, ..configured(edition, "") };
-    Numbered { index, change: Some(Change { kind: Some(Kind::Configured(config)), ..Change::default() }) }
+    let config = ConfigRevision { based_on: Some(edition - 1), difference, ..configured(edition, "") };
+    IndexedChange { index, change: Some(Change { kind: Some(Kind::Config(config)), ..Change::default() }) }
 }
 
 /// A copy whose text is not the one that was built on takes nothing for the next one: its digest tells, and it is mended.
@@ -185,9 +194,9 @@
 fn a_difference_makes_no_other_text_than_the_one_that_was_taken() {
     let mut copy = State { config: Some(configured(1, r#"{"a":1}"#)), ..State::default() };
     let change = as_difference(2, 2, r#"{"a":1}"#, r#"{"a":2}"#);
-    assert_eq!(copy.clone().follow(0.0, std::slice::from_ref(&change)), [Touched::Config]);
+    assert_eq!(copy.clone().apply_all(0.0, std::slice::from_ref(&change)), [Touched::Config]);
     copy.config = Some(configured(1, r#"{"b":1}"#));
-    assert_eq!(copy.follow(0.0, &[change]), [Touched::Unread]);
+    assert_eq!(copy.apply_all(0.0, &[change]), [Touched::Unreadable]);
     assert_eq!(copy.config, Some(configured(1, r#"{"b":1}"#)));
 }
 
@@ -202,16 +211,16 @@
         let mut agent = Follow::new(&settings, 0.0, &mut out);
         agent.handle(0.0, follow::Event::Open(core.clone()), &mut out);
         agent.handle(0.0, follow::Event::ProxyOpen(1), &mut out);
-        let word = FromProxy { reads, at: Some(0.0), ..FromProxy::default() };
+        let word = FromProxy { readable_format: reads, sent_at: Some(0.0), ..FromProxy::default() };
         agent.handle(0.0, follow::Event::Proxy { link: 1, word }, &mut out);
-        let whole = Whole { index: 1, config: Some(configured(1, old)), ..Whole::default() };
+        let whole = StateSnapshot { index: 1, config: Some(configured(1, old)), ..StateSnapshot::default() };
         let said = |news| follow::Event::Said { core: core.clone(), news: Box::new(news) };
-        agent.handle(1.0, said(ToAgent { whole: Some(whole), ..ToAgent::default() }), &mut out);
+        agent.handle(1.0, said(ToAgent { snapshot: Some(whole), ..ToAgent::default() }), &mut out);
         out.clear();
         let changes = vec![as_difference(2, 2, old, new)];
         agent.handle(2.0, said(ToAgent { changes, ..ToAgent::default() }), &mut out);
         let fed = out.iter().find_map(|action| match action {
-            follow::Action::Feed(news) => Some((news.changes.len(), news.whole.clone())),
+            follow::Action::Feed(news) => Some((news.changes.len(), news.snapshot.clone())),
             _ => None,
         });
         let (changes, whole) = fed.expect("the proxy is fed");
@@ -228,16 +237,21 @@
     let seeds = vec![simulated::core_address(0), simulated::core_address(1)];
     let mut out = Vec::new();
     let mut agent = Follow::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
-    let proxy =
-        |held| FromProxy { held, at: Some(0.0), reads: overland::agreement::READS, ..FromProxy::default() };
+    let proxy = |held| FromProxy {
+        applied_index: held,
+        sent_at: Some(0.0),
+        readable_format: overland::agreement::READS,
+        ..FromProxy::default()
+    };
     let said = |news| follow::Event::Said { core: leads.clone(), news: Box::new(news) };
-    let pulse = Some(Pulse { leads: true, term: 1, ..Pulse::default() });
-    let whole = Some(Whole { index: 1, config: Some(configured(1, "{}")), ..Whole::default() });
+    let pulse = Some(HeartbeatReply { leads: true, term: 1, ..HeartbeatReply::default() });
+    let whole =
+        Some(StateSnapshot { index: 1, config: Some(configured(1, "{}")), ..StateSnapshot::default() });
     let begin = [
         follow::Event::Open(leads.clone()),
         follow::Event::Open(other.clone()),
         follow::Event::ProxyOpen(1),
-        said(ToAgent { pulse, whole, ..ToAgent::default() }),
+        said(ToAgent { heartbeat_reply: pulse, snapshot: whole, ..ToAgent::default() }),
         follow::Event::Proxy { link: 1, word: proxy(1) },
     ];
     begin.into_iter().for_each(|event| agent.handle(0.0, event, &mut out));
@@ -245,13 +259,13 @@
         out.clear();
         agent.handle(10.0, event, &mut out);
         let words = out.iter().filter_map(|action| match action {
-            follow::Action::Say { core, word } => Some((core.clone(), word.applied)),
+            follow::Action::Say { core, word } => Some((core.clone(), word.proxy_applied_index)),
             _ => None,
         });
         words.collect::<Vec<_>>()
     };
     let backend = Change { kind: Some(Kind::BackendGone("i".into())), ..Change::default() };
-    let changes = vec![Numbered { index: 2, change: Some(backend) }];
+    let changes = vec![IndexedChange { index: 2, change: Some(backend) }];
     assert_eq!(told(said(ToAgent { changes, ..ToAgent::default() })), []);
     assert_eq!(told(follow::Event::Proxy { link: 1, word: proxy(2) }), []);
     let changes = vec![as_difference(3, 2, "{}", "{ }")];
--- a/overland/tests/plane/mod.rs
+++ b/overland/tests/plane/mod.rs
@@ -8,7 +8,7 @@
 
 use backend::Standing;
 use cherrytally::plane::driver::Speech;
-use overland::news::{Backend, Configured, Gateway, ToProxy, Whole};
+use overland::news::{Backend, ConfigRevision, Gateway, StateSnapshot, ToProxy};
 use overland::proxy::Proxy;
 use overland::settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -176,20 +176,31 @@
         service: "s1".into(),
         address: of.addr.to_string(),
         zone: "a".into(),
-        berths: 4,
-        closing: false,
+        max_concurrency: 4,
+        draining: false,
         cold_ms: 0,
-        postmark: 0,
+        heartbeat_seq: 0,
     });
     let gateway = Gateway { node: "g1".into(), ..Gateway::default() };
-    let whole = Whole {
+    let whole = StateSnapshot {
         index,
-        config: Some(Configured { edition: 1, text: CONFIG.into(), call: 1, ..Configured::default() }),
+        config: Some(ConfigRevision {
+            edition: 1,
+            text: CONFIG.into(),
+            call_digest: 1,
+            ..ConfigRevision::default()
+        }),
         backends: backends.collect(),
         gateways: vec![gateway],
-        ..Whole::default()
+        ..StateSnapshot::default()
     };
-    ToProxy { whole: Some(whole), age_ms: 0.0, at: Some(0.0), index, ..ToProxy::default() }
+    ToProxy {
+        snapshot: Some(whole),
+        leader_contact_age_ms: 0.0,
+        request_sent_at: Some(0.0),
+        index,
+        ..ToProxy::default()
+    }
 }
 
 /// Plays one history. What broke, if anything did, and how many events, answers and successes it had.
--- a/overland/tests/shares.rs
+++ b/overland/tests/shares.rs
@@ -3,7 +3,7 @@
 mod bounds;
 
 use bounds::bounds;
-use overland::copy::Copy;
+use overland::copy::StateReplica;
 use overland::news::ToProxy;
 use overland::shares::Shares;
 
@@ -63,19 +63,24 @@
 /// A settled leader's word grants the full rate for a while, counted from when it was asked for; others grant nothing.
 #[test]
 fn the_full_rate_ends_by_itself() {
-    let mut copy = Copy::new(&bounds());
+    let mut copy = StateReplica::new(&bounds());
     assert!(copy.has_full_rate(1990.0) && !copy.has_full_rate(2010.0), "a process that has just started");
-    let word = |at, age_ms, unsettled| ToProxy { at: Some(at), age_ms, unsettled, ..ToProxy::default() };
-    copy.take(5000.0, word(4950.0, 100.0, true));
+    let word = |at, age_ms, unsettled| ToProxy {
+        request_sent_at: Some(at),
+        leader_contact_age_ms: age_ms,
+        unsettled,
+        ..ToProxy::default()
+    };
+    copy.apply(5000.0, word(4950.0, 100.0, true));
     assert!(!copy.has_full_rate(5000.0), "by a leader that has not heard all backends");
-    copy.take(6000.0, word(5950.0, 100.0, false));
+    copy.apply(6000.0, word(5950.0, 100.0, false));
     assert!(copy.has_full_rate(6000.0));
-    copy.take(6500.0, word(6450.0, 600.0, false));
+    copy.apply(6500.0, word(6450.0, 600.0, false));
     assert!(copy.has_full_rate(7840.0) && !copy.has_full_rate(7860.0), "the word is of 5850");
-    copy.take(8500.0, word(8450.0, 0.0, true));
+    copy.apply(8500.0, word(8450.0, 0.0, true));
     assert!(copy.has_full_rate(10_440.0), "a new leader goes on after a short gap");
-    copy.take(11_500.0, word(11_460.0, 0.0, true));
+    copy.apply(11_500.0, word(11_460.0, 0.0, true));
     assert!(!copy.has_full_rate(11_500.0), "and not after a long one");
-    let apart = Copy::apart(&bounds());
+    let apart = StateReplica::standalone(&bounds());
     assert!(apart.has_full_rate(1e12), "it has no leader to hear");
 }
--- a/overland/tests/simulated/judge.rs
+++ b/overland/tests/simulated/judge.rs
@@ -169,7 +169,7 @@
     for (number, gateway) in world.gateways.iter().enumerate().filter(|(number, _)| world.in_touch(*number)) {
         let Some(copy) = gateway.copy.state() else { continue };
         for (id, at) in &due {
-            let open = copy.backends.get(*id).is_some_and(|known| !known.backend.closing);
+            let open = copy.backends.get(*id).is_some_and(|known| !known.backend.draining);
             assert!(
                 !open,
                 "gateway {number} takes {id} to be open at {:.0}, and its end was acknowledged at {at:.0}",
@@ -192,15 +192,15 @@
 pub fn finish(world: &World) {
     let leader = world.leader().expect("somebody leads");
     let state = world.cores[leader].running.as_ref().expect("it runs").state();
-    let ranges = state.ranges();
+    let ranges = state.range_digests();
     for (number, core) in world.cores.iter().enumerate() {
         if let Some(member) = core.running.as_ref().filter(|m| m.agreement().members().contains(m.name())) {
-            assert_eq!(member.state().ranges(), ranges, "core {number} differs");
+            assert_eq!(member.state().range_digests(), ranges, "core {number} differs");
         }
     }
     for (number, gateway) in world.gateways.iter().enumerate() {
         let copy = gateway.copy.state().expect("a copy");
-        assert_eq!(copy.ranges(), ranges, "gateway {number} differs");
+        assert_eq!(copy.range_digests(), ranges, "gateway {number} differs");
         assert!(world.goes_by_keys(number), "gateway {number} is out of touch in calm");
         assert!(world.has_full_rate(number), "gateway {number} takes all backends for cold in calm");
     }
@@ -208,12 +208,12 @@
     let newest = world.judge.newest.map_or(0, |newest| world.judge.versions[newest].edition);
     assert!(edition >= newest, "r{edition} stands, and r{newest} was acknowledged");
     for id in world.judge.closing.keys() {
-        let open = state.backends.get(id).is_some_and(|known| !known.backend.closing);
+        let open = state.backends.get(id).is_some_and(|known| !known.backend.draining);
         assert!(!open, "{id} is open, and its closing was acknowledged");
     }
     for (place, backend) in world.callers.backends.iter().enumerate() {
         let id = backend.id(place);
-        let open = state.backends.get(&id).is_some_and(|known| !known.backend.closing);
+        let open = state.backends.get(&id).is_some_and(|known| !known.backend.draining);
         if backend.phase == super::callers::Phase::Open && world.judge.open.contains_key(&id) {
             assert!(open, "{id} beats and is not known");
         }
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -19,13 +19,13 @@
 
 use callers::Callers;
 use judge::Judge;
-use kept::{keep, Watched};
+use kept::{apply_save, InvariantCheck};
 use overland::agreement::{Entry, Save, Saved, Say};
 use overland::calls::Reply;
-use overland::copy::Copy;
+use overland::copy::StateReplica;
 use overland::follow::{self, Follow};
 use overland::member::{Action, Event, Member, TICK_MS};
-use overland::news::{Change, CoreWord, FromAgent, Numbered, ToAgent, ToProxy, Word};
+use overland::news::{Change, CoreMessage, FromAgent, IndexedChange, ToAgent, ToProxy, Word};
 use overland::settings::Settings;
 use prost::Message;
 use std::cmp::Reverse;
@@ -187,7 +187,7 @@
     started: f64,
     pub rate: f64,
     /// What the proxy goes by.
-    pub copy: Copy,
+    pub copy: StateReplica,
     agent_due: f64,
     /// Agent and proxy stand still until then.
     agent_until: f64,
@@ -274,7 +274,7 @@
     busy: BTreeMap<(usize, usize), f64>,
     /// Part of the states and their pieces in which a byte is another when they arrive.
     pub damage: f64,
-    watched: Watched,
+    watched: InvariantCheck,
     /// A mutant of the snapshots.
     pub snapshot_mutant: Option<SnapshotMutant>,
     /// Pieces that were sent, and states that were put in place.
@@ -359,7 +359,7 @@
             life: 0,
             started: 0.0,
             rate: rate(rng),
-            copy: Copy::new(&bounds()),
+            copy: StateReplica::new(&bounds()),
             agent_due: f64::INFINITY,
             agent_until: 0.0,
             proxy_until: 0.0,
@@ -394,7 +394,7 @@
             well: Vec::new(),
             settled: 0.0,
             mutant: None,
-            watched: Watched::begin(),
+            watched: InvariantCheck::start(),
             later: 0,
             judge: Judge::default(),
             seeds: (0..founders.min(3)).map(core_address).collect(),
@@ -453,7 +453,7 @@
             self.happen(due.what);
         }
         self.now = until;
-        self.watched.holds();
+        self.watched.assert_none_violated();
     }
 
     /// A call is answered so, whoever is asked.
@@ -614,7 +614,7 @@
         let started = Member::start(settings, core.disk.clone(), seed, 0.0);
         let (member, save) = started.expect("what was saved can be read");
         if let Some(save) = save {
-            keep(&mut core.disk, save);
+            apply_save(&mut core.disk, save);
         }
         core.life += 1;
         (core.started, core.slept) = (self.now, 0.0);
@@ -709,7 +709,7 @@
                 if self.luck.kill > 0.0 && self.rng.f64() < self.luck.kill {
                     // A save that was under way may be there or not.
                     if let (Action::Save(save), true) = (action, self.rng.bool()) {
-                        keep(&mut self.cores[number].disk, *save);
+                        apply_save(&mut self.cores[number].disk, *save);
                     }
                     self.kill_core(number);
                     return self.start_later(Place::Core(number), 100.0);
@@ -750,7 +750,7 @@
                         Event::Called { call, method: method.to_owned(), path, body }
                     }
                     Input::Agent(link, mut word) if self.mutant == Some(Mutant::HeldUnseen) => {
-                        word.applied = u64::MAX;
+                        word.proxy_applied_index = u64::MAX;
                         Event::Agent { link, word }
                     }
                     Input::Agent(link, word) => Event::Agent { link, word },
@@ -794,7 +794,7 @@
                     }
                     _ => {}
                 }
-                keep(&mut core.disk, save);
+                apply_save(&mut core.disk, save);
                 let took_ms = core.sync_ms;
                 core.saved = Some(took_ms);
                 if took_ms > 1.0 {
@@ -838,7 +838,7 @@
                 let core = &mut self.cores[number];
                 let leads = core.running.as_ref().is_some_and(|member| member.leads());
                 core.led |= leads;
-                if let Some(pulse) = &mut news.pulse {
+                if let Some(pulse) = &mut news.heartbeat_reply {
                     match self.mutant {
                         Some(Mutant::AnyMemberVouches) => pulse.leads = true,
                         Some(Mutant::OldTermHeard) if core.led && !leads => {
@@ -868,7 +868,7 @@
         };
         let change = |entry: &Entry| Change::decode(&entry.data[..]).ok().filter(|_| !entry.data.is_empty());
         let changes: Vec<_> =
-            entries.iter().map(|entry| Numbered { index: entry.index, change: change(entry) }).collect();
+            entries.iter().map(|entry| IndexedChange { index: entry.index, change: change(entry) }).collect();
         let links = self.links.iter().filter(|(_, link)| link.core == number).map(|(id, _)| *id);
         for link in links.collect::<Vec<_>>() {
             let news = ToAgent { changes: changes.clone(), ..ToAgent::default() };
@@ -891,7 +891,7 @@
             let word = self.underway(word.clone());
             let way = self.busy.entry((number, to)).or_insert(0.0);
             if self.bytes_ms.is_finite() {
-                let length = CoreWord { from: from.clone(), word: Some(word.clone()) }.encoded_len();
+                let length = CoreMessage { from: from.clone(), payload: Some(word.clone()) }.encoded_len();
                 *way = way.max(self.now) + length as f64 / self.bytes_ms;
             }
             let arrives = way.max(self.now) + delay;
@@ -983,7 +983,7 @@
         if self.mutant == Some(Mutant::NeverStops) {
             bounds.revoke *= 1000;
         }
-        (gateway.copy, gateway.agent_due) = (Copy::new(&bounds), f64::INFINITY);
+        (gateway.copy, gateway.agent_due) = (StateReplica::new(&bounds), f64::INFINITY);
         gateway.agent = Some(Follow::new(&settings, 0.0, &mut out));
         let life = gateway.life;
         self.carry_out(number, out);
@@ -995,7 +995,7 @@
     pub fn kill_gateway(&mut self, number: usize) {
         let gateway = &mut self.gateways[number];
         gateway.agent = None;
-        gateway.copy = Copy::new(&bounds());
+        gateway.copy = StateReplica::new(&bounds());
         gateway.life += 1;
         let links: Vec<_> =
             self.links.iter().filter(|(_, link)| link.gateway == number).map(|(id, _)| *id).collect();
@@ -1134,7 +1134,7 @@
     }
 
     fn said(&mut self, link: u64, mut news: Box<ToAgent>) {
-        if let (Some(Mutant::SettledUnheard), Some(pulse)) = (self.mutant, &mut news.pulse) {
+        if let (Some(Mutant::SettledUnheard), Some(pulse)) = (self.mutant, &mut news.heartbeat_reply) {
             pulse.unsettled = false;
         }
         let Some(of) = self.links.get(&link) else { return };
@@ -1186,10 +1186,10 @@
             let gateway = &mut self.gateways[number];
             let Some(mut news) = gateway.feeds.pop_front() else { return };
             if self.mutant == Some(Mutant::AgeForgotten) {
-                news.at = Some(now);
+                news.request_sent_at = Some(now);
             }
             self.judge.fed(number, gateway.life, news.term);
-            gateway.copy.take(now, news);
+            gateway.copy.apply(now, news);
             self.judge.copied(number, gateway.life, gateway.copy.state());
         }
     }
@@ -1198,7 +1198,7 @@
     pub fn goes_by_keys(&self, number: usize) -> bool {
         let gateway = &self.gateways[number];
         let runs = gateway.agent.is_some() && gateway.proxy_until <= self.now;
-        runs && gateway.copy.in_touch(self.local(number))
+        runs && gateway.copy.lease_is_valid(self.local(number))
     }
 
     /// Whether its proxy takes backends for warm that it does not know to be cold.
@@ -1215,8 +1215,8 @@
         }
         let now = self.local(number);
         let copy = &mut self.gateways[number].copy;
-        let ready = copy.held() > 0;
-        let word = copy.word(now, format!("10.1.0.{}:80", number + 1), ready);
+        let ready = copy.applied_index() > 0;
+        let word = copy.message(now, format!("10.1.0.{}:80", number + 1), ready);
         self.agent(number, life, follow::Event::Proxy { link: 1, word });
         if self.gateways[number].life == life {
             self.at(20.0, What::Proxy(number, life));
--- a/overland/tests/simulated/racers.rs
+++ b/overland/tests/simulated/racers.rs
@@ -6,7 +6,7 @@
 use super::{Place, World};
 use overland::agreement::{Letter, Save, Say};
 use overland::calls::Reply;
-use overland::news::{Change, Kind, Whole, Word};
+use overland::news::{Change, Kind, StateSnapshot, Word};
 use prost::Message;
 use std::collections::BTreeMap;
 
@@ -73,9 +73,9 @@
 impl Mutant {
     /// What it makes of a state that is kept or sent.
     fn state(self, bytes: &mut Vec<u8>) {
-        let Ok(mut whole) = Whole::decode(&bytes[..]) else { return };
+        let Ok(mut whole) = StateSnapshot::decode(&bytes[..]) else { return };
         if self == Mutant::ForgottenAtASnapshot {
-            (whole.orders, whole.calls) = (None, Vec::new());
+            (whole.update_outcomes, whole.legacy_call_digests) = (None, Vec::new());
             *bytes = whole.encode_to_vec();
         }
     }
@@ -95,7 +95,7 @@
             Say::Append(append) if self == Mutant::ComparedAtProposingAlone => {
                 for entry in append.entries.iter_mut().filter(|entry| !entry.data.is_empty()) {
                     let Ok(mut change) = Change::decode(&entry.data[..]) else { continue };
-                    if let Some(Kind::Configured(config)) = &mut change.kind {
+                    if let Some(Kind::Config(config)) = &mut change.kind {
                         config.based_on = None;
                         entry.data = change.encode_to_vec();
                     }
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -2,7 +2,7 @@
 
 use overland::agreement::{Base, Entry, Save, Saved, Vow};
 use overland::invariants::violated_on_this_thread;
-use overland::store::{Pace, Saves, Store};
+use overland::store::{DurableStore, SaveLatency, Store};
 use prost::Message;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -325,8 +325,8 @@
 
 #[test]
 fn disk_is_slow_only_compared_with_its_usual_latency() {
-    let mut pace = Pace::default();
-    let mut slow_after = |latencies: &[f64]| latencies.iter().map(|ms| pace.saved(*ms)).last();
+    let mut latency = SaveLatency::default();
+    let mut slow_after = |latencies: &[f64]| latencies.iter().map(|ms| latency.record(*ms)).last();
     // The first save also creates files.
     assert_eq!(slow_after(&[30.0, 0.6, 0.7, 0.5]), Some(false));
     // Slow after three saves in a row, and not after a single stall.
@@ -335,6 +335,6 @@
     assert_eq!(slow_after(&[0.6, 3000.0, 0.6, 0.6]), Some(false));
     // Below the minimum latency of a slow save, for any time.
     assert_eq!(slow_after(&[3.0; 50]), Some(false));
-    let mut always_slow = Pace::default();
-    assert!(!(0..50).any(|_| always_slow.saved(12.0)));
+    let mut always_slow = SaveLatency::default();
+    assert!(!(0..50).any(|_| always_slow.record(12.0)));
 }
