--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -1,6 +1,7 @@
-//! What an agent goes by, without sockets or clock: whom of the core it follows, its copy of the agreed state, what it
-//! tells the core, and what it feeds its proxy. What happens comes in as [`Event`]s with the time, what is to be done
-//! goes out as [`Action`]s; [`Follow::due`] tells when it wants to be told of time.
+//! The agent's state machine, without sockets or clock: which core processes it connects to and follows, its
+//! copy of the replicated state, what it reports to the core, and what it sends to its proxy. Inputs are
+//! [`Event`]s with the current time, outputs are [`Action`]s; [`Follow::due`] is the time at which it needs
+//! the next tick.
 
 use crate::agreement::READS;
 use crate::news::{FromAgent, FromProxy, Gateway, Mend, Numbered, Pulse, ToAgent, ToProxy};
@@ -10,115 +11,115 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How often the core process that is followed hears of an agent that has nothing to tell, in ms.
-const WORD_MS: Millis = 400.0;
-/// And one that does not lead: it only tells clients who is ready.
-const WORD_ASIDE_MS: Millis = 650.0;
-/// A link on which nothing was heard for so long is opened anew, in ms.
-const SILENT_MS: Millis = 2000.0;
-/// A core process that is no member any more is let go after so long without a word of it among the members, in ms.
-const LET_GO_MS: Millis = 30_000.0;
-/// Core processes that an agent keeps links to at most: members, and those that come in their place.
-const CORES_MOST: usize = 16;
+/// Interval between reports to the leader.
+const LEADER_REPORT_INTERVAL_MS: Millis = 400.0;
+/// Interval between reports to other core processes, which only need to know which gateways are ready.
+const FOLLOWER_REPORT_INTERVAL_MS: Millis = 650.0;
+/// A link on which nothing was received for this long is reset.
+const LINK_TIMEOUT_MS: Millis = 2000.0;
+/// A core process that has not been listed as a member for this long is dropped.
+const FORMER_MEMBER_TIMEOUT_MS: Millis = 30_000.0;
+/// Core processes that an agent connects to at most: members and their replacements.
+const MAX_CORES: usize = 16;
 
-/// What happens at an agent.
+/// An input to the agent.
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A link to this core process is open.
+    /// The link to this core process is open.
     Open(String),
-    /// It has ended.
+    /// The link to this core process has closed.
     Closed(String),
-    /// A core process said something.
+    /// A message from a core process.
     Said {
-        /// Which.
+        /// The sender.
         core: String,
-        /// What.
+        /// The message.
         news: Box<ToAgent>,
     },
-    /// The proxy opened a link of this number.
+    /// The proxy opened the link with this number.
     ProxyOpen(u64),
-    /// It has ended.
+    /// The proxy's link with this number has closed.
     ProxyClosed(u64),
-    /// The proxy said something.
+    /// A message from the proxy.
     Proxy {
-        /// The link's number.
+        /// Number of the link.
         link: u64,
-        /// What.
+        /// The message.
         word: FromProxy,
     },
-    /// The settings name these core processes.
+    /// The settings list these core processes as seeds.
     Seeds(Vec<SocketAddr>),
 }
 
-/// What an agent is to do, in order.
+/// An output of the agent; outputs are executed in order.
 #[derive(Debug)]
 pub enum Action {
-    /// Keep a link to this core process, as long as [`Follow::wants`] it.
+    /// Connect to this core process, and reconnect for as long as [`Follow::wants`] it.
     Keep(String),
-    /// End the link to it; it is opened anew.
+    /// Close the link to this core process, so that it is reopened.
     End(String),
-    /// Tell a core process.
+    /// Send a message to a core process.
     Say {
-        /// Which.
+        /// The receiver.
         core: String,
-        /// What.
+        /// The message.
         word: Box<FromAgent>,
     },
-    /// Tell the proxy.
+    /// Send a message to the proxy.
     Feed(Box<ToProxy>),
 }
 
-/// A link to a core process.
+/// An open link to a core process.
 struct Link {
-    heard: Millis,
-    /// When it hears the next word.
-    due: Millis,
-    /// What it was told of this gateway.
-    known: Option<Gateway>,
+    last_received: Millis,
+    next_report: Millis,
+    /// The gateway description last sent on this link.
+    reported: Option<Gateway>,
 }
 
-/// What an agent goes by.
+/// The agent's state machine.
 pub struct Follow {
     node: String,
     zone: String,
-    /// The port of the core processes that counts.
-    inner: u16,
+    /// Port of the core processes that accepts charges.
+    inner_port: u16,
     seeds: Vec<String>,
     state: Option<State>,
     digest: Digest,
-    /// The copy differs from the leader's: its ranges are to be told.
-    differs: bool,
-    /// The link to the proxy, and what it last told on it.
+    /// The copy differs from the leader's: its ranges are sent with the next report.
+    copy_differs: bool,
+    /// Number of the proxy's link, and the last message received on it.
     proxy: Option<(u64, FromProxy)>,
-    /// Core processes by control address, and when each was last known to be one.
+    /// Core processes by control address, and when each was last listed as a member or seed.
     cores: BTreeMap<String, Millis>,
-    /// The members of the core, as they were last told: they are told again only where they have changed.
+    /// The last list of members received; core processes send the list only when it changes.
     members: Vec<String>,
     links: BTreeMap<String, Link>,
-    /// Who leads, and in which term.
+    /// The current leader and its term, while the link to it is open.
     leader: Option<(String, u64)>,
-    /// The latest term in which one was heard to lead, whether or not the link to that one has ended since.
+    /// Highest term in which a leader was seen.
     term: u64,
-    /// The last change that brought a configuration: orders wait until the leader hears that it is held here.
+    /// Index of the last change that brought a configuration. The leader acknowledges the update once the
+    /// proxy holds it, so reaching this index is reported at once.
     awaited: u64,
-    /// When the last question was asked that the leader answered, and the state was up to date.
-    fresh: Option<Millis>,
-    /// The leader had not heard every backend then.
+    /// Send time of the latest report that the leader answered while the copy was up to date.
+    up_to_date_at: Option<Millis>,
+    /// In that answer the leader had not heard every backend yet.
     unsettled: bool,
 }
 
 impl Follow {
-    /// An agent that starts, and the links that it wants.
+    /// A new agent; appends the links it needs to `out`.
     pub fn new(settings: &Settings, now: Millis, out: &mut Vec<Action>) -> Self {
         let mut follow = Follow {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
-            inner: settings.inner_ports.0,
+            inner_port: settings.inner_ports.0,
             seeds: Vec::new(),
             state: None,
             digest: Digest::default(),
-            differs: false,
+            copy_differs: false,
             proxy: None,
             cores: BTreeMap::new(),
             members: Vec::new(),
@@ -126,46 +127,46 @@
             leader: None,
             term: 0,
             awaited: 0,
-            fresh: None,
+            up_to_date_at: None,
             unsettled: false,
         };
-        follow.learn(now, &settings.seeds, out);
+        follow.set_seeds(now, &settings.seeds, out);
         follow
     }
 
-    /// Its copy of the agreed state.
+    /// The copy of the replicated state, once received.
     pub fn state(&self) -> Option<&State> {
         self.state.as_ref()
     }
 
-    /// Whether a link to this core process is wanted.
+    /// Whether the link to this core process is still needed.
     pub fn wants(&mut self, now: Millis, core: &str) -> bool {
-        let known = self.cores.get(core).is_some_and(|at| now - at <= LET_GO_MS);
-        let named = self.members.iter().chain(&self.seeds).any(|name| name == core);
-        let wanted = known || named;
+        let recent = self.cores.get(core).is_some_and(|at| now - at <= FORMER_MEMBER_TIMEOUT_MS);
+        let listed = self.members.iter().chain(&self.seeds).any(|name| name == core);
+        let wanted = recent || listed;
         if !wanted {
             self.cores.remove(core);
         }
         wanted
     }
 
-    /// Whether a proxy is fed.
+    /// Whether a proxy is connected.
     pub fn feeds(&self) -> bool {
         self.proxy.is_some()
     }
 
-    /// When it wants to be told of time next.
+    /// When the next tick is needed.
     pub fn due(&self) -> Millis {
-        self.links.values().map(|link| link.due).fold(f64::INFINITY, f64::min)
+        self.links.values().map(|link| link.next_report).fold(f64::INFINITY, f64::min)
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Tick => self.speak(now, out),
+            Event::Tick => self.send_due_reports(now, out),
             Event::Open(core) => {
-                self.links.insert(core, Link { heard: now, due: now, known: None });
-                self.speak(now, out);
+                self.links.insert(core, Link { last_received: now, next_report: now, reported: None });
+                self.send_due_reports(now, out);
             }
             Event::Closed(core) => {
                 self.links.remove(&core);
@@ -173,40 +174,40 @@
                     self.leader = None;
                 }
             }
-            Event::Said { core, news } => self.heard(now, &core, *news, out),
+            Event::Said { core, news } => self.handle_core_message(now, &core, *news, out),
             Event::ProxyOpen(link) => {
                 self.proxy = Some((link, FromProxy::default()));
                 let whole = self.state.as_ref().map(|state| state.whole(now, false));
-                self.feed(now, ToProxy { whole, ..ToProxy::default() }, out);
+                self.send_proxy(now, ToProxy { whole, ..ToProxy::default() }, out);
             }
             Event::ProxyClosed(link) => {
-                if self.proxy.as_ref().is_some_and(|(of, _)| *of == link) {
+                if self.proxy.as_ref().is_some_and(|(number, _)| *number == link) {
                     self.proxy = None;
-                    self.speak_to_all(now, out);
+                    self.report_to_all(now, out);
                 }
             }
-            Event::Proxy { link, word } => self.proxy_said(now, link, word, out),
-            Event::Seeds(seeds) => self.learn(now, &seeds, out),
+            Event::Proxy { link, word } => self.handle_proxy_message(now, link, word, out),
+            Event::Seeds(seeds) => self.set_seeds(now, &seeds, out),
         }
     }
 
-    fn held(&self) -> u64 {
+    fn index(&self) -> u64 {
         self.state.as_ref().map_or(0, |state| state.index)
     }
 
-    // ---- The core -----------------------------------------------------------------------------------------------
+    // ---- Core ---------------------------------------------------------------------------------------------
 
-    fn learn(&mut self, now: Millis, seeds: &[SocketAddr], out: &mut Vec<Action>) {
+    fn set_seeds(&mut self, now: Millis, seeds: &[SocketAddr], out: &mut Vec<Action>) {
         self.seeds = seeds.iter().map(SocketAddr::to_string).collect();
         for seed in self.seeds.clone() {
-            self.know(now, seed, out);
+            self.add_core(now, seed, out);
         }
     }
 
-    /// Learns of a core process.
-    fn know(&mut self, now: Millis, core: String, out: &mut Vec<Action>) {
+    /// Records that a core process is listed, and connects to it if it is new.
+    fn add_core(&mut self, now: Millis, core: String, out: &mut Vec<Action>) {
         let known = self.cores.contains_key(&core);
-        if !known && (core.parse::<SocketAddr>().is_err() || self.cores.len() >= CORES_MOST) {
+        if !known && (core.parse::<SocketAddr>().is_err() || self.cores.len() >= MAX_CORES) {
             return;
         }
         self.cores.insert(core.clone(), now);
@@ -215,50 +216,52 @@
         }
     }
 
-    /// Tells those that are due, and ends links that are silent.
-    fn speak(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let due = self.links.iter().filter(|(_, link)| link.due <= now);
+    /// Sends the reports that are due, and resets links that have timed out.
+    fn send_due_reports(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let due = self.links.iter().filter(|(_, link)| link.next_report <= now);
         for core in due.map(|(core, _)| core.clone()).collect::<Vec<_>>() {
             let gateway = self.gateway();
             let follows = self.leader.as_ref().is_some_and(|(name, _)| *name == core);
             let Some(link) = self.links.get_mut(&core) else { continue };
-            if now - link.heard > SILENT_MS {
-                // It comes back with `Open`.
-                link.due = f64::INFINITY;
+            if now - link.last_received > LINK_TIMEOUT_MS {
+                // `Event::Open` schedules reports again.
+                link.next_report = f64::INFINITY;
                 out.push(Action::End(core));
                 continue;
             }
-            link.due = now + if follows { WORD_MS } else { WORD_ASIDE_MS };
-            let gateway = Some(gateway).filter(|gateway| Some(gateway) != link.known.as_ref());
-            link.known = gateway.clone().or(link.known.take());
-            let tells = follows && std::mem::take(&mut self.differs);
-            let proxy = self.proxy.as_ref().map(|(_, word)| word);
+            let interval = if follows { LEADER_REPORT_INTERVAL_MS } else { FOLLOWER_REPORT_INTERVAL_MS };
+            link.next_report = now + interval;
+            let gateway = Some(gateway).filter(|gateway| Some(gateway) != link.reported.as_ref());
+            link.reported = gateway.clone().or(link.reported.take());
+            let send_ranges = follows && std::mem::take(&mut self.copy_differs);
+            let proxy = self.proxy.as_ref().map(|(_, message)| message);
             let word = FromAgent {
                 gateway,
                 ready: proxy.is_some_and(|proxy| proxy.ready),
-                held: self.held(),
+                held: self.index(),
                 at: now,
                 follows,
                 applied: proxy.map_or(0, |proxy| proxy.held),
-                ranges: self.state.as_ref().filter(|_| tells).map(State::ranges),
+                ranges: self.state.as_ref().filter(|_| send_ranges).map(State::ranges),
                 reads: READS,
             };
             out.push(Action::Say { core, word: Box::new(word) });
         }
     }
 
-    /// There is something new to tell that all of the core want to know: who takes clients.
-    fn speak_to_all(&mut self, now: Millis, out: &mut Vec<Action>) {
-        self.links.values_mut().filter(|link| link.due.is_finite()).for_each(|link| link.due = now);
-        self.speak(now, out);
+    /// Reports to all core processes at once: clients are sent to this gateway by any of them.
+    fn report_to_all(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let links = self.links.values_mut().filter(|link| link.next_report.is_finite());
+        links.for_each(|link| link.next_report = now);
+        self.send_due_reports(now, out);
     }
 
-    /// There is something new to tell that only who leads waits for. The others hear of it with the next word.
-    fn speak_to_leader(&mut self, now: Millis, out: &mut Vec<Action>) {
+    /// Reports at once what only the leader waits for; the others learn it with their next report.
+    fn report_to_leader(&mut self, now: Millis, out: &mut Vec<Action>) {
         let link = self.leader.as_ref().and_then(|(name, _)| self.links.get_mut(name));
-        if let Some(link) = link.filter(|link| link.due.is_finite()) {
-            link.due = now;
-            self.speak(now, out);
+        if let Some(link) = link.filter(|link| link.next_report.is_finite()) {
+            link.next_report = now;
+            self.send_due_reports(now, out);
         }
     }
 
@@ -267,49 +270,49 @@
         Gateway { node: self.node.clone(), zone: self.zone.clone(), front }
     }
 
-    fn heard(&mut self, now: Millis, core: &str, news: ToAgent, out: &mut Vec<Action>) {
-        let ToAgent { whole, changes, pulse, mend } = news;
+    fn handle_core_message(&mut self, now: Millis, core: &str, message: ToAgent, out: &mut Vec<Action>) {
+        let ToAgent { whole, changes, pulse, mend } = message;
         let Some(link) = self.links.get_mut(core) else { return };
-        link.heard = now;
-        let before = self.held();
-        let mut tell = false;
-        if let Some(whole) = whole.filter(|whole| whole.index > before) {
+        link.last_received = now;
+        let previous_index = self.index();
+        let mut report = false;
+        if let Some(whole) = whole.filter(|whole| whole.index > previous_index) {
             self.awaited = whole.index;
             self.state = Some(State::from_whole(now, whole.clone()));
-            self.feed(now, ToProxy { whole: Some(whole), ..ToProxy::default() }, out);
-            tell = true;
+            self.send_proxy(now, ToProxy { whole: Some(whole), ..ToProxy::default() }, out);
+            report = true;
         }
         if let Some(state) = &mut self.state {
             if state.follow(now, &changes).contains(&Touched::Config) {
                 self.awaited = state.index;
             }
         }
-        if self.held() != before {
-            let read = self.proxy.as_ref().is_some_and(|(_, word)| word.reads >= READS);
-            if !changes.is_empty() && (read || !changes.iter().any(Numbered::differs)) {
-                self.feed(now, ToProxy { changes, ..ToProxy::default() }, out);
+        if self.index() != previous_index {
+            let reads_differences = self.proxy.as_ref().is_some_and(|(_, message)| message.reads >= READS);
+            if !changes.is_empty() && (reads_differences || !changes.iter().any(Numbered::differs)) {
+                self.send_proxy(now, ToProxy { changes, ..ToProxy::default() }, out);
             } else if !changes.is_empty() {
-                // The proxy is of an earlier program.
+                // A proxy of an earlier version can't read differences.
                 let whole = self.state.as_ref().map(|state| state.whole(now, false));
-                self.feed(now, ToProxy { whole, ..ToProxy::default() }, out);
+                self.send_proxy(now, ToProxy { whole, ..ToProxy::default() }, out);
             }
         }
         if let Some(mend) = mend {
-            self.mend(now, mend);
+            self.repair(now, mend);
         }
         if let Some(pulse) = pulse {
-            tell |= self.pulse(now, core, pulse, out);
+            report |= self.handle_report_answer(now, core, pulse, out);
         }
-        if tell {
-            self.speak_to_all(now, out);
+        if report {
+            self.report_to_all(now, out);
         }
     }
 
-    /// A core process answered a word. True if there is something to tell.
-    fn pulse(&mut self, now: Millis, core: &str, pulse: Pulse, out: &mut Vec<Action>) -> bool {
+    /// Handles a core process's answer to a report. Returns whether a new report is needed at once.
+    fn handle_report_answer(&mut self, now: Millis, core: &str, pulse: Pulse, out: &mut Vec<Action>) -> bool {
         let Pulse { at, leads, term, index, members, digest, unsettled } = pulse;
         for member in &members {
-            self.know(now, member.clone(), out);
+            self.add_core(now, member.clone(), out);
         }
         if !members.is_empty() {
             self.members = members;
@@ -317,87 +320,90 @@
         if !leads {
             return false;
         }
-        // What an earlier leader said may come after a later one's link has ended.
+        // A message of an earlier leader may arrive after the link to a later one has closed.
         if term < self.term {
             return false;
         }
         self.term = term;
-        let mut tell = false;
+        let mut report = false;
         match self.leader.as_ref().map(|(name, term)| (name == core, *term)) {
-            Some((true, known)) if known == term => {}
+            Some((true, known_term)) if known_term == term => {}
             _ => {
-                log::info!("agent: {core} leads in term {term}");
+                log::info!("agent: following leader {core} in term {term}");
                 self.leader = Some((core.to_owned(), term));
-                tell = true;
+                report = true;
             }
         }
         let differs = self
             .state
             .as_ref()
             .is_some_and(|state| digest != 0 && state.index == index && self.digest.of(state) != digest);
-        if differs && !std::mem::replace(&mut self.differs, true) {
-            log::warn!("agent: the copy of change {index} differs from the leader's");
-            tell = true;
+        if differs && !std::mem::replace(&mut self.copy_differs, true) {
+            log::warn!("agent: state at index {index} differs from the leader's; requesting repair");
+            report = true;
         }
-        if self.held() >= index {
-            self.fresh = Some(self.fresh.map_or(at, |fresh| fresh.max(at)));
+        if self.index() >= index {
+            self.up_to_date_at = Some(self.up_to_date_at.map_or(at, |latest| latest.max(at)));
             self.unsettled = unsettled;
         }
-        self.feed(now, ToProxy::default(), out);
-        tell
+        self.send_proxy(now, ToProxy::default(), out);
+        report
     }
 
-    /// Ranges of the copy are replaced by the leader's.
-    fn mend(&mut self, now: Millis, mend: Mend) {
+    /// Replaces differing ranges of the copy by the leader's.
+    fn repair(&mut self, now: Millis, mend: Mend) {
         let names = mend.names.join(", ");
         if self.state.as_mut().is_some_and(|state| state.mend(now, mend)) {
-            log::warn!("agent: mended: {names}");
+            log::warn!("agent: state repaired from the leader: {names}");
             self.digest.forget();
         }
     }
 
-    // ---- The proxy ------------------------------------------------------------------------------------------------
+    // ---- Proxy --------------------------------------------------------------------------------------------
 
-    fn feed(&self, now: Millis, news: ToProxy, out: &mut Vec<Action>) {
+    /// Sends a message to the proxy, completed with the counter's address and the age of the copy.
+    fn send_proxy(&self, now: Millis, message: ToProxy, out: &mut Vec<Action>) {
         if self.proxy.is_none() {
             return;
         }
-        let counter = self.leader.as_ref().and_then(|(name, _)| name.parse::<SocketAddr>().ok());
-        let counter = counter.map(|addr| SocketAddr::new(addr.ip(), self.inner).to_string());
+        let leader = self.leader.as_ref().and_then(|(name, _)| name.parse::<SocketAddr>().ok());
+        let counter = leader.map(|addr| SocketAddr::new(addr.ip(), self.inner_port).to_string());
         out.push(Action::Feed(Box::new(ToProxy {
             counter: counter.unwrap_or_default(),
             term: self.leader.as_ref().map_or(0, |(_, term)| *term),
-            age_ms: self.fresh.map_or(-1.0, |fresh| now - fresh),
-            index: self.held(),
+            age_ms: self.up_to_date_at.map_or(-1.0, |at| now - at),
+            index: self.index(),
             digest: self.state.as_ref().map_or(0, |state| self.digest.lately(now, state)),
-            at: self.proxy.as_ref().and_then(|(_, word)| word.at),
+            at: self.proxy.as_ref().and_then(|(_, message)| message.at),
             unsettled: self.unsettled,
-            ..news
+            ..message
         })));
     }
 
-    fn proxy_said(&mut self, now: Millis, link: u64, mut word: FromProxy, out: &mut Vec<Action>) {
-        let ranges = word.ranges.take();
-        let Some((of, known)) = &mut self.proxy else { return };
-        if *of != link {
+    fn handle_proxy_message(
+        &mut self, now: Millis, link: u64, mut message: FromProxy, out: &mut Vec<Action>,
+    ) {
+        let ranges = message.ranges.take();
+        let Some((number, current)) = &mut self.proxy else { return };
+        if *number != link {
             return;
         }
-        let before = std::mem::replace(known, word);
-        let changed = FromProxy { at: known.at, held: known.held, ..before.clone() } != *known;
-        // What else it holds is told with the next word: nobody waits for a backend's change to be held everywhere.
-        let awaited = before.held < self.awaited && known.held >= self.awaited;
+        let previous = std::mem::replace(current, message);
+        let changed = FromProxy { at: current.at, held: current.held, ..previous.clone() } != *current;
+        // Other progress is reported on schedule: nothing waits for backend changes to reach every gateway.
+        let awaited = previous.held < self.awaited && current.held >= self.awaited;
         let mend = self.state.as_ref().and_then(|state| state.mend_for(now, ranges.as_ref()?));
         if mend.is_some() {
-            self.feed(now, ToProxy { mend, ..ToProxy::default() }, out);
+            self.send_proxy(now, ToProxy { mend, ..ToProxy::default() }, out);
         }
-        if before.at.is_none() {
-            // From now on it can tell how old what it hears is.
-            self.feed(now, ToProxy::default(), out);
+        if previous.at.is_none() {
+            // From its first timestamp on, the proxy can tell the age of what it receives.
+            self.send_proxy(now, ToProxy::default(), out);
         }
         if changed {
-            self.speak_to_all(now, out);
+            self.report_to_all(now, out);
         } else if awaited {
-            self.speak_to_leader(now, out);
+            self.report_to_leader(now, out);
         }
     }
 }
--- a/overland/src/invariants.rs
+++ b/overland/src/invariants.rs
@@ -1,31 +1,31 @@
-//! What must hold in every process at any time, whatever happens around it. A check that fails is logged and counted and
-//! stops nothing: `GET /api/Status` of a core process and the metrics of a proxy tell the counts, and tests want them to be
-//! nought.
+//! Runtime checks of the system's invariants. A failed check is logged and counted and never stops the
+//! process. The counts appear in a core process's `GET /api/Status` and in a proxy's metrics; tests require
+//! them to be zero.
 
 use std::cell::Cell;
 use std::sync::atomic::{AtomicU64, Ordering};
 use strum::{EnumCount, EnumIter, IntoEnumIterator, IntoStaticStr};
 
-/// What must hold.
+/// A property that holds in every process at all times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Invariant {
-    /// A disk holds every save that was confirmed, whatever power loss came after it.
+    /// Every acknowledged save is on disk after a power loss.
     DiskHoldsWhatWasSaved,
-    /// No entry that is agreed on is replaced or dropped from a log.
+    /// A committed entry is never replaced in, or dropped from, a log.
     AgreedEntriesStay,
-    /// In one term one member leads.
+    /// At most one member leads in a term.
     OneLeaderATerm,
-    /// A change of members bears no fewer losses than the list before it did.
+    /// A membership change tolerates at least as many losses as the membership before it.
     ChangesOfMembersWeakenNothing,
-    /// The number of the agreed state climbs within a life of a process.
+    /// The index of the replicated state never decreases within one run of a process.
     StateClimbs,
-    /// A request that was read whole ends with an answer, or for a reason that is not the proxy's.
+    /// A request that was read completely ends with a response, or fails for a reason outside the proxy.
     RequestsAreAnswered,
 }
 
 impl Invariant {
-    /// Its name in figures.
+    /// Name in metrics and in the status response.
     pub fn name(self) -> &'static str {
         self.into()
     }
@@ -34,34 +34,34 @@
 static VIOLATIONS: [AtomicU64; Invariant::COUNT] = [const { AtomicU64::new(0) }; Invariant::COUNT];
 
 thread_local! {
-    static ON_THIS_THREAD: Cell<u64> = const { Cell::new(0) };
+    static VIOLATIONS_ON_THREAD: Cell<u64> = const { Cell::new(0) };
 }
 
-/// It does not hold, and why.
+/// Counts and logs a violation.
 pub fn violated(invariant: Invariant, why: &str) {
-    ON_THIS_THREAD.set(ON_THIS_THREAD.get() + 1);
+    VIOLATIONS_ON_THREAD.set(VIOLATIONS_ON_THREAD.get() + 1);
     VIOLATIONS[invariant as usize].fetch_add(1, Ordering::Relaxed);
-    log::error!("invariant {} is violated: {why}", invariant.name());
+    log::error!("invariant {} violated: {why}", invariant.name());
 }
 
-/// Counts a violation unless it holds.
+/// Counts and logs a violation unless `holds`.
 pub fn check(invariant: Invariant, holds: bool, why: impl FnOnce() -> String) {
     if !holds {
         violated(invariant, &why());
     }
 }
 
-/// How often each was violated in this process.
+/// Violations of each invariant in this process.
 pub fn violations() -> impl Iterator<Item = (Invariant, u64)> {
     Invariant::iter().map(|invariant| (invariant, VIOLATIONS[invariant as usize].load(Ordering::Relaxed)))
 }
 
-/// Those that were violated in this process, by name, and how often.
+/// Invariants violated at least once in this process, by name, with their counts.
 pub fn violated_by_name() -> Vec<(&'static str, u64)> {
-    violations().filter(|(_, times)| *times > 0).map(|(invariant, times)| (invariant.name(), times)).collect()
+    violations().filter(|(_, count)| *count > 0).map(|(invariant, count)| (invariant.name(), count)).collect()
 }
 
-/// How often any was violated on this thread: tests play on one thread each, and others may put faults in on purpose.
+/// Violations on this thread. Tests that run in parallel, one per thread, may violate invariants on purpose.
 pub fn violated_on_this_thread() -> u64 {
-    ON_THIS_THREAD.get()
+    VIOLATIONS_ON_THREAD.get()
 }
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -1,9 +1,9 @@
-//! A core process's part in the system, without sockets, clock or disk: what happens comes in as [`Event`]s with the
-//! time, what is to be done goes out as [`Action`]s, to be carried out in order. `control.rs` keeps sockets and time.
+//! The state machine of a core process, without sockets, clock or disk. Inputs are [`Event`]s with the
+//! current time, outputs are [`Action`]s to be executed in order. `control.rs` owns the sockets, the clock
+//! and the disk.
 //!
-//! Rooms by concern: `orders` the operators' calls, `presence` backends and gateways, `push` what agents are told,
-//! `count` the tenants' counts, `joining` other core processes. What is promised with each answer, and what backs it,
-//! stands in `docs/system/control.md`.
+//! Submodules: `orders` handles operators' calls, `presence` backends and gateways, `push` messages to
+//! agents, `count` the tenants' quotas, and `joining` messages between core processes.
 
 mod count;
 mod joining;
@@ -21,151 +21,154 @@
 use crate::store::Pace;
 use bytes::Bytes;
 use cherrytally::Millis;
+use count::QuotaCounters;
 use eyre::{eyre, Result};
-use joining::Passed;
-use orders::Orders;
+use joining::ForwardedCall;
+use orders::Updates;
 use presence::Presence;
 use prost::Message;
-use push::Agent;
+use push::{Agent, EncodedState};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Ticks between two rounds of what is done now and then.
-const HOUSE_TICKS: u32 = 20;
-/// The leader tells the digest of its copy to the others each so many ticks: a copy that differs is a fault, and rare.
-const COMPARE_TICKS: u32 = 200;
-/// A member that follows nobody says why each so many ticks: two seconds.
-const LEADERLESS_TICKS: u32 = 80;
-/// How often a member is told that time has passed, in ms.
+/// Interval between ticks.
 pub const TICK_MS: Millis = 25.0;
-/// A caller waits a second for an answer; it has one before that, in ms.
-pub const CALL_MS: Millis = 850.0;
-/// A process that was told of no time for so long stood still, in ms: what comes in then may be as old. Callers wait a
-/// second; a busy machine keeps a process from its processor for some hundred.
-const STOOD_STILL_MS: Millis = 300.0;
-/// All that waited in sockets is read within so long after that, in ms.
-const WAKES_MS: Millis = 100.0;
-/// After so many changes the state takes the place of the log before them. All members have the same states at the same
-/// numbers then, as far as no backend is cold: what came of one goes on at the next leader.
-const LOG_MOST: u64 = 512;
-/// And after so many bytes of changes, at the same number at all members, too: a configuration of the size that is
-/// designed for has some MiB, and 512 of them would be more than a process may have of memory.
-const LOG_BYTES: usize = 8 << 20;
-/// Rounds, of half a second, in which a leader must be ill placed before it hands over: agents of a process that has just
-/// begun find it one after the other.
-const ILL_PLACED_ROUNDS: u32 = 4;
-/// A leader hands over no more often, in ms: with all disks slow there is nobody better.
-const HAND_AGAIN_MS: Millis = 10_000.0;
-
-/// What happens at a core process.
+const MAINTENANCE_INTERVAL_TICKS: u32 = 20;
+/// Interval at which the leader sends its state digest to the other members.
+const DIGEST_INTERVAL_TICKS: u32 = 200;
+/// Interval at which a member without a leader logs the reason.
+const LEADERLESS_LOG_INTERVAL_TICKS: u32 = 80;
+/// A call is refused after this time, before its caller gives up after 1000 ms.
+pub const CALL_TIMEOUT_MS: Millis = 850.0;
+/// A process without a tick for this long was suspended, and what it receives next may be as old. Scheduling
+/// delays on a busy machine are shorter.
+const STALL_MS: Millis = 300.0;
+/// Time after a stall within which everything that waited in sockets is read.
+const STALE_INPUT_MS: Millis = 100.0;
+/// The log is compacted at each multiple of this index, so that all members have equal snapshots at equal
+/// indices (apart from remaining cold times).
+const COMPACTION_INTERVAL: u64 = 512;
+/// It is also compacted at this size, which is reached at the same index at all members: entries with large
+/// configurations would use up the memory earlier.
+const MAX_LOG_BYTES: usize = 8 << 20;
+/// Consecutive maintenance rounds of poor reach after which a leader hands over. After a start, agents take
+/// some rounds to connect.
+const POOR_REACH_ROUNDS: u32 = 4;
+/// Minimum interval between handovers: if every disk is slow, no other leader is better.
+const MIN_HANDOVER_INTERVAL_MS: Millis = 10_000.0;
+
+/// An input to a core process.
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// What [`Action::Save`] wanted is on disk. It comes before any other event.
+    /// [`Action::Save`] was completed. No other event may come before this one.
     Saved {
-        /// How long that took, in ms.
+        /// How long the save took, in ms.
         took_ms: f64,
     },
-    /// Another core process said something.
+    /// A message from another core process.
     Heard {
-        /// Who.
+        /// The sender.
         from: Name,
-        /// What.
+        /// The message.
         word: Word,
     },
-    /// A call came from outside.
+    /// A client's call.
     Called {
-        /// Its number here.
+        /// Identifies the call in [`Action::Answer`].
         call: u64,
-        /// Its method.
+        /// HTTP method.
         method: String,
-        /// Its path, with its query.
+        /// Path with query.
         path: String,
-        /// Its body.
+        /// Request body.
         body: Vec<u8>,
     },
-    /// Nobody waits for the answer to this call any more.
+    /// The client of this call has disconnected.
     Left(u64),
-    /// An agent's word.
+    /// An agent's report.
     Agent {
         /// The link it came on.
         link: u64,
-        /// What it says.
+        /// The report.
         word: FromAgent,
     },
-    /// A proxy's charges.
+    /// A proxy's quota charges.
     Charged {
         /// The link they came on.
         link: u64,
-        /// What is charged.
+        /// The charges.
         charges: Charges,
     },
-    /// A link to an agent or a proxy has ended.
+    /// The link to an agent or a proxy has closed.
     Closed(u64),
-    /// The settings name other core processes.
+    /// The settings list these core processes as seeds.
     Seeds(Vec<SocketAddr>),
-    /// The process is told to end: it goes on until [`Member::left`] says that it may, or time is up.
+    /// The process is to shut down. It runs on until [`Member::left`] allows the exit or the grace period is
+    /// over.
     End,
 }
 
-/// What a core process is to do, in order.
+/// An output of a core process; outputs are executed in order.
 #[derive(Debug)]
 pub enum Action {
-    /// Bring to disk before all that follows, and tell [`Event::Saved`] then.
+    /// Save to disk before executing any later action, then report [`Event::Saved`].
     Save(Box<Save>),
-    /// Tell another core process. It may be lost.
+    /// Send a message to another core process; it may be lost.
     Tell {
-        /// Whom.
+        /// The receiver.
         to: Name,
-        /// What.
+        /// The message.
         word: Box<Word>,
     },
-    /// Answer a call from outside.
+    /// Answer a client's call.
     Answer {
-        /// Its number.
+        /// Identifies the call in [`Event::Called`].
         call: u64,
-        /// The answer.
+        /// The response.
         reply: Reply,
     },
-    /// Tell another core process, in the name of a third, that this one wants to be a member.
+    /// Forward a request to join to another core process, on behalf of its sender.
     Pass {
-        /// Whom.
+        /// The receiver.
         to: Name,
-        /// Who wants to be one.
+        /// The process that wants to join.
         from: Name,
     },
-    /// Tell an agent. Where that can't be, its link ends.
+    /// Send a message to an agent. The link is closed if the message can't be queued.
     Say {
-        /// On which link.
+        /// The agent's link.
         link: u64,
-        /// What.
+        /// The message.
         news: Box<ToAgent>,
     },
-    /// Tell an agent the whole state: a framed [`ToAgent`], made once for many. Where that can't be, its link ends.
+    /// Send a framed [`ToAgent`] with the whole state, encoded once for many agents. The link is closed if it
+    /// can't be queued.
     Whole {
-        /// On which link.
+        /// The agent's link.
         link: u64,
-        /// The message.
+        /// The frame.
         whole: Bytes,
     },
-    /// Answer charges.
+    /// Answer a proxy's charges.
     Count {
-        /// On which link.
+        /// The proxy's link.
         link: u64,
         /// The totals.
         totals: Totals,
     },
-    /// Nothing may follow from what is here: the process ends.
+    /// Exit the process because of this unrecoverable error.
     Stop(String),
 }
 
-/// An answer is written within so long after it was decided, in ms. It was decided within a lease, 550 ms after a majority
-/// was asked; no other leads within 700 ms after that. The rest is for clocks at different rates.
+/// Maximum time between deciding a response and writing it. A response is decided within the lease, 550 ms
+/// after a majority was asked, and no other member can lead within 700 ms after that; the difference covers
+/// clocks that run at different rates.
 pub const WRITTEN_MS: Millis = 100.0;
 
 impl Action {
-    /// What is left of it when it is carried out only now: a process that stood still since, or waited for its disk, gives no
-    /// answer that it decided before.
+    /// Replaces a successful response by a refusal if it was decided too long ago, as after a stall or a slow
+    /// save.
     pub fn fenced(self, decided: Millis, now: Millis) -> Action {
         let late = now - decided > WRITTEN_MS;
         match self {
@@ -186,104 +189,103 @@
     }
 }
 
-/// Who waits for an answer.
+/// The origin of a call.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Caller {
-    /// A caller from outside, by its number.
-    Outside(u64),
-    /// Another core process that passed a call on, and its number there.
-    Member(Name, u64),
+    /// A client, by call number.
+    Client(u64),
+    /// A core process that forwarded the call, and its number there.
+    Peer(Name, u64),
 }
 
-/// What an answer waits for.
+/// Condition for a successful response.
 pub enum Wait {
-    /// A change that is agreed on.
+    /// This change is committed.
     Agreed(Kind),
-    /// An order that is taken, and in force.
+    /// This configuration update is accepted and enforced.
     Order(calls::Order),
 }
 
-/// A call in hand.
-struct Waiting {
-    /// What is answered when it is granted.
+/// A call that is not answered yet.
+struct PendingCall {
+    /// The response if the call succeeds.
     granted: Reply,
-    /// When it is let go.
-    until: Millis,
+    deadline: Millis,
     stage: Stage,
 }
 
-/// Where a call stands.
+/// Progress of a call.
 enum Stage {
-    /// The leader was asked.
-    Passed(Passed),
-    /// An order that is heard, and not proposed yet.
-    Heard(calls::Order),
-    /// Its change is about to be proposed; an order's, where there is a mark.
+    /// Forwarded to the leader.
+    Forwarded(ForwardedCall),
+    /// A configuration update that is not proposed yet.
+    Queued(calls::Order),
+    /// The change is about to be proposed; with a mark if it is a configuration update.
     Proposing(Option<Mark>),
-    /// Its change is proposed as this entry, in this term.
+    /// The change is proposed as this entry.
     Proposed { index: u64, term: u64, mark: Option<Mark> },
-    /// Its change is agreed on, and waits to be in force at every gateway.
+    /// The configuration update is accepted, and waits until every gateway uses it.
     Enforcing { index: u64 },
 }
 
-/// What the agreement is to be told next.
-enum Next {
+/// An input to the agreement.
+enum AgreementInput {
     Event(agreement::Event),
-    /// A change is wanted, and who waits for it.
+    /// A change to propose, and the caller that waits for it.
     Propose(Kind, Option<Caller>),
 }
 
-/// A core process.
+/// A core process: a member of the Raft group, or a learner that wants to be one.
 pub struct Member {
     settings: Settings,
     me: Name,
-    /// Core processes that the settings name, as they were last read.
+    /// Core processes listed in the current settings.
     seeds: Vec<SocketAddr>,
     agreement: Agreement,
     state: State,
     digest: Digest,
-    /// What the agreement wanted that is not done yet: a save comes first.
-    behind: VecDeque<agreement::Action>,
-    /// What it is to be told after that.
-    next: VecDeque<Next>,
+    /// Actions of the agreement that are held back while a save is in progress.
+    agreement_actions: VecDeque<agreement::Action>,
+    /// Inputs to the agreement, to be handled after these actions.
+    inputs: VecDeque<AgreementInput>,
     saving: bool,
-    /// A change was agreed on that can't be read here: another should lead.
-    unread: bool,
-    /// The state has changed since agents were last told.
-    applied: bool,
-    /// The agents were told that it leads.
-    told: bool,
-    pace: Pace,
-    /// When it last handed over for its slow disk, or as agents did not reach it.
-    handed: Option<Millis>,
-    /// How many rounds it has been ill placed as a leader, one after the other.
-    ill_placed: u32,
-    calls: BTreeMap<Caller, Waiting>,
-    /// Calls that others passed on, by who did and its number for them, and when: none is carried out twice.
-    passed: BTreeMap<(Name, u64), Millis>,
-    orders: Orders,
+    /// A committed change could not be read: the state is incomplete until it is repaired, and another member
+    /// should lead.
+    state_incomplete: bool,
+    /// Entries were applied that are not pushed to the agents yet.
+    state_changed: bool,
+    /// This process's leadership was announced to the agents.
+    leadership_announced: bool,
+    disk_pace: Pace,
+    last_handover: Option<Millis>,
+    /// Consecutive maintenance rounds in which agents reached other members better than this leader.
+    poor_reach_rounds: u32,
+    calls: BTreeMap<Caller, PendingCall>,
+    /// Calls that other core processes forwarded, by sender and number, with their arrival times; used to
+    /// drop duplicates.
+    received_forwards: BTreeMap<(Name, u64), Millis>,
+    updates: Updates,
     presence: Presence,
     agents: BTreeMap<u64, Agent>,
-    /// When all agents were last sent what is new, and whether something came since.
-    pushed: Millis,
-    unpushed: bool,
-    /// The whole state as it was sent last.
-    whole: Option<push::Kept>,
-    count: count::Count,
-    /// The number of the next call that is passed on.
-    number: u64,
+    /// When changes were last pushed to all agents, and whether newer ones wait for the next push.
+    last_push: Millis,
+    push_pending: bool,
+    /// The whole state as last encoded for agents.
+    encoded_state: Option<EncodedState>,
+    quota_counters: QuotaCounters,
+    /// Number of the next forwarded call.
+    next_forward: u64,
     ticks: u32,
-    /// Words that came from no member.
-    strange: u64,
-    /// When it was last told of time.
-    ticked: Millis,
-    /// Until then what it is called with may have waited while it stood still.
-    wakes_until: Millis,
+    rejected_messages: u64,
+    last_tick: Millis,
+    /// Until then, received calls may date from before a stall.
+    stale_input_until: Millis,
     rng: fastrand::Rng,
 }
 
 impl Member {
-    /// A core process that starts with what its disk holds, and what is to be on disk before it does anything.
+    /// Starts a core process from the contents of its disk. Also returns what must be saved before it handles
+    /// any event.
     pub fn start(
         settings: Settings, disk: Option<Saved>, seed: u64, now: Millis,
     ) -> Result<(Member, Option<Save>)> {
@@ -293,14 +295,15 @@
         let mut damaged = false;
         if let Some(saved) = &disk {
             match Whole::decode(&saved.base.state[..]) {
-                Ok(read) => whole = read,
+                Ok(decoded) => whole = decoded,
                 Err(_) => damaged = true,
             }
         }
-        // A disk that can't be read is as good as an empty one that has forgotten its vote: it founds nothing, votes for
-        // nobody at first and counts only once a leader has filled it up.
+        // An unreadable disk counts as an empty one that may have lost a vote: the process bootstraps
+        // nothing, votes for nobody at first, and counts towards a quorum only after a leader has sent it the
+        // state.
         let lost = damaged.then(|| {
-            log::error!("core: the state on disk can't be read: it is filled up from the others");
+            log::error!("core: can't read the state on disk; waiting for a copy from the leader");
             Saved::default()
         });
         let disk = lost.or(disk);
@@ -319,7 +322,7 @@
             None => Default::default(),
         };
         log::info!(
-            "core: {me} starts, {} entries behind {}, {}",
+            "core: starting as {me} with {} log entries after snapshot index {} ({})",
             saved.entries.len(),
             saved.base.index,
             if founds { "founds" } else { "known" }
@@ -327,40 +330,40 @@
         let state = State { index: saved.base.index, ..State::from_whole(now, whole) };
         let member = Member {
             seeds: settings.seeds.clone(),
-            agreement: Agreement::new(me.clone(), saved, seed, now).reading(readable),
+            agreement: Agreement::new(me.clone(), saved, seed, now).reading(is_readable),
             settings,
             me,
             state,
             digest: Digest::default(),
-            behind: VecDeque::new(),
-            next: VecDeque::new(),
+            agreement_actions: VecDeque::new(),
+            inputs: VecDeque::new(),
             saving: false,
-            unread: false,
-            applied: false,
-            told: false,
-            pace: Pace::default(),
-            handed: None,
-            ill_placed: 0,
+            state_incomplete: false,
+            state_changed: false,
+            leadership_announced: false,
+            disk_pace: Pace::default(),
+            last_handover: None,
+            poor_reach_rounds: 0,
             calls: BTreeMap::new(),
-            passed: BTreeMap::new(),
-            orders: Orders::default(),
+            received_forwards: BTreeMap::new(),
+            updates: Updates::default(),
             presence: Presence::default(),
             agents: BTreeMap::new(),
-            pushed: f64::NEG_INFINITY,
-            unpushed: false,
-            whole: None,
-            count: count::Count::default(),
-            number: seed >> 16,
+            last_push: f64::NEG_INFINITY,
+            push_pending: false,
+            encoded_state: None,
+            quota_counters: QuotaCounters::default(),
+            next_forward: seed >> 16,
             ticks: 0,
-            strange: 0,
-            ticked: now,
-            wakes_until: now,
+            rejected_messages: 0,
+            last_tick: now,
+            stale_input_until: now,
             rng: fastrand::Rng::with_seed(seed),
         };
         Ok((member, first))
     }
 
-    /// Its name: where it is called.
+    /// Its name: its control address.
     pub fn name(&self) -> &Name {
         &self.me
     }
@@ -370,167 +373,170 @@
         self.agreement.leads()
     }
 
-    /// Its copy of the agreed state.
+    /// Its copy of the replicated state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Words that came from no member, or in a name that is no address. Nothing followed from them.
+    /// Messages rejected because their sender is unknown or its name is not an address.
     pub fn strange(&self) -> u64 {
-        self.strange
+        self.rejected_messages
     }
 
-    /// Whether it speaks to this core process for longer than one word: it is a member, or a seed.
+    /// Whether an idle link to this core process is kept, as it is a member or a seed.
     pub fn keeps(&self, name: &str) -> bool {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == name);
         seed || self.agreement.members().iter().any(|member| member == name)
     }
 
-    /// Its part in the agreement.
+    /// Its Raft state.
     pub fn agreement(&self) -> &Agreement {
         &self.agreement
     }
 
-    /// What a process that was told to end may do: see [`Agreement::left`].
+    /// Whether a process that is shutting down may exit: see [`Agreement::left`].
     pub fn left(&self) -> Option<bool> {
         self.agreement.left()
     }
 
-    /// Whether it may answer for all.
-    fn vouches(&self, now: Millis) -> bool {
-        !self.unread && self.agreement.vouches(now)
+    /// Whether it may answer on behalf of the system: it holds the leader lease and its state is complete.
+    fn is_authoritative(&self, now: Millis) -> bool {
+        !self.state_incomplete && self.agreement.vouches(now)
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
-        debug_assert!(!self.saving || matches!(event, Event::Saved { .. }), "what is saved comes first");
+        debug_assert!(
+            !self.saving || matches!(event, Event::Saved { .. }),
+            "no other event while a save is in progress"
+        );
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Saved { took_ms } => self.saved(now, took_ms),
-            Event::Heard { from, word } => self.heard(now, from, word, out),
+            Event::Saved { took_ms } => self.save_completed(now, took_ms),
+            Event::Heard { from, word } => self.handle_peer_message(now, from, word, out),
             Event::Called { call, method, path, body } => {
                 let called = Called { method: &method, path: &path, body: &body };
-                self.called(now, Caller::Outside(call), &called, out);
+                self.handle_call(now, Caller::Client(call), &called, out);
             }
-            Event::Left(call) => self.let_go(&Caller::Outside(call)),
-            Event::Agent { link, word } => self.agent_said(now, link, word, out),
-            Event::Charged { link, charges } => self.charged(now, link, &charges, out),
+            Event::Left(call) => self.remove_call(&Caller::Client(call)),
+            Event::Agent { link, word } => self.handle_report(now, link, word, out),
+            Event::Charged { link, charges } => self.handle_charges(now, link, &charges, out),
             Event::Closed(link) => drop(self.agents.remove(&link)),
             Event::Seeds(seeds) => self.seeds = seeds,
-            Event::End => self.next.push_back(Next::Event(agreement::Event::Leave)),
+            Event::End => self.inputs.push_back(AgreementInput::Event(agreement::Event::Leave)),
         }
-        self.go_on(now, out);
+        self.run_agreement(now, out);
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.ticks = self.ticks.wrapping_add(1);
-        if self.stood_still(now) {
-            log::warn!("core: stood still for {:.0} ms", now - self.ticked);
-            self.wakes_until = now + WAKES_MS;
+        if self.is_stalled(now) {
+            log::warn!("core: process was stalled for {:.0} ms", now - self.last_tick);
+            self.stale_input_until = now + STALE_INPUT_MS;
         }
-        self.ticked = now;
-        self.next.push_back(Next::Event(agreement::Event::Tick));
-        self.go_on(now, out);
-        if self.ticks.is_multiple_of(HOUSE_TICKS) {
-            self.keep_house(now, out);
+        self.last_tick = now;
+        self.inputs.push_back(AgreementInput::Event(agreement::Event::Tick));
+        self.run_agreement(now, out);
+        if self.ticks.is_multiple_of(MAINTENANCE_INTERVAL_TICKS) {
+            self.run_maintenance(now, out);
         }
-        if self.ticks.is_multiple_of(LEADERLESS_TICKS) {
+        if self.ticks.is_multiple_of(LEADERLESS_LOG_INTERVAL_TICKS) {
             if let Some(why) = self.agreement.leaderless() {
-                log::warn!("core: nobody leads: {why}");
+                log::warn!("core: no leader: {why}");
             }
         }
-        if self.ticks.is_multiple_of(COMPARE_TICKS) && self.leads() {
-            self.compare(out);
+        if self.ticks.is_multiple_of(DIGEST_INTERVAL_TICKS) && self.leads() {
+            self.broadcast_digest(out);
         }
         if self.leads() && !self.presence.is_settled() {
-            self.settle();
+            self.update_settled();
         }
-        if self.unpushed {
-            self.push(now, out);
+        if self.push_pending {
+            self.push_changes(now, out);
         }
-        self.let_late_go(now, out);
-        self.enforce(now, out);
+        self.refuse_stuck_calls(now, out);
+        self.answer_enforced(now, out);
     }
 
-    /// Calls whose time is over, and those that this process can do nothing for: who leads and is cut off from a majority
-    /// vouches for nothing, and who was passed a call and fell silent answers none. Another can, or the same one later.
-    fn let_late_go(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let vouches = self.vouches(now);
-        let hopeless = |waiting: &Waiting| match &waiting.stage {
-            Stage::Passed(passed) => !self.hears_leader(now, passed.to()),
-            _ => !vouches,
+    /// Refuses calls that are past their deadline or can't be completed here: forwarded ones whose leader is
+    /// unreachable, and others if this process has lost the lease.
+    fn refuse_stuck_calls(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let authoritative = self.is_authoritative(now);
+        let is_stuck = |call: &PendingCall| match &call.stage {
+            Stage::Forwarded(forwarded) => !self.is_leader_reachable(now, forwarded.to()),
+            _ => !authoritative,
         };
-        let late = self.calls.iter().filter(|(_, w)| now > w.until || hopeless(w));
-        for caller in late.map(|(caller, _)| caller.clone()).collect::<Vec<_>>() {
+        let stuck = self.calls.iter().filter(|(_, call)| now > call.deadline || is_stuck(call));
+        for caller in stuck.map(|(caller, _)| caller.clone()).collect::<Vec<_>>() {
             self.refuse(&caller, &Refusal::Later, out);
         }
     }
 
-    /// What is done now and then.
-    fn keep_house(&mut self, now: Millis, out: &mut Vec<Action>) {
-        self.ask_to_join(out);
-        if self.unread && self.leads() {
-            self.next.push_back(Next::Event(agreement::Event::Resign));
+    fn run_maintenance(&mut self, now: Millis, out: &mut Vec<Action>) {
+        self.request_join(out);
+        if self.state_incomplete && self.leads() {
+            self.inputs.push_back(AgreementInput::Event(agreement::Event::Resign));
         }
-        self.mind_reach(now);
-        // What comes later than that is refused as late.
-        self.passed.retain(|_, heard| now - *heard < joining::ON_ITS_WAY_MS);
-        if !self.vouches(now) {
+        self.check_reach(now);
+        // Older duplicates are refused for their age.
+        self.received_forwards.retain(|_, received| now - *received < joining::MAX_FORWARD_AGE_MS);
+        if !self.is_authoritative(now) {
             return;
         }
-        for kind in self.changes_of_presence(now) {
-            self.next.push_back(Next::Propose(kind, None));
+        for kind in self.presence_changes(now) {
+            self.inputs.push_back(AgreementInput::Propose(kind, None));
         }
-        self.count.sweep(now);
+        self.quota_counters.remove_idle(now);
     }
 
-    // ---- Agreement ------------------------------------------------------------------------------------------
+    // ---- Agreement ----------------------------------------------------------------------------------------
 
-    /// A save is done: what waited for it goes on.
-    fn saved(&mut self, now: Millis, took_ms: f64) {
+    fn save_completed(&mut self, now: Millis, took_ms: f64) {
         self.saving = false;
-        if self.pace.saved(took_ms) {
+        if self.disk_pace.saved(took_ms) {
             self.hand_over(now, "the disk is slow");
         }
     }
 
-    /// A leader that agents don't reach hands over to a member that they do reach.
-    fn mind_reach(&mut self, now: Millis) {
-        let heard = self.agents.values().filter(|agent| now - agent.heard < presence::HEARD_MS).count();
-        self.next.push_back(Next::Event(agreement::Event::Reach(heard as u32)));
-        self.ill_placed = if self.agreement.ill_placed(now) { self.ill_placed + 1 } else { 0 };
-        if self.ill_placed >= ILL_PLACED_ROUNDS {
-            self.hand_over(now, "agents reach others");
+    /// Hands over leadership if agents reach another member much better than this one.
+    fn check_reach(&mut self, now: Millis) {
+        let present =
+            self.agents.values().filter(|agent| now - agent.last_report < presence::AGENT_TIMEOUT_MS);
+        let reach = present.count() as u32;
+        self.inputs.push_back(AgreementInput::Event(agreement::Event::Reach(reach)));
+        self.poor_reach_rounds = if self.agreement.ill_placed(now) { self.poor_reach_rounds + 1 } else { 0 };
+        if self.poor_reach_rounds >= POOR_REACH_ROUNDS {
+            self.hand_over(now, "agents reach other members better");
         }
     }
 
-    /// Another should lead, where this process does. What is under way goes on first.
+    /// Asks for another leader, if this process leads. Earlier inputs are handled first.
     fn hand_over(&mut self, now: Millis, why: &str) {
-        let lately = self.handed.is_some_and(|at| now - at < HAND_AGAIN_MS);
-        if self.leads() && !lately {
-            log::warn!("core: {why}; another should lead");
-            (self.handed, self.ill_placed) = (Some(now), 0);
-            self.next.push_back(Next::Event(agreement::Event::Resign));
+        let recent = self.last_handover.is_some_and(|at| now - at < MIN_HANDOVER_INTERVAL_MS);
+        if self.leads() && !recent {
+            log::warn!("core: handing over leadership: {why}");
+            (self.last_handover, self.poor_reach_rounds) = (Some(now), 0);
+            self.inputs.push_back(AgreementInput::Event(agreement::Event::Resign));
         }
     }
 
-    /// Carries out what the agreement wants, as far as that goes without a save, and tells it what comes next.
-    fn go_on(&mut self, now: Millis, out: &mut Vec<Action>) {
+    /// Executes the agreement's actions and passes on its inputs, up to the next save.
+    fn run_agreement(&mut self, now: Millis, out: &mut Vec<Action>) {
         while !self.saving {
-            if let Some(action) = self.behind.pop_front() {
-                self.act(now, action, out);
-            } else if std::mem::take(&mut self.applied) {
-                self.push(now, out);
-                if self.vouches(now) && !std::mem::replace(&mut self.told, true) {
-                    self.pulse(now, out);
+            if let Some(action) = self.agreement_actions.pop_front() {
+                self.execute(now, action, out);
+            } else if std::mem::take(&mut self.state_changed) {
+                self.push_changes(now, out);
+                if self.is_authoritative(now) && !std::mem::replace(&mut self.leadership_announced, true) {
+                    self.announce_leadership(now, out);
                 }
             } else {
-                if self.next.is_empty() {
-                    self.go_on_with_orders(now, out);
+                if self.inputs.is_empty() {
+                    self.advance_queued_updates(now, out);
                 }
-                let event = match self.next.pop_front() {
-                    Some(Next::Event(event)) => event,
-                    Some(Next::Propose(kind, caller)) => match self.propose(kind, caller, out) {
+                let event = match self.inputs.pop_front() {
+                    Some(AgreementInput::Event(event)) => event,
+                    Some(AgreementInput::Propose(kind, caller)) => match self.propose(kind, caller, out) {
                         Some(event) => event,
                         None => continue,
                     },
@@ -538,12 +544,13 @@
                 };
                 let mut actions = Vec::new();
                 self.agreement.handle(now, event, &mut actions);
-                self.behind.extend(actions);
+                self.agreement_actions.extend(actions);
             }
         }
     }
 
-    /// A change is proposed, and somebody may wait for it. None where this process does not lead.
+    /// The event that proposes a change. `None`, and a refusal to the caller, if this process accepts no
+    /// proposals.
     fn propose(
         &mut self, kind: Kind, caller: Option<Caller>, out: &mut Vec<Action>,
     ) -> Option<agreement::Event> {
@@ -556,163 +563,162 @@
         let (index, term) = (self.agreement.last() + 1, self.agreement.term());
         let kind = match kind {
             Kind::Configured(config) => {
-                self.orders.propose(&config, index, term);
-                Kind::Configured(self.shortened(config))
+                self.updates.add_proposed(&config, index, term);
+                Kind::Configured(self.with_difference(config))
             }
             kind => kind,
         };
         if let Some(caller) = caller {
-            let mark = match self.calls.get(&caller).map(|w| &w.stage) {
+            let mark = match self.calls.get(&caller).map(|call| &call.stage) {
                 Some(Stage::Proposing(mark)) => *mark,
                 _ => None,
             };
-            self.become_stage(&caller, Stage::Proposed { index, term, mark });
+            self.set_stage(&caller, Stage::Proposed { index, term, mark });
         }
-        let left = matches!(&kind, Kind::BackendGone(id) if self.presence.left(id));
+        let left = matches!(&kind, Kind::BackendGone(id) if self.presence.has_departed(id));
         Some(agreement::Event::Propose(Change { kind: Some(kind), left }.encode_to_vec()))
     }
 
-    fn act(&mut self, now: Millis, action: agreement::Action, out: &mut Vec<Action>) {
+    fn execute(&mut self, now: Millis, action: agreement::Action, out: &mut Vec<Action>) {
         match action {
             agreement::Action::Save(save) => {
                 self.saving = true;
                 out.push(Action::Save(Box::new(save)));
             }
             agreement::Action::Send { to, say } => {
-                self.tell(&to, Word::Agreement(Letter { say: Some(say) }), out);
+                self.send_peer(&to, Word::Agreement(Letter { say: Some(say) }), out);
             }
             agreement::Action::Apply(entry) => self.apply(now, &entry, out),
             agreement::Action::Restore { index, state } => match Whole::decode(&state[..]) {
                 Ok(whole) => {
-                    let former = self.state.index;
-                    invariants::check(Invariant::StateClimbs, index >= former, || {
-                        format!("the state of {index} takes the place of that of {former}")
+                    let previous = self.state.index;
+                    invariants::check(Invariant::StateClimbs, index >= previous, || {
+                        format!("snapshot of index {index} replaces the state of index {previous}")
                     });
                     self.state = State { index, ..State::from_whole(now, whole) };
-                    (self.applied, self.unread, self.whole) = (true, false, None);
+                    (self.state_changed, self.state_incomplete, self.encoded_state) = (true, false, None);
+                }
+                Err(_) => {
+                    out.push(Action::Stop(format!("can't decode the received snapshot of index {index}")))
                 }
-                Err(_) => out.push(Action::Stop(format!("the state {index} that was sent can't be read"))),
             },
-            agreement::Action::Leads(leads) => self.take_duty(now, leads, out),
+            agreement::Action::Leads(leads) => self.leadership_changed(now, leads, out),
         }
     }
 
     fn apply(&mut self, now: Millis, entry: &Entry, out: &mut Vec<Action>) {
-        self.applied = true;
+        self.state_changed = true;
         if !entry.new_members.is_empty() {
-            log::info!("core: the members are {}", entry.new_members.join(", "));
+            log::info!("core: members are now {}", entry.new_members.join(", "));
         }
         let change = change_in(entry);
         if !entry.data.is_empty() && change.as_ref().is_none_or(|change| change.kind.is_none()) {
-            log::error!(
-                "core: change {} can't be read: it does not lead until its copy is mended",
-                entry.index
-            );
-            self.unread = true;
+            log::error!("core: can't decode the change at index {}; not leading until repaired", entry.index);
+            self.state_incomplete = true;
         }
         let touched = self.state.apply(now, entry.index, change.as_ref());
         self.compact(now);
         if touched == Touched::Config {
-            self.take_limits();
+            self.load_limits();
         }
         if let Some(Kind::Configured(config)) = change.as_ref().and_then(|change| change.kind.as_ref()) {
-            self.log_order(config, touched == Touched::Config);
+            self.log_update(config, touched == Touched::Config);
         }
-        self.orders.decided(entry.index);
-        let waits = |stage: &Stage| match stage {
+        self.updates.remove_applied(entry.index);
+        let proposed_as_entry = |stage: &Stage| match stage {
             Stage::Proposed { index, term, mark } if *index == entry.index => Some((*term, *mark)),
             _ => None,
         };
-        let callers = self.calls.iter().filter_map(|(caller, w)| Some((caller.clone(), waits(&w.stage)?)));
-        for (caller, (term, mark)) in callers.collect::<Vec<_>>() {
+        let calls = &self.calls;
+        let waiting =
+            calls.iter().filter_map(|(caller, call)| Some((caller.clone(), proposed_as_entry(&call.stage)?)));
+        for (caller, (term, mark)) in waiting.collect::<Vec<_>>() {
             match mark {
-                // Another term's entry in its place means that it was not taken.
+                // An entry of another term took its place: the change was not committed.
                 _ if term != entry.term => self.refuse(&caller, &Refusal::Later, out),
-                Some(mark) => self.decided(now, &caller, &mark, out),
+                Some(mark) => self.update_applied(now, &caller, &mark, out),
                 None => self.grant(&caller, out),
             }
         }
     }
 
-    /// Begins to lead, or ends.
-    fn take_duty(&mut self, now: Millis, leads: bool, out: &mut Vec<Action>) {
+    fn leadership_changed(&mut self, now: Millis, leads: bool, out: &mut Vec<Action>) {
         log::info!("core: {} in term {}", if leads { "leads" } else { "follows" }, self.agreement.term());
-        self.told = false;
-        self.orders.forget();
-        self.presence = Presence::since(now);
+        self.leadership_announced = false;
+        self.updates.clear_proposed();
+        self.presence = Presence::new(now);
         let slack = self.settings.bounds.quota_slack;
-        self.count = if leads {
-            count::Count::begin(now, self.agreement.term(), slack)
+        self.quota_counters = if leads {
+            QuotaCounters::new(now, self.agreement.term(), slack)
         } else {
-            count::Count::default()
+            QuotaCounters::default()
         };
-        self.take_limits();
+        self.load_limits();
         if !leads {
-            // What came of them is not known: the same call again finds out.
-            let mine = self.calls.iter().filter(|(_, w)| !matches!(w.stage, Stage::Passed(_)));
-            let mine: Vec<_> = mine.map(|(caller, _)| caller.clone()).collect();
-            for caller in mine {
+            // Their results are unknown; a retry finds out.
+            let own = self.calls.iter().filter(|(_, call)| !matches!(call.stage, Stage::Forwarded(_)));
+            let callers: Vec<_> = own.map(|(caller, _)| caller.clone()).collect();
+            for caller in callers {
                 self.refuse(&caller, &Refusal::Later, out);
             }
         }
     }
 
-    /// The state takes the place of the log so far, at the same numbers at all members.
+    /// Compacts the log into a snapshot at the same indices as every other member.
     fn compact(&mut self, now: Millis) {
         let index = self.state.index;
-        if !index.is_multiple_of(LOG_MOST) && self.agreement.log_bytes(index) < LOG_BYTES {
+        if !index.is_multiple_of(COMPACTION_INTERVAL) && self.agreement.log_bytes(index) < MAX_LOG_BYTES {
             return;
         }
         let state = self.state.whole(now, true).encode_to_vec();
         let mut actions = Vec::new();
         self.agreement.compact(self.state.index, state, &mut actions);
-        self.behind.extend(actions);
+        self.agreement_actions.extend(actions);
     }
 
-    // ---- Calls ----------------------------------------------------------------------------------------------
+    // ---- Calls --------------------------------------------------------------------------------------------
 
-    /// Whether it was told of no time for long.
-    fn stood_still(&self, now: Millis) -> bool {
-        now - self.ticked > STOOD_STILL_MS
+    /// Whether the last tick was so long ago that the process must have been suspended.
+    fn is_stalled(&self, now: Millis) -> bool {
+        now - self.last_tick > STALL_MS
     }
 
-    /// A call came.
-    fn called(&mut self, now: Millis, caller: Caller, called: &Called, out: &mut Vec<Action>) {
-        if self.stood_still(now) || now < self.wakes_until {
-            // It may have waited in its socket for long: its caller has given up, and may have called others since.
+    fn handle_call(&mut self, now: Millis, caller: Caller, called: &Called, out: &mut Vec<Action>) {
+        if self.is_stalled(now) || now < self.stale_input_until {
+            // It may have waited in its socket while its caller gave up and made newer calls elsewhere.
             return self.refuse(&caller, &Refusal::Later, out);
         }
         match calls::answer(self, now, called) {
             Served::Now(reply) => self.reply(&caller, reply, out),
             Served::Waits(granted, wait) => {
-                let until = now + CALL_MS;
+                let deadline = now + CALL_TIMEOUT_MS;
                 match wait {
                     Wait::Agreed(kind) => {
                         let stage = Stage::Proposing(None);
-                        self.calls.insert(caller.clone(), Waiting { granted, until, stage });
-                        self.next.push_back(Next::Propose(kind, Some(caller)));
+                        self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
+                        self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
                     }
                     Wait::Order(order) => {
-                        let stage = Stage::Heard(order);
-                        self.calls.insert(caller.clone(), Waiting { granted, until, stage });
-                        self.hear_order(caller, out);
+                        let stage = Stage::Queued(order);
+                        self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
+                        self.queue_update(caller, out);
                     }
                 }
             }
-            Served::Elsewhere => self.pass_on(now, caller, called, out),
+            Served::Elsewhere => self.forward_call(now, caller, called, out),
         }
     }
 
-    /// The one place where a call's stage changes.
-    fn become_stage(&mut self, caller: &Caller, stage: Stage) {
-        if let Some(waiting) = self.calls.get_mut(caller) {
-            waiting.stage = stage;
+    fn set_stage(&mut self, caller: &Caller, stage: Stage) {
+        if let Some(call) = self.calls.get_mut(caller) {
+            call.stage = stage;
         }
     }
 
+    /// Answers a call with its successful response.
     fn grant(&mut self, caller: &Caller, out: &mut Vec<Action>) {
-        if let Some(waiting) = self.calls.get(caller) {
-            let granted = waiting.granted.clone();
+        if let Some(call) = self.calls.get(caller) {
+            let granted = call.granted.clone();
             self.reply(caller, granted, out);
         }
     }
@@ -721,23 +727,22 @@
         self.reply(caller, why.reply(), out);
     }
 
-    /// Answers whoever called, and is done with the call.
+    /// Answers a call and removes it.
     fn reply(&mut self, caller: &Caller, reply: Reply, out: &mut Vec<Action>) {
-        self.let_go(caller);
+        self.remove_call(caller);
         match caller {
-            Caller::Outside(call) => out.push(Action::Answer { call: *call, reply }),
-            Caller::Member(name, number) => {
+            Caller::Client(call) => out.push(Action::Answer { call: *call, reply }),
+            Caller::Peer(name, number) => {
                 let (body, status) = (reply.body.into_bytes(), u32::from(reply.status));
                 let answer = Forwarded { number: *number, body, status, ..Forwarded::default() };
-                self.tell(name, Word::Answer(answer), out);
+                self.send_peer(name, Word::Answer(answer), out);
             }
         }
     }
 
-    /// Is done with a call.
-    fn let_go(&mut self, caller: &Caller) {
+    fn remove_call(&mut self, caller: &Caller) {
         self.calls.remove(caller);
-        self.orders.leave(caller);
+        self.updates.dequeue(caller);
     }
 }
 
@@ -753,15 +758,15 @@
     }
 }
 
-/// What comes of a call to a member.
-type Granted<A> = Result<Outcome<A, Wait>, Refusal>;
+/// Result of a call to a member.
+type CallResult<A> = Result<Outcome<A, Wait>, Refusal>;
 
-/// Whether a state can be read.
-fn readable(state: &[u8]) -> bool {
+/// Whether a snapshot can be decoded.
+fn is_readable(state: &[u8]) -> bool {
     Whole::decode(state).is_ok()
 }
 
-/// The change in an entry; none in those of the agreement's own.
+/// The change in an entry; `None` for the agreement's own entries.
 fn change_in(entry: &Entry) -> Option<Change> {
     Change::decode(&entry.data[..]).ok().filter(|_| !entry.data.is_empty())
 }
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -1,13 +1,18 @@
-//! Orders of operators: changes of the configuration, zones that are emptied and taken back, the configuration as it
-//! stands.
+//! Operators' calls: configuration updates, evacuations of zones and their ends, and reads of the
+//! configuration.
 //!
-//! A change of the configuration goes through five states. It is *heard*: it waits for the version that it builds on, or for
-//! room. It is *proposed* as an entry; the same order again joins it there. It is *agreed on*: applying the entry takes or
-//! refuses it, alike at every member, and the agreed state keeps which. It is *in force* once no gateway goes by anything
-//! older. It is *answered*. A caller may be let go in each of them, without a clear answer; the same order again finds out.
-//! `docs/system/orders.md` tells what holds and why.
+//! A configuration update passes through five stages:
+//! 1. queued, until the version it is based on is applied, or until fewer proposals are pending;
+//! 2. proposed as a log entry, which an identical update joins;
+//! 3. committed: applying the entry accepts or refuses the update, with the same result at every member, and
+//!    the replicated state records that result;
+//! 4. enforced, once no gateway uses an older state;
+//! 5. answered.
+//!
+//! The caller may get an inconclusive answer in any stage. Sending the identical update again finds out the
+//! result.
 
-use super::{Action, Caller, Granted, Member, Next, Stage, Wait};
+use super::{Action, AgreementInput, CallResult, Caller, Member, Stage, Wait};
 use crate::calls::{Answers, Done, Evacuate, Get, Order, Outcome, Patch, Put, Refusal, TakeBack};
 use crate::config::{digest_of_whole, Envelope};
 use crate::difference::Difference;
@@ -18,202 +23,203 @@
 use prost::Message;
 use std::collections::VecDeque;
 
-/// Orders that are proposed at once: eight are promised, and as many again may have been given up by their callers.
-const PROPOSED_MOST: usize = 16;
-/// Callers whose orders are heard at once: a whole configuration may hold megabytes.
-const HEARD_MOST: usize = 32;
+/// Concurrent proposals: twice the supported number of concurrent updates, as callers may have given up on
+/// some.
+const MAX_PROPOSED: usize = 16;
+/// Queued updates at most; each may hold a whole configuration of several megabytes.
+const MAX_QUEUED: usize = 32;
 
-/// Orders that are under way.
+/// Configuration updates in progress.
 #[derive(Default)]
-pub(super) struct Orders {
-    /// Those that are heard, in the order in which they came.
-    heard: VecDeque<Caller>,
-    /// Those that are proposed and not decided, in this term.
+pub(super) struct Updates {
+    /// Callers of queued updates, in order of arrival.
+    queued: VecDeque<Caller>,
+    /// Updates proposed in this term and not applied yet.
     proposed: Vec<Proposed>,
 }
 
-/// An order that is proposed.
+/// A proposed update.
 struct Proposed {
-    /// A digest of what it says.
-    order: u64,
-    /// The number that it brings.
+    /// Digest of the update's content.
+    digest: u64,
+    /// Version that the update creates.
     edition: u64,
     index: u64,
     term: u64,
 }
 
-impl Orders {
-    /// Its caller wants nothing any more. What is proposed stays so.
-    pub(super) fn leave(&mut self, caller: &Caller) {
-        self.heard.retain(|heard| heard != caller);
+impl Updates {
+    /// Removes a caller's update from the queue. A proposed update stays proposed.
+    pub(super) fn dequeue(&mut self, caller: &Caller) {
+        self.queued.retain(|queued| queued != caller);
     }
 
-    /// An order is proposed as this entry.
-    pub(super) fn propose(&mut self, config: &Configured, index: u64, term: u64) {
-        let order = config.digests.first().copied().unwrap_or(config.call);
-        self.proposed.push(Proposed { order, edition: config.edition, index, term });
+    /// Records that an update is proposed as this entry.
+    pub(super) fn add_proposed(&mut self, config: &Configured, index: u64, term: u64) {
+        let digest = config.digests.first().copied().unwrap_or(config.call);
+        self.proposed.push(Proposed { digest, edition: config.edition, index, term });
     }
 
-    /// The entries up to this one are decided.
-    pub(super) fn decided(&mut self, index: u64) {
+    /// Removes proposals up to an applied index.
+    pub(super) fn remove_applied(&mut self, index: u64) {
         self.proposed.retain(|proposed| proposed.index > index);
     }
 
-    /// Another leads, or this process does anew: what is proposed is another's to decide.
-    pub(super) fn forget(&mut self) {
+    /// Removes all proposals, as leadership changed.
+    pub(super) fn clear_proposed(&mut self) {
         self.proposed.clear();
     }
 }
 
 impl Answers<Put> for Member {
-    fn answer(&mut self, _: Millis, Put(order): Put) -> Granted<Done> {
+    fn answer(&mut self, _: Millis, Put(order): Put) -> CallResult<Done> {
         Ok(Outcome::Waits(Done {}, Wait::Order(order)))
     }
 }
 
 impl Answers<Patch> for Member {
-    fn answer(&mut self, _: Millis, Patch(order): Patch) -> Granted<Done> {
+    fn answer(&mut self, _: Millis, Patch(order): Patch) -> CallResult<Done> {
         Ok(Outcome::Waits(Done {}, Wait::Order(order)))
     }
 }
 
 impl Answers<Get> for Member {
-    fn answer(&mut self, now: Millis, _: Get) -> Granted<miniserde::json::Value> {
-        let vouches = self.vouches(now);
-        let config = self.state.config.as_ref().filter(|_| vouches).ok_or(Refusal::Later)?;
+    fn answer(&mut self, now: Millis, _: Get) -> CallResult<miniserde::json::Value> {
+        let authoritative = self.is_authoritative(now);
+        let config = self.state.config.as_ref().filter(|_| authoritative).ok_or(Refusal::Later)?;
         let value = miniserde::json::from_str(&config.text).map_err(|_| Refusal::Later)?;
         Ok(Outcome::Now(value))
     }
 }
 
 impl Answers<Evacuate> for Member {
-    fn answer(&mut self, _: Millis, Evacuate(zone): Evacuate) -> Granted<Done> {
+    fn answer(&mut self, _: Millis, Evacuate(zone): Evacuate) -> CallResult<Done> {
         Ok(Outcome::Waits(Done {}, Wait::Agreed(Kind::Evacuated(zone))))
     }
 }
 
 impl Answers<TakeBack> for Member {
-    fn answer(&mut self, _: Millis, TakeBack(zone): TakeBack) -> Granted<Done> {
+    fn answer(&mut self, _: Millis, TakeBack(zone): TakeBack) -> CallResult<Done> {
         Ok(Outcome::Waits(Done {}, Wait::Agreed(Kind::Evacuated(zone))))
     }
 }
 
-/// What is done with an order that is heard.
+/// Next step of a queued update.
 enum Step {
-    /// It stays.
+    /// Stay queued.
     Wait,
-    /// The same is proposed already, as this entry.
+    /// Join an identical update that is proposed as this entry.
     Join { index: u64, term: u64 },
-    /// It is proposed.
+    /// Propose it.
     Propose(Kind),
-    /// It was taken, by this change.
-    Taken(u64),
-    /// It is refused, or has no clear answer.
-    End(Refusal),
+    /// It was accepted by the entry with this index.
+    Accepted(u64),
+    /// Refuse it, or answer that its result is unknown.
+    Refuse(Refusal),
 }
 
 impl Member {
-    /// An order is heard.
-    pub(super) fn hear_order(&mut self, caller: Caller, out: &mut Vec<Action>) {
-        if self.orders.heard.len() >= HEARD_MOST {
+    pub(super) fn queue_update(&mut self, caller: Caller, out: &mut Vec<Action>) {
+        if self.updates.queued.len() >= MAX_QUEUED {
             return self.refuse(&caller, &Refusal::Later, out);
         }
-        self.orders.heard.push_back(caller);
+        self.updates.queued.push_back(caller);
     }
 
-    /// Goes on with the orders that are heard, until one is to be proposed.
-    pub(super) fn go_on_with_orders(&mut self, now: Millis, out: &mut Vec<Action>) {
-        for caller in self.orders.heard.clone() {
-            let step = match self.calls.get(&caller).map(|waiting| &waiting.stage) {
-                Some(Stage::Heard(order)) => self.step_of(now, order),
-                _ => Step::End(Refusal::Later),
+    /// Advances the queued updates, in order, until one is to be proposed.
+    pub(super) fn advance_queued_updates(&mut self, now: Millis, out: &mut Vec<Action>) {
+        for caller in self.updates.queued.clone() {
+            let step = match self.calls.get(&caller).map(|call| &call.stage) {
+                Some(Stage::Queued(order)) => self.next_step(now, order),
+                _ => Step::Refuse(Refusal::Later),
             };
-            let mark = self.mark_of(&caller);
+            let mark = self.queued_mark(&caller);
             if !matches!(step, Step::Wait) {
-                self.orders.leave(&caller);
+                self.updates.dequeue(&caller);
             }
             match step {
                 Step::Wait => {}
                 Step::Join { index, term } => {
-                    self.become_stage(&caller, Stage::Proposed { index, term, mark });
+                    self.set_stage(&caller, Stage::Proposed { index, term, mark });
                 }
                 Step::Propose(kind) => {
-                    self.become_stage(&caller, Stage::Proposing(mark));
-                    self.next.push_back(Next::Propose(kind, Some(caller)));
+                    self.set_stage(&caller, Stage::Proposing(mark));
+                    self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
                     return;
                 }
-                Step::Taken(index) => {
-                    self.become_stage(&caller, Stage::Enforcing { index });
-                    self.enforce(now, out);
+                Step::Accepted(index) => {
+                    self.set_stage(&caller, Stage::Enforcing { index });
+                    self.answer_enforced(now, out);
                 }
-                Step::End(refusal) => self.refuse(&caller, &refusal, out),
+                Step::Refuse(refusal) => self.refuse(&caller, &refusal, out),
             }
         }
     }
 
-    fn mark_of(&self, caller: &Caller) -> Option<Mark> {
+    fn queued_mark(&self, caller: &Caller) -> Option<Mark> {
         match &self.calls.get(caller)?.stage {
-            Stage::Heard(order) => order.mark,
+            Stage::Queued(order) => order.mark,
             _ => None,
         }
     }
 
-    fn step_of(&self, now: Millis, order: &Order) -> Step {
-        if !self.vouches(now) {
-            return Step::End(Refusal::Later);
+    fn next_step(&self, now: Millis, order: &Order) -> Step {
+        if !self.is_authoritative(now) {
+            return Step::Refuse(Refusal::Later);
         }
         let (envelope, mark) = match (&order.envelope, &order.mark) {
             (Ok(envelope), Some(mark)) => (envelope, mark),
-            (Err(invalid), _) => return Step::End(invalid.clone().into()),
-            (Ok(_), None) => return Step::End(Refusal::Later),
+            (Err(invalid), _) => return Step::Refuse(invalid.clone().into()),
+            (Ok(_), None) => return Step::Refuse(Refusal::Later),
         };
-        let proposed = &self.orders.proposed;
-        if let Some(same) = proposed.iter().find(|proposed| proposed.order == mark.order) {
+        let proposed = &self.updates.proposed;
+        if let Some(same) = proposed.iter().find(|proposed| proposed.digest == mark.order) {
             return Step::Join { index: same.index, term: same.term };
         }
         match self.state.fit(mark) {
-            Fit::Taken(index) => Step::Taken(index),
-            // All that is proposed is decided within moments.
-            Fit::Fits | Fit::Ahead if proposed.len() >= PROPOSED_MOST => Step::Wait,
+            Fit::Taken(index) => Step::Accepted(index),
+            // Pending proposals are applied shortly.
+            Fit::Fits | Fit::Ahead if proposed.len() >= MAX_PROPOSED => Step::Wait,
             Fit::Ahead if proposed.iter().any(|proposed| proposed.edition == mark.based_on) => Step::Wait,
-            // It is refused by an entry: a copy of it that comes late must not find that it fits by then.
+            // The refusal is replicated, so that a delayed duplicate of the update is not accepted later.
             Fit::Ahead => {
                 let Mark { edition, based_on, order, .. } = *mark;
                 Step::Propose(Kind::Refused(Refused { edition, based_on, order }))
             }
-            Fit::Fits => match self.brought_by(envelope, mark, order.patch) {
+            Fit::Fits => match self.change_for(envelope, mark, order.patch) {
                 Ok(kind) => Step::Propose(kind),
-                Err(refusal) => Step::End(refusal),
+                Err(refusal) => Step::Refuse(refusal),
             },
-            fit => Step::End(self.refusal_of(fit, mark)),
+            fit => Step::Refuse(self.refusal_for(fit, mark)),
         }
     }
 
-    /// The change that an order wants which fits.
-    fn brought_by(&self, envelope: &Envelope, mark: &Mark, patch: bool) -> Result<Kind, Refusal> {
+    /// The change that an update based on the current configuration proposes.
+    fn change_for(&self, envelope: &Envelope, mark: &Mark, patch: bool) -> Result<Kind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
         let envelope = envelope.clone();
         let (_, text) = if patch { envelope.patched(current) } else { envelope.whole() }?;
         let Mark { edition, based_on, order, call } = *mark;
-        log::info!("core: proposes r{edition} on top of r{based_on}");
+        log::info!("core: proposing configuration r{edition} based on r{based_on}");
         let digests = vec![order, digest_of_whole(based_on, &text)];
         let based_on = Some(based_on);
         Ok(Kind::Configured(Configured { edition, text, call, based_on, digests, difference: None }))
     }
 
-    /// A configuration that is to be proposed, as its difference from the one in force, on which it builds, where all who
-    /// are sent the log read that and it is shorter. It is taken nowhere else than on top of that one.
-    pub(super) fn shortened(&self, config: Configured) -> Configured {
-        let known = self.state.config.as_ref().filter(|known| config.based_on == Some(known.edition));
-        let Some(known) = known.filter(|_| self.agreement.all_read()) else { return config };
-        let difference = Difference::between(&known.text, &config.text);
+    /// Replaces the text of a proposed configuration by its difference from the current one, if that is much
+    /// shorter and every receiver of the log can read differences. The entry is only accepted on top of that
+    /// version.
+    pub(super) fn with_difference(&self, config: Configured) -> Configured {
+        let current = self.state.config.as_ref().filter(|current| config.based_on == Some(current.edition));
+        let Some(current) = current.filter(|_| self.agreement.all_read()) else { return config };
+        let difference = Difference::between(&current.text, &config.text);
         if difference.encoded_len() >= config.text.len() / 2 {
             return config;
         }
         Configured { text: String::new(), difference: Some(difference), ..config }
     }
 
-    fn refusal_of(&self, fit: Fit, mark: &Mark) -> Refusal {
+    fn refusal_for(&self, fit: Fit, mark: &Mark) -> Refusal {
         let current = self.state.edition();
         match fit {
             Fit::Late => Refusal::Conflict(format!("r{current} is in place")),
@@ -221,59 +227,62 @@
                 Refusal::Bad(format!("edition r{} is not above r{}", mark.edition, mark.based_on))
             }
             Fit::Forgotten => Refusal::Unclear(format!("r{} lies too far back to tell", mark.edition)),
-            // Decided, and neither taken nor refused: it was another order's entry.
+            // Neither accepted nor refused: the applied entry was another update's.
             Fit::Taken(_) | Fit::Fits | Fit::Ahead => Refusal::Later,
         }
     }
 
-    /// Tells what applying an order's entry gave, where this process leads.
-    pub(super) fn log_order(&self, config: &Configured, taken: bool) {
+    /// Logs the result of applying an update, if this process leads.
+    pub(super) fn log_update(&self, config: &Configured, accepted: bool) {
         if !self.leads() {
             return;
         }
         let (edition, current) = (config.edition, self.state.edition());
-        if taken {
-            log::info!("core: r{edition} is agreed on");
+        if accepted {
+            log::info!("core: configuration r{edition} committed");
         } else {
-            log::info!("core: r{edition} is refused: r{current} is in place");
+            log::info!("core: configuration r{edition} refused: r{current} is current");
         }
     }
 
-    /// An order's entry is applied: its caller goes on by what that gave.
-    pub(super) fn decided(&mut self, now: Millis, caller: &Caller, mark: &Mark, out: &mut Vec<Action>) {
+    /// Continues with an update whose entry is applied.
+    pub(super) fn update_applied(
+        &mut self, now: Millis, caller: &Caller, mark: &Mark, out: &mut Vec<Action>,
+    ) {
         match self.state.fit(mark) {
             Fit::Taken(index) => {
-                self.become_stage(caller, Stage::Enforcing { index });
-                self.enforce(now, out);
+                self.set_stage(caller, Stage::Enforcing { index });
+                self.answer_enforced(now, out);
             }
-            fit => self.refuse(caller, &self.refusal_of(fit, mark), out),
+            fit => self.refuse(caller, &self.refusal_for(fit, mark), out),
         }
     }
 
-    /// Answers the orders that are in force: every gateway that may go by older keys holds them, or has stopped going
-    /// by those.
-    pub(super) fn enforce(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let stage = |stage: &Stage| match stage {
+    /// Answers the updates that are enforced.
+    pub(super) fn answer_enforced(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let enforcing = |stage: &Stage| match stage {
             Stage::Enforcing { index } => Some(*index),
             _ => None,
         };
-        let waits = self.calls.iter().filter_map(|(caller, w)| Some((caller.clone(), stage(&w.stage)?)));
-        for (caller, index) in waits.collect::<Vec<_>>() {
-            if self.in_force(now, index) {
+        let calls = &self.calls;
+        let waiting =
+            calls.iter().filter_map(|(caller, call)| Some((caller.clone(), enforcing(&call.stage)?)));
+        for (caller, index) in waiting.collect::<Vec<_>>() {
+            if self.is_enforced(now, index) {
                 self.grant(&caller, out);
             }
         }
     }
 
-    /// Whether every gateway holds this change, or has stopped going by older ones.
-    fn in_force(&self, now: Millis, index: u64) -> bool {
+    /// Whether every gateway holds this change, or has lost its lease on an older state.
+    fn is_enforced(&self, now: Millis, index: u64) -> bool {
         if !self.settings.bounds.closed {
             return true;
         }
-        let settle = self.settings.bounds.settle().as_secs_f64() * 1000.0;
+        let settle_ms = self.settings.bounds.settle().as_secs_f64() * 1000.0;
         self.state.gateways.keys().all(|node| {
-            let (at, held) = self.presence.gate(node);
-            held >= index || now - at > settle
+            let (at, held) = self.presence.gateway_contact(node);
+            held >= index || now - at > settle_ms
         })
     }
 }
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -1,7 +1,7 @@
-//! Who is present: backends by their beats, gateways by their agents' words. Only who leads knows when it heard of
-//! each; what of it must last is agreed on.
+//! Presence of backends, by their heartbeats, and of gateways, by their agents' reports. Contact times are
+//! known to the leader alone; changes that must outlive it are replicated.
 
-use super::{Granted, Member, Wait};
+use super::{CallResult, Member, Wait};
 use crate::calls::{Answers, Beat, BeatAnswer, Done, Leave, Look, Outcome, Refusal, Resolve, Resolved};
 use crate::invariants;
 use crate::news::{Backend, Gateway, Kind};
@@ -10,87 +10,87 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An agent that was not heard for so long has no part in what clients are told, in ms.
-pub(super) const HEARD_MS: Millis = 1500.0;
-/// A gateway that was not heard for so long is left out, in ms: it may be cut off and come back.
-const GONE_MS: Millis = 60_000.0;
-/// A backend that missed so many beats is left out.
-const BEATS: f64 = 4.0;
-/// A backend that left is remembered for so long, in ms: a beat of its may still be on the way.
-const LEFT_MS: Millis = 30_000.0;
-/// A cold time that ends so much later than known is a new one, in ms.
-const COLD_SLACK_MS: Millis = 400.0;
-/// Addresses that a client is told at most.
-const ADDRESSES: usize = 64;
-/// Gateways that a client is told at least, where there are so many: one may fail.
-const ADDRESSES_LEAST: usize = 2;
-/// Longest that a client may go by an answer, beside the platform's own limit.
-const TTL: Duration = Duration::from_secs(2);
+/// An agent without a report for this long is left out of what clients resolve.
+pub(super) const AGENT_TIMEOUT_MS: Millis = 1500.0;
+/// A gateway without contact for this long is removed. Until then it may be partitioned and come back.
+const GATEWAY_TIMEOUT_MS: Millis = 60_000.0;
+/// A backend that misses this many heartbeats is removed.
+const MAX_MISSED_HEARTBEATS: f64 = 4.0;
+/// How long a departed backend is remembered, so that a delayed heartbeat does not bring it back.
+const DEPARTED_RETENTION_MS: Millis = 30_000.0;
+/// A cold time that ends less than this after the known end is not a new one.
+const COLD_TOLERANCE_MS: Millis = 400.0;
+/// Addresses in one resolve response at most.
+const MAX_ADDRESSES: usize = 64;
+/// With fewer ready gateways in the client's region, gateways of all regions are returned.
+const MIN_ADDRESSES: usize = 2;
+/// Longest time that a client may use a resolve response, unless the settings limit it further.
+const MAX_TTL: Duration = Duration::from_secs(2);
 
-/// What the leader alone knows of who is present.
+/// The leader's own knowledge of presence.
 #[derive(Default)]
 pub(super) struct Presence {
     since: Millis,
-    /// When each backend was last heard, and its last postmark.
-    beats: BTreeMap<String, (Millis, u64)>,
-    /// Backends that left, and when.
-    left: BTreeMap<String, Millis>,
-    /// When each gateway was last told that it is up to date, and what it holds.
-    gates: BTreeMap<String, (Millis, u64)>,
-    /// Every backend of the agreed state was heard, and what they told is agreed on.
+    /// When each backend was last heard, and the highest postmark of its heartbeats.
+    heartbeats: BTreeMap<String, (Millis, u64)>,
+    /// Departed backends, and when they left.
+    departed: BTreeMap<String, Millis>,
+    /// When each gateway was last told the current index, and the index that its proxy held.
+    gateway_contacts: BTreeMap<String, (Millis, u64)>,
+    /// Every replicated backend was heard, and the changes from their heartbeats are applied.
     settled: bool,
 }
 
 impl Presence {
-    /// Nothing is known yet.
-    pub(super) fn since(now: Millis) -> Self {
+    /// No knowledge yet, as at the start of a term.
+    pub(super) fn new(now: Millis) -> Self {
         Presence { since: now, ..Presence::default() }
     }
 
-    /// When a gateway was last told that it is up to date, and what it holds.
-    pub(super) fn gate(&self, node: &str) -> (Millis, u64) {
-        self.gates.get(node).copied().unwrap_or((self.since, 0))
+    /// When a gateway was last told the current index, and the index that its proxy held.
+    pub(super) fn gateway_contact(&self, node: &str) -> (Millis, u64) {
+        self.gateway_contacts.get(node).copied().unwrap_or((self.since, 0))
     }
 
-    /// Whether this backend told this leader that it leaves.
-    pub(super) fn left(&self, id: &str) -> bool {
-        self.left.contains_key(id)
+    /// Whether this backend announced to this leader that it leaves.
+    pub(super) fn has_departed(&self, id: &str) -> bool {
+        self.departed.contains_key(id)
     }
 
-    /// Whether every backend was heard by this leader, so that none is cold without its knowing.
+    /// Whether this leader has heard every backend, so that it knows of every cold one.
     pub(super) fn is_settled(&self) -> bool {
         self.settled
     }
 
-    /// A gateway is told that it is up to date.
-    pub(super) fn told(&mut self, now: Millis, node: &str, held: u64) {
-        self.gates.insert(node.to_owned(), (now, held));
+    /// Records that a gateway is told the current index while its proxy holds `held`.
+    pub(super) fn record_gateway_contact(&mut self, now: Millis, node: &str, held: u64) {
+        self.gateway_contacts.insert(node.to_owned(), (now, held));
     }
 }
 
 impl Answers<Beat> for Member {
-    fn answer(&mut self, now: Millis, Beat { backend }: Beat) -> Granted<BeatAnswer> {
+    fn answer(&mut self, now: Millis, Beat { backend }: Beat) -> CallResult<BeatAnswer> {
         let answer = BeatAnswer { beat_address: self.me.clone() };
-        let agreed = self.state.backends.get(&backend.id).map(|known| known.backend.postmark);
-        if self.has_left(now, &backend.id) {
+        let replicated = self.state.backends.get(&backend.id).map(|known| known.backend.postmark);
+        if self.departed_recently(now, &backend.id) {
             return Ok(Outcome::Now(answer));
         }
         let presence = &mut self.presence;
-        let last = presence.beats.entry(backend.id.clone()).or_insert((now, 0));
+        let last = presence.heartbeats.entry(backend.id.clone()).or_insert((now, 0));
         last.0 = now;
         let postmark = backend.postmark;
-        if postmark < last.1.max(agreed.unwrap_or(0)) {
-            // An earlier call that comes late says nothing new.
+        if postmark < last.1.max(replicated.unwrap_or(0)) {
+            // A delayed heartbeat brings no new information.
             return Ok(Outcome::Now(answer));
         }
         last.1 = postmark;
-        let known = self.state.backends.get(&backend.id).is_some_and(|known| {
+        let unchanged = self.state.backends.get(&backend.id).is_some_and(|known| {
             let cold_until = now + backend.cold_ms as f64;
             let same = Backend { cold_ms: 0, postmark, ..known.backend.clone() }
                 == Backend { cold_ms: 0, ..backend.clone() };
-            same && (backend.cold_ms == 0 || cold_until < known.cold_until + COLD_SLACK_MS)
+            same && (backend.cold_ms == 0 || cold_until < known.cold_until + COLD_TOLERANCE_MS)
         });
-        if known {
+        if unchanged {
             return Ok(Outcome::Now(answer));
         }
         Ok(Outcome::Waits(answer, Wait::Agreed(Kind::Backend(backend))))
@@ -98,8 +98,8 @@
 }
 
 impl Answers<Leave> for Member {
-    fn answer(&mut self, now: Millis, Leave { id }: Leave) -> Granted<Done> {
-        self.presence.left.insert(id.clone(), now);
+    fn answer(&mut self, now: Millis, Leave { id }: Leave) -> CallResult<Done> {
+        self.presence.departed.insert(id.clone(), now);
         if !self.state.backends.contains_key(&id) {
             return Ok(Outcome::Now(Done {}));
         }
@@ -108,97 +108,99 @@
 }
 
 impl Answers<Resolve> for Member {
-    /// Gateways for a client: those near it that take clients.
-    fn answer(&mut self, now: Millis, of: Resolve) -> Granted<Resolved> {
+    /// Ready gateways, in random order: those in the client's region, if there are enough.
+    fn answer(&mut self, now: Millis, query: Resolve) -> CallResult<Resolved> {
         let ready: BTreeMap<&str, &Gateway> = self
             .agents
             .values()
-            .filter(|agent| agent.word.ready && now - agent.heard < HEARD_MS)
+            .filter(|agent| agent.report.ready && now - agent.last_report < AGENT_TIMEOUT_MS)
             .map(|agent| (agent.gateway.node.as_str(), &agent.gateway))
             .collect();
         let region = |zone: &str| self.settings.zones.get(zone).map(String::as_str);
         let near: Vec<_> =
-            ready.values().filter(|word| region(&word.zone) == Some(of.region.as_str())).collect();
-        let mut addresses: Vec<String> = if near.len() >= ADDRESSES_LEAST {
-            near.iter().map(|word| word.front.clone()).collect()
+            ready.values().filter(|gateway| region(&gateway.zone) == Some(query.region.as_str())).collect();
+        let mut addresses: Vec<String> = if near.len() >= MIN_ADDRESSES {
+            near.iter().map(|gateway| gateway.front.clone()).collect()
         } else {
-            ready.values().map(|word| word.front.clone()).collect()
+            ready.values().map(|gateway| gateway.front.clone()).collect()
         };
         self.rng.shuffle(&mut addresses);
-        addresses.truncate(ADDRESSES);
+        addresses.truncate(MAX_ADDRESSES);
         if addresses.is_empty() {
             return Err(Refusal::Later);
         }
-        let ttl = TTL.min(self.settings.bounds.ttl_max);
+        let ttl = MAX_TTL.min(self.settings.bounds.ttl_max);
         Ok(Outcome::Now(Resolved { addresses, ttl: format!("{}ms", ttl.as_millis()) }))
     }
 }
 
 impl Answers<Look> for Member {
-    fn answer(&mut self, now: Millis, _: Look) -> Granted<Status> {
+    fn answer(&mut self, now: Millis, _: Look) -> CallResult<Status> {
         Ok(Outcome::Now(self.status(now)))
     }
 }
 
 impl Member {
-    /// Whether a backend said lately that it leaves. What an earlier leader heard is in the state, and counts from when this
-    /// one began.
-    fn has_left(&self, now: Millis, id: &str) -> bool {
-        let told = self.presence.left(id);
-        told || (now - self.presence.since < LEFT_MS
-            && !self.state.backends.contains_key(id)
-            && self.state.left.iter().any(|left| left == id))
+    /// Whether a backend recently announced that it leaves. Departures that an earlier leader heard are
+    /// replicated without a time and count from the start of this term.
+    fn departed_recently(&self, now: Millis, id: &str) -> bool {
+        let heard = self.presence.has_departed(id);
+        heard
+            || (now - self.presence.since < DEPARTED_RETENTION_MS
+                && !self.state.backends.contains_key(id)
+                && self.state.left.iter().any(|departed| departed == id))
     }
 
-    /// Notes that every backend was heard once, and that the state holds all that they told.
-    pub(super) fn settle(&mut self) {
+    /// Marks presence as settled once every backend was heard and the log is fully applied.
+    pub(super) fn update_settled(&mut self) {
         let presence = &mut self.presence;
-        let heard = |id: &String| presence.beats.contains_key(id);
-        let agreed = self.state.index >= self.agreement.last();
-        presence.settled |= agreed && self.state.backends.keys().all(heard);
+        let heard = |id: &String| presence.heartbeats.contains_key(id);
+        let applied = self.state.index >= self.agreement.last();
+        presence.settled |= applied && self.state.backends.keys().all(heard);
     }
 
-    /// Who was silent for too long, and which gateways tell something new of themselves.
-    pub(super) fn changes_of_presence(&mut self, now: Millis) -> Vec<Kind> {
+    /// Changes to propose: removals of backends and gateways that timed out, and gateways with new
+    /// descriptions.
+    pub(super) fn presence_changes(&mut self, now: Millis) -> Vec<Kind> {
         let (presence, state) = (&mut self.presence, &self.state);
         let mut changes = Vec::new();
-        let silent = self.settings.beat.as_secs_f64() * 1000.0 * BEATS;
+        let timeout = self.settings.beat.as_secs_f64() * 1000.0 * MAX_MISSED_HEARTBEATS;
         for id in state.backends.keys() {
-            let heard = presence.beats.get(id).map_or(presence.since, |(at, _)| *at);
-            if now - heard > silent {
-                log::info!("core: silent for too long: {id}");
+            let heard = presence.heartbeats.get(id).map_or(presence.since, |(at, _)| *at);
+            if now - heard > timeout {
+                log::info!("core: backend {id} timed out; removing it");
                 changes.push(Kind::BackendGone(id.clone()));
             }
         }
         for node in state.gateways.keys() {
-            if now - presence.gate(node).0 > GONE_MS {
-                log::info!("core: silent for too long: {node}");
+            if now - presence.gateway_contact(node).0 > GATEWAY_TIMEOUT_MS {
+                log::info!("core: gateway {node} timed out; removing it");
                 changes.push(Kind::GatewayGone(node.clone()));
             }
         }
-        presence.beats.retain(|id, _| state.backends.contains_key(id));
-        presence.left.retain(|_, at| now - *at < LEFT_MS);
-        let heard = self.agents.values().filter(|agent| now - agent.heard < HEARD_MS);
-        let known = heard.map(|agent| &agent.gateway).filter(|gateway| !gateway.front.is_empty());
-        let new = known.filter(|gateway| state.gateways.get(&gateway.node) != Some(gateway));
-        changes.extend(new.cloned().map(Kind::Gateway));
+        presence.heartbeats.retain(|id, _| state.backends.contains_key(id));
+        presence.departed.retain(|_, at| now - *at < DEPARTED_RETENTION_MS);
+        let present = self.agents.values().filter(|agent| now - agent.last_report < AGENT_TIMEOUT_MS);
+        let described = present.map(|agent| &agent.gateway).filter(|gateway| !gateway.front.is_empty());
+        let changed = described.filter(|gateway| state.gateways.get(&gateway.node) != Some(gateway));
+        changes.extend(changed.cloned().map(Kind::Gateway));
         changes
     }
 
-    /// The system as this process sees it.
+    /// The system's status as this process sees it.
     fn status(&self, now: Millis) -> Status {
         let (agreement, state) = (&self.agreement, &self.state);
-        let gateway = |gateway: &Gateway| {
-            let heard = self.agents.values().filter(|agent| agent.gateway.node == gateway.node);
-            let agent = heard.max_by(|a, b| a.heard.total_cmp(&b.heard));
+        let gateway_line = |gateway: &Gateway| {
+            let agents = self.agents.values().filter(|agent| agent.gateway.node == gateway.node);
+            let agent = agents.max_by(|a, b| a.last_report.total_cmp(&b.last_report));
             GatewayLine {
                 node: gateway.node.clone(),
                 zone: gateway.zone.clone(),
                 front: gateway.front.clone(),
-                ready: agent.is_some_and(|agent| agent.word.ready),
-                held: agent.map_or(0, |agent| agent.word.held),
-                applied: agent.map_or(0, |agent| agent.word.applied),
-                heard_ms: agent.map(|agent| (now - agent.heard).max(0.0) as u64),
+                ready: agent.is_some_and(|agent| agent.report.ready),
+                held: agent.map_or(0, |agent| agent.report.held),
+                applied: agent.map_or(0, |agent| agent.report.applied),
+                heard_ms: agent.map(|agent| (now - agent.last_report).max(0.0) as u64),
             }
         };
         let mut services = BTreeMap::new();
@@ -213,13 +215,13 @@
                 line.berths += u64::from(*berths);
             }
         }
-        let named = services.into_iter().map(|((service, zone), line)| ServiceLine {
+        let services = services.into_iter().map(|((service, zone), line)| ServiceLine {
             service: service.clone(),
             zone: zone.clone(),
             ..line
         });
         let roll = agreement.roll(now).unwrap_or_default();
-        let count =
+        let count_line =
             |(tenant, per_s, units): (&str, f64, i64)| CountLine { tenant: tenant.to_owned(), per_s, units };
         Status {
             address: self.me.clone(),
@@ -230,9 +232,9 @@
             index: state.index,
             digest: format!("{:016x}", self.digest.of(state)),
             log: agreement.log_length() as u64,
-            installing: agreement.filling().map(|(index, came, total, refused)| match refused {
+            installing: agreement.filling().map(|(index, received, total, unreadable)| match unreadable {
                 true => format!("CAN'T READ the state of {index}"),
-                false => format!("has {came} of {total} bytes of the state of {index}"),
+                false => format!("has {received} of {total} bytes of the state of {index}"),
             }),
             members: agreement.members().to_vec(),
             missing: roll.missing,
@@ -243,9 +245,9 @@
             violations: Some(violations()),
             edition: state.config.as_ref().map_or(String::new(), |config| format!("r{}", config.edition)),
             evacuated: state.evacuated.iter().cloned().collect(),
-            gateways: state.gateways.values().map(gateway).collect(),
-            services: named.collect(),
-            counts: self.count.counts(now).map(count).collect(),
+            gateways: state.gateways.values().map(gateway_line).collect(),
+            services: services.collect(),
+            counts: self.quota_counters.usage(now).map(count_line).collect(),
         }
     }
 }
--- a/overland/src/tally.rs
+++ b/overland/src/tally.rs
@@ -1,69 +1,72 @@
-//! The shared count of each tenant's units, on both sides: the counting gateway that holds it, and a gateway that
-//! charges it before it sends.
+//! Quota counting per tenant: the [`Counter`] kept by the leader, and the [`Tally`] with which a gateway
+//! charges requests to it before it sends them.
 //!
-//! A count is named by its tenant and a window; a window lasts burst over rate seconds and holds one burst. Windows are
-//! the counter's alone, by its steady clock. What a charge can't reach, or what the counter can't vouch for, goes by a
-//! gateway's share of the rate: the shares of all gateways, known and silent, sum below the limit, and the counter
-//! takes the shares of those that are silent off what it grants the others.
+//! A count belongs to a tenant and a window; a window lasts burst / rate seconds and allows one burst.
+//! Windows are timed by the counter's monotonic clock alone. While the counter is unreachable or not
+//! authoritative, a gateway limits itself to its share of the rate. The shares of all gateways, known and
+//! unknown, sum to less than the limit, and the counter deducts the shares of the gateways it does not hear
+//! from what it grants to the others.
 
 use cherrytally::Millis;
 use std::collections::BTreeMap;
 
-/// A share is so much of an even part of the rate: gateways that come up unknown have one, too.
-const OF_SHARE: f64 = 0.9;
-/// A share saves up so much of its part of a burst: what was granted by the counter just before is not forgotten.
-const SHARE_BURST: f64 = 0.1;
-/// And so much of its part of the units that are granted to all besides: a tenant's few requests at one gateway come
-/// unevenly.
-const OF_SLACK: f64 = 0.4;
-/// Shares that were not used for so long, in ms, are begun anew: the counter granted meanwhile.
-const SHARE_REST_MS: Millis = 1500.0;
-/// Of its second window a new holder of the duty takes so much as charged: the last window of the one before may have
-/// been used up at its end, and shares were used since.
-const BEFORE: f64 = 0.5;
-/// A gateway that reached the counter less than so long ago, in ms, goes by its whole share, and one that did not for the
-/// second time by the least part of it: clients are told of others, and what it leaves is granted to these.
-const LONE_MS: (Millis, Millis) = (1500.0, 5000.0);
-/// That least part.
-const LONE_LEAST: f64 = 0.15;
-/// While a new holder grants by shares who is refused may come back so soon, in ms: more has come by then.
-const SHARES_MS: Millis = 60.0;
-/// And so much of a window it begins with, and may be saved up of what they bring: all start anew at once now and then,
-/// and their clients come back together.
-const POOL_BURST: f64 = 0.3;
-/// Units are charged ahead for the requests of so long, in ms, as this gateway has seen them come: a counter in another
-/// region is 110 ms away and back, and a request need not wait for that if its unit is charged already.
-const AHEAD_MS: Millis = 300.0;
-/// Time over which requests a second are averaged, in ms.
-const RATE_MS: Millis = 1500.0;
-/// Shortest window, in ms: charges have a way to go.
-const WINDOW_LEAST_MS: f64 = 200.0;
-/// Longest window, in ms.
-const WINDOW_MOST_MS: f64 = 60_000.0;
-/// A gateway that the counter did not hear for so long, in ms, goes by its share: what it may use is granted to no other.
-/// Until then both may be used; what a third of the gateways use so is a third of a window.
-const COUNTED_MS: Millis = 900.0;
-/// Windows of one term: more than any lives to see.
-const TERM_BITS: u32 = 40;
-/// A tenant that nobody charged for so long is forgotten, in ms.
-const IDLE_MS: f64 = 120_000.0;
-/// After so many calls in a row that were not answered in time requests no longer wait for the counter.
-const MISSES: u32 = 2;
-/// One request in so many is charged then all the same, without a wait, to hear of its return.
-const LOOK: u32 = 8;
-
-/// A tenant's limit, over all gateways.
+/// Fraction of an even split of the rate that makes up a share; the remainder covers gateways that are not
+/// known yet.
+const SHARE_FRACTION: f64 = 0.9;
+/// Fraction of its part of a burst that a share accumulates. It is small, as the counter may have granted
+/// units just before.
+const SHARE_BURST_FRACTION: f64 = 0.1;
+/// Fraction of its part of the slack that a share accumulates, for the uneven arrivals of a tenant with few
+/// requests.
+const SHARE_SLACK_FRACTION: f64 = 0.4;
+/// A share that was unused for this long restarts within its cap, as the counter granted units meanwhile.
+const SHARE_RESET_MS: Millis = 1500.0;
+/// Fraction of a new leader's second window that counts as used: the last window of the previous leader may
+/// have been used up at its end, and shares were used since.
+const PRIOR_USE_FRACTION: f64 = 0.5;
+/// Time without contact to the counter after which a gateway starts to reduce its share, as clients move to
+/// other gateways.
+const SHARE_REDUCTION_START_MS: Millis = 1500.0;
+/// Time without contact after which the share is at its minimum.
+const SHARE_REDUCTION_END_MS: Millis = 5000.0;
+/// Minimum fraction of a share that a gateway without contact keeps.
+const MIN_ISOLATED_SHARE_FRACTION: f64 = 0.15;
+/// Retry-after time of refusals during a new leader's first window, in which units accrue continuously.
+const ACCRUAL_RETRY_MS: Millis = 60.0;
+/// Fraction of a window that a new leader's first window starts with, and may accumulate: after a full
+/// restart, clients return at the same time.
+const ACCRUAL_BURST_FRACTION: f64 = 0.3;
+/// Units are charged ahead for the requests expected within this time, so that requests need not wait for a
+/// round trip to another region.
+const PREPAY_MS: Millis = 300.0;
+/// Time constant of the moving average of the request rate.
+const RATE_AVERAGE_MS: Millis = 1500.0;
+/// Shortest window: charges take time to arrive.
+const MIN_WINDOW_MS: f64 = 200.0;
+const MAX_WINDOW_MS: f64 = 60_000.0;
+/// A gateway that the counter has not heard for this long is assumed to use its whole share. Until then it
+/// may use both its share and units granted by the counter.
+const CONTACT_TIMEOUT_MS: Millis = 900.0;
+/// Bits of a window number that count windows within a term.
+const WINDOW_NUMBER_BITS: u32 = 40;
+/// A tenant whose window ended this long ago is removed.
+const TENANT_IDLE_MS: f64 = 120_000.0;
+/// After this many consecutive unanswered charges, requests no longer wait for the counter.
+const MAX_MISSES: u32 = 2;
+/// While requests do not wait, one in this many is still charged, to detect that the counter is back.
+const PROBE_INTERVAL: u32 = 8;
+
+/// A tenant's rate limit over all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limit {
-    /// Requests a second; nought for no limit.
+    /// Requests per second; 0 for no limit.
     pub per_s: f64,
-    /// And so many on top.
+    /// Burst in requests; below 1 for one second's worth.
     pub burst: f64,
 }
 
 impl Limit {
-    /// A limit without a burst has one of a second: no window is shorter than that.
-    fn burst(self) -> f64 {
+    fn effective_burst(self) -> f64 {
         if self.burst >= 1.0 {
             self.burst
         } else {
@@ -71,167 +74,186 @@
         }
     }
 
-    /// Length of a window, in ms.
+    /// Length of a window.
     pub fn window_ms(self) -> f64 {
-        (self.burst() / self.per_s * 1000.0).clamp(WINDOW_LEAST_MS, WINDOW_MOST_MS)
+        (self.effective_burst() / self.per_s * 1000.0).clamp(MIN_WINDOW_MS, MAX_WINDOW_MS)
     }
 
-    /// Units that a window holds.
-    fn holds(self) -> f64 {
-        (self.per_s * self.window_ms() / 1000.0).min(self.burst())
+    /// Units that a window allows.
+    fn window_units(self) -> f64 {
+        (self.per_s * self.window_ms() / 1000.0).min(self.effective_burst())
     }
 }
 
-// ---- The counting gateway ---------------------------------------------------------------------------------------
+// ---- Counter ----------------------------------------------------------------------------------------------
 
-/// One tenant's window.
+/// One tenant's current window.
 struct Window {
     number: u64,
     ends: Millis,
     units: i64,
-    holds: Holds,
+    allowance: Allowance,
 }
 
-/// What a window holds.
-enum Holds {
-    /// A burst.
+/// Units that a window allows.
+enum Allowance {
+    /// A full burst.
     Burst,
-    /// As long as a window may have begun under an earlier holder: what the shares of the gateways that reach the counter
-    /// bring, as they come. Whoever needs them has them, and no more than these would use each alone.
-    Shares { brought: f64, at: Millis, heard: f64 },
+    /// Used while a window of the previous leader may still be open: units accrue at the rate of the shares
+    /// of the gateways in contact, for any of these to use.
+    Accruing { accrued: f64, updated: Millis, unused: f64 },
 }
 
-/// A charge: units of requests to be sent, and those of earlier ones that were not sent after all.
+/// Units charged for requests about to be sent, and units refunded for earlier requests that were not sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Charge {
-    /// Units.
+    /// Units charged.
     pub units: u64,
-    /// Units taken back.
+    /// Units refunded.
     pub back: u64,
-    /// From the window of this number.
+    /// Number of the window in which the refunded units were charged.
     pub window: u64,
 }
 
-/// A total, as the counter answers it.
+/// A tenant's total, as the counter reports it after a charge.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Counted {
-    /// Units in this window, with the charge.
+    /// Units used in this window, including the charge.
     pub units: i64,
-    /// What the window holds for those who reach the counter.
+    /// Units that the window allows to the gateways in contact with the counter.
     pub limit: i64,
-    /// What is left of it, in ms.
+    /// Time until the window ends.
     pub left_ms: f64,
-    /// The window's number: no two windows of any holder have the same.
+    /// Number of the window, unique across leaders.
     pub window: u64,
 }
 
-/// The part of its share that a gateway leaves that reached the counter so long ago, in ms. The counter heard of it no
-/// earlier, so that it reckons with no more than is left.
-pub fn left(lone_ms: Millis) -> f64 {
-    let (from, to) = LONE_MS;
-    let gone = ((lone_ms - from) / (to - from)).clamp(0.0, 1.0);
-    gone * (1.0 - LONE_LEAST)
+/// Fraction of its share that a gateway gives up after `isolated_ms` without contact to the counter. The
+/// counter lost contact no earlier, so it assumes no more than this fraction to be unused.
+pub fn given_up_fraction(isolated_ms: Millis) -> f64 {
+    let (from, to) = (SHARE_REDUCTION_START_MS, SHARE_REDUCTION_END_MS);
+    let progress = ((isolated_ms - from) / (to - from)).clamp(0.0, 1.0);
+    progress * (1.0 - MIN_ISOLATED_SHARE_FRACTION)
 }
 
-/// The part of the shares of all gateways that is used by nobody, by the time since each was heard, in ms.
-pub fn unused(lone: impl ExactSizeIterator<Item = Millis>) -> f64 {
-    let all = lone.len().max(1) as f64;
-    lone.map(|lone_ms| if lone_ms < COUNTED_MS { 1.0 } else { left(lone_ms) }).sum::<f64>() / all
+/// Fraction of the shares of all gateways that is unused, given the time since the last contact with each.
+pub fn unused_share_fraction(isolated_ms: impl ExactSizeIterator<Item = Millis>) -> f64 {
+    let gateways = isolated_ms.len().max(1) as f64;
+    let unused =
+        |isolated_ms| if isolated_ms < CONTACT_TIMEOUT_MS { 1.0 } else { given_up_fraction(isolated_ms) };
+    isolated_ms.map(unused).sum::<f64>() / gateways
 }
 
-/// The counts of all tenants. A holder of the duty begins with none.
+/// Counts of all tenants. A new leader starts without any.
 pub struct Counter {
-    began: Millis,
+    started: Millis,
     /// Units that all gateways together may send beyond a tenant's limit.
     slack: f64,
-    next: u64,
+    last_window: u64,
     windows: BTreeMap<String, Window>,
 }
 
 impl Counter {
-    /// A duty that begins now, in this term.
+    /// A counter for a leader of `term` that starts now.
     pub fn new(now: Millis, term: u64, slack: f64) -> Self {
-        Counter { began: now, slack, next: term << TERM_BITS, windows: BTreeMap::new() }
+        Counter { started: now, slack, last_window: term << WINDOW_NUMBER_BITS, windows: BTreeMap::new() }
     }
 
-    /// Adds to a tenant's count. `heard` tells which part of all shares is used by nobody, as far as is known: those of
-    /// the gateways that reach the counter, and what those leave that do not ([`left`]).
-    pub fn charge(&mut self, now: Millis, tenant: &str, limit: Limit, charge: Charge, heard: f64) -> Counted {
+    /// Adds a charge to a tenant's count. `unused` is the fraction of all shares known to be unused: those of
+    /// gateways in contact, and what the others have given up ([`given_up_fraction`]).
+    pub fn charge(
+        &mut self, now: Millis, tenant: &str, limit: Limit, charge: Charge, unused: f64,
+    ) -> Counted {
         if limit.per_s <= 0.0 {
             return Counted { units: 0, limit: i64::MAX, left_ms: 0.0, window: 0 };
         }
         let length = limit.window_ms();
-        let heard = heard.clamp(0.0, 1.0);
-        let (began, next, slack) = (self.began, &mut self.next, self.slack);
-        let used = if now - began < 2.0 * length { (limit.holds() * BEFORE).ceil() as i64 } else { 0 };
+        let unused = unused.clamp(0.0, 1.0);
+        let (started, last_window, slack) = (self.started, &mut self.last_window, self.slack);
+        let prior_units = if now - started < 2.0 * length {
+            (limit.window_units() * PRIOR_USE_FRACTION).ceil() as i64
+        } else {
+            0
+        };
         let window = self.windows.entry(tenant.to_owned()).or_insert_with(|| {
-            *next += 1;
-            if now - began < length {
-                // What was charged before the duty began is not known.
-                let brought = (limit.holds() * POOL_BURST + slack * OF_SLACK) * heard;
-                let holds = Holds::Shares { brought, at: began, heard };
-                return Window { number: *next, ends: began + length, units: 0, holds };
+            *last_window += 1;
+            if now - started < length {
+                // Units charged by the previous leader are unknown.
+                let accrued =
+                    (limit.window_units() * ACCRUAL_BURST_FRACTION + slack * SHARE_SLACK_FRACTION) * unused;
+                let allowance = Allowance::Accruing { accrued, updated: started, unused };
+                return Window { number: *last_window, ends: started + length, units: 0, allowance };
+            }
+            Window {
+                number: *last_window,
+                ends: now + length,
+                units: prior_units,
+                allowance: Allowance::Burst,
             }
-            // A tenant that comes later has its whole allowance.
-            Window { number: *next, ends: now + length, units: used, holds: Holds::Burst }
         });
         if now >= window.ends {
-            let passed = ((now - window.ends) / length).floor();
-            *next += 1;
-            let ends = window.ends + (passed + 1.0) * length;
-            let units = if matches!(window.holds, Holds::Shares { .. }) { used } else { 0 };
-            *window = Window { number: *next, ends, units, holds: Holds::Burst };
+            let skipped = ((now - window.ends) / length).floor();
+            *last_window += 1;
+            let ends = window.ends + (skipped + 1.0) * length;
+            let units = if matches!(window.allowance, Allowance::Accruing { .. }) { prior_units } else { 0 };
+            *window = Window { number: *last_window, ends, units, allowance: Allowance::Burst };
         }
-        // A window that was long may end sooner under a new limit.
+        // A changed limit may shorten the current window.
         window.ends = window.ends.min(now + length);
-        if let Holds::Shares { brought, at, heard: before } = &mut window.holds {
-            let rate = limit.per_s * OF_SHARE * heard.min(*before) / 1000.0;
-            let saved = window.units as f64 + limit.holds() * POOL_BURST;
-            *brought = (*brought + (now - *at).max(0.0) * rate).min(saved.max(*brought));
-            (*at, *before) = (now, heard);
-            let limit = *brought as i64;
+        if let Allowance::Accruing { accrued, updated, unused: previous_unused } = &mut window.allowance {
+            let rate = limit.per_s * SHARE_FRACTION * unused.min(*previous_unused) / 1000.0;
+            let cap = window.units as f64 + limit.window_units() * ACCRUAL_BURST_FRACTION;
+            *accrued = (*accrued + (now - *updated).max(0.0) * rate).min(cap.max(*accrued));
+            (*updated, *previous_unused) = (now, unused);
+            let limit = *accrued as i64;
             let granted = charge.units.min(u64::try_from(limit - window.units).unwrap_or(0));
-            // What is not granted is not added, as it would keep others from what comes: nothing of it rides back.
+            // Only granted units are added, and refunds are ignored: refused units must not use up later
+            // accruals.
             window.units += granted as i64;
             let left_ms = window.ends - now;
-            let soon = if granted < charge.units { left_ms.min(SHARES_MS) } else { left_ms };
+            let retry_ms = if granted < charge.units { left_ms.min(ACCRUAL_RETRY_MS) } else { left_ms };
             let units = window.units + (charge.units - granted) as i64;
-            return Counted { units, limit: limit.max(window.units), left_ms: soon, window: window.number };
+            return Counted {
+                units,
+                limit: limit.max(window.units),
+                left_ms: retry_ms,
+                window: window.number,
+            };
         }
         window.units += charge.units as i64;
         if charge.window == window.number {
-            // What was charged in a window that is over is over with it.
+            // Refunds of earlier windows are ignored.
             window.units -= charge.back as i64;
         }
-        let holds = limit.holds() * (1.0 - OF_SHARE * (1.0 - heard));
+        let allowed = limit.window_units() * (1.0 - SHARE_FRACTION * (1.0 - unused));
         let (units, left_ms, number) = (window.units, window.ends - now, window.number);
-        Counted { units, limit: holds.floor() as i64, left_ms, window: number }
+        Counted { units, limit: allowed.floor() as i64, left_ms, window: number }
     }
 
-    /// Units of each tenant in its present window.
-    pub fn counts(&self, now: Millis) -> impl Iterator<Item = (&str, i64)> {
+    /// Units of each tenant in its current window.
+    pub fn usage(&self, now: Millis) -> impl Iterator<Item = (&str, i64)> {
         self.windows
             .iter()
             .filter(move |(_, window)| now < window.ends)
-            .map(|(name, w)| (name.as_str(), w.units))
+            .map(|(name, window)| (name.as_str(), window.units))
     }
 
-    /// Forgets tenants that nobody charges.
-    pub fn sweep(&mut self, now: Millis) {
-        self.windows.retain(|_, window| now - window.ends < IDLE_MS);
+    /// Removes tenants that have not been charged for a while.
+    pub fn remove_idle(&mut self, now: Millis) {
+        self.windows.retain(|_, window| now - window.ends < TENANT_IDLE_MS);
     }
 }
 
-// ---- A gateway that charges -------------------------------------------------------------------------------------
+// ---- Gateway ----------------------------------------------------------------------------------------------
 
-/// What is done with a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is sent.
+    /// Send it.
     Pass,
-    /// It is refused; the client may come back after so many ms.
+    /// Refuse it; the client may retry after this many milliseconds.
     Refuse(Millis),
-    /// It is sent on a unit that was charged before; charge this for those that come next.
+    /// Send it on a prepaid unit or on the local share, and charge this without waiting.
     PassAndCharge(Charge),
     /// Charge this and wait for the total.
     Charge(Charge),
@@ -239,80 +261,83 @@
 
 struct Tenant {
     limit: Limit,
-    /// Units that the next charge takes back, and the window in which they were charged.
-    back: (u64, u64),
-    /// Units charged and granted that no request has used yet, and until when they hold.
-    paid: (u64, Millis),
-    /// Units are being charged ahead.
-    ahead: bool,
-    /// Requests a second at this gateway, averaged, and when that was reckoned.
+    /// Units to refund with the next charge, and the window in which they were charged.
+    refund: (u64, u64),
+    /// Granted units that no request has used yet, and when they expire.
+    prepaid: (u64, Millis),
+    /// A charge ahead of requests is in flight.
+    prepaying: bool,
+    /// Moving average of requests per second at this gateway, and when it was updated.
     rate: (f64, Millis),
-    /// The count was past the limit: until then nothing more is charged.
+    /// The count exceeded the limit: nothing is charged until then.
     over_until: Millis,
-    /// What is left of this gateway's own share, and when that was reckoned.
+    /// Units left of this gateway's local share, and when that was updated.
     share: (f64, Millis),
 }
 
 impl Tenant {
-    /// A charge of so many units, with what is to be taken back.
+    /// A charge of `units` that includes the outstanding refund.
     fn charge(&mut self, units: u64) -> Charge {
-        let (back, window) = self.back;
-        self.back.0 = 0;
+        let (back, window) = self.refund;
+        self.refund.0 = 0;
         Charge { units, back, window }
     }
 }
 
-/// The counts as one gateway sees them.
+/// Quota state of all tenants at one gateway.
 pub struct Tally {
     tenants: BTreeMap<String, Tenant>,
-    /// Gateways among which the rate is shared where the counter is out of reach.
+    /// Number of gateways that divide the rate while the counter is unreachable.
     gateways: f64,
     /// Units that all gateways together may send beyond a tenant's limit.
     slack: f64,
+    /// Consecutive charges without an answer.
     misses: u32,
-    looks: u32,
-    /// When the last word was sent that the holder of the duty has answered.
-    touched: Millis,
+    /// Requests since the last probe of an unreachable counter.
+    since_probe: u32,
+    /// Send time of the latest message that the leader has answered.
+    last_contact: Millis,
 }
 
 impl Tally {
-    /// Nothing is known yet. So many units all gateways together may send beyond a tenant's limit.
+    /// A tally without tenants. `slack` is the number of units that all gateways together may send beyond a
+    /// tenant's limit.
     pub fn new(slack: f64) -> Self {
         Tally {
             tenants: BTreeMap::new(),
             gateways: 1.0,
             slack,
             misses: 0,
-            looks: 0,
-            touched: f64::NEG_INFINITY,
+            since_probe: 0,
+            last_contact: f64::NEG_INFINITY,
         }
     }
 
-    /// A connection to the counter is open: requests wait for it again.
+    /// A connection to the counter is open: requests wait for the counter again.
     pub fn reached(&mut self) {
         self.misses = 0;
     }
 
-    /// The holder of the duty has answered a word that was sent then.
+    /// The leader answered a message that was sent at `at`.
     pub fn touched(&mut self, at: Millis) {
-        self.touched = self.touched.max(at);
+        self.last_contact = self.last_contact.max(at);
     }
 
-    /// So many gateways are known.
+    /// Sets the number of gateways.
     pub fn gateways(&mut self, gateways: usize) {
         self.gateways = gateways.max(1) as f64;
     }
 
-    /// The limits of all tenants. What was counted stays.
+    /// Replaces the limits of all tenants. Counts of the remaining tenants are kept.
     pub fn limits(&mut self, now: Millis, limits: &BTreeMap<String, Limit>) {
         self.tenants.retain(|name, _| limits.contains_key(name));
         for (name, limit) in limits {
             let limit = *limit;
             let tenant = self.tenants.entry(name.clone()).or_insert(Tenant {
                 limit,
-                back: (0, 0),
-                paid: (0, 0.0),
-                ahead: false,
+                refund: (0, 0),
+                prepaid: (0, 0.0),
+                prepaying: false,
                 rate: (0.0, now),
                 over_until: 0.0,
                 share: (0.0, f64::NEG_INFINITY),
@@ -323,107 +348,119 @@
         }
     }
 
-    /// A request of a tenant comes in.
+    /// Decides on a new request of a tenant.
     pub fn ask(&mut self, now: Millis, tenant: &str) -> Verdict {
-        let Some(of) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
-        if of.limit.per_s <= 0.0 {
+        let Some(state) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
+        if state.limit.per_s <= 0.0 {
             return Verdict::Pass;
         }
-        let keep = (-(now - of.rate.1).max(0.0) / RATE_MS).exp();
-        of.rate = (of.rate.0 * keep + 1000.0 / RATE_MS, now);
-        let ahead = (of.rate.0 * AHEAD_MS / 1000.0) as u64;
-        if of.paid.0 > 0 && now < of.paid.1 {
-            of.paid.0 -= 1;
-            let due = of.paid.0 * 2 <= ahead && now >= of.over_until && now + AHEAD_MS < of.paid.1;
-            if !due || ahead == 0 || self.misses >= MISSES || std::mem::replace(&mut of.ahead, true) {
+        let decay = (-(now - state.rate.1).max(0.0) / RATE_AVERAGE_MS).exp();
+        state.rate = (state.rate.0 * decay + 1000.0 / RATE_AVERAGE_MS, now);
+        let expected = (state.rate.0 * PREPAY_MS / 1000.0) as u64;
+        if state.prepaid.0 > 0 && now < state.prepaid.1 {
+            state.prepaid.0 -= 1;
+            let due = state.prepaid.0 * 2 <= expected
+                && now >= state.over_until
+                && now + PREPAY_MS < state.prepaid.1;
+            if !due
+                || expected == 0
+                || self.misses >= MAX_MISSES
+                || std::mem::replace(&mut state.prepaying, true)
+            {
                 return Verdict::Pass;
             }
-            return Verdict::PassAndCharge(of.charge(ahead));
+            return Verdict::PassAndCharge(state.charge(expected));
         }
-        if now < of.over_until {
-            return Verdict::Refuse(of.over_until - now);
+        if now < state.over_until {
+            return Verdict::Refuse(state.over_until - now);
         }
-        if self.misses >= MISSES {
-            self.looks = (self.looks + 1) % LOOK;
-            if self.looks != 0 {
-                return self.share(now, tenant);
+        if self.misses >= MAX_MISSES {
+            self.since_probe = (self.since_probe + 1) % PROBE_INTERVAL;
+            if self.since_probe != 0 {
+                return self.take_from_share(now, tenant);
             }
-            let charge = of.charge(1);
-            return match self.share(now, tenant) {
+            let charge = state.charge(1);
+            return match self.take_from_share(now, tenant) {
                 Verdict::Pass => Verdict::PassAndCharge(charge),
-                // Whoever has used up its share looks, too: it must not go on by it when the counter is back.
+                // A gateway with an exhausted share probes, too, so that it stops using the share once the
+                // counter is back.
                 _ => Verdict::Charge(charge),
             };
         }
-        Verdict::Charge(of.charge(1 + ahead))
+        Verdict::Charge(state.charge(1 + expected))
     }
 
-    /// The counter answered a charge, so long after it was made. A request waits for the total, or none does.
+    /// Handles the total that answers a charge, `took` after the charge was sent. `waits` tells whether a
+    /// request waits for it.
     pub fn counted(
-        &mut self, now: Millis, tenant: &str, charge: Charge, took: Millis, counted: Counted, waits: bool,
+        &mut self, now: Millis, tenant: &str, charge: Charge, took: Millis, total: Counted, waits: bool,
     ) -> Verdict {
         self.misses = 0;
-        let Some(of) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
-        of.ahead &= waits;
-        if of.back.1 < counted.window {
-            (of.back, of.paid) = ((0, counted.window), (0, 0.0));
+        let Some(state) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
+        state.prepaying &= waits;
+        if state.refund.1 < total.window {
+            (state.refund, state.prepaid) = ((0, total.window), (0, 0.0));
         }
-        let over = u64::try_from(counted.units - counted.limit).unwrap_or(0).min(charge.units);
-        if of.back.1 == counted.window {
-            // Units past the limit ride back on the next charge.
-            of.back.0 += over;
-            // The window ends at the counter while the total is on its way.
-            let ends = now + counted.left_ms.clamp(0.0, WINDOW_MOST_MS) - took / 2.0;
-            of.paid = (of.paid.0 + charge.units - over, ends);
+        let over = u64::try_from(total.units - total.limit).unwrap_or(0).min(charge.units);
+        if state.refund.1 == total.window {
+            // Units beyond the limit are refunded with the next charge.
+            state.refund.0 += over;
+            // The window's remaining time was measured at the counter, about half a round trip ago.
+            let ends = now + total.left_ms.clamp(0.0, MAX_WINDOW_MS) - took / 2.0;
+            state.prepaid = (state.prepaid.0 + charge.units - over, ends);
         }
         if over > 0 {
-            of.over_until = now + counted.left_ms.clamp(0.0, WINDOW_MOST_MS);
+            state.over_until = now + total.left_ms.clamp(0.0, MAX_WINDOW_MS);
         }
         match (waits, over == charge.units) {
             (false, _) => Verdict::Pass,
-            (true, true) => Verdict::Refuse(counted.left_ms),
+            (true, true) => Verdict::Refuse(total.left_ms),
             (true, false) => {
-                of.paid.0 = of.paid.0.saturating_sub(1);
+                state.prepaid.0 = state.prepaid.0.saturating_sub(1);
                 Verdict::Pass
             }
         }
     }
 
-    /// The counter did not answer in time, or can't vouch: this gateway's own share decides where a request waits.
+    /// Handles a charge that was not answered in time, or not by an authoritative counter. A waiting request
+    /// is decided by the local share.
     pub fn unanswered(&mut self, now: Millis, tenant: &str, waits: bool) -> Verdict {
         self.misses = self.misses.saturating_add(1);
         if waits {
-            return self.share(now, tenant);
+            return self.take_from_share(now, tenant);
         }
-        if let Some(of) = self.tenants.get_mut(tenant) {
-            of.ahead = false;
+        if let Some(state) = self.tenants.get_mut(tenant) {
+            state.prepaying = false;
         }
         Verdict::Pass
     }
 
-    /// A request that was charged was not run after all.
+    /// Refunds a charged request that was not run.
     pub fn settle(&mut self, tenant: &str) {
-        if let Some(of) = self.tenants.get_mut(tenant).filter(|of| of.limit.per_s > 0.0) {
-            of.back.0 += 1;
+        if let Some(state) = self.tenants.get_mut(tenant).filter(|state| state.limit.per_s > 0.0) {
+            state.refund.0 += 1;
         }
     }
 
-    fn share(&mut self, now: Millis, tenant: &str) -> Verdict {
-        let part = OF_SHARE / self.gateways;
-        let left = left(now - self.touched);
-        let Some(of) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
-        let rate = of.limit.per_s * part * (1.0 - left);
-        let most = of.limit.burst() * part * SHARE_BURST + self.slack * OF_SLACK / self.gateways;
-        let (left, at) = of.share;
-        let rested = now - at > SHARE_REST_MS;
-        let left = left + (now - at).max(0.0) / 1000.0 * rate;
-        // With many gateways a part is less than one request: it is saved up for, but not while the counter grants.
-        let left = left.min(if rested { most } else { most.max(1.0) });
-        if left < 1.0 {
-            of.share = (left, now);
-            return Verdict::Refuse((1.0 - left) / rate * 1000.0);
+    /// Decides on a request by this gateway's local share of the rate.
+    fn take_from_share(&mut self, now: Millis, tenant: &str) -> Verdict {
+        let fraction = SHARE_FRACTION / self.gateways;
+        let given_up = given_up_fraction(now - self.last_contact);
+        let Some(state) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
+        let rate = state.limit.per_s * fraction * (1.0 - given_up);
+        let cap = state.limit.effective_burst() * fraction * SHARE_BURST_FRACTION
+            + self.slack * SHARE_SLACK_FRACTION / self.gateways;
+        let (units, updated) = state.share;
+        let reset = now - updated > SHARE_RESET_MS;
+        let units = units + (now - updated).max(0.0) / 1000.0 * rate;
+        // With many gateways the cap may be below one request. A share in use still accumulates a whole unit;
+        // one at rest does not, as the counter grants units meanwhile.
+        let units = units.min(if reset { cap } else { cap.max(1.0) });
+        if units < 1.0 {
+            state.share = (units, now);
+            return Verdict::Refuse((1.0 - units) / rate * 1000.0);
         }
-        of.share = (left - 1.0, now);
+        state.share = (units - 1.0, now);
         Verdict::Pass
     }
 }
--- a/overland/tests/shares.rs
+++ b/overland/tests/shares.rs
@@ -1,4 +1,4 @@
-//! What all gateways together send a backend that is cold, or may be, against the bound of the rules.
+//! The total rate of all gateways to a backend that is, or may be, cold stays within the limit.
 
 mod bounds;
 
@@ -11,71 +11,72 @@
     gateways.map(|number| format!("g-{number}")).collect()
 }
 
-/// What a gateway goes by, by its own list of all.
+/// The shares of gateway `own` by its copy of the list.
 fn shares(own: &str, list: &[String]) -> Shares {
     Shares::new(&bounds(), own, list.iter().map(String::as_str))
 }
 
-/// The most that these gateways send this backend in any second.
-fn most_in_a_second(gateways: &[Shares], backend: &str, cold_per_s: f64) -> f64 {
-    let each = gateways.iter().map(|shares| f64::from(shares.share(backend, cold_per_s).limit));
-    each.sum()
+/// The maximum total of requests from these gateways to a backend in any second.
+fn total_limit(gateways: &[Shares], backend: &str, cold_per_s: f64) -> f64 {
+    let limits = gateways.iter().map(|shares| f64::from(shares.share(backend, cold_per_s).limit));
+    limits.sum()
 }
 
 #[test]
-fn all_parts_together_stay_within_the_bound() {
+fn sum_of_shares_stays_within_the_limit() {
     for gateways in [1, 2, 8, 9, 13, 30, 92, 300] {
-        let all = names(0..gateways);
-        let each: Vec<_> = all.iter().map(|own| shares(own, &all)).collect();
+        let list = names(0..gateways);
+        let all: Vec<_> = list.iter().map(|own| shares(own, &list)).collect();
         for cold_per_s in [0.5, 2.9, 3.6, 6.0, 22.0, 110.0] {
             let allowed = cold_per_s * 1.5 + 5.0;
             for backend in (0..20).map(|number| format!("i-{number}")) {
-                let most = most_in_a_second(&each, &backend, cold_per_s);
-                assert!(most <= allowed, "{most} of {allowed} from {gateways} gateways");
-                assert!(most >= 1.0, "nobody may send {backend} anything");
+                let total = total_limit(&all, &backend, cold_per_s);
+                assert!(total <= allowed, "{total} of {allowed} from {gateways} gateways");
+                assert!(total >= 1.0, "no gateway may send to {backend}");
             }
         }
     }
 }
 
-/// While the list changes some gateways go by the former one: one in ten has gone, as many have come.
+/// Some gateways still have the previous list: a tenth of its gateways left, and as many joined.
 #[test]
-fn two_versions_of_the_list_stay_within_the_bound() {
+fn sum_stays_within_the_limit_with_two_versions_of_the_list() {
     for gateways in [9, 30, 92, 300] {
-        let come = gateways / 10;
-        let (former, present) = (names(0..gateways), names(come..gateways + come));
-        let list = |number: usize| if number.is_multiple_of(2) { &former } else { &present };
-        let behind = former.iter().enumerate().map(|(number, own)| shares(own, list(number)));
-        let new = present[gateways - come..].iter().map(|own| shares(own, &present));
-        let each: Vec<_> = behind.chain(new).collect();
+        let joined = gateways / 10;
+        let (previous, current) = (names(0..gateways), names(joined..gateways + joined));
+        let list = |number: usize| if number.is_multiple_of(2) { &previous } else { &current };
+        let old = previous.iter().enumerate().map(|(number, own)| shares(own, list(number)));
+        let new = current[gateways - joined..].iter().map(|own| shares(own, &current));
+        let all: Vec<_> = old.chain(new).collect();
         for backend in (0..40).map(|number| format!("i-{number}")) {
-            let most = most_in_a_second(&each, &backend, 3.6);
-            assert!(most <= 10.4, "{most} of 10.4 from {gateways} gateways");
+            let total = total_limit(&all, &backend, 3.6);
+            assert!(total <= 10.4, "{total} of 10.4 from {gateways} gateways");
         }
     }
 }
 
 #[test]
-fn a_gateway_that_the_list_lacks_has_no_part() {
+fn gateway_missing_from_the_list_has_no_share() {
     assert!(shares("g-0", &names(1..5)).share("i-1", 3.6).limit == 0);
 }
 
-/// A settled leader's word grants the full rate for a while, counted from when it was asked for; others grant nothing.
+/// A message from a settled leader permits the full rate for a limited time after its question was sent;
+/// messages from other leaders do not.
 #[test]
-fn the_full_rate_ends_by_itself() {
+fn full_rate_expires_without_a_settled_leader() {
     let mut copy = Copy::new(&bounds());
     assert!(copy.has_full_rate(1990.0) && !copy.has_full_rate(2010.0), "a process that has just started");
-    let word = |at, age_ms, unsettled| ToProxy { at: Some(at), age_ms, unsettled, ..ToProxy::default() };
-    copy.take(5000.0, word(4950.0, 100.0, true));
-    assert!(!copy.has_full_rate(5000.0), "by a leader that has not heard all backends");
-    copy.take(6000.0, word(5950.0, 100.0, false));
+    let message = |at, age_ms, unsettled| ToProxy { at: Some(at), age_ms, unsettled, ..ToProxy::default() };
+    copy.take(5000.0, message(4950.0, 100.0, true));
+    assert!(!copy.has_full_rate(5000.0), "the leader has not heard all backends");
+    copy.take(6000.0, message(5950.0, 100.0, false));
     assert!(copy.has_full_rate(6000.0));
-    copy.take(6500.0, word(6450.0, 600.0, false));
-    assert!(copy.has_full_rate(7840.0) && !copy.has_full_rate(7860.0), "the word is of 5850");
-    copy.take(8500.0, word(8450.0, 0.0, true));
-    assert!(copy.has_full_rate(10_440.0), "a new leader goes on after a short gap");
-    copy.take(11_500.0, word(11_460.0, 0.0, true));
-    assert!(!copy.has_full_rate(11_500.0), "and not after a long one");
+    copy.take(6500.0, message(6450.0, 600.0, false));
+    assert!(copy.has_full_rate(7840.0) && !copy.has_full_rate(7860.0), "the message dates from 5850");
+    copy.take(8500.0, message(8450.0, 0.0, true));
+    assert!(copy.has_full_rate(10_440.0), "a new leader continues after a short gap");
+    copy.take(11_500.0, message(11_460.0, 0.0, true));
+    assert!(!copy.has_full_rate(11_500.0), "a new leader does not continue after a long gap");
     let apart = Copy::apart(&bounds());
-    assert!(apart.has_full_rate(1e12), "it has no leader to hear");
+    assert!(apart.has_full_rate(1e12), "a copy without a leader always has the full rate");
 }
