--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -102,10 +102,10 @@
     term: u64,
     /// Index of the last change that brought a configuration. The leader acknowledges the update once the
     /// proxy holds it, so reaching this index is reported at once.
-    awaited: u64,
+    awaited_index: u64,
     /// Send time of the latest report that the leader answered while the copy was up to date.
     up_to_date_at: Option<Millis>,
-    /// In that answer the leader had not heard every backend yet.
+    /// In that answer the leader had not heard from every backend yet.
     unsettled: bool,
 }
 
@@ -126,7 +126,7 @@
             links: BTreeMap::new(),
             leader: None,
             term: 0,
-            awaited: 0,
+            awaited_index: 0,
             up_to_date_at: None,
             unsettled: false,
         };
@@ -277,14 +277,14 @@
         let previous_index = self.index();
         let mut report = false;
         if let Some(whole) = whole.filter(|whole| whole.index > previous_index) {
-            self.awaited = whole.index;
+            self.awaited_index = whole.index;
             self.state = Some(State::from_whole(now, whole.clone()));
             self.send_proxy(now, ToProxy { whole: Some(whole), ..ToProxy::default() }, out);
             report = true;
         }
         if let Some(state) = &mut self.state {
             if state.follow(now, &changes).contains(&Touched::Config) {
-                self.awaited = state.index;
+                self.awaited_index = state.index;
             }
         }
         if self.index() != previous_index {
@@ -391,7 +391,7 @@
         let previous = std::mem::replace(current, message);
         let changed = FromProxy { at: current.at, held: current.held, ..previous.clone() } != *current;
         // Other progress is reported on schedule: nothing waits for backend changes to reach every gateway.
-        let awaited = previous.held < self.awaited && current.held >= self.awaited;
+        let awaited = previous.held < self.awaited_index && current.held >= self.awaited_index;
         let mend = self.state.as_ref().and_then(|state| state.mend_for(now, ranges.as_ref()?));
         if mend.is_some() {
             self.send_proxy(now, ToProxy { mend, ..ToProxy::default() }, out);
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -21,14 +21,13 @@
 }
 
 /// The leader refuses a forwarded call that may be older than this. The age counts from the leader's last
-/// heartbeat that the sender received. It is well below the time after which a caller retries elsewhere, 1000
-/// ms.
+/// heartbeat that the sender received. It is well below the 1000 ms after which a caller retries elsewhere.
 pub(super) const MAX_FORWARD_AGE_MS: Millis = 700.0;
-/// No call is forwarded to a leader that was not heard for this long. It allows for one lost heartbeat and is
-/// below the election timeout.
+/// No call is forwarded to a leader that was not heard from for this long. It allows for one lost heartbeat
+/// and is below the election timeout.
 const LEADER_SILENCE_MS: Millis = 400.0;
-/// Nor is one forwarded to a leader that has not heard this process for this long, as the link to it may be
-/// down.
+/// Nor is one forwarded to a leader that has not heard from this process for this long, as the link to it may
+/// be down.
 const UNHEARD_BY_LEADER_MS: Millis = 500.0;
 /// Processes that may receive the log at once in order to join.
 const MAX_JOINING: usize = 9;
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -30,26 +30,26 @@
 /// The leader's own knowledge of presence.
 #[derive(Default)]
 pub(super) struct Presence {
-    since: Millis,
-    /// When each backend was last heard, and the highest postmark of its heartbeats.
+    started: Millis,
+    /// When each backend was last heard from, and the highest postmark of its heartbeats.
     heartbeats: BTreeMap<String, (Millis, u64)>,
     /// Departed backends, and when they left.
     departed: BTreeMap<String, Millis>,
     /// When each gateway was last told the current index, and the index that its proxy held.
     gateway_contacts: BTreeMap<String, (Millis, u64)>,
-    /// Every replicated backend was heard, and the changes from their heartbeats are applied.
+    /// Every replicated backend was heard from, and the changes from their heartbeats are applied.
     settled: bool,
 }
 
 impl Presence {
     /// No knowledge yet, as at the start of a term.
     pub(super) fn new(now: Millis) -> Self {
-        Presence { since: now, ..Presence::default() }
+        Presence { started: now, ..Presence::default() }
     }
 
     /// When a gateway was last told the current index, and the index that its proxy held.
     pub(super) fn gateway_contact(&self, node: &str) -> (Millis, u64) {
-        self.gateway_contacts.get(node).copied().unwrap_or((self.since, 0))
+        self.gateway_contacts.get(node).copied().unwrap_or((self.started, 0))
     }
 
     /// Whether this backend announced to this leader that it leaves.
@@ -57,7 +57,7 @@
         self.departed.contains_key(id)
     }
 
-    /// Whether this leader has heard every backend, so that it knows of every cold one.
+    /// Whether this leader has heard from every backend, so that it knows every cold one.
     pub(super) fn is_settled(&self) -> bool {
         self.settled
     }
@@ -141,17 +141,17 @@
 }
 
 impl Member {
-    /// Whether a backend recently announced that it leaves. Departures that an earlier leader heard are
+    /// Whether a backend recently announced that it leaves. Departures announced to an earlier leader are
     /// replicated without a time and count from the start of this term.
     fn departed_recently(&self, now: Millis, id: &str) -> bool {
-        let heard = self.presence.has_departed(id);
-        heard
-            || (now - self.presence.since < DEPARTED_RETENTION_MS
+        let announced = self.presence.has_departed(id);
+        announced
+            || (now - self.presence.started < DEPARTED_RETENTION_MS
                 && !self.state.backends.contains_key(id)
                 && self.state.left.iter().any(|departed| departed == id))
     }
 
-    /// Marks presence as settled once every backend was heard and the log is fully applied.
+    /// Marks presence as settled once every backend was heard from and the log is fully applied.
     pub(super) fn update_settled(&mut self) {
         let presence = &mut self.presence;
         let heard = |id: &String| presence.heartbeats.contains_key(id);
@@ -166,7 +166,7 @@
         let mut changes = Vec::new();
         let timeout = self.settings.beat.as_secs_f64() * 1000.0 * MAX_MISSED_HEARTBEATS;
         for id in state.backends.keys() {
-            let heard = presence.heartbeats.get(id).map_or(presence.since, |(at, _)| *at);
+            let heard = presence.heartbeats.get(id).map_or(presence.started, |(at, _)| *at);
             if now - heard > timeout {
                 log::info!("core: backend {id} timed out; removing it");
                 changes.push(Kind::BackendGone(id.clone()));
--- a/overland/src/tally.rs
+++ b/overland/src/tally.rs
@@ -4,8 +4,8 @@
 //! A count belongs to a tenant and a window; a window lasts burst / rate seconds and allows one burst.
 //! Windows are timed by the counter's monotonic clock alone. While the counter is unreachable or not
 //! authoritative, a gateway limits itself to its share of the rate. The shares of all gateways, known and
-//! unknown, sum to less than the limit, and the counter deducts the shares of the gateways it does not hear
-//! from what it grants to the others.
+//! unknown, sum to less than the limit, and the counter deducts the shares of the gateways it has lost
+//! contact to from what it grants to the others.
 
 use cherrytally::Millis;
 use std::collections::BTreeMap;
@@ -44,8 +44,8 @@
 /// Shortest window: charges take time to arrive.
 const MIN_WINDOW_MS: f64 = 200.0;
 const MAX_WINDOW_MS: f64 = 60_000.0;
-/// A gateway that the counter has not heard for this long is assumed to use its whole share. Until then it
-/// may use both its share and units granted by the counter.
+/// A gateway that the counter has not heard from for this long is assumed to use its local share. Until then
+/// it may use both its share and units granted by the counter.
 const CONTACT_TIMEOUT_MS: Millis = 900.0;
 /// Bits of a window number that count windows within a term.
 const WINDOW_NUMBER_BITS: u32 = 40;
--- a/overland/tests/shares.rs
+++ b/overland/tests/shares.rs
@@ -68,7 +68,7 @@
     assert!(copy.has_full_rate(1990.0) && !copy.has_full_rate(2010.0), "a process that has just started");
     let message = |at, age_ms, unsettled| ToProxy { at: Some(at), age_ms, unsettled, ..ToProxy::default() };
     copy.take(5000.0, message(4950.0, 100.0, true));
-    assert!(!copy.has_full_rate(5000.0), "the leader has not heard all backends");
+    assert!(!copy.has_full_rate(5000.0), "the leader has not heard from all backends");
     copy.take(6000.0, message(5950.0, 100.0, false));
     assert!(copy.has_full_rate(6000.0));
     copy.take(6500.0, message(6450.0, 600.0, false));
