--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -180,7 +180,7 @@
         let before = self.hollow.borrow().due();
         let mut out = Vec::new();
         match event {
-            Event::Said { core, news } => {
+            Event::CoreMessage { core, message: news } => {
                 self.hollow.borrow_mut().said(self.now(), core, news, &mut out);
             }
             event => self.hollow.borrow_mut().event(self.now(), event, &mut out),
@@ -223,7 +223,7 @@
                 // However it ends: it is tried again.
                 let _ = self.link(&core, stream).await;
                 self.links.borrow_mut().remove(&core);
-                self.step(Event::Closed(core.clone()));
+                self.step(Event::LinkClosed(core.clone()));
             }
             sleep(AGAIN).await;
         }
@@ -236,7 +236,7 @@
         out.send(&Hello { purpose: Purpose::Agent as i32 });
         let end = Rc::new(Notify::new());
         self.links.borrow_mut().insert(core.to_owned(), (out, end.clone()));
-        self.step(Event::Open(core.to_owned()));
+        self.step(Event::LinkOpened(core.to_owned()));
         let mut incoming = Incoming::<ToAgent>::new(read);
         let ended = loop {
             let news = tokio::select! {
@@ -244,7 +244,7 @@
                 () = end.notified() => break Ok(()),
             };
             match news {
-                Ok(news) => self.step(Event::Said { core: core.to_owned(), news: Box::new(news) }),
+                Ok(news) => self.step(Event::CoreMessage { core: core.to_owned(), message: Box::new(news) }),
                 Err(e) => break Err(e),
             }
         };
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -1,11 +1,11 @@
-//! A hollow gateway: an agent and a proxy without sockets, clock or clients. The agent is [`Follow`], the one that runs
-//! in service; the proxy holds what the real one holds of the system's state (its copy, the table of routes and keys,
-//! the tenants' limits), and tells its agent the same words for the same history. It carries no traffic and has no
-//! connections to backends.
+//! A hollow gateway: an agent and a proxy without sockets, clock or clients. The agent is
+//! [`AgentStateMachine`], the one that runs in service; the proxy holds what the real one holds of the
+//! system's state (its copy, the table of routes and keys, the tenants' limits), and tells its agent the same
+//! words for the same history. It carries no traffic and has no connections to backends.
 
 use cherrytally::{Class, Millis};
 use overland::agreement::READS;
-use overland::follow::{Action, Event, Follow};
+use overland::follow::{Action, AgentStateMachine, Event};
 use overland::news::{FromAgent, FromProxy, Kind, Numbered, ToAgent, ToProxy, Whole};
 use overland::routes::{Numbers, Table, Zones};
 use overland::settings::Settings;
@@ -176,7 +176,7 @@
         if age_ms >= 0.0 {
             let at = now - age_ms;
             self.fresh = Some(self.fresh.map_or(at, |fresh| fresh.max(at)));
-            self.tally.touched(at);
+            self.tally.leader_contacted(at);
         }
         let held = self.held();
         if self.holds == Holds::Number {
@@ -198,7 +198,7 @@
             }
         }
         if touched.contains(&Touched::Gateways) {
-            self.tally.gateways(self.state.as_ref().map_or(1, |state| state.gateways.len()));
+            self.tally.set_gateways(self.state.as_ref().map_or(1, |state| state.gateways.len()));
         }
         touched.contains(&Touched::Config).then(|| self.configure(now)).flatten()
     }
@@ -239,7 +239,7 @@
         let config = self.state.as_ref()?.config.as_ref()?;
         let former: Vec<Class> = self.table.as_ref().map(|table| table.classes.clone()).unwrap_or_default();
         let table = Table::new(&config.text, &self.zones, &mut self.routes, &mut self.pools, &former).ok()?;
-        self.tally.limits(now, &table.limits);
+        self.tally.set_limits(now, &table.limits);
         self.table = Some(table);
         Some(config.edition)
     }
@@ -278,7 +278,7 @@
 
 /// An agent and its proxy.
 pub struct Hollow {
-    follow: Follow,
+    follow: AgentStateMachine,
     proxy: HollowProxy,
     counts: Counts,
 }
@@ -287,13 +287,13 @@
     /// A gateway that starts, and what it wants at once.
     pub fn new(settings: &Settings, holds: Holds, now: Millis, out: &mut Vec<Out>) -> Self {
         let mut actions = Vec::new();
-        let follow = Follow::new(settings, now, &mut actions);
+        let follow = AgentStateMachine::new(settings, now, &mut actions);
         let mut hollow =
             Hollow { follow, proxy: HollowProxy::new(settings.clone(), holds), counts: Counts::default() };
-        hollow.follow.handle(now, Event::ProxyOpen(LINK), &mut actions);
+        hollow.follow.handle(now, Event::ProxyConnected(LINK), &mut actions);
         let word = hollow.proxy.word(now);
         hollow.counts.holds.one(&word);
-        hollow.follow.handle(now, Event::Proxy { link: LINK, word }, &mut actions);
+        hollow.follow.handle(now, Event::ProxyMessage { link: LINK, message: word }, &mut actions);
         hollow.carry_out(now, actions, out);
         hollow
     }
@@ -310,7 +310,7 @@
         let (start, fed) = (thread_s(), self.counts.feeds.cpu_s);
         let before = self.edition();
         let at = out.len();
-        self.event(now, Event::Said { core, news }, out);
+        self.event(now, Event::CoreMessage { core, message: news }, out);
         if self.edition() != before {
             // Before it was in force.
             out.insert(at, Out::Held(self.edition()));
@@ -332,13 +332,13 @@
         let mut actions = std::collections::VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Keep(core) => out.push(Out::Keep(core)),
-                Action::End(core) => out.push(Out::End(core)),
-                Action::Say { core, word } => {
+                Action::Connect(core) => out.push(Out::Keep(core)),
+                Action::Reset(core) => out.push(Out::End(core)),
+                Action::Send { core, message: word } => {
                     self.counts.words.one(&*word);
                     out.push(Out::Say(core, word));
                 }
-                Action::Feed(news) => {
+                Action::SendProxy(news) => {
                     let start = thread_s();
                     self.counts.feeds.one(&*news);
                     let bytes = news.encode_to_vec();
@@ -352,7 +352,7 @@
                     self.counts.holds.one(&word);
                     self.counts.feeds.cpu_s += thread_s() - start;
                     let mut more = Vec::new();
-                    self.follow.handle(now, Event::Proxy { link: LINK, word }, &mut more);
+                    self.follow.handle(now, Event::ProxyMessage { link: LINK, message: word }, &mut more);
                     actions.extend(more);
                 }
             }
@@ -367,12 +367,12 @@
 
     /// When it wants to be told of time next.
     pub fn due(&self) -> Millis {
-        self.follow.due()
+        self.follow.next_deadline()
     }
 
     /// Whether a link to this core process is wanted.
     pub fn wants(&mut self, now: Millis, core: &str) -> bool {
-        self.follow.wants(now, core)
+        self.follow.wants_link(now, core)
     }
 
     /// What it was told and told.
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/weigh.rs
@@ -148,7 +148,7 @@
         // An election takes a few seconds at most.
         for _ in 0..1000 {
             alone.pass(TICK_MS);
-            if alone.member.leads() {
+            if alone.member.is_leader() {
                 return Ok(alone);
             }
         }
@@ -175,9 +175,9 @@
             for action in actions {
                 match action {
                     Action::Save(_) => next = Some(Event::Saved { took_ms: 0.5 }),
-                    Action::Say { news, .. } => self.note(&*news),
-                    Action::Whole { whole, .. } => self.note_framed(&whole),
-                    Action::Count { totals, .. } => self.note(&totals),
+                    Action::Send { message: news, .. } => self.note(&*news),
+                    Action::SendState { frame: whole, .. } => self.note_framed(&whole),
+                    Action::SendTotals { totals, .. } => self.note(&totals),
                     Action::Answer { reply, .. } => self.status = reply.status,
                     _ => {}
                 }
@@ -199,7 +199,7 @@
     pub fn call(&mut self, method: &str, path: String, body: Vec<u8>) {
         self.calls += 1;
         self.status = 0;
-        self.event(Event::Called { call: self.calls, method: method.to_owned(), path, body });
+        self.event(Event::ClientCall { call: self.calls, method: method.to_owned(), path, body });
     }
 
     /// The first word of a gateway's agent on its link.
@@ -212,7 +212,7 @@
             }),
             ..self.word(true)
         };
-        self.event(Event::Agent { link: gateway as u64, word });
+        self.event(Event::AgentMessage { link: gateway as u64, message: word });
     }
 
     /// A word of an agent that is up to date.
@@ -234,7 +234,7 @@
     fn words(&mut self, gateways: usize) {
         for gateway in 0..gateways {
             let word = self.word(true);
-            self.event(Event::Agent { link: gateway as u64, word });
+            self.event(Event::AgentMessage { link: gateway as u64, message: word });
         }
     }
 }
--- a/overland/src/agent.rs
+++ b/overland/src/agent.rs
@@ -1,6 +1,6 @@
-//! The sockets and the clock of the agent beside a proxy. What it goes by is [`Follow`]'s.
+//! The sockets and the clock of the agent beside a proxy. What it goes by is [`AgentStateMachine`]'s.
 
-use crate::follow::{Action, Event, Follow};
+use crate::follow::{Action, AgentStateMachine, Event};
 use crate::link::{self, Incoming, Outgoing};
 use crate::news::{FromProxy, Hello, Purpose, ToAgent};
 use crate::settings::{Settings, Watch};
@@ -36,7 +36,7 @@
 pub struct Agent {
     settings: Settings,
     started: Instant,
-    follow: RefCell<Follow>,
+    follow: RefCell<AgentStateMachine>,
     links: RefCell<BTreeMap<String, Link>>,
     /// The link to the proxy, and its number.
     proxy: RefCell<Option<(u64, Outgoing)>>,
@@ -56,7 +56,7 @@
         let grace = settings.bounds.grace;
         let mut actions = Vec::new();
         let agent = Rc::new(Agent {
-            follow: RefCell::new(Follow::new(&settings, 0.0, &mut actions)),
+            follow: RefCell::new(AgentStateMachine::new(&settings, 0.0, &mut actions)),
             settings,
             started: Instant::now(),
             links: RefCell::default(),
@@ -70,14 +70,14 @@
         let learning = agent.clone();
         tokio::task::spawn_local(async move {
             loop {
-                learning.step(Event::Seeds(watch.changed().await.seeds));
+                learning.step(Event::SeedsChanged(watch.changed().await.seeds));
             }
         });
         term.recv().await;
         log::info!("agent: told to end");
         // The proxy answers what it has taken in; until then it is fed.
         let end = Instant::now() + grace.mul_f64(ENDED);
-        while agent.follow.borrow().feeds() && Instant::now() < end {
+        while agent.follow.borrow().has_proxy() && Instant::now() < end {
             sleep(Duration::from_millis(50)).await;
         }
         Ok(())
@@ -89,7 +89,7 @@
 
     async fn keep_time(self: Rc<Self>) {
         loop {
-            let due = self.follow.borrow().due();
+            let due = self.follow.borrow().next_deadline();
             let due = if due.is_finite() { Duration::from_secs_f64(due.max(0.0) / 1000.0) } else { REST };
             tokio::select! {
                 () = sleep_until(self.started + due) => self.step(Event::Tick),
@@ -100,24 +100,24 @@
 
     /// Tells what happened and carries out what is wanted.
     fn step(self: &Rc<Self>, event: Event) {
-        let before = self.follow.borrow().due();
+        let before = self.follow.borrow().next_deadline();
         let mut actions = Vec::new();
         self.follow.borrow_mut().handle(self.now(), event, &mut actions);
         actions.into_iter().for_each(|action| self.act(action));
-        if self.follow.borrow().due() < before {
+        if self.follow.borrow().next_deadline() < before {
             self.due.notify_one();
         }
     }
 
     fn act(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Keep(core) => drop(tokio::task::spawn_local(self.clone().keep_link(core))),
-            Action::End(core) => {
+            Action::Connect(core) => drop(tokio::task::spawn_local(self.clone().keep_link(core))),
+            Action::Reset(core) => {
                 if let Some(link) = self.links.borrow().get(&core) {
                     link.end.notify_one();
                 }
             }
-            Action::Say { core, word } => {
+            Action::Send { core, message: word } => {
                 if let Some(link) = self.links.borrow().get(&core) {
                     // What finds no room ends the link: it is opened anew.
                     if !link.out.send(&*word) {
@@ -125,7 +125,7 @@
                     }
                 }
             }
-            Action::Feed(news) => {
+            Action::SendProxy(news) => {
                 if let Some((_, out)) = &*self.proxy.borrow() {
                     out.send(&*news);
                 }
@@ -136,12 +136,12 @@
     async fn keep_link(self: Rc<Self>, core: String) {
         let Ok(address) = core.parse::<SocketAddr>() else { return };
         let addr = self.settings.inner_at(address.ip());
-        while self.follow.borrow_mut().wants(self.now(), &core) {
+        while self.follow.borrow_mut().wants_link(self.now(), &core) {
             if let Ok(stream) = link::connect(addr).await {
                 // However it ends: it is tried again.
                 let _ = self.link(&core, stream).await;
                 self.links.borrow_mut().remove(&core);
-                self.step(Event::Closed(core.clone()));
+                self.step(Event::LinkClosed(core.clone()));
             }
             sleep(AGAIN).await;
         }
@@ -154,7 +154,7 @@
         out.send(&Hello { purpose: Purpose::Agent as i32 });
         let end = Rc::new(Notify::new());
         self.links.borrow_mut().insert(core.to_owned(), Link { out, end: end.clone() });
-        self.step(Event::Open(core.to_owned()));
+        self.step(Event::LinkOpened(core.to_owned()));
         let mut incoming = Incoming::<ToAgent>::new(read);
         let ended = loop {
             let news = tokio::select! {
@@ -162,7 +162,7 @@
                 () = end.notified() => break Ok(()),
             };
             match news {
-                Ok(news) => self.step(Event::Said { core: core.to_owned(), news: Box::new(news) }),
+                Ok(news) => self.step(Event::CoreMessage { core: core.to_owned(), message: Box::new(news) }),
                 Err(e) => break Err(e),
             }
         };
@@ -188,13 +188,13 @@
         let link = self.proxies.get() + 1;
         self.proxies.set(link);
         *self.proxy.borrow_mut() = Some((link, out));
-        self.step(Event::ProxyOpen(link));
+        self.step(Event::ProxyConnected(link));
         let mut incoming = Incoming::<FromProxy>::new(read);
         while let Ok(word) = incoming.next().await {
-            self.step(Event::Proxy { link, word });
+            self.step(Event::ProxyMessage { link, message: word });
         }
         self.proxy.borrow_mut().take_if(|(of, _)| *of == link);
-        self.step(Event::ProxyClosed(link));
+        self.step(Event::ProxyDisconnected(link));
         writing.abort();
     }
 }
--- a/overland/src/agreement/members.rs
+++ b/overland/src/agreement/members.rs
@@ -284,7 +284,7 @@
                 let Some(next) = self.wanted(lead, now) else { return };
                 let (present, after) = (&self.membership.present, &next);
                 let (before, then) = (self.bears(lead, present, now), self.bears(lead, after, now));
-                invariants::check(Invariant::ChangesOfMembersWeakenNothing, then >= before, || {
+                invariants::check(Invariant::MembershipChangesKeepFaultTolerance, then >= before, || {
                     format!("{present:?} bears {before} losses, {after:?} bears {then}")
                 });
                 Entry::of_next_members(term, index, next)
--- a/overland/src/agreement/mod.rs
+++ b/overland/src/agreement/mod.rs
@@ -607,7 +607,7 @@
                 // Nothing may follow from it: what is agreed on stays.
                 let commit = self.commit;
                 let why = format!("{from} sends another entry {first} than was agreed on up to {commit}");
-                invariants::violated(Invariant::AgreedEntriesStay, &why);
+                invariants::record_violation(Invariant::CommittedEntriesArePermanent, &why);
                 answer.matched = commit;
                 actions.push(Action::Send { to: from, say: Say::Appended(answer) });
                 return;
@@ -632,7 +632,7 @@
     /// Whoever sends entries or a state in this term leads in it: this member does not.
     pub(super) fn alone_in_term(&self, from: &Name, term: u64) {
         let another = self.leads() && term == self.vow.term && *from != self.me;
-        invariants::check(Invariant::OneLeaderATerm, !another, || {
+        invariants::check(Invariant::OneLeaderPerTerm, !another, || {
             format!("{from} and {} lead in term {term}", self.me)
         });
     }
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -3,7 +3,7 @@
 use crate::agreement::{Name, Save};
 use crate::calls::{Refusal, Reply};
 use crate::link::{self, framed, Incoming, Outgoing, AGENT_MOST, CHARGES_MOST, HELLO_MOST, MOST};
-use crate::member::{Action, Event, Member, TICK_MS, WRITTEN_MS};
+use crate::member::{Action, Event, Member, MAX_RESPONSE_DELAY_MS, TICK_MS};
 use crate::news::{Charges, CoreWord, FromAgent, Hello, Purpose, Word};
 use crate::settings::{Settings, Watch};
 use crate::status::Status;
@@ -138,7 +138,7 @@
             loop {
                 let seeds = changed().await;
                 learning.seeds.replace(seeds.clone());
-                learning.step(Event::Seeds(seeds));
+                learning.step(Event::SeedsChanged(seeds));
             }
         });
         let ticking = control.clone();
@@ -150,7 +150,7 @@
         });
         term.recv().await;
         log::info!("core: told to end");
-        control.step(Event::End);
+        control.step(Event::Shutdown);
         let (since, most) = (Instant::now(), control.settings.bounds.grace.mul_f64(LEAVE));
         while control.left().is_none() && since.elapsed() < most {
             sleep(Duration::from_secs_f64(TICK_MS / 1000.0)).await;
@@ -225,18 +225,18 @@
         });
     }
 
-    /// Whether it may end, where it was told to: see [`Member::left`].
+    /// Whether it may end, where it was told to: see [`Member::leave_outcome`].
     fn left(&self) -> Option<bool> {
         match &*self.duty.borrow() {
-            Duty::Takes(running) => running.member.left(),
+            Duty::Takes(running) => running.member.leave_outcome(),
             Duty::WaitsForDisk(_) => None,
         }
     }
 
-    /// Whether a link to this core process is kept: see [`Member::keeps`].
+    /// Whether a link to this core process is kept: see [`Member::keeps_link_to`].
     fn keeps(&self, name: &str) -> bool {
         match &*self.duty.borrow() {
-            Duty::Takes(running) => running.member.keeps(name),
+            Duty::Takes(running) => running.member.keeps_link_to(name),
             Duty::WaitsForDisk(_) => true,
         }
     }
@@ -289,10 +289,10 @@
     fn act(self: &Rc<Self>, action: Action) -> Result<Option<Event>> {
         match action {
             Action::Save(save) => return self.save(&save),
-            Action::Tell { to, word } => {
+            Action::SendPeer { to, message: word } => {
                 self.tell(&to, CoreWord { from: self.me.clone(), word: Some(*word) });
             }
-            Action::Pass { to, from } => {
+            Action::ForwardJoin { to, from } => {
                 self.tell(&to, CoreWord { from, word: Some(Word::Join(true)) });
             }
             Action::Answer { call, reply } => {
@@ -301,10 +301,10 @@
                     let _ = to.send((self.now(), reply));
                 }
             }
-            Action::Say { link, news } => self.say(link, &*news),
-            Action::Whole { link, whole } => self.say_framed(link, whole),
-            Action::Count { link, totals } => self.say(link, &totals),
-            Action::Stop(why) => {
+            Action::Send { link, message: news } => self.say(link, &*news),
+            Action::SendState { link, frame: whole } => self.say_framed(link, whole),
+            Action::SendTotals { link, totals } => self.say(link, &totals),
+            Action::Abort(why) => {
                 log::error!("core: {why}");
                 std::process::exit(1);
             }
@@ -424,7 +424,11 @@
         let ended = match first.purpose() {
             Purpose::Core => open.hear_core(hello.other(MOST)).await,
             Purpose::Agent => {
-                open.hear(hello.other(AGENT_MOST), |word: FromAgent| Event::Agent { link, word }).await
+                open.hear(hello.other(AGENT_MOST), |word: FromAgent| Event::AgentMessage {
+                    link,
+                    message: word,
+                })
+                .await
             }
             Purpose::Counter => {
                 open.hear(hello.other(CHARGES_MOST), |charges: Charges| Event::Charged { link, charges })
@@ -502,12 +506,14 @@
         let (to, answer) = oneshot::channel();
         self.calls.borrow_mut().insert(call, to);
         let waits = Waits { control: self.clone(), call };
-        self.step(Event::Called { call, method: method.to_owned(), path: path.to_owned(), body });
+        self.step(Event::ClientCall { call, method: method.to_owned(), path: path.to_owned(), body });
         let reply = answer.await;
         drop(waits);
         // The member answers each call. Between its word and here the process may have stood still.
         match reply {
-            Ok((decided, reply)) if reply.status >= 500 || self.now() - decided <= WRITTEN_MS => reply,
+            Ok((decided, reply)) if reply.status >= 500 || self.now() - decided <= MAX_RESPONSE_DELAY_MS => {
+                reply
+            }
             _ => Refusal::Later.reply(),
         }
     }
@@ -539,7 +545,7 @@
     fn drop(&mut self) {
         let waited = self.control.calls.borrow_mut().remove(&self.call).is_some();
         if waited {
-            self.control.step(Event::Left(self.call));
+            self.control.step(Event::ClientGone(self.call));
         }
     }
 }
@@ -564,7 +570,7 @@
     async fn hear_core(&self, mut from: Incoming<CoreWord>) -> std::io::Result<()> {
         loop {
             if let CoreWord { from, word: Some(word) } = from.next().await? {
-                self.control.step(Event::Heard { from, word });
+                self.control.step(Event::PeerMessage { from, message: word });
             }
         }
     }
@@ -573,6 +579,6 @@
 impl Drop for Link {
     fn drop(&mut self) {
         self.control.links.borrow_mut().remove(&self.link);
-        self.control.step(Event::Closed(self.link));
+        self.control.step(Event::LinkClosed(self.link));
     }
 }
--- a/overland/src/figures.rs
+++ b/overland/src/figures.rs
@@ -103,7 +103,7 @@
     pub fn open_metrics(&self, present: &Present) -> String {
         let mut now = Registry::with_prefix("pelion");
         let violations = Family::<ByName, Counter>::default();
-        for (invariant, times) in invariants::violations() {
+        for (invariant, times) in invariants::violation_counts() {
             violations.get_or_create(&ByName { what: invariant.name() }).inc_by(times);
         }
         now.register("invariant_violations", "What must hold and did not", violations);
--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -1,7 +1,7 @@
 //! The agent's state machine, without sockets or clock: which core processes it connects to and follows, its
 //! copy of the replicated state, what it reports to the core, and what it sends to its proxy. Inputs are
-//! [`Event`]s with the current time, outputs are [`Action`]s; [`Follow::due`] is the time at which it needs
-//! the next tick.
+//! [`Event`]s with the current time, outputs are [`Action`]s; [`AgentStateMachine::next_deadline`] is the
+//! time at which it needs the next tick.
 
 use crate::agreement::READS;
 use crate::news::{FromAgent, FromProxy, Gateway, Mend, Numbered, Pulse, ToAgent, ToProxy};
@@ -27,47 +27,47 @@
     /// Time has passed.
     Tick,
     /// The link to this core process is open.
-    Open(String),
+    LinkOpened(String),
     /// The link to this core process has closed.
-    Closed(String),
+    LinkClosed(String),
     /// A message from a core process.
-    Said {
+    CoreMessage {
         /// The sender.
         core: String,
         /// The message.
-        news: Box<ToAgent>,
+        message: Box<ToAgent>,
     },
     /// The proxy opened the link with this number.
-    ProxyOpen(u64),
+    ProxyConnected(u64),
     /// The proxy's link with this number has closed.
-    ProxyClosed(u64),
+    ProxyDisconnected(u64),
     /// A message from the proxy.
-    Proxy {
+    ProxyMessage {
         /// Number of the link.
         link: u64,
         /// The message.
-        word: FromProxy,
+        message: FromProxy,
     },
     /// The settings list these core processes as seeds.
-    Seeds(Vec<SocketAddr>),
+    SeedsChanged(Vec<SocketAddr>),
 }
 
 /// An output of the agent; outputs are executed in order.
 #[derive(Debug)]
 pub enum Action {
-    /// Connect to this core process, and reconnect for as long as [`Follow::wants`] it.
-    Keep(String),
+    /// Connect to this core process, and reconnect for as long as [`AgentStateMachine::wants_link`] it.
+    Connect(String),
     /// Close the link to this core process, so that it is reopened.
-    End(String),
+    Reset(String),
     /// Send a message to a core process.
-    Say {
+    Send {
         /// The receiver.
         core: String,
         /// The message.
-        word: Box<FromAgent>,
+        message: Box<FromAgent>,
     },
     /// Send a message to the proxy.
-    Feed(Box<ToProxy>),
+    SendProxy(Box<ToProxy>),
 }
 
 /// An open link to a core process.
@@ -79,7 +79,7 @@
 }
 
 /// The agent's state machine.
-pub struct Follow {
+pub struct AgentStateMachine {
     node: String,
     zone: String,
     /// Port of the core processes that accepts charges.
@@ -109,10 +109,10 @@
     unsettled: bool,
 }
 
-impl Follow {
+impl AgentStateMachine {
     /// A new agent; appends the links it needs to `out`.
     pub fn new(settings: &Settings, now: Millis, out: &mut Vec<Action>) -> Self {
-        let mut follow = Follow {
+        let mut agent = AgentStateMachine {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
             inner_port: settings.inner_ports.0,
@@ -130,8 +130,8 @@
             up_to_date_at: None,
             unsettled: false,
         };
-        follow.set_seeds(now, &settings.seeds, out);
-        follow
+        agent.set_seeds(now, &settings.seeds, out);
+        agent
     }
 
     /// The copy of the replicated state, once received.
@@ -140,7 +140,7 @@
     }
 
     /// Whether the link to this core process is still needed.
-    pub fn wants(&mut self, now: Millis, core: &str) -> bool {
+    pub fn wants_link(&mut self, now: Millis, core: &str) -> bool {
         let recent = self.cores.get(core).is_some_and(|at| now - at <= FORMER_MEMBER_TIMEOUT_MS);
         let listed = self.members.iter().chain(&self.seeds).any(|name| name == core);
         let wanted = recent || listed;
@@ -151,12 +151,12 @@
     }
 
     /// Whether a proxy is connected.
-    pub fn feeds(&self) -> bool {
+    pub fn has_proxy(&self) -> bool {
         self.proxy.is_some()
     }
 
     /// When the next tick is needed.
-    pub fn due(&self) -> Millis {
+    pub fn next_deadline(&self) -> Millis {
         self.links.values().map(|link| link.next_report).fold(f64::INFINITY, f64::min)
     }
 
@@ -164,30 +164,30 @@
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.send_due_reports(now, out),
-            Event::Open(core) => {
+            Event::LinkOpened(core) => {
                 self.links.insert(core, Link { last_received: now, next_report: now, reported: None });
                 self.send_due_reports(now, out);
             }
-            Event::Closed(core) => {
+            Event::LinkClosed(core) => {
                 self.links.remove(&core);
                 if self.leader.as_ref().is_some_and(|(name, _)| *name == core) {
                     self.leader = None;
                 }
             }
-            Event::Said { core, news } => self.handle_core_message(now, &core, *news, out),
-            Event::ProxyOpen(link) => {
+            Event::CoreMessage { core, message } => self.handle_core_message(now, &core, *message, out),
+            Event::ProxyConnected(link) => {
                 self.proxy = Some((link, FromProxy::default()));
                 let whole = self.state.as_ref().map(|state| state.whole(now, false));
                 self.send_proxy(now, ToProxy { whole, ..ToProxy::default() }, out);
             }
-            Event::ProxyClosed(link) => {
+            Event::ProxyDisconnected(link) => {
                 if self.proxy.as_ref().is_some_and(|(number, _)| *number == link) {
                     self.proxy = None;
                     self.report_to_all(now, out);
                 }
             }
-            Event::Proxy { link, word } => self.handle_proxy_message(now, link, word, out),
-            Event::Seeds(seeds) => self.set_seeds(now, &seeds, out),
+            Event::ProxyMessage { link, message } => self.handle_proxy_message(now, link, message, out),
+            Event::SeedsChanged(seeds) => self.set_seeds(now, &seeds, out),
         }
     }
 
@@ -212,7 +212,7 @@
         }
         self.cores.insert(core.clone(), now);
         if !known {
-            out.push(Action::Keep(core));
+            out.push(Action::Connect(core));
         }
     }
 
@@ -224,9 +224,9 @@
             let follows = self.leader.as_ref().is_some_and(|(name, _)| *name == core);
             let Some(link) = self.links.get_mut(&core) else { continue };
             if now - link.last_received > LINK_TIMEOUT_MS {
-                // `Event::Open` schedules reports again.
+                // `Event::LinkOpened` schedules reports again.
                 link.next_report = f64::INFINITY;
-                out.push(Action::End(core));
+                out.push(Action::Reset(core));
                 continue;
             }
             let interval = if follows { LEADER_REPORT_INTERVAL_MS } else { FOLLOWER_REPORT_INTERVAL_MS };
@@ -235,7 +235,7 @@
             link.reported = gateway.clone().or(link.reported.take());
             let send_ranges = follows && std::mem::take(&mut self.copy_differs);
             let proxy = self.proxy.as_ref().map(|(_, message)| message);
-            let word = FromAgent {
+            let message = FromAgent {
                 gateway,
                 ready: proxy.is_some_and(|proxy| proxy.ready),
                 held: self.index(),
@@ -245,7 +245,7 @@
                 ranges: self.state.as_ref().filter(|_| send_ranges).map(State::ranges),
                 reads: READS,
             };
-            out.push(Action::Say { core, word: Box::new(word) });
+            out.push(Action::Send { core, message: Box::new(message) });
         }
     }
 
@@ -368,7 +368,7 @@
         }
         let leader = self.leader.as_ref().and_then(|(name, _)| name.parse::<SocketAddr>().ok());
         let counter = leader.map(|addr| SocketAddr::new(addr.ip(), self.inner_port).to_string());
-        out.push(Action::Feed(Box::new(ToProxy {
+        out.push(Action::SendProxy(Box::new(ToProxy {
             counter: counter.unwrap_or_default(),
             term: self.leader.as_ref().map_or(0, |(_, term)| *term),
             age_ms: self.up_to_date_at.map_or(-1.0, |at| now - at),
--- a/overland/src/invariants.rs
+++ b/overland/src/invariants.rs
@@ -11,15 +11,20 @@
 #[strum(serialize_all = "snake_case")]
 pub enum Invariant {
     /// Every acknowledged save is on disk after a power loss.
-    DiskHoldsWhatWasSaved,
+    #[strum(serialize = "disk_holds_what_was_saved")]
+    SavedDataIsDurable,
     /// A committed entry is never replaced in, or dropped from, a log.
-    AgreedEntriesStay,
+    #[strum(serialize = "agreed_entries_stay")]
+    CommittedEntriesArePermanent,
     /// At most one member leads in a term.
-    OneLeaderATerm,
+    #[strum(serialize = "one_leader_a_term")]
+    OneLeaderPerTerm,
     /// A membership change tolerates at least as many losses as the membership before it.
-    ChangesOfMembersWeakenNothing,
+    #[strum(serialize = "changes_of_members_weaken_nothing")]
+    MembershipChangesKeepFaultTolerance,
     /// The index of the replicated state never decreases within one run of a process.
-    StateClimbs,
+    #[strum(serialize = "state_climbs")]
+    StateIndexIsMonotonic,
     /// A request that was read completely ends with a response, or fails for a reason outside the proxy.
     RequestsAreAnswered,
 }
@@ -38,7 +43,7 @@
 }
 
 /// Counts and logs a violation.
-pub fn violated(invariant: Invariant, why: &str) {
+pub fn record_violation(invariant: Invariant, why: &str) {
     VIOLATIONS_ON_THREAD.set(VIOLATIONS_ON_THREAD.get() + 1);
     VIOLATIONS[invariant as usize].fetch_add(1, Ordering::Relaxed);
     log::error!("invariant {} violated: {why}", invariant.name());
@@ -47,21 +52,24 @@
 /// Counts and logs a violation unless `holds`.
 pub fn check(invariant: Invariant, holds: bool, why: impl FnOnce() -> String) {
     if !holds {
-        violated(invariant, &why());
+        record_violation(invariant, &why());
     }
 }
 
 /// Violations of each invariant in this process.
-pub fn violations() -> impl Iterator<Item = (Invariant, u64)> {
+pub fn violation_counts() -> impl Iterator<Item = (Invariant, u64)> {
     Invariant::iter().map(|invariant| (invariant, VIOLATIONS[invariant as usize].load(Ordering::Relaxed)))
 }
 
 /// Invariants violated at least once in this process, by name, with their counts.
-pub fn violated_by_name() -> Vec<(&'static str, u64)> {
-    violations().filter(|(_, count)| *count > 0).map(|(invariant, count)| (invariant.name(), count)).collect()
+pub fn violations_by_name() -> Vec<(&'static str, u64)> {
+    violation_counts()
+        .filter(|(_, count)| *count > 0)
+        .map(|(invariant, count)| (invariant.name(), count))
+        .collect()
 }
 
 /// Violations on this thread. Tests that run in parallel, one per thread, may violate invariants on purpose.
-pub fn violated_on_this_thread() -> u64 {
+pub fn violations_on_this_thread() -> u64 {
     VIOLATIONS_ON_THREAD.get()
 }
--- a/overland/src/member/count.rs
+++ b/overland/src/member/count.rs
@@ -38,7 +38,7 @@
 impl Member {
     /// Loads the tenants' limits from the current configuration, if this process leads.
     pub(super) fn load_limits(&mut self) {
-        if !self.leads() {
+        if !self.is_leader() {
             return;
         }
         let config = self.state.config.as_ref().and_then(|config| Config::read(&config.text).ok());
@@ -60,14 +60,14 @@
             let Some(counter) = counter.as_mut().filter(|_| authoritative) else { break };
             let limit = limits.get(&charge.tenant).copied().unwrap_or_default();
             let Charge { units, back, window, .. } = *charge;
-            let units = tally::Charge { units, back, window };
+            let units = tally::Charge { units, refund: back, window };
             let total = counter.charge(now, &charge.tenant, limit, units, unused);
             let left_ms = total.left_ms.ceil().max(0.0) as u32;
             let (units, limit, window) = (total.units, total.limit, total.window);
             totals.push(Total { units, limit, left_ms, window });
         }
         let sure = totals.len() == charges.len();
-        out.push(Action::Count { link, totals: Totals { number: *number, sure, totals } });
+        out.push(Action::SendTotals { link, totals: Totals { number: *number, sure, totals } });
     }
 
     /// Fraction of the gateways' local quota shares that is unused.
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -64,14 +64,14 @@
             Word::Compare(theirs) => self.compare_digest(&from, &theirs, out),
             Word::Differs(theirs) => {
                 let mend = self.state.mend_for(now, &theirs);
-                if let Some(mend) = mend.filter(|_| self.leads()) {
+                if let Some(mend) = mend.filter(|_| self.is_leader()) {
                     self.send_peer(&from, Word::Mend(mend), out);
                 }
             }
             Word::Mend(_) if self.agreement.leader() != Some(&from) => {}
             Word::Mend(mend) => {
                 let names = mend.names.join(", ");
-                if !self.leads() && self.state.mend(now, mend) {
+                if !self.is_leader() && self.state.mend(now, mend) {
                     log::warn!("core: state repaired from the leader: {names}");
                     self.digest.forget();
                     self.encoded_state = None;
@@ -80,7 +80,7 @@
             }
             Word::Join(_) => {
                 if let Some(leader) = self.agreement.leader().filter(|leader| **leader != self.me).cloned() {
-                    out.push(Action::Pass { to: leader, from: from.clone() });
+                    out.push(Action::ForwardJoin { to: leader, from: from.clone() });
                 }
                 self.inputs.push_back(AgreementInput::Event(Event::Join(from)));
             }
@@ -89,7 +89,7 @@
 
     pub(super) fn send_peer(&self, to: &Name, message: Word, out: &mut Vec<Action>) {
         if *to != self.me {
-            out.push(Action::Tell { to: to.clone(), word: Box::new(message) });
+            out.push(Action::SendPeer { to: to.clone(), message: Box::new(message) });
         }
     }
 
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -67,14 +67,14 @@
         took_ms: f64,
     },
     /// A message from another core process.
-    Heard {
+    PeerMessage {
         /// The sender.
         from: Name,
         /// The message.
-        word: Word,
+        message: Word,
     },
     /// A client's call.
-    Called {
+    ClientCall {
         /// Identifies the call in [`Action::Answer`].
         call: u64,
         /// HTTP method.
@@ -85,13 +85,13 @@
         body: Vec<u8>,
     },
     /// The client of this call has disconnected.
-    Left(u64),
+    ClientGone(u64),
     /// An agent's report.
-    Agent {
+    AgentMessage {
         /// The link it came on.
         link: u64,
         /// The report.
-        word: FromAgent,
+        message: FromAgent,
     },
     /// A proxy's quota charges.
     Charged {
@@ -101,12 +101,12 @@
         charges: Charges,
     },
     /// The link to an agent or a proxy has closed.
-    Closed(u64),
+    LinkClosed(u64),
     /// The settings list these core processes as seeds.
-    Seeds(Vec<SocketAddr>),
-    /// The process is to shut down. It runs on until [`Member::left`] allows the exit or the grace period is
-    /// over.
-    End,
+    SeedsChanged(Vec<SocketAddr>),
+    /// The process is to shut down. It runs on until [`Member::leave_outcome`] allows the exit or the grace
+    /// period is over.
+    Shutdown,
 }
 
 /// An output of a core process; outputs are executed in order.
@@ -115,74 +115,74 @@
     /// Save to disk before executing any later action, then report [`Event::Saved`].
     Save(Box<Save>),
     /// Send a message to another core process; it may be lost.
-    Tell {
+    SendPeer {
         /// The receiver.
         to: Name,
         /// The message.
-        word: Box<Word>,
+        message: Box<Word>,
     },
     /// Answer a client's call.
     Answer {
-        /// Identifies the call in [`Event::Called`].
+        /// Identifies the call in [`Event::ClientCall`].
         call: u64,
         /// The response.
         reply: Reply,
     },
     /// Forward a request to join to another core process, on behalf of its sender.
-    Pass {
+    ForwardJoin {
         /// The receiver.
         to: Name,
         /// The process that wants to join.
         from: Name,
     },
     /// Send a message to an agent. The link is closed if the message can't be queued.
-    Say {
+    Send {
         /// The agent's link.
         link: u64,
         /// The message.
-        news: Box<ToAgent>,
+        message: Box<ToAgent>,
     },
     /// Send a framed [`ToAgent`] with the whole state, encoded once for many agents. The link is closed if it
     /// can't be queued.
-    Whole {
+    SendState {
         /// The agent's link.
         link: u64,
         /// The frame.
-        whole: Bytes,
+        frame: Bytes,
     },
     /// Answer a proxy's charges.
-    Count {
+    SendTotals {
         /// The proxy's link.
         link: u64,
         /// The totals.
         totals: Totals,
     },
     /// Exit the process because of this unrecoverable error.
-    Stop(String),
+    Abort(String),
 }
 
 /// Maximum time between deciding a response and writing it. A response is decided within the lease, 550 ms
 /// after a majority was asked, and no other member can lead within 700 ms after that; the difference covers
 /// clocks that run at different rates.
-pub const WRITTEN_MS: Millis = 100.0;
+pub const MAX_RESPONSE_DELAY_MS: Millis = 100.0;
 
 impl Action {
     /// Replaces a successful response by a refusal if it was decided too long ago, as after a stall or a slow
     /// save.
     pub fn fenced(self, decided: Millis, now: Millis) -> Action {
-        let late = now - decided > WRITTEN_MS;
+        let late = now - decided > MAX_RESPONSE_DELAY_MS;
         match self {
             Action::Answer { call, reply } if late && reply.status < 500 => {
                 Action::Answer { call, reply: Refusal::Later.reply() }
             }
-            Action::Tell { to, mut word } => {
-                if let Word::Answer(answer) = &mut *word {
+            Action::SendPeer { to, mut message } => {
+                if let Word::Answer(answer) = &mut *message {
                     if late && answer.status < 500 {
                         let Reply { status, body, .. } = Refusal::Later.reply();
                         (answer.status, answer.body) = (u32::from(status), body.into_bytes());
                     }
                 }
-                Action::Tell { to, word }
+                Action::SendPeer { to, message }
             }
             action => action,
         }
@@ -201,7 +201,7 @@
 /// Condition for a successful response.
 pub enum Wait {
     /// This change is committed.
-    Agreed(Kind),
+    Committed(Kind),
     /// This configuration update is accepted and enforced.
     Order(calls::Order),
 }
@@ -369,7 +369,7 @@
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.agreement.leads()
     }
 
@@ -379,12 +379,12 @@
     }
 
     /// Messages rejected because their sender is unknown or its name is not an address.
-    pub fn strange(&self) -> u64 {
+    pub fn rejected_messages(&self) -> u64 {
         self.rejected_messages
     }
 
     /// Whether an idle link to this core process is kept, as it is a member or a seed.
-    pub fn keeps(&self, name: &str) -> bool {
+    pub fn keeps_link_to(&self, name: &str) -> bool {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == name);
         seed || self.agreement.members().iter().any(|member| member == name)
     }
@@ -395,7 +395,7 @@
     }
 
     /// Whether a process that is shutting down may exit: see [`Agreement::left`].
-    pub fn left(&self) -> Option<bool> {
+    pub fn leave_outcome(&self) -> Option<bool> {
         self.agreement.left()
     }
 
@@ -413,17 +413,17 @@
         match event {
             Event::Tick => self.tick(now, out),
             Event::Saved { took_ms } => self.save_completed(now, took_ms),
-            Event::Heard { from, word } => self.handle_peer_message(now, from, word, out),
-            Event::Called { call, method, path, body } => {
+            Event::PeerMessage { from, message } => self.handle_peer_message(now, from, message, out),
+            Event::ClientCall { call, method, path, body } => {
                 let called = Called { method: &method, path: &path, body: &body };
                 self.handle_call(now, Caller::Client(call), &called, out);
             }
-            Event::Left(call) => self.remove_call(&Caller::Client(call)),
-            Event::Agent { link, word } => self.handle_report(now, link, word, out),
+            Event::ClientGone(call) => self.remove_call(&Caller::Client(call)),
+            Event::AgentMessage { link, message } => self.handle_report(now, link, message, out),
             Event::Charged { link, charges } => self.handle_charges(now, link, &charges, out),
-            Event::Closed(link) => drop(self.agents.remove(&link)),
-            Event::Seeds(seeds) => self.seeds = seeds,
-            Event::End => self.inputs.push_back(AgreementInput::Event(agreement::Event::Leave)),
+            Event::LinkClosed(link) => drop(self.agents.remove(&link)),
+            Event::SeedsChanged(seeds) => self.seeds = seeds,
+            Event::Shutdown => self.inputs.push_back(AgreementInput::Event(agreement::Event::Leave)),
         }
         self.run_agreement(now, out);
     }
@@ -445,10 +445,10 @@
                 log::warn!("core: no leader: {why}");
             }
         }
-        if self.ticks.is_multiple_of(DIGEST_INTERVAL_TICKS) && self.leads() {
+        if self.ticks.is_multiple_of(DIGEST_INTERVAL_TICKS) && self.is_leader() {
             self.broadcast_digest(out);
         }
-        if self.leads() && !self.presence.is_settled() {
+        if self.is_leader() && !self.presence.is_settled() {
             self.update_settled();
         }
         if self.push_pending {
@@ -474,7 +474,7 @@
 
     fn run_maintenance(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.request_join(out);
-        if self.state_incomplete && self.leads() {
+        if self.state_incomplete && self.is_leader() {
             self.inputs.push_back(AgreementInput::Event(agreement::Event::Resign));
         }
         self.check_reach(now);
@@ -513,7 +513,7 @@
     /// Asks for another leader, if this process leads. Earlier inputs are handled first.
     fn hand_over(&mut self, now: Millis, why: &str) {
         let recent = self.last_handover.is_some_and(|at| now - at < MIN_HANDOVER_INTERVAL_MS);
-        if self.leads() && !recent {
+        if self.is_leader() && !recent {
             log::warn!("core: handing over leadership: {why}");
             (self.last_handover, self.poor_reach_rounds) = (Some(now), 0);
             self.inputs.push_back(AgreementInput::Event(agreement::Event::Resign));
@@ -592,14 +592,14 @@
             agreement::Action::Restore { index, state } => match Whole::decode(&state[..]) {
                 Ok(whole) => {
                     let previous = self.state.index;
-                    invariants::check(Invariant::StateClimbs, index >= previous, || {
+                    invariants::check(Invariant::StateIndexIsMonotonic, index >= previous, || {
                         format!("snapshot of index {index} replaces the state of index {previous}")
                     });
                     self.state = State { index, ..State::from_whole(now, whole) };
                     (self.state_changed, self.state_incomplete, self.encoded_state) = (true, false, None);
                 }
                 Err(_) => {
-                    out.push(Action::Stop(format!("can't decode the received snapshot of index {index}")))
+                    out.push(Action::Abort(format!("can't decode the received snapshot of index {index}")))
                 }
             },
             agreement::Action::Leads(leads) => self.leadership_changed(now, leads, out),
@@ -693,7 +693,7 @@
             Served::Waits(granted, wait) => {
                 let deadline = now + CALL_TIMEOUT_MS;
                 match wait {
-                    Wait::Agreed(kind) => {
+                    Wait::Committed(kind) => {
                         let stage = Stage::Proposing(None);
                         self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
                         self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -94,13 +94,13 @@
 
 impl Answers<Evacuate> for Member {
     fn answer(&mut self, _: Millis, Evacuate(zone): Evacuate) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Agreed(Kind::Evacuated(zone))))
+        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::Evacuated(zone))))
     }
 }
 
 impl Answers<TakeBack> for Member {
     fn answer(&mut self, _: Millis, TakeBack(zone): TakeBack) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Agreed(Kind::Evacuated(zone))))
+        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::Evacuated(zone))))
     }
 }
 
@@ -234,7 +234,7 @@
 
     /// Logs the result of applying an update, if this process leads.
     pub(super) fn log_update(&self, config: &Configured, accepted: bool) {
-        if !self.leads() {
+        if !self.is_leader() {
             return;
         }
         let (edition, current) = (config.edition, self.state.edition());
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -93,7 +93,7 @@
         if unchanged {
             return Ok(Outcome::Now(answer));
         }
-        Ok(Outcome::Waits(answer, Wait::Agreed(Kind::Backend(backend))))
+        Ok(Outcome::Waits(answer, Wait::Committed(Kind::Backend(backend))))
     }
 }
 
@@ -103,7 +103,7 @@
         if !self.state.backends.contains_key(&id) {
             return Ok(Outcome::Now(Done {}));
         }
-        Ok(Outcome::Waits(Done {}, Wait::Agreed(Kind::BackendGone(id))))
+        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::BackendGone(id))))
     }
 }
 
@@ -254,5 +254,5 @@
 
 fn violations() -> Vec<ViolationLine> {
     let line = |(name, times): (&str, u64)| ViolationLine { invariant: name.to_owned(), times };
-    invariants::violated_by_name().into_iter().map(line).collect()
+    invariants::violations_by_name().into_iter().map(line).collect()
 }
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -70,10 +70,10 @@
         if follows {
             self.push_changes_to(now, link, out);
         }
-        let news = ToAgent { pulse: Some(pulse), mend, ..ToAgent::default() };
+        let message = ToAgent { pulse: Some(pulse), mend, ..ToAgent::default() };
         // Configuration updates that are now in force everywhere are answered at the next tick: checking all
         // gateways on each report would take quadratic time per update.
-        out.push(Action::Say { link, news: Box::new(news) });
+        out.push(Action::Send { link, message: Box::new(message) });
     }
 
     /// Announces this process as leader to all agents, with the index of its state.
@@ -81,8 +81,8 @@
         let authoritative = self.is_authoritative(now);
         for (link, agent) in &self.agents {
             let pulse = Some(self.report_answer(now, agent.report.at, authoritative, &agent.gateway));
-            let news = Box::new(ToAgent { pulse, ..ToAgent::default() });
-            out.push(Action::Say { link: *link, news });
+            let message = Box::new(ToAgent { pulse, ..ToAgent::default() });
+            out.push(Action::Send { link: *link, message });
         }
     }
 
@@ -123,16 +123,16 @@
         }
         let changes = self.changes_since(sent, reads_differences).filter(|_| sent > 0);
         let changes = changes.unwrap_or_else(|| {
-            let (whole, changes) = self.encoded_state(now, reads_differences);
-            out.push(Action::Whole { link, whole });
+            let (frame, changes) = self.encoded_state(now, reads_differences);
+            out.push(Action::SendState { link, frame });
             changes
         });
         if let Some(agent) = self.agents.get_mut(&link) {
             agent.sent = self.state.index;
         }
         if !changes.is_empty() {
-            let news = Box::new(ToAgent { changes, ..ToAgent::default() });
-            out.push(Action::Say { link, news });
+            let message = Box::new(ToAgent { changes, ..ToAgent::default() });
+            out.push(Action::Send { link, message });
         }
     }
 
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -13,7 +13,7 @@
 use crate::shares::Shares;
 use crate::speech::Wire;
 use crate::state::Touched;
-use crate::tally::{self, Counted, Tally, Verdict};
+use crate::tally::{self, ChargeTotal, Tally, Verdict};
 use crate::told::{told, Told};
 use bytes::BytesMut;
 use cherrytally::plane::backends::{Backends, Dial, Stream};
@@ -88,7 +88,7 @@
 struct Charging {
     tenant: String,
     charge: tally::Charge,
-    answer: oneshot::Sender<Option<Counted>>,
+    answer: oneshot::Sender<Option<ChargeTotal>>,
 }
 
 /// Whether clients are taken in.
@@ -374,7 +374,7 @@
         }
         self.counter.send_if_modified(|at| std::mem::replace(at, counter) != counter);
         if let Some(word) = word {
-            self.tally.borrow_mut().touched(word);
+            self.tally.borrow_mut().leader_contacted(word);
         }
         if !self.has_been.get() && self.table.borrow().is_some() && self.in_touch() {
             self.has_been.set(true);
@@ -402,7 +402,7 @@
         let (mut routes, mut pools) = (self.routes.borrow_mut(), self.pools.borrow_mut());
         match Table::new(&config.text, &self.zones, &mut routes, &mut pools, &former) {
             Ok(table) => {
-                self.tally.borrow_mut().limits(self.now(), &table.limits);
+                self.tally.borrow_mut().set_limits(self.now(), &table.limits);
                 *self.table.borrow_mut() = Some(Rc::new(table));
             }
             Err(e) => log::error!("proxy: r{} can't be gone by: {}", config.edition, e.0),
@@ -416,7 +416,7 @@
         }) else {
             return;
         };
-        self.tally.borrow_mut().gateways(gateways);
+        self.tally.borrow_mut().set_gateways(gateways);
         let classes = self.table.borrow().as_ref().map(|table| table.classes.clone()).unwrap_or_default();
         let tuning = tuning(&self.settings, &self.zones, classes, gateways as u32, position as u32);
         self.driver.retune(tuning, CONNECT_MS, IDLE_MS);
@@ -567,9 +567,9 @@
         let (out, from) = Outgoing::new();
         let writing = tokio::task::spawn_local(link::write(write, from));
         out.send(&Hello { purpose: Purpose::Counter as i32 });
-        self.tally.borrow_mut().reached();
+        self.tally.borrow_mut().counter_connected();
         let mut incoming = Incoming::<Totals>::new(read);
-        let mut waiting: Pending<Vec<oneshot::Sender<Option<Counted>>>> = Pending::default();
+        let mut waiting: Pending<Vec<oneshot::Sender<Option<ChargeTotal>>>> = Pending::default();
         loop {
             tokio::select! {
                 _ = counter.changed() => break,
@@ -578,7 +578,7 @@
                     let Some(answers) = waiting.answered(number) else { continue };
                     for (at, answer) in answers.into_iter().enumerate() {
                         let total = totals.get(at).filter(|_| sure);
-                        let counted = total.map(|total| Counted {
+                        let counted = total.map(|total| ChargeTotal {
                             units: total.units,
                             limit: total.limit,
                             left_ms: f64::from(total.left_ms),
@@ -592,7 +592,8 @@
                     let Some(first) = first else { return };
                     let (mut charges, mut answers) = (Vec::new(), Vec::new());
                     let mut next = Some(first);
-                    while let Some(Charging { tenant, charge: tally::Charge { units, back, window }, answer }) = next {
+                    while let Some(Charging { tenant, charge, answer }) = next {
+                        let tally::Charge { units, refund: back, window } = charge;
                         charges.push(Charge { tenant, units, back, window });
                         answers.push(answer);
                         next = charging.try_recv().ok();
@@ -609,7 +610,7 @@
 
     /// The ordinary path's first step: a request's unit is added to its tenant's count.
     async fn admit(self: &Rc<Self>, tenant: &Rc<Tenant>, target: Duration) -> Verdict {
-        let asked = self.tally.borrow_mut().ask(self.now(), &tenant.name);
+        let asked = self.tally.borrow_mut().admit(self.now(), &tenant.name);
         match asked {
             Verdict::Charge(charge) => self.charged(tenant, charge, target, true).await,
             Verdict::PassAndCharge(charge) => {
@@ -634,9 +635,11 @@
         let mut tally = self.tally.borrow_mut();
         let now = self.now();
         match total {
-            Ok(Ok(Some(counted))) => tally.counted(now, &tenant.name, charge, now - began, counted, waits),
+            Ok(Ok(Some(counted))) => {
+                tally.total_received(now, &tenant.name, charge, now - began, counted, waits)
+            }
             // Not counted, by nobody who vouches for it, or not in time.
-            Ok(_) | Err(_) => tally.unanswered(now, &tenant.name, waits),
+            Ok(_) | Err(_) => tally.charge_unanswered(now, &tenant.name, waits),
         }
     }
 
@@ -825,7 +828,7 @@
         busy.1 = None;
         if let (Some(tenant), false) = (&tenant, course.ran || matches!(answer, Answer::Served { .. })) {
             // The true units: what never ran cost nothing.
-            self.tally.borrow_mut().settle(&tenant.name);
+            self.tally.borrow_mut().refund(&tenant.name);
         }
         match (told(route.once, &answer, &course), answer) {
             (Told::Served, Answer::Served { head, content }) => {
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -235,7 +235,7 @@
             Ok((_, Read::Nothing)) => "it is empty, and was not".to_owned(),
             Ok((_, Read::Damaged(why))) | Err(why) => why,
         };
-        invariants::violated(Invariant::DiskHoldsWhatWasSaved, &why);
+        invariants::record_violation(Invariant::SavedDataIsDurable, &why);
         log::error!("store: the disk is damaged: {why}: it is set aside and filled up from the others");
         Self::begin_anew(&path, &aside, folder, marked.unwrap_or(0))
     }
--- a/overland/src/tally.rs
+++ b/overland/src/tally.rs
@@ -110,14 +110,14 @@
     /// Units charged.
     pub units: u64,
     /// Units refunded.
-    pub back: u64,
+    pub refund: u64,
     /// Number of the window in which the refunded units were charged.
     pub window: u64,
 }
 
 /// A tenant's total, as the counter reports it after a charge.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Counted {
+pub struct ChargeTotal {
     /// Units used in this window, including the charge.
     pub units: i64,
     /// Units that the window allows to the gateways in contact with the counter.
@@ -163,9 +163,9 @@
     /// gateways in contact, and what the others have given up ([`given_up_fraction`]).
     pub fn charge(
         &mut self, now: Millis, tenant: &str, limit: Limit, charge: Charge, unused: f64,
-    ) -> Counted {
+    ) -> ChargeTotal {
         if limit.per_s <= 0.0 {
-            return Counted { units: 0, limit: i64::MAX, left_ms: 0.0, window: 0 };
+            return ChargeTotal { units: 0, limit: i64::MAX, left_ms: 0.0, window: 0 };
         }
         let length = limit.window_ms();
         let unused = unused.clamp(0.0, 1.0);
@@ -213,7 +213,7 @@
             let left_ms = window.ends - now;
             let retry_ms = if granted < charge.units { left_ms.min(ACCRUAL_RETRY_MS) } else { left_ms };
             let units = window.units + (charge.units - granted) as i64;
-            return Counted {
+            return ChargeTotal {
                 units,
                 limit: limit.max(window.units),
                 left_ms: retry_ms,
@@ -223,11 +223,11 @@
         window.units += charge.units as i64;
         if charge.window == window.number {
             // Refunds of earlier windows are ignored.
-            window.units -= charge.back as i64;
+            window.units -= charge.refund as i64;
         }
         let allowed = limit.window_units() * (1.0 - SHARE_FRACTION * (1.0 - unused));
         let (units, left_ms, number) = (window.units, window.ends - now, window.number);
-        Counted { units, limit: allowed.floor() as i64, left_ms, window: number }
+        ChargeTotal { units, limit: allowed.floor() as i64, left_ms, window: number }
     }
 
     /// Units of each tenant in its current window.
@@ -278,9 +278,9 @@
 impl Tenant {
     /// A charge of `units` that includes the outstanding refund.
     fn charge(&mut self, units: u64) -> Charge {
-        let (back, window) = self.refund;
+        let (refund, window) = self.refund;
         self.refund.0 = 0;
-        Charge { units, back, window }
+        Charge { units, refund, window }
     }
 }
 
@@ -314,22 +314,22 @@
     }
 
     /// A connection to the counter is open: requests wait for the counter again.
-    pub fn reached(&mut self) {
+    pub fn counter_connected(&mut self) {
         self.misses = 0;
     }
 
     /// The leader answered a message that was sent at `at`.
-    pub fn touched(&mut self, at: Millis) {
+    pub fn leader_contacted(&mut self, at: Millis) {
         self.last_contact = self.last_contact.max(at);
     }
 
     /// Sets the number of gateways.
-    pub fn gateways(&mut self, gateways: usize) {
+    pub fn set_gateways(&mut self, gateways: usize) {
         self.gateways = gateways.max(1) as f64;
     }
 
     /// Replaces the limits of all tenants. Counts of the remaining tenants are kept.
-    pub fn limits(&mut self, now: Millis, limits: &BTreeMap<String, Limit>) {
+    pub fn set_limits(&mut self, now: Millis, limits: &BTreeMap<String, Limit>) {
         self.tenants.retain(|name, _| limits.contains_key(name));
         for (name, limit) in limits {
             let limit = *limit;
@@ -349,7 +349,7 @@
     }
 
     /// Decides on a new request of a tenant.
-    pub fn ask(&mut self, now: Millis, tenant: &str) -> Verdict {
+    pub fn admit(&mut self, now: Millis, tenant: &str) -> Verdict {
         let Some(state) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
         if state.limit.per_s <= 0.0 {
             return Verdict::Pass;
@@ -392,8 +392,8 @@
 
     /// Handles the total that answers a charge, `took` after the charge was sent. `waits` tells whether a
     /// request waits for it.
-    pub fn counted(
-        &mut self, now: Millis, tenant: &str, charge: Charge, took: Millis, total: Counted, waits: bool,
+    pub fn total_received(
+        &mut self, now: Millis, tenant: &str, charge: Charge, took: Millis, total: ChargeTotal, waits: bool,
     ) -> Verdict {
         self.misses = 0;
         let Some(state) = self.tenants.get_mut(tenant) else { return Verdict::Pass };
@@ -424,7 +424,7 @@
 
     /// Handles a charge that was not answered in time, or not by an authoritative counter. A waiting request
     /// is decided by the local share.
-    pub fn unanswered(&mut self, now: Millis, tenant: &str, waits: bool) -> Verdict {
+    pub fn charge_unanswered(&mut self, now: Millis, tenant: &str, waits: bool) -> Verdict {
         self.misses = self.misses.saturating_add(1);
         if waits {
             return self.take_from_share(now, tenant);
@@ -436,7 +436,7 @@
     }
 
     /// Refunds a charged request that was not run.
-    pub fn settle(&mut self, tenant: &str) {
+    pub fn refund(&mut self, tenant: &str) {
         if let Some(state) = self.tenants.get_mut(tenant).filter(|state| state.limit.per_s > 0.0) {
             state.refund.0 += 1;
         }
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -171,7 +171,7 @@
 
     fn hear(&mut self, say: Say) -> Vec<Action> {
         let from = simulated::core_address(1).to_string();
-        self.handle(Event::Heard { from, word: Word::Agreement(Letter { say: Some(say) }) })
+        self.handle(Event::PeerMessage { from, message: Word::Agreement(Letter { say: Some(say) }) })
     }
 
     /// It is left alone for so long: what it says to others.
@@ -181,7 +181,7 @@
         while self.now < until {
             self.now += 25.0;
             for action in self.handle(Event::Tick) {
-                if let Action::Tell { word, .. } = action {
+                if let Action::SendPeer { message: word, .. } = action {
                     said.extend(say_of(&word).cloned());
                 }
             }
@@ -212,10 +212,10 @@
     let actions = alone.hear(Say::Install(install.clone()));
     let kept = actions.iter().any(|action| matches!(action, Action::Save(save) if save.base.is_some()));
     assert!(!kept, "it is on disk");
-    assert!(!actions.iter().any(|action| matches!(action, Action::Stop(_))), "the process ends");
-    let took = actions.iter().any(
-        |action| matches!(action, Action::Tell { word, .. } if matches!(say_of(word), Some(Say::Appended(_)))),
-    );
+    assert!(!actions.iter().any(|action| matches!(action, Action::Abort(_))), "the process ends");
+    let took = actions.iter().any(|action| {
+        matches!(action, Action::SendPeer { message, .. } if matches!(say_of(message), Some(Say::Appended(_))))
+    });
     assert!(!took && alone.member.state().index == 0);
     // One that can be read is taken.
     let actions = alone.hear(Say::Install(Install { state: Vec::new(), ..install }));
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -121,7 +121,8 @@
             world.pass(world.now + 20.0);
         }
         assert_eq!((world.leader(), world.term()), (Some(leader), term), "somebody believed it");
-        let strange = |core: &simulated::Core| core.running.as_ref().map_or(0, |member| member.strange());
+        let strange =
+            |core: &simulated::Core| core.running.as_ref().map_or(0, |member| member.rejected_messages());
         assert_eq!(world.cores.iter().map(strange).sum::<u64>(), sent);
         world.settle(12_000.0);
     });
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -149,7 +149,7 @@
     let settings = Settings::read(settings).expect("they are sound");
     let (mut now, mut out) = (0.0, Vec::new());
     let mut hollow = Hollow::new(&settings, holds, now, &mut out);
-    hollow.event(now, Event::Open(core.to_owned()), &mut out);
+    hollow.event(now, Event::LinkOpened(core.to_owned()), &mut out);
     let met = out.iter().any(|out| matches!(out, Out::Say(_, word) if word.gateway.as_ref().is_some_and(|g| g.front == "127.0.0.78:8099")));
     assert!(met, "the first word on a link tells who it is");
     let mut words = Vec::new();
--- a/overland/tests/kept/mod.rs
+++ b/overland/tests/kept/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // Each test program takes what it needs of it.
 
 use overland::agreement::{Save, Saved};
-use overland::invariants::violated_on_this_thread;
+use overland::invariants::violations_on_this_thread;
 
 /// A save is put to what the disk had.
 pub fn keep(disk: &mut Option<Saved>, save: Save) {
@@ -24,14 +24,14 @@
 
 impl Watched {
     pub fn begin() -> Self {
-        Watched(violated_on_this_thread())
+        Watched(violations_on_this_thread())
     }
 
     /// Nothing was violated since.
     pub fn holds(&self) {
         let Watched(before) = self;
         assert_eq!(
-            violated_on_this_thread(),
+            violations_on_this_thread(),
             *before,
             "an invariant is violated; its line stands in the log"
         );
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -4,7 +4,7 @@
 mod simulated;
 
 use overland::difference::Difference;
-use overland::follow::{self, Follow};
+use overland::follow::{self, AgentStateMachine};
 use overland::news::{Change, Configured, FromProxy, Kind, Numbered, Pulse, ToAgent, Whole};
 use overland::state::{State, Touched};
 use prost::Message;
@@ -119,20 +119,24 @@
 fn a_member_that_is_no_seed_is_wanted_for_as_long_as_it_is_one() {
     let seeds = vec![simulated::core_address(0)];
     let (member, mut out) = (simulated::core_address(4).to_string(), Vec::new());
-    let mut agent = Follow::new(&simulated::settings("g".into(), None, seeds.clone(), false), 0.0, &mut out);
+    let mut agent =
+        AgentStateMachine::new(&simulated::settings("g".into(), None, seeds.clone(), false), 0.0, &mut out);
     let seed = seeds[0].to_string();
-    agent.handle(0.0, follow::Event::Open(seed.clone()), &mut out);
+    agent.handle(0.0, follow::Event::LinkOpened(seed.clone()), &mut out);
     let told = |members: Vec<String>| {
         let pulse = Some(Pulse { leads: true, term: 1, members, ..Pulse::default() });
-        follow::Event::Said { core: seed.clone(), news: Box::new(ToAgent { pulse, ..ToAgent::default() }) }
+        follow::Event::CoreMessage {
+            core: seed.clone(),
+            message: Box::new(ToAgent { pulse, ..ToAgent::default() }),
+        }
     };
     agent.handle(0.0, told(vec![seed.clone(), member.clone()]), &mut out);
     // Members are told again only where they have changed.
     agent.handle(60_000.0, told(Vec::new()), &mut out);
-    agent.handle(60_000.0, follow::Event::Closed(member.clone()), &mut out);
-    assert!(agent.wants(60_000.0, &member));
+    agent.handle(60_000.0, follow::Event::LinkClosed(member.clone()), &mut out);
+    assert!(agent.wants_link(60_000.0, &member));
     agent.handle(60_000.0, told(vec![seed.clone()]), &mut out);
-    assert!(!agent.wants(120_000.0, &member));
+    assert!(!agent.wants_link(120_000.0, &member));
 }
 
 /// Replacement history 300944: the link to the leader ends, and the word of an earlier leader comes late on another.
@@ -141,12 +145,14 @@
     let (old, new) = (simulated::core_address(0).to_string(), simulated::core_address(1).to_string());
     let seeds = vec![simulated::core_address(0), simulated::core_address(1)];
     let mut out = Vec::new();
-    let mut agent = Follow::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
-    let word = follow::Event::Proxy { link: 1, word: FromProxy { at: Some(0.0), ..FromProxy::default() } };
+    let mut agent =
+        AgentStateMachine::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
+    let word =
+        follow::Event::ProxyMessage { link: 1, message: FromProxy { at: Some(0.0), ..FromProxy::default() } };
     let opened = [
-        follow::Event::Open(old.clone()),
-        follow::Event::Open(new.clone()),
-        follow::Event::ProxyOpen(1),
+        follow::Event::LinkOpened(old.clone()),
+        follow::Event::LinkOpened(new.clone()),
+        follow::Event::ProxyConnected(1),
         word,
     ];
     opened.into_iter().for_each(|event| agent.handle(0.0, event, &mut out));
@@ -154,17 +160,20 @@
         out.clear();
         agent.handle(10.0, event, &mut out);
         let fed = out.iter().filter_map(|action| match action {
-            follow::Action::Feed(news) => Some(news.term),
+            follow::Action::SendProxy(news) => Some(news.term),
             _ => None,
         });
         fed.collect::<Vec<_>>()
     };
     let leads = |core: &String, term: u64| {
         let pulse = Some(Pulse { leads: true, term, ..Pulse::default() });
-        follow::Event::Said { core: core.clone(), news: Box::new(ToAgent { pulse, ..ToAgent::default() }) }
+        follow::Event::CoreMessage {
+            core: core.clone(),
+            message: Box::new(ToAgent { pulse, ..ToAgent::default() }),
+        }
     };
     assert_eq!(hears(leads(&new, 6)), [6]);
-    hears(follow::Event::Closed(new.clone()));
+    hears(follow::Event::LinkClosed(new.clone()));
     assert!(hears(leads(&old, 5)).is_empty(), "the proxy is told of an earlier term");
     assert_eq!(hears(leads(&old, 7)), [7]);
 }
@@ -199,19 +208,19 @@
     for reads in [0, overland::agreement::READS] {
         let mut out = Vec::new();
         let settings = simulated::settings("g".into(), None, vec![simulated::core_address(0)], false);
-        let mut agent = Follow::new(&settings, 0.0, &mut out);
-        agent.handle(0.0, follow::Event::Open(core.clone()), &mut out);
-        agent.handle(0.0, follow::Event::ProxyOpen(1), &mut out);
+        let mut agent = AgentStateMachine::new(&settings, 0.0, &mut out);
+        agent.handle(0.0, follow::Event::LinkOpened(core.clone()), &mut out);
+        agent.handle(0.0, follow::Event::ProxyConnected(1), &mut out);
         let word = FromProxy { reads, at: Some(0.0), ..FromProxy::default() };
-        agent.handle(0.0, follow::Event::Proxy { link: 1, word }, &mut out);
+        agent.handle(0.0, follow::Event::ProxyMessage { link: 1, message: word }, &mut out);
         let whole = Whole { index: 1, config: Some(configured(1, old)), ..Whole::default() };
-        let said = |news| follow::Event::Said { core: core.clone(), news: Box::new(news) };
+        let said = |news| follow::Event::CoreMessage { core: core.clone(), message: Box::new(news) };
         agent.handle(1.0, said(ToAgent { whole: Some(whole), ..ToAgent::default() }), &mut out);
         out.clear();
         let changes = vec![as_difference(2, 2, old, new)];
         agent.handle(2.0, said(ToAgent { changes, ..ToAgent::default() }), &mut out);
         let fed = out.iter().find_map(|action| match action {
-            follow::Action::Feed(news) => Some((news.changes.len(), news.whole.clone())),
+            follow::Action::SendProxy(news) => Some((news.changes.len(), news.whole.clone())),
             _ => None,
         });
         let (changes, whole) = fed.expect("the proxy is fed");
@@ -227,25 +236,26 @@
     let (leads, other) = (simulated::core_address(0).to_string(), simulated::core_address(1).to_string());
     let seeds = vec![simulated::core_address(0), simulated::core_address(1)];
     let mut out = Vec::new();
-    let mut agent = Follow::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
+    let mut agent =
+        AgentStateMachine::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
     let proxy =
         |held| FromProxy { held, at: Some(0.0), reads: overland::agreement::READS, ..FromProxy::default() };
-    let said = |news| follow::Event::Said { core: leads.clone(), news: Box::new(news) };
+    let said = |news| follow::Event::CoreMessage { core: leads.clone(), message: Box::new(news) };
     let pulse = Some(Pulse { leads: true, term: 1, ..Pulse::default() });
     let whole = Some(Whole { index: 1, config: Some(configured(1, "{}")), ..Whole::default() });
     let begin = [
-        follow::Event::Open(leads.clone()),
-        follow::Event::Open(other.clone()),
-        follow::Event::ProxyOpen(1),
+        follow::Event::LinkOpened(leads.clone()),
+        follow::Event::LinkOpened(other.clone()),
+        follow::Event::ProxyConnected(1),
         said(ToAgent { pulse, whole, ..ToAgent::default() }),
-        follow::Event::Proxy { link: 1, word: proxy(1) },
+        follow::Event::ProxyMessage { link: 1, message: proxy(1) },
     ];
     begin.into_iter().for_each(|event| agent.handle(0.0, event, &mut out));
     let mut told = |event: follow::Event| {
         out.clear();
         agent.handle(10.0, event, &mut out);
         let words = out.iter().filter_map(|action| match action {
-            follow::Action::Say { core, word } => Some((core.clone(), word.applied)),
+            follow::Action::Send { core, message: word } => Some((core.clone(), word.applied)),
             _ => None,
         });
         words.collect::<Vec<_>>()
@@ -253,8 +263,8 @@
     let backend = Change { kind: Some(Kind::BackendGone("i".into())), ..Change::default() };
     let changes = vec![Numbered { index: 2, change: Some(backend) }];
     assert_eq!(told(said(ToAgent { changes, ..ToAgent::default() })), []);
-    assert_eq!(told(follow::Event::Proxy { link: 1, word: proxy(2) }), []);
+    assert_eq!(told(follow::Event::ProxyMessage { link: 1, message: proxy(2) }), []);
     let changes = vec![as_difference(3, 2, "{}", "{ }")];
     assert_eq!(told(said(ToAgent { changes, ..ToAgent::default() })), []);
-    assert_eq!(told(follow::Event::Proxy { link: 1, word: proxy(3) }), [(leads.clone(), 3)]);
+    assert_eq!(told(follow::Event::ProxyMessage { link: 1, message: proxy(3) }), [(leads.clone(), 3)]);
 }
--- a/overland/tests/replacement.rs
+++ b/overland/tests/replacement.rs
@@ -67,7 +67,7 @@
     loop {
         rest(w, 25.0);
         let Some(member) = &w.cores[core].running else { return None };
-        let left = member.left();
+        let left = member.leave_outcome();
         if left.is_some() || w.now - since > LEAVE_MS {
             w.kill_core(core);
             return left;
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -1,8 +1,9 @@
-//! The whole control side in virtual time, from one seed: core members with disks, agents with their proxies' copies,
-//! backends that beat, drain and end, and operators that race and repeat, over one drawn network. The real rules run
-//! (`Member`, `Follow`, `State`); what surrounds them is made here: links that are slow, cut one way or both, held up or
-//! lost; processes that are killed between any two actions, frozen, slow or without their disk; clocks at other rates.
-//! `judge` holds it all against a plain model, by what callers and data planes saw alone.
+//! The whole control side in virtual time, from one seed: core members with disks, agents with their proxies'
+//! copies, backends that beat, drain and end, and operators that race and repeat, over one drawn network. The
+//! real rules run (`Member`, `AgentStateMachine`, `State`); what surrounds them is made here: links that are
+//! slow, cut one way or both, held up or lost; processes that are killed between any two actions, frozen,
+//! slow or without their disk; clocks at other rates. `judge` holds it all against a plain model, by what
+//! callers and data planes saw alone.
 #![allow(dead_code)] // Each test program takes what it needs of it.
 
 pub mod callers;
@@ -23,7 +24,7 @@
 use overland::agreement::{Entry, Save, Saved, Say};
 use overland::calls::Reply;
 use overland::copy::Copy;
-use overland::follow::{self, Follow};
+use overland::follow::{self, AgentStateMachine};
 use overland::member::{Action, Event, Member, TICK_MS};
 use overland::news::{Change, CoreWord, FromAgent, Numbered, ToAgent, ToProxy, Word};
 use overland::settings::Settings;
@@ -182,7 +183,7 @@
 
 /// A gateway: its agent, and its proxy's copy.
 pub struct Gateway {
-    pub agent: Option<Follow>,
+    pub agent: Option<AgentStateMachine>,
     pub life: u64,
     started: f64,
     pub rate: f64,
@@ -551,7 +552,7 @@
         };
         for n in all.iter().copied() {
             // Who leads needs answers; who follows needs to hear.
-            let leads = self.cores[n].running.as_ref().is_some_and(|member| member.leads());
+            let leads = self.cores[n].running.as_ref().is_some_and(|member| member.is_leader());
             let other = |m: usize| {
                 let (me, other) = (Place::Core(n), Place::Core(m));
                 up(self, m) && self.reaches(other, me) && (!leads || self.reaches(me, other))
@@ -731,14 +732,14 @@
                 let Some(input) = core.inbox.pop_front() else { return };
                 // It thinks that it leads, and nobody has said so lately.
                 let unasked =
-                    core.running.as_ref().is_some_and(|m| m.leads() && !m.agreement().vouches(local));
+                    core.running.as_ref().is_some_and(|m| m.is_leader() && !m.agreement().vouches(local));
                 match input {
                     Input::Tick => {
                         let life = core.life;
                         self.at(TICK_MS, What::Core(number, life, Input::Tick));
                         Event::Tick
                     }
-                    Input::Heard(from, word) => Event::Heard { from, word: *word },
+                    Input::Heard(from, word) => Event::PeerMessage { from, message: *word },
                     Input::Call(call, _, path, _)
                         if self.mutant == Some(Mutant::LeaveUnasked) && path.contains("Leave") && unasked =>
                     {
@@ -747,15 +748,15 @@
                         continue;
                     }
                     Input::Call(call, method, path, body) => {
-                        Event::Called { call, method: method.to_owned(), path, body }
+                        Event::ClientCall { call, method: method.to_owned(), path, body }
                     }
                     Input::Agent(link, mut word) if self.mutant == Some(Mutant::HeldUnseen) => {
                         word.applied = u64::MAX;
-                        Event::Agent { link, word }
+                        Event::AgentMessage { link, message: word }
                     }
-                    Input::Agent(link, word) => Event::Agent { link, word },
-                    Input::Closed(link) => Event::Closed(link),
-                    Input::End => Event::End,
+                    Input::Agent(link, word) => Event::AgentMessage { link, message: word },
+                    Input::Closed(link) => Event::LinkClosed(link),
+                    Input::End => Event::Shutdown,
                 }
             };
             let now = self.core_local(number);
@@ -801,8 +802,10 @@
                     self.freeze_core(number, took_ms);
                 }
             }
-            Action::Tell { to, word } => self.tell(number, core_address(number).to_string(), &to, *word),
-            Action::Pass { to, from } => self.tell(number, from, &to, Word::Join(true)),
+            Action::SendPeer { to, message: word } => {
+                self.tell(number, core_address(number).to_string(), &to, *word)
+            }
+            Action::ForwardJoin { to, from } => self.tell(number, from, &to, Word::Join(true)),
             Action::Answer { call, reply } => {
                 let core = &self.cores[number];
                 let Some((of, life, asked, order)) = self.calls.get(&call).copied() else { return };
@@ -828,15 +831,15 @@
                 let delay = self.delay();
                 self.at(delay, What::Answered(call, Some(reply)));
             }
-            Action::Whole { link, whole } => {
+            Action::SendState { link, frame: whole } => {
                 let news = ToAgent::decode(&whole[4..]).expect("it was framed");
                 self.wholes.truncate(WHOLES - 1);
                 self.wholes.insert(0, whole);
-                self.act(number, decided, Action::Say { link, news: Box::new(news) });
+                self.act(number, decided, Action::Send { link, message: Box::new(news) });
             }
-            Action::Say { link, mut news } => {
+            Action::Send { link, message: mut news } => {
                 let core = &mut self.cores[number];
-                let leads = core.running.as_ref().is_some_and(|member| member.leads());
+                let leads = core.running.as_ref().is_some_and(|member| member.is_leader());
                 core.led |= leads;
                 if let Some(pulse) = &mut news.pulse {
                     match self.mutant {
@@ -853,14 +856,14 @@
                 of.to_agent = arrives;
                 self.at(arrives - self.now, What::Said(link, news));
             }
-            Action::Count { .. } => {}
-            Action::Stop(why) => panic!("core {number} stops: {why}"),
+            Action::SendTotals { .. } => {}
+            Action::Abort(why) => panic!("core {number} stops: {why}"),
         }
     }
 
     /// A mutant: a leader sends agents what it saves, before it is agreed on.
     fn push_unagreed(&mut self, number: usize, save: &Save) {
-        let leads = self.cores[number].running.as_ref().is_some_and(|member| member.leads());
+        let leads = self.cores[number].running.as_ref().is_some_and(|member| member.is_leader());
         let (Some((_, entries)), true) =
             (&save.entries, leads && self.mutant == Some(Mutant::PushBeforeCommit))
         else {
@@ -984,10 +987,10 @@
             bounds.revoke *= 1000;
         }
         (gateway.copy, gateway.agent_due) = (Copy::new(&bounds), f64::INFINITY);
-        gateway.agent = Some(Follow::new(&settings, 0.0, &mut out));
+        gateway.agent = Some(AgentStateMachine::new(&settings, 0.0, &mut out));
         let life = gateway.life;
         self.carry_out(number, out);
-        self.agent(number, life, follow::Event::ProxyOpen(1));
+        self.agent(number, life, follow::Event::ProxyConnected(1));
         self.at(50.0, What::Proxy(number, life));
     }
 
@@ -1047,15 +1050,15 @@
         let life = self.gateways[number].life;
         for action in actions {
             match action {
-                follow::Action::Keep(core) => self.at(0.0, What::Connect(number, life, core)),
-                follow::Action::End(core) => {
+                follow::Action::Connect(core) => self.at(0.0, What::Connect(number, life, core)),
+                follow::Action::Reset(core) => {
                     if let Some(link) = self.link_of(number, &core) {
                         self.end(link);
-                        self.agent(number, life, follow::Event::Closed(core.clone()));
+                        self.agent(number, life, follow::Event::LinkClosed(core.clone()));
                         self.at(150.0, What::Connect(number, life, core));
                     }
                 }
-                follow::Action::Say { core, word } => {
+                follow::Action::Send { core, message: word } => {
                     let Some(link) = self.link_of(number, &core) else { continue };
                     let delay = self.delay();
                     let Some(of) = self.links.get_mut(&link) else { continue };
@@ -1063,11 +1066,11 @@
                     of.to_core = arrives;
                     self.at(arrives - self.now, What::Word(link, word));
                 }
-                follow::Action::Feed(news) => self.at(0.05, What::Fed(number, life, news)),
+                follow::Action::SendProxy(news) => self.at(0.05, What::Fed(number, life, news)),
             }
         }
         let (due, local) = match &self.gateways[number].agent {
-            Some(agent) => (agent.due(), self.local(number)),
+            Some(agent) => (agent.next_deadline(), self.local(number)),
             None => return,
         };
         let gateway = &mut self.gateways[number];
@@ -1087,7 +1090,7 @@
     fn connect(&mut self, gateway: usize, life: u64, core: String) {
         let now = self.local(gateway);
         let of = &mut self.gateways[gateway];
-        if of.life != life || !of.agent.as_mut().is_some_and(|agent| agent.wants(now, &core)) {
+        if of.life != life || !of.agent.as_mut().is_some_and(|agent| agent.wants_link(now, &core)) {
             return;
         }
         let Some(number) = core_number(&core) else { return };
@@ -1114,7 +1117,7 @@
     fn opened(&mut self, link: u64) {
         let Some(of) = self.links.get(&link) else { return };
         let (gateway, life, core) = (of.gateway, of.gateway_life, core_address(of.core).to_string());
-        self.agent(gateway, life, follow::Event::Open(core));
+        self.agent(gateway, life, follow::Event::LinkOpened(core));
     }
 
     /// A cut holds up what is on a link, in order, and ends it after a while. Gives when it is tried again.
@@ -1147,7 +1150,7 @@
             return;
         }
         let core = core_address(core).to_string();
-        self.agent(gateway, life, follow::Event::Said { core, news });
+        self.agent(gateway, life, follow::Event::CoreMessage { core, message: news });
     }
 
     fn word(&mut self, link: u64, word: Box<FromAgent>) {
@@ -1167,7 +1170,7 @@
     fn ended(&mut self, link: u64) {
         let Some(of) = self.links.remove(&link) else { return };
         let (gateway, life, core) = (of.gateway, of.gateway_life, core_address(of.core).to_string());
-        self.agent(gateway, life, follow::Event::Closed(core.clone()));
+        self.agent(gateway, life, follow::Event::LinkClosed(core.clone()));
         self.at(150.0, What::Connect(gateway, life, core));
     }
 
@@ -1217,7 +1220,7 @@
         let copy = &mut self.gateways[number].copy;
         let ready = copy.held() > 0;
         let word = copy.word(now, format!("10.1.0.{}:80", number + 1), ready);
-        self.agent(number, life, follow::Event::Proxy { link: 1, word });
+        self.agent(number, life, follow::Event::ProxyMessage { link: 1, message: word });
         if self.gateways[number].life == life {
             self.at(20.0, What::Proxy(number, life));
         }
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -2,7 +2,7 @@
 //! was saved last.
 
 use overland::agreement::{Base, Entry, Save, Saved, Vow};
-use overland::invariants::violated_on_this_thread;
+use overland::invariants::violations_on_this_thread;
 use overland::store::{Pace, Saves, Store};
 use prost::Message;
 use std::fs;
@@ -290,10 +290,10 @@
     let vow = Vow { term: 7, vote: None, counts: false };
     store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("it is saved");
     drop(store);
-    let before = violated_on_this_thread();
+    let before = violations_on_this_thread();
     let (_, held) = Store::open(folder.path()).expect("it starts");
     assert_eq!(held, Some(Saved { vow, ..Saved::default() }));
-    assert_eq!(violated_on_this_thread(), before);
+    assert_eq!(violations_on_this_thread(), before);
     assert!(!folder.path().join("core.damaged").exists(), "it was set aside");
 }
 
--- a/overland/tests/tally.rs
+++ b/overland/tests/tally.rs
@@ -36,8 +36,8 @@
         let limits = BTreeMap::from([(TENANT.to_owned(), limit)]);
         let gateway = |_| {
             let mut tally = Tally::new(SLACK);
-            tally.gateways(gateways);
-            tally.limits(0.0, &limits);
+            tally.set_gateways(gateways);
+            tally.set_limits(0.0, &limits);
             Gateway { tally, cut_off: false, last_contact: 0.0 }
         };
         let gateways = (0..gateways).map(gateway).collect();
@@ -56,7 +56,7 @@
     fn request(&mut self, now: f64, gateway: usize) {
         let unused = self.unused(now);
         let gateway = &mut self.gateways[gateway];
-        let verdict = gateway.tally.ask(now, TENANT);
+        let verdict = gateway.tally.admit(now, TENANT);
         let verdict = match verdict {
             Verdict::Charge(charge) | Verdict::PassAndCharge(charge) => {
                 let waits = matches!(verdict, Verdict::Charge(_));
@@ -64,9 +64,9 @@
                 match counter.map(|counter| counter.charge(now, TENANT, self.limit, charge, unused)) {
                     // Some totals arrive too late.
                     Some(total) if self.rng.f64() < 0.98 => {
-                        gateway.tally.counted(now, TENANT, charge, 0.0, total, waits)
+                        gateway.tally.total_received(now, TENANT, charge, 0.0, total, waits)
                     }
-                    _ => gateway.tally.unanswered(now, TENANT, waits),
+                    _ => gateway.tally.charge_unanswered(now, TENANT, waits),
                 }
             }
             verdict => verdict,
@@ -86,7 +86,7 @@
             for gateway in &mut self.gateways {
                 if self.counter.is_some() && !gateway.cut_off {
                     gateway.last_contact = now;
-                    gateway.tally.touched(now);
+                    gateway.tally.leader_contacted(now);
                 }
             }
             let gateway = self.rng.usize(0..self.gateways.len());
@@ -127,7 +127,7 @@
                     sim.term += 1;
                     (sim.counter, sim.counter_started) = (Some(Counter::new(now, sim.term, SLACK)), now);
                     let connected = sim.gateways.iter_mut().filter(|gateway| !gateway.cut_off);
-                    connected.for_each(|gateway| gateway.tally.reached());
+                    connected.for_each(|gateway| gateway.tally.counter_connected());
                 }
                 // Up to three eighths of the gateways are cut off, and may come back later.
                 1 => (0..gateways * 3 / 8).for_each(|at| sim.gateways[at].cut_off = rng.f64() < 0.8),
@@ -169,7 +169,7 @@
 fn refunds_apply_only_to_their_own_window() {
     let limit = Limit { per_s: 10.0, burst: 10.0 };
     let mut counter = Counter::new(0.0, 3, SLACK);
-    let charge = |units, back, window| Charge { units, back, window };
+    let charge = |units, refund, window| Charge { units, refund, window };
     let first = counter.charge(2500.0, TENANT, limit, charge(14, 0, 0), 1.0);
     assert_eq!((first.units, first.limit), (14, 10));
     let same = counter.charge(2600.0, TENANT, limit, charge(1, 4, first.window), 1.0);
@@ -184,7 +184,7 @@
     let limit = Limit { per_s: 10.0, burst: 20.0 };
     let mut counter = Counter::new(1000.0, 1, 0.0);
     let many = Charge { units: 100, ..Charge::default() };
-    let granted = |total: overland::tally::Counted| (100 - (total.units - total.limit)).max(0);
+    let granted = |total: overland::tally::ChargeTotal| (100 - (total.units - total.limit)).max(0);
     let early = counter.charge(1050.0, TENANT, limit, many, 1.0);
     assert!((4..=6).contains(&early.limit) && early.left_ms < 200.0, "{early:?}");
     // Six units at the start, nine per second for a window of two seconds, then half of a window.
@@ -211,10 +211,12 @@
     let limit = Limit { per_s: 400.0, burst: 400.0 };
     let sent_in_ten_seconds = |last_contact: f64| {
         let mut tally = Tally::new(0.0);
-        tally.gateways(4);
-        tally.limits(0.0, &BTreeMap::from([(TENANT.to_owned(), limit)]));
-        tally.touched(last_contact);
-        (0..10_000).filter(|ms| tally.unanswered(f64::from(*ms), TENANT, true) == Verdict::Pass).count()
+        tally.set_gateways(4);
+        tally.set_limits(0.0, &BTreeMap::from([(TENANT.to_owned(), limit)]));
+        tally.leader_contacted(last_contact);
+        (0..10_000)
+            .filter(|ms| tally.charge_unanswered(f64::from(*ms), TENANT, true) == Verdict::Pass)
+            .count()
     };
     let (recent, isolated) = (sent_in_ten_seconds(10_000.0), sent_in_ten_seconds(-60_000.0));
     assert!((890..=920).contains(&recent) && (130..=150).contains(&isolated), "{recent} {isolated}");
