--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -240,7 +240,7 @@
             Ok((_, Contents::Empty)) => "it is empty, but was written to before".to_owned(),
             Ok((_, Contents::Corrupt(why))) | Err(why) => why,
         };
-        invariants::violated(Invariant::DiskHoldsWhatWasSaved, &why);
+        invariants::record_violation(Invariant::SavedDataIsDurable, &why);
         log::error!("store: the disk is damaged: {why}: it is set aside and filled up from the others");
         Self::replace_corrupt(&path, &corrupt_path, dir, watermark.unwrap_or(0))
     }
--- a/overland/tests/kept/mod.rs
+++ b/overland/tests/kept/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // Each test program uses only a part.
 
 use overland::agreement::{Save, Saved};
-use overland::invariants::violated_on_this_thread;
+use overland::invariants::violations_on_this_thread;
 
 /// Applies a save to the contents of a store.
 pub fn apply_save(contents: &mut Option<Saved>, save: Save) {
@@ -24,12 +24,12 @@
 
 impl InvariantCheck {
     pub fn start() -> Self {
-        InvariantCheck(violated_on_this_thread())
+        InvariantCheck(violations_on_this_thread())
     }
 
     /// Panics if an invariant was violated.
     pub fn assert_none_violated(&self) {
         let InvariantCheck(before) = self;
-        assert_eq!(violated_on_this_thread(), *before, "an invariant is violated; see the log");
+        assert_eq!(violations_on_this_thread(), *before, "an invariant is violated; see the log");
     }
 }
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -1,7 +1,7 @@
 //! The store of a core process: corruption is detected at start-up, and only the last save is ever read back.
 
 use overland::agreement::{Base, Entry, Save, Saved, Vow};
-use overland::invariants::violated_on_this_thread;
+use overland::invariants::violations_on_this_thread;
 use overland::store::{DurableStore, SaveLatency, Store};
 use prost::Message;
 use std::fs;
@@ -294,10 +294,10 @@
     let vow = Vow { term: 7, vote: None, counts: false };
     store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("saves");
     drop(store);
-    let violations_before = violated_on_this_thread();
+    let violations_before = violations_on_this_thread();
     let (_, contents) = Store::open(dir.path()).expect("opens");
     assert_eq!(contents, Some(Saved { vow, ..Saved::default() }));
-    assert_eq!(violated_on_this_thread(), violations_before);
+    assert_eq!(violations_on_this_thread(), violations_before);
     assert!(!dir.path().join("core.damaged").exists(), "it was reported as corrupt");
 }
 
