--- a/overland/src/agreement/mod.rs
+++ b/overland/src/agreement/mod.rs
@@ -208,7 +208,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let Saved { vow, base, entries } = saved;
         let empty_disk = !vow.counts;
-        let mut agreement = Agreement {
+        let mut raft = Agreement {
             me,
             commit_index: base.index,
             applied_index: base.index,
@@ -234,8 +234,8 @@
             released: false,
             rng,
         };
-        agreement.reload_membership();
-        agreement
+        raft.reload_membership();
+        raft
     }
 
     /// Rejects snapshots whose state does not satisfy this.
--- a/overland/tests/histories/mod.rs
+++ b/overland/tests/histories/mod.rs
@@ -183,14 +183,14 @@
         }
         let node = &mut self.nodes[number];
         node.state = decode(&saved.base.state);
-        let agreement = Agreement::new(name(number), saved, self.rng.u64(..), self.now);
+        let raft = Agreement::new(name(number), saved, self.rng.u64(..), self.now);
         // Some histories retain no entries after compaction, and some need many chunks for a snapshot.
         let sizes = Sizes {
             piece: [1000, 3000, 1 << 15][self.limit_choice.0],
             tail: [0, 30][self.limit_choice.1],
             tail_bytes: 1 << 16,
         };
-        node.running = Some(agreement.sized(sizes));
+        node.running = Some(raft.sized(sizes));
     }
 
     fn crash(&mut self, number: usize) {
@@ -199,13 +199,13 @@
 
     /// Processes one event. With `may_crash`, the node may crash before any of the resulting actions.
     fn step(&mut self, number: usize, event: Event, may_crash: bool) {
-        let Some(agreement) = &mut self.nodes[number].running else { return };
+        let Some(raft) = &mut self.nodes[number].running else { return };
         self.events += 1;
         let mut event = event;
         if let (Some(Mutant::TermUnchecked), Event::Heard { say: Say::Append(append), .. }) =
             (self.mutant, &mut event)
         {
-            append.term = append.term.max(agreement.term());
+            append.term = append.term.max(raft.term());
         }
         if let (Some(Mutant::NoJointConsensus), Event::Heard { say: Say::Append(append), .. }) =
             (self.mutant, &mut event)
@@ -213,7 +213,7 @@
             append.entries.iter_mut().for_each(skip_joint_consensus);
         }
         let mut actions = Vec::new();
-        agreement.handle(self.now, event, &mut actions);
+        raft.handle(self.now, event, &mut actions);
         if self.mutant == Some(Mutant::LearnerLacksLog) && number + 1 == self.nodes.len() {
             for action in &mut actions {
                 if let Action::Send { say: Say::Appended(response), .. } = action {
@@ -242,27 +242,27 @@
             }
         }
         let node = &mut self.nodes[number];
-        let Some(agreement) = &mut node.running else { return };
-        if self.mutant == Some(Mutant::NoJointConsensus) && agreement.changes() {
+        let Some(raft) = &mut node.running else { return };
+        if self.mutant == Some(Mutant::NoJointConsensus) && raft.changes() {
             // The leader's own list can be changed from outside only by a restart.
             node.disk.iter_mut().flat_map(|disk| &mut disk.entries).for_each(skip_joint_consensus);
             self.crash(number);
             return self.start(number, false);
         }
         let serves_reads = match self.mutant {
-            Some(Mutant::ReadsWithoutLease) => agreement.leads(),
-            Some(Mutant::ClockStopsInPause) => agreement.vouches(self.now - 1500.0),
-            _ => agreement.vouches(self.now),
+            Some(Mutant::ReadsWithoutLease) => raft.leads(),
+            Some(Mutant::ClockStopsInPause) => raft.vouches(self.now - 1500.0),
+            _ => raft.vouches(self.now),
         };
         if serves_reads {
             assert!(
-                agreement.applied() >= self.model.acked_index,
+                raft.applied() >= self.model.acked_index,
                 "a leader serves reads without all acknowledged entries"
             );
         }
-        if self.compacts_log && agreement.log_length() > 80 {
+        if self.compacts_log && raft.log_length() > 80 {
             let mut actions = Vec::new();
-            agreement.compact(agreement.applied(), encode(&node.state), &mut actions);
+            raft.compact(raft.applied(), encode(&node.state), &mut actions);
             for action in actions {
                 self.carry_out(number, action);
             }
@@ -303,8 +303,8 @@
                 self.model.check_applied(entry.index, &entry.data);
                 let node = &mut self.nodes[number];
                 node.state.insert(entry.index, entry.data);
-                let agreement = node.running.as_ref().expect("the node runs");
-                if agreement.leads() && entry.term == agreement.term() {
+                let raft = node.running.as_ref().expect("the node runs");
+                if raft.leads() && entry.term == raft.term() {
                     self.model.acked_index = self.model.acked_index.max(entry.index);
                 }
             }
@@ -377,15 +377,14 @@
 
     /// The leader that holds a lease.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|number| {
-            self.nodes[*number].running.as_ref().is_some_and(|agreement| agreement.vouches(self.now))
-        })
+        (0..self.nodes.len())
+            .find(|number| self.nodes[*number].running.as_ref().is_some_and(|raft| raft.vouches(self.now)))
     }
 
     /// The members as each running node knows them.
     pub fn members(&self) -> Vec<Vec<String>> {
         let running = self.nodes.iter().filter_map(|node| node.running.as_ref());
-        running.map(|agreement| agreement.members().to_vec()).collect()
+        running.map(|raft| raft.members().to_vec()).collect()
     }
 
     /// Runs until there is a leader with a lease. Returns the time that took; none if it took longer than
@@ -580,9 +579,8 @@
     world.step(leaving, Event::Leave, false);
     // Longer than a process waits in production, as messages are lost here.
     let deadline = world.now + 6000.0;
-    let may_stop = |world: &World| {
-        world.nodes[leaving].running.as_ref().is_some_and(|agreement| agreement.left().is_some())
-    };
+    let may_stop =
+        |world: &World| world.nodes[leaving].running.as_ref().is_some_and(|raft| raft.left().is_some());
     while world.mutant != Some(Mutant::StopsUnreleased) && world.now < deadline && !may_stop(world) {
         let until = world.now + 10.0;
         world.run_until(until, 0.0);
