--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -4,7 +4,7 @@
 //! connections to backends.
 
 use cherrytally::{Class, Millis};
-use overland::agreement::READS;
+use overland::agreement::MAX_ENTRY_VERSION;
 use overland::follow::{Action, Event, Follow};
 use overland::news::{FromAgent, FromProxy, Kind, Numbered, ToAgent, ToProxy, Whole};
 use overland::routes::{Numbers, Table, Zones};
@@ -166,7 +166,7 @@
             held: self.held(),
             ranges: self.state.as_ref().filter(|_| differs).map(State::ranges),
             at: Some(now),
-            reads: READS,
+            reads: MAX_ENTRY_VERSION,
         }
     }
 
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/weigh.rs
@@ -5,7 +5,7 @@
 use super::fit::Line;
 use super::hollow::{thread_s, Holds, HollowProxy};
 use cherrytally::Millis;
-use overland::agreement::READS;
+use overland::agreement::MAX_ENTRY_VERSION;
 use overland::config::Config;
 use overland::member::{Action, Event, Member, TICK_MS};
 use overland::news::{Charge, Charges, FromAgent, Gateway, ToProxy};
@@ -226,7 +226,7 @@
             follows: true,
             applied: index,
             ranges: None,
-            reads: READS,
+            reads: MAX_ENTRY_VERSION,
         }
     }
 
--- a/overland/src/agreement/letter.rs
+++ b/overland/src/agreement/letter.rs
@@ -4,10 +4,10 @@
 
 /// The newest entry format that this build reads. Version 1 adds configurations stored as a difference from
 /// the previous one. Builds without the field report 0.
-pub const READS: u32 = 1;
+pub const MAX_ENTRY_VERSION: u32 = 1;
 
-/// A log entry. At most one of `data`, `new_members` and `next_members` is set; a leader's first entry has
-/// none.
+/// A log entry. At most one of `data`, `final_members` and `incoming_members` is set; a leader's first entry
+/// has none.
 #[derive(Clone, PartialEq, Message)]
 pub struct Entry {
     /// Log index, from 1.
@@ -21,11 +21,11 @@
     pub data: Vec<u8>,
     /// If set, the members from this entry on (`C_new` of joint consensus).
     #[prost(string, repeated, tag = "4")]
-    pub new_members: Vec<String>,
+    pub final_members: Vec<String>,
     /// If set, starts joint consensus: from this entry on, quorums need a majority of the current members and
     /// of these.
     #[prost(string, repeated, tag = "5")]
-    pub next_members: Vec<String>,
+    pub incoming_members: Vec<String>,
 }
 
 impl Entry {
@@ -37,20 +37,20 @@
         Entry::data(term, index, Vec::new())
     }
 
-    pub(super) fn with_final_members(term: u64, index: u64, new_members: Vec<String>) -> Self {
-        Entry { index, term, new_members, ..Entry::default() }
+    pub(super) fn with_final_members(term: u64, index: u64, final_members: Vec<String>) -> Self {
+        Entry { index, term, final_members, ..Entry::default() }
     }
 
-    pub(super) fn with_incoming_members(term: u64, index: u64, next_members: Vec<String>) -> Self {
-        Entry { index, term, next_members, ..Entry::default() }
+    pub(super) fn with_incoming_members(term: u64, index: u64, incoming_members: Vec<String>) -> Self {
+        Entry { index, term, incoming_members, ..Entry::default() }
     }
 
     pub(super) fn final_members(&self) -> Option<&[String]> {
-        (!self.new_members.is_empty()).then_some(&self.new_members[..])
+        (!self.final_members.is_empty()).then_some(&self.final_members[..])
     }
 
     pub(super) fn incoming_members(&self) -> Option<&[String]> {
-        (!self.next_members.is_empty()).then_some(&self.next_members[..])
+        (!self.incoming_members.is_empty()).then_some(&self.incoming_members[..])
     }
 
     pub(super) fn changes_membership(&self) -> bool {
@@ -60,39 +60,39 @@
 
 /// A Raft message as it is sent between members.
 #[derive(Clone, PartialEq, Message)]
-pub struct Letter {
+pub struct RaftMessage {
     /// Unset if a newer build sent a kind of message that this one does not know.
-    #[prost(oneof = "Say", tags = "1, 2, 3, 4, 5, 6, 11, 12")]
-    pub say: Option<Say>,
+    #[prost(oneof = "RaftPayload", tags = "1, 2, 3, 4, 5, 6, 11, 12")]
+    pub payload: Option<RaftPayload>,
 }
 
 /// The payload of a Raft message.
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Say {
+pub enum RaftPayload {
     /// Requests a vote or a pre-vote.
     #[prost(message, tag = "1")]
-    VoteAsk(VoteRequest),
+    VoteRequest(VoteRequest),
     /// Answers a vote request.
     #[prost(message, tag = "2")]
-    Vote(VoteResponse),
+    VoteResponse(VoteResponse),
     /// Replicates entries; without entries, a heartbeat.
     #[prost(message, tag = "3")]
-    Append(Append),
-    /// Answers `Append`, and a snapshot once it is installed.
+    AppendEntries(AppendEntries),
+    /// Answers `AppendEntries`, and a snapshot once it is installed.
     #[prost(message, tag = "4")]
-    Appended(AppendResponse),
+    AppendResponse(AppendResponse),
     /// A snapshot that fits one message, for a follower that the log no longer reaches back to.
     #[prost(message, tag = "5")]
-    Install(Install),
+    InstallSnapshot(InstallSnapshot),
     /// Leadership transfer: the leader of this term asks the receiver to start an election at once.
     #[prost(uint64, tag = "6")]
-    Succeed(u64),
+    TimeoutNow(u64),
     /// A chunk of a snapshot that is too large for one message.
     #[prost(message, tag = "11")]
-    Piece(Piece),
+    SnapshotChunk(SnapshotChunk),
     /// Answers a chunk of a snapshot that is not complete yet.
     #[prost(message, tag = "12")]
-    Took(ChunkResponse),
+    ChunkResponse(ChunkResponse),
 }
 
 /// A request for a vote or a pre-vote.
@@ -132,7 +132,7 @@
 
 /// Entries to replicate, or a heartbeat.
 #[derive(Clone, PartialEq, Message)]
-pub struct Append {
+pub struct AppendEntries {
     /// The leader's term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
@@ -162,7 +162,7 @@
     pub since_heard_ms: f64,
 }
 
-/// The response to `Append` or to a complete snapshot.
+/// The response to `AppendEntries` or to a complete snapshot.
 #[derive(Clone, PartialEq, Message)]
 pub struct AppendResponse {
     /// The follower's term.
@@ -175,7 +175,7 @@
     /// where they may match.
     #[prost(uint64, tag = "3")]
     pub match_index: u64,
-    /// Whether the follower votes and counts toward quorums: see [`super::Vow`].
+    /// Whether the follower votes and counts toward quorums: see [`super::HardState`].
     #[prost(bool, tag = "4")]
     pub voting: bool,
     /// `sent_at` of the request.
@@ -187,14 +187,14 @@
     /// Number of gateway agents that the follower hears; 0 from builds without the field.
     #[prost(uint32, tag = "7")]
     pub reachable_agents: u32,
-    /// The newest entry format that the follower reads: [`READS`].
+    /// The newest entry format that the follower reads: [`MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "8")]
     pub max_entry_version: u32,
 }
 
 /// A snapshot in one message.
 #[derive(Clone, PartialEq, Message)]
-pub struct Install {
+pub struct InstallSnapshot {
     /// The leader's term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
@@ -212,7 +212,7 @@
     pub state: Vec<u8>,
     /// When it was sent, by the leader's clock, in ms.
     #[prost(double, tag = "6")]
-    pub at: f64,
+    pub sent_at: f64,
     /// Digest of index, term, members and state; unset by builds without the field.
     #[prost(fixed64, optional, tag = "7")]
     pub digest: Option<u64>,
@@ -220,7 +220,7 @@
 
 /// A chunk of a snapshot.
 #[derive(Clone, PartialEq, Message)]
-pub struct Piece {
+pub struct SnapshotChunk {
     /// The leader's term.
     #[prost(uint64, tag = "1")]
     pub term: u64,
@@ -268,7 +268,7 @@
     /// The whole snapshot arrived and can't be decoded, or is too large: it should not be sent again soon.
     #[prost(bool, tag = "5")]
     pub rejected: bool,
-    /// Whether the follower votes and counts toward quorums: see [`super::Vow`].
+    /// Whether the follower votes and counts toward quorums: see [`super::HardState`].
     #[prost(bool, tag = "6")]
     pub voting: bool,
     /// `sent_at` of the chunk.
--- a/overland/src/agreement/members.rs
+++ b/overland/src/agreement/members.rs
@@ -6,10 +6,10 @@
 //! quorums are never weaker in between.
 //!
 //! Processes that are not members join as learners: they receive the log and do not count toward quorums.
-//! [`Agreement::desired_members`] decides which list to change to.
+//! [`RaftNode::desired_members`] decides which list to change to.
 
 use super::role::{LeaderState, Progress, Role};
-use super::{Action, Agreement, Entry, Name, MAX_BATCH_ENTRIES};
+use super::{Action, Entry, Name, RaftNode, MAX_BATCH_ENTRIES};
 use crate::invariants::{self, Invariant};
 use cherrytally::Millis;
 use std::collections::BTreeMap;
@@ -79,37 +79,37 @@
 
 /// The state of the membership as the leader sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Roll {
+pub struct MembershipStatus {
     /// Members that were not heard recently.
     pub missing: Vec<Name>,
     /// Members that lost their disk and don't count toward quorums until they have caught up.
-    pub filling: Vec<Name>,
+    pub catching_up: Vec<Name>,
     /// Learners, which can replace lost members.
-    pub listeners: Vec<Name>,
+    pub learners: Vec<Name>,
     /// How many members may be lost now, at the same time, with a quorum left.
-    pub borne: usize,
+    pub tolerable_losses: usize,
 }
 
-impl Agreement {
+impl RaftNode {
     /// The members by its own log; during joint consensus, the union of both lists.
     pub fn members(&self) -> &[Name] {
         &self.membership.all
     }
 
     /// Whether a change of members is in progress (joint consensus).
-    pub fn changes(&self) -> bool {
+    pub fn in_joint_consensus(&self) -> bool {
         self.membership.incoming.is_some()
     }
 
     /// Whether messages from `name` are processed: from members, learners and the current leader, and from
     /// anybody while it is not a member or has no leader, as its list of members may then be out of date.
-    pub fn hears(&self, name: &Name) -> bool {
+    pub fn accepts_messages_from(&self, name: &Name) -> bool {
         let learner = matches!(&self.role, Role::Leader(leader) if leader.learners.contains_key(name));
-        self.apart() || learner || self.leader() == Some(name) || self.members().contains(name)
+        self.needs_to_join() || learner || self.leader() == Some(name) || self.members().contains(name)
     }
 
     /// Number of learners; 0 unless it leads.
-    pub fn joining(&self) -> usize {
+    pub fn learner_count(&self) -> usize {
         match &self.role {
             Role::Leader(leader) => leader.learners.len(),
             _ => 0,
@@ -117,20 +117,20 @@
     }
 
     /// Whether it should ask to become a member: it is none, or may have been removed without hearing of it.
-    pub fn apart(&self) -> bool {
+    pub fn needs_to_join(&self) -> bool {
         !self.is_member() || self.leader().is_none()
     }
 
     /// Whether a process that is shutting down may stop: none while it must go on, else true if it is no
     /// longer a member and false if it stays one.
-    pub fn left(&self) -> Option<bool> {
+    pub fn leave_outcome(&self) -> Option<bool> {
         let only_member = self.members().iter().all(|name| *name == self.me);
         let removed = !self.is_member() && self.leader().is_none();
         (self.leaving && (self.released || only_member || removed)).then(|| !self.is_member())
     }
 
     /// The state of the membership; none unless it leads.
-    pub fn roll(&self, now: Millis) -> Option<Roll> {
+    pub fn membership_status(&self, now: Millis) -> Option<MembershipStatus> {
         let Role::Leader(leader) = &self.role else { return None };
         let is_missing = |name: &Name| {
             *name != self.me
@@ -138,12 +138,12 @@
         };
         let is_catching_up =
             |name: &Name| *name != self.me && leader.peers.get(name).is_some_and(|peer| !peer.voting);
-        let (mut missing, mut filling) = (Vec::new(), Vec::new());
-        let listeners = leader.learners.keys().cloned().collect();
+        let (mut missing, mut catching_up) = (Vec::new(), Vec::new());
+        let learners = leader.learners.keys().cloned().collect();
         for name in self.members() {
             match (is_missing(name), is_catching_up(name)) {
                 (true, _) => missing.push(name.clone()),
-                (_, true) => filling.push(name.clone()),
+                (_, true) => catching_up.push(name.clone()),
                 _ => {}
             }
         }
@@ -151,20 +151,20 @@
             |members: &[Name]| usize::try_from(self.loss_margin(leader, members, now)).unwrap_or(0);
         let current = tolerated(&self.membership.current);
         let incoming = self.membership.incoming.as_ref().map_or(current, |(_, incoming)| tolerated(incoming));
-        Some(Roll { missing, filling, listeners, borne: current.min(incoming) })
+        Some(MembershipStatus { missing, catching_up, learners, tolerable_losses: current.min(incoming) })
     }
 
     /// Recomputes the membership from the log. Must be called whenever an entry that changes it is added or
     /// removed.
     pub(super) fn reload_membership(&mut self) {
-        let first = Membership::new(&self.base.members);
+        let first = Membership::new(&self.snapshot.members);
         self.membership = self.log.iter().fold(first, Membership::after);
     }
 
     /// The members as of this entry; none during joint consensus, as a snapshot has a single list.
     pub(super) fn members_at(&self, index: u64) -> Option<Vec<Name>> {
-        let count = index.saturating_sub(self.base.index) as usize;
-        let first = Membership::new(&self.base.members);
+        let count = index.saturating_sub(self.snapshot.index) as usize;
+        let first = Membership::new(&self.snapshot.members);
         let membership = self.log.iter().take(count).fold(first, Membership::after);
         membership.incoming.is_none().then_some(membership.current)
     }
@@ -185,7 +185,7 @@
     /// so that a new leader knows from the start which replacements exist.
     pub(super) fn add_learner(&mut self, now: Millis, name: Name) {
         self.join_requests.retain(|_, requested_at| now - *requested_at <= SUSPECT_AFTER_MS);
-        let next_index = self.last() + 1;
+        let next_index = self.last_index() + 1;
         if self.members().contains(&name) {
             return;
         }
@@ -201,7 +201,7 @@
 
     /// The learners of a new leader: processes that recently asked to join.
     pub(super) fn recent_learners(&self, now: Millis) -> BTreeMap<Name, Progress> {
-        let next_index = self.last() + 1;
+        let next_index = self.last_index() + 1;
         let recent = |(_, requested_at): &(&Name, &Millis)| now - **requested_at <= SUSPECT_AFTER_MS;
         let outside =
             self.join_requests.iter().filter(recent).filter(|(name, _)| !self.members().contains(name));
@@ -271,7 +271,7 @@
             let healthy_peer = progress.is_some_and(|progress| {
                 progress.voting && !progress.leaving && now - progress.last_heard <= SUSPECT_AFTER_MS
             });
-            healthy_peer || (**name == self.me && self.vow.counts && !self.leaving)
+            healthy_peer || (**name == self.me && self.hard_state.voting && !self.leaving)
         };
         members.iter().filter(is_healthy).count() as isize - (members.len() / 2 + 1) as isize
     }
@@ -283,7 +283,7 @@
             return;
         }
         leader.learners.retain(|_, learner| now - learner.last_heard <= REMOVE_AFTER_MS);
-        let (term, index) = (self.vow.term, self.last() + 1);
+        let (term, index) = (self.hard_state.term, self.last_index() + 1);
         let entry = match &self.membership.incoming {
             Some((joint_index, incoming)) if *joint_index <= self.commit_index => {
                 Entry::with_final_members(term, index, incoming.clone())
@@ -317,7 +317,7 @@
     /// Regroups a leader's peers and learners after a change of members: new members were learners, and
     /// removed members become learners.
     pub(super) fn regroup_peers(&mut self, now: Millis) {
-        let (members, next_index) = (self.other_members(), self.last() + 1);
+        let (members, next_index) = (self.other_members(), self.last_index() + 1);
         let Role::Leader(leader) = &mut self.role else { return };
         let mut known = std::mem::take(&mut leader.peers);
         known.append(&mut leader.learners);
@@ -336,7 +336,7 @@
         let progress = leader.peers.get(name).or_else(|| leader.learners.get(name));
         if !progress.is_some_and(|progress| progress.leaving)
             || !self.is_membership_settled()
-            || self.changes()
+            || self.in_joint_consensus()
             || leader.transfer_started_at.is_some()
         {
             return false;
@@ -348,7 +348,7 @@
                     && peer.match_index >= self.commit_index
                     && now - peer.last_heard < SUSPECT_AFTER_MS
             });
-            member != name && (peer_holds || (*member == self.me && self.vow.counts))
+            member != name && (peer_holds || (*member == self.me && self.hard_state.voting))
         };
         // A learner may still be catching up, and a new leader may not have heard of it yet.
         let is_available =
--- a/overland/src/agreement/mod.rs
+++ b/overland/src/agreement/mod.rs
@@ -13,9 +13,11 @@
 mod role;
 mod snapshot;
 
-pub use letter::{Append, Entry, Install, Letter, Piece, Say, READS};
-pub use members::Roll;
-pub use snapshot::Sizes;
+pub use letter::{
+    AppendEntries, Entry, InstallSnapshot, RaftMessage, RaftPayload, SnapshotChunk, MAX_ENTRY_VERSION,
+};
+pub use members::MembershipStatus;
+pub use snapshot::LogLimits;
 
 use crate::invariants::{self, Invariant};
 use cherrytally::Millis;
@@ -60,31 +62,31 @@
 const RETRANSMIT_MS: f64 = 300.0;
 const RETRANSMIT_BYTES_PER_MS: f64 = 125.0;
 
-/// Input to [`Agreement::handle`].
+/// Input to [`RaftNode::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// A message arrived.
-    Heard {
+    Received {
         /// The sender.
         from: Name,
         /// The message.
-        say: Say,
+        payload: RaftPayload,
     },
     /// Append an entry with this data. Ignored unless it leads and accepts proposals.
     Propose(Vec<u8>),
     /// Another process asks to become a member.
     Join(Name),
-    /// The process is shutting down: see [`Agreement::left`].
+    /// The process is shutting down: see [`RaftNode::leave_outcome`].
     Leave,
     /// Transfer leadership, if it leads.
-    Resign,
+    TransferLeadership,
     /// Number of gateway agents that this process hears.
-    Reach(u32),
+    ReachableAgents(u32),
 }
 
-/// Output of [`Agreement::handle`], to be carried out in order.
+/// Output of [`RaftNode::handle`], to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Make durable before any later action.
@@ -94,7 +96,7 @@
         /// The receiver.
         to: Name,
         /// The message.
-        say: Say,
+        payload: RaftPayload,
     },
     /// Apply this committed entry to the state machine.
     Apply(Entry),
@@ -106,35 +108,35 @@
         state: Vec<u8>,
     },
     /// This process became leader (true) or stopped leading (false).
-    Leads(bool),
+    LeadershipChanged(bool),
 }
 
 /// An update to the persistent state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Save {
     /// Always written.
-    pub vow: Vow,
+    pub hard_state: HardState,
     /// If set, these entries replace the log from this index on.
     pub entries: Option<(u64, Vec<Entry>)>,
     /// If set, this snapshot replaces the log up to its index.
-    pub base: Option<Base>,
+    pub snapshot: Option<Snapshot>,
 }
 
 /// Raft's persistent state beside the log.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Vow {
+pub struct HardState {
     /// The latest term seen.
     pub term: u64,
     /// The candidate that received its vote in that term.
     pub vote: Option<Name>,
     /// Whether it votes and counts toward quorums. False with an empty disk, until a leader has brought it up
     /// to date: it may have forgotten votes and entries that it acknowledged.
-    pub counts: bool,
+    pub voting: bool,
 }
 
 /// A snapshot: the log continues after its index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Base {
+pub struct Snapshot {
     /// Index of the last entry that it includes.
     pub index: u64,
     /// Term of that entry.
@@ -147,24 +149,24 @@
 
 /// The persistent state as read from disk at start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Saved {
+pub struct PersistentState {
     /// Term and vote.
-    pub vow: Vow,
+    pub hard_state: HardState,
     /// The latest snapshot.
-    pub base: Base,
+    pub snapshot: Snapshot,
     /// The log after it.
     pub entries: Vec<Entry>,
 }
 
 /// One Raft member.
-pub struct Agreement {
+pub struct RaftNode {
     me: Name,
-    vow: Vow,
-    base: Arc<Base>,
+    hard_state: HardState,
+    snapshot: Arc<Snapshot>,
     /// The newest entries that the snapshot includes, for followers slightly behind.
     trailing: VecDeque<Entry>,
     log: VecDeque<Entry>,
-    sizes: Sizes,
+    limits: LogLimits,
     incoming_snapshot: Option<snapshot::IncomingSnapshot>,
     /// Whether a snapshot's state can be decoded.
     can_decode: fn(&[u8]) -> bool,
@@ -192,31 +194,35 @@
     rng: fastrand::Rng,
 }
 
-impl Agreement {
+impl RaftNode {
     /// The initial persistent state of the members of a new cluster: the same at all of them.
-    pub fn found(mut members: Vec<Name>) -> Saved {
+    pub fn bootstrap(mut members: Vec<Name>) -> PersistentState {
         members.sort();
         members.dedup();
-        let vow = Vow { counts: true, ..Vow::default() };
+        let hard_state = HardState { voting: true, ..HardState::default() };
         // Starts from a snapshot at index 1, so that a member with an empty disk is sent one, with the list
         // of members.
-        Saved { vow, base: Base { index: 1, members, ..Base::default() }, entries: Vec::new() }
+        PersistentState {
+            hard_state,
+            snapshot: Snapshot { index: 1, members, ..Snapshot::default() },
+            entries: Vec::new(),
+        }
     }
 
     /// Starts a member from its persistent state. With an empty one it knows no members and is non-voting.
-    pub fn new(me: Name, saved: Saved, seed: u64, now: Millis) -> Self {
+    pub fn new(me: Name, saved: PersistentState, seed: u64, now: Millis) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let Saved { vow, base, entries } = saved;
-        let empty_disk = !vow.counts;
-        let mut raft = Agreement {
+        let PersistentState { hard_state, snapshot, entries } = saved;
+        let empty_disk = !hard_state.voting;
+        let mut raft = RaftNode {
             me,
-            commit_index: base.index,
-            applied_index: base.index,
-            vow,
-            base: Arc::new(base),
+            commit_index: snapshot.index,
+            applied_index: snapshot.index,
+            hard_state,
+            snapshot: Arc::new(snapshot),
             trailing: VecDeque::new(),
             log: entries.into(),
-            sizes: Sizes::default(),
+            limits: LogLimits::default(),
             incoming_snapshot: None,
             can_decode: |_| true,
             role: Role::Follower(FollowerState { leader: None }),
@@ -239,18 +245,18 @@
     }
 
     /// Rejects snapshots whose state does not satisfy this.
-    pub fn reading(self, can_decode: fn(&[u8]) -> bool) -> Self {
-        Agreement { can_decode, ..self }
+    pub fn with_decode_check(self, can_decode: fn(&[u8]) -> bool) -> Self {
+        RaftNode { can_decode, ..self }
     }
 
     /// Replaces the default limits.
-    pub fn sized(self, sizes: Sizes) -> Self {
-        Agreement { sizes, ..self }
+    pub fn with_limits(self, limits: LogLimits) -> Self {
+        RaftNode { limits, ..self }
     }
 
     /// The latest term seen.
     pub fn term(&self) -> u64 {
-        self.vow.term
+        self.hard_state.term
     }
 
     /// The current leader, if known.
@@ -264,42 +270,42 @@
 
     /// When the leader's latest message was sent, by the leader's clock. Sent back with a forwarded request,
     /// it bounds the request's age from above.
-    pub fn leader_said(&self) -> Millis {
+    pub fn leader_sent_at(&self) -> Millis {
         self.leader_sent_at
     }
 
-    /// Whether it leads and every member and learner reads the entry format [`READS`].
-    pub fn all_read(&self) -> bool {
+    /// Whether it leads and every member and learner reads the entry format [`MAX_ENTRY_VERSION`].
+    pub fn all_read_entry_version(&self) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         let mut receivers = leader.peers.values().chain(leader.learners.values());
-        receivers.all(|progress| progress.max_entry_version >= READS)
+        receivers.all(|progress| progress.max_entry_version >= MAX_ENTRY_VERSION)
     }
 
     /// How long ago the leader last heard from this member, by the leader's latest message. A request
     /// forwarded to a leader that does not hear this member is lost.
-    pub fn unheard(&self, now: Millis) -> Millis {
+    pub fn since_heard_by_leader(&self, now: Millis) -> Millis {
         self.leader_contact_age + (now - self.leader_heard_at).max(0.0)
     }
 
     /// When a leader was last heard.
-    pub fn heard(&self) -> Millis {
+    pub fn leader_heard_at(&self) -> Millis {
         self.leader_heard_at
     }
 
     /// Whether it is the leader.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
     /// Whether it is the leader and accepts proposals. During leadership transfer it accepts none: another
     /// entry would leave the successor behind, and it would lose the election.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_proposals(&self) -> bool {
         matches!(&self.role, Role::Leader(leader) if leader.transfer_started_at.is_none())
     }
 
     /// Whether it is the leader and holds a lease: no other leader can exist, and its commit index is up to
     /// date, so reads are linearizable.
-    pub fn vouches(&self, now: Millis) -> bool {
+    pub fn holds_lease(&self, now: Millis) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         self.commit_index >= leader.first_index
             && self
@@ -308,18 +314,18 @@
     }
 
     /// Why it has no leader, for operators; none if it has one.
-    pub fn leaderless(&self) -> Option<String> {
+    pub fn no_leader_reason(&self) -> Option<String> {
         let members = self.members().len();
         match &self.role {
             Role::Leader(_) | Role::Follower(FollowerState { leader: Some(_) }) => None,
-            _ if !self.vow.counts => {
+            _ if !self.hard_state.voting => {
                 Some("its disk was empty or damaged, and no leader has brought it up to date".into())
             }
             _ if !self.is_member() => Some("it is not a member".into()),
             Role::Follower(_) => Some("it voted for a candidate, or waits for a leader".into()),
             Role::Candidate(candidate) => {
                 let votes: Vec<&str> = candidate.votes.iter().map(String::as_str).collect();
-                let (term, votes) = (self.vow.term + u64::from(candidate.pre_vote), votes.join(", "));
+                let (term, votes) = (self.hard_state.term + u64::from(candidate.pre_vote), votes.join(", "));
                 Some(format!(
                     "it is a candidate in term {term} with the votes of {votes}, of {members} members"
                 ))
@@ -328,7 +334,7 @@
     }
 
     /// Index of the last entry that was applied.
-    pub fn applied(&self) -> u64 {
+    pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
@@ -341,35 +347,39 @@
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, actions),
-            Event::Heard { from, say } => self.receive(now, from, say, actions),
+            Event::Received { from, payload } => self.receive(now, from, payload, actions),
             Event::Propose(data) => {
-                if self.takes() {
-                    self.append_entry(now, Entry::data(self.vow.term, self.last() + 1, data), actions);
+                if self.accepts_proposals() {
+                    self.append_entry(
+                        now,
+                        Entry::data(self.hard_state.term, self.last_index() + 1, data),
+                        actions,
+                    );
                 }
             }
             Event::Join(name) => self.add_learner(now, name),
             Event::Leave => self.leave(now, actions),
-            Event::Resign => self.transfer_leadership(now, actions),
-            Event::Reach(agents) => self.reachable_agents = agents,
+            Event::TransferLeadership => self.transfer_leadership(now, actions),
+            Event::ReachableAgents(agents) => self.reachable_agents = agents,
         }
     }
 
     // ---- Log ----------------------------------------------------------------------------------------------
 
     /// Index of the last entry of the log.
-    pub fn last(&self) -> u64 {
-        self.base.index + self.log.len() as u64
+    pub fn last_index(&self) -> u64 {
+        self.snapshot.index + self.log.len() as u64
     }
 
     fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.base.index {
-            return Some(self.base.term);
+        if index == self.snapshot.index {
+            return Some(self.snapshot.term);
         }
         self.entries_after(index.checked_sub(1)?)?.next().map(|entry| entry.term)
     }
 
     fn persist(&self, entries: Option<(u64, Vec<Entry>)>, actions: &mut Vec<Action>) {
-        actions.push(Action::Save(Save { vow: self.vow.clone(), entries, base: None }));
+        actions.push(Action::Save(Save { hard_state: self.hard_state.clone(), entries, snapshot: None }));
     }
 
     fn append_entry(&mut self, now: Millis, entry: Entry, actions: &mut Vec<Action>) {
@@ -386,7 +396,7 @@
 
     fn apply_committed(&mut self, actions: &mut Vec<Action>) {
         while self.applied_index < self.commit_index {
-            let position = (self.applied_index - self.base.index) as usize;
+            let position = (self.applied_index - self.snapshot.index) as usize;
             let Some(entry) = self.log.get(position) else { return };
             actions.push(Action::Apply(entry.clone()));
             self.applied_index += 1;
@@ -397,7 +407,7 @@
 
     /// Changes the role and resets the election timeout. The only place that does either.
     fn become_role(&mut self, now: Millis, role: Role, actions: &mut Vec<Action>) {
-        let (led, leads) = (self.leads(), matches!(role, Role::Leader(_)));
+        let (led, leads) = (self.is_leader(), matches!(role, Role::Leader(_)));
         self.role = role;
         let requests_votes = matches!(&self.role, Role::Candidate(candidate) if !candidate.pre_vote);
         let (min, max) = if requests_votes {
@@ -407,13 +417,13 @@
         };
         self.election_deadline = now + min + (max - min) * self.rng.f64();
         if led != leads {
-            actions.push(Action::Leads(leads));
+            actions.push(Action::LeadershipChanged(leads));
         }
     }
 
     fn become_follower(&mut self, now: Millis, term: u64, leader: Option<Name>, actions: &mut Vec<Action>) {
-        if term > self.vow.term {
-            (self.vow.term, self.vow.vote) = (term, None);
+        if term > self.hard_state.term {
+            (self.hard_state.term, self.hard_state.vote) = (term, None);
             self.persist(None, actions);
         }
         if leader.is_some() {
@@ -430,7 +440,7 @@
                 let transfer_failed =
                     leader.transfer_started_at.is_some_and(|at| now - at > MIN_ELECTION_TIMEOUT_MS);
                 if transfer_failed || quorum_heard_at.is_none_or(|at| now - at > MAX_ELECTION_TIMEOUT_MS) {
-                    let term = self.vow.term;
+                    let term = self.hard_state.term;
                     return self.become_follower(now, term, None, actions);
                 }
                 self.transfer_if_leaving(now, actions);
@@ -449,12 +459,12 @@
     fn campaign(
         &mut self, now: Millis, pre_vote: bool, leadership_transfer: bool, actions: &mut Vec<Action>,
     ) {
-        if !self.vow.counts || !self.is_member() {
-            let term = self.vow.term;
+        if !self.hard_state.voting || !self.is_member() {
+            let term = self.hard_state.term;
             return self.become_follower(now, term, None, actions);
         }
         if !pre_vote {
-            (self.vow.term, self.vow.vote) = (self.vow.term + 1, Some(self.me.clone()));
+            (self.hard_state.term, self.hard_state.vote) = (self.hard_state.term + 1, Some(self.me.clone()));
             self.persist(None, actions);
         }
         let votes = BTreeSet::from([self.me.clone()]);
@@ -470,11 +480,11 @@
         candidate.requested_at = now;
         let CandidateState { pre_vote, leadership_transfer, .. } = *candidate;
         let votes = candidate.votes.clone();
-        let term = self.vow.term + u64::from(pre_vote);
-        let (last_index, last_term) = (self.last(), self.term_at(self.last()).unwrap_or(0));
+        let term = self.hard_state.term + u64::from(pre_vote);
+        let (last_index, last_term) = (self.last_index(), self.term_at(self.last_index()).unwrap_or(0));
         for to in self.other_members().into_iter().filter(|name| !votes.contains(name)) {
             let request = VoteRequest { term, last_index, last_term, pre_vote, leadership_transfer };
-            actions.push(Action::Send { to, say: Say::VoteAsk(request) });
+            actions.push(Action::Send { to, payload: RaftPayload::VoteRequest(request) });
         }
     }
 
@@ -487,7 +497,7 @@
         if pre_vote {
             return self.campaign(now, false, leadership_transfer, actions);
         }
-        let first_index = self.last() + 1;
+        let first_index = self.last_index() + 1;
         let mut peers: BTreeMap<_, _> =
             self.other_members().into_iter().map(|name| (name, Progress::new(first_index, now))).collect();
         if let Some(last_leader) = self.last_leader.as_ref().and_then(|name| peers.get_mut(name)) {
@@ -499,13 +509,13 @@
         let leader = LeaderState { first_index, since: now, peers, learners, transfer_started_at: None };
         self.become_role(now, Role::Leader(leader), actions);
         // Entries of earlier terms are committed along with the first entry of this one.
-        self.append_entry(now, Entry::empty(self.vow.term, first_index), actions);
+        self.append_entry(now, Entry::empty(self.hard_state.term, first_index), actions);
     }
 
     /// Whether this leader hears less than half as many agents as a member that could take over. Such a
     /// leader keeps its quorum but is of no use to the agents.
-    pub fn ill_placed(&self, now: Millis) -> bool {
-        let (last_index, Role::Leader(leader)) = (self.last(), &self.role) else { return false };
+    pub fn is_poorly_connected(&self, now: Millis) -> bool {
+        let (last_index, Role::Leader(leader)) = (self.last_index(), &self.role) else { return false };
         let successors = leader.peers.values().filter(|peer| peer.can_take_over(last_index, now));
         successors
             .map(|peer| peer.reachable_agents)
@@ -514,7 +524,7 @@
     }
 
     fn transfer_leadership(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let last_index = self.last();
+        let last_index = self.last_index();
         let Role::Leader(leader) = &mut self.role else { return };
         let successors = leader.peers.iter().filter(|(_, peer)| peer.can_take_over(last_index, now));
         // Prefers the member that hears most agents, then the one heard last.
@@ -524,20 +534,20 @@
         let best = best.map(|(name, _)| name.clone());
         if let Some(to) = best {
             leader.transfer_started_at = Some(now);
-            actions.push(Action::Send { to, say: Say::Succeed(self.vow.term) });
+            actions.push(Action::Send { to, payload: RaftPayload::TimeoutNow(self.hard_state.term) });
         }
     }
 
     // ---- Messages -----------------------------------------------------------------------------------------
 
-    fn receive(&mut self, now: Millis, from: Name, say: Say, actions: &mut Vec<Action>) {
-        match say {
-            Say::VoteAsk(request) => self.handle_vote_request(now, from, &request, actions),
-            Say::Vote(response) => {
-                if response.term > self.vow.term && !response.granted {
+    fn receive(&mut self, now: Millis, from: Name, payload: RaftPayload, actions: &mut Vec<Action>) {
+        match payload {
+            RaftPayload::VoteRequest(request) => self.handle_vote_request(now, from, &request, actions),
+            RaftPayload::VoteResponse(response) => {
+                if response.term > self.hard_state.term && !response.granted {
                     return self.become_follower(now, response.term, None, actions);
                 }
-                let term = self.vow.term;
+                let term = self.hard_state.term;
                 if let Role::Candidate(candidate) = &mut self.role {
                     let requested_term = term + u64::from(candidate.pre_vote);
                     let answers_request =
@@ -548,14 +558,16 @@
                     }
                 }
             }
-            Say::Append(append) => self.handle_append(now, from, append, actions),
-            Say::Appended(response) => self.handle_append_response(now, from, &response, actions),
-            Say::Install(install) => self.handle_install(now, from, install, actions),
-            Say::Piece(chunk) => self.handle_chunk(now, from, chunk, actions),
-            Say::Took(response) => self.handle_chunk_response(now, from, &response, actions),
-            Say::Succeed(term) => {
+            RaftPayload::AppendEntries(append) => self.handle_append(now, from, append, actions),
+            RaftPayload::AppendResponse(response) => {
+                self.handle_append_response(now, from, &response, actions)
+            }
+            RaftPayload::InstallSnapshot(install) => self.handle_install(now, from, install, actions),
+            RaftPayload::SnapshotChunk(chunk) => self.handle_chunk(now, from, chunk, actions),
+            RaftPayload::ChunkResponse(response) => self.handle_chunk_response(now, from, &response, actions),
+            RaftPayload::TimeoutNow(term) => {
                 let from_leader = self.leader() == Some(&from);
-                if term == self.vow.term && from_leader {
+                if term == self.hard_state.term && from_leader {
                     self.campaign(now, false, true, actions);
                 }
             }
@@ -566,68 +578,69 @@
         &mut self, now: Millis, from: Name, request: &VoteRequest, actions: &mut Vec<Action>,
     ) {
         // Grants no vote while it hears a leader, unless that leader chose the candidate.
-        let has_leader = self.leads() || now - self.leader_heard_at < MIN_ELECTION_TIMEOUT_MS;
-        let barred =
-            !self.vow.counts || now < self.no_votes_until || (has_leader && !request.leadership_transfer);
-        if !barred && !request.pre_vote && request.term > self.vow.term {
+        let has_leader = self.is_leader() || now - self.leader_heard_at < MIN_ELECTION_TIMEOUT_MS;
+        let barred = !self.hard_state.voting
+            || now < self.no_votes_until
+            || (has_leader && !request.leadership_transfer);
+        if !barred && !request.pre_vote && request.term > self.hard_state.term {
             self.become_follower(now, request.term, None, actions);
         }
-        let own_last = (self.term_at(self.last()).unwrap_or(0), self.last());
+        let own_last = (self.term_at(self.last_index()).unwrap_or(0), self.last_index());
         let up_to_date = (request.last_term, request.last_index) >= own_last;
-        let can_vote = self.vow.vote.as_ref().is_none_or(|vote| *vote == from);
+        let can_vote = self.hard_state.vote.as_ref().is_none_or(|vote| *vote == from);
         let granted = !barred
             && up_to_date
             && if request.pre_vote {
-                request.term > self.vow.term
+                request.term > self.hard_state.term
             } else {
-                request.term == self.vow.term && can_vote
+                request.term == self.hard_state.term && can_vote
             };
         if granted && !request.pre_vote {
-            self.vow.vote = Some(from.clone());
+            self.hard_state.vote = Some(from.clone());
             self.persist(None, actions);
-            let term = self.vow.term;
+            let term = self.hard_state.term;
             self.become_follower(now, term, None, actions);
         }
-        let term = if granted { request.term } else { self.vow.term };
+        let term = if granted { request.term } else { self.hard_state.term };
         let response = VoteResponse { term, granted, pre_vote: request.pre_vote };
-        actions.push(Action::Send { to: from, say: Say::Vote(response) });
+        actions.push(Action::Send { to: from, payload: RaftPayload::VoteResponse(response) });
     }
 
-    fn handle_append(&mut self, now: Millis, from: Name, append: Append, actions: &mut Vec<Action>) {
+    fn handle_append(&mut self, now: Millis, from: Name, append: AppendEntries, actions: &mut Vec<Action>) {
         let mut response = AppendResponse {
-            term: self.vow.term,
+            term: self.hard_state.term,
             success: false,
-            match_index: self.last(),
-            voting: self.vow.counts,
+            match_index: self.last_index(),
+            voting: self.hard_state.voting,
             request_sent_at: append.sent_at,
             leaving: self.leaving,
             reachable_agents: self.reachable_agents,
-            max_entry_version: READS,
+            max_entry_version: MAX_ENTRY_VERSION,
         };
-        if append.term < self.vow.term {
-            actions.push(Action::Send { to: from, say: Say::Appended(response) });
+        if append.term < self.hard_state.term {
+            actions.push(Action::Send { to: from, payload: RaftPayload::AppendResponse(response) });
             return;
         }
         self.check_single_leader(&from, append.term);
         self.become_follower(now, append.term, Some(from.clone()), actions);
         (self.leader_sent_at, self.leader_contact_age) = (append.sent_at, append.since_heard_ms);
-        response.term = self.vow.term;
+        response.term = self.hard_state.term;
         self.released |= self.leaving && append.released;
         let (mut prev_index, mut entries) = (append.prev_index, append.entries);
-        if prev_index < self.base.index {
+        if prev_index < self.snapshot.index {
             // Entries that the snapshot includes are committed, so they are the same at the leader.
-            let included = (self.base.index - prev_index) as usize;
+            let included = (self.snapshot.index - prev_index) as usize;
             entries.drain(..included.min(entries.len()));
-            prev_index = self.base.index;
+            prev_index = self.snapshot.index;
         }
         if prev_index == append.prev_index && self.term_at(prev_index) != Some(append.prev_term) {
             // Reports the end of its log, or, with a conflicting entry there, the commit index: stepping back
             // one entry at a time might not end while responses are reordered and new entries arrive.
-            response.match_index = self.last().min(append.prev_index.saturating_sub(1));
+            response.match_index = self.last_index().min(append.prev_index.saturating_sub(1));
             if self.term_at(prev_index).is_some() {
                 response.match_index = response.match_index.min(self.commit_index);
             }
-            actions.push(Action::Send { to: from, say: Say::Appended(response) });
+            actions.push(Action::Send { to: from, payload: RaftPayload::AppendResponse(response) });
             return;
         }
         let end = prev_index + entries.len() as u64;
@@ -641,28 +654,28 @@
                 let why = format!("{from} sent another entry {first}, but {commit_index} is committed");
                 invariants::violated(Invariant::AgreedEntriesStay, &why);
                 response.match_index = commit_index;
-                actions.push(Action::Send { to: from, say: Say::Appended(response) });
+                actions.push(Action::Send { to: from, payload: RaftPayload::AppendResponse(response) });
                 return;
             }
-            self.log.truncate((first - self.base.index - 1) as usize);
+            self.log.truncate((first - self.snapshot.index - 1) as usize);
             self.log.extend(entries.iter().cloned());
             self.reload_membership();
             self.persist(Some((first, entries)), actions);
         }
         self.commit_index = self.commit_index.max(append.commit.min(end));
         self.incoming_snapshot.take_if(|incoming| incoming.index <= self.commit_index);
-        if append.grants_voting && !self.vow.counts && self.commit_index >= append.commit {
-            self.vow.counts = true;
+        if append.grants_voting && !self.hard_state.voting && self.commit_index >= append.commit {
+            self.hard_state.voting = true;
             self.persist(None, actions);
         }
-        (response.success, response.match_index, response.voting) = (true, end, self.vow.counts);
-        actions.push(Action::Send { to: from, say: Say::Appended(response) });
+        (response.success, response.match_index, response.voting) = (true, end, self.hard_state.voting);
+        actions.push(Action::Send { to: from, payload: RaftPayload::AppendResponse(response) });
         self.apply_committed(actions);
     }
 
     /// Checks that this member does not lead in a term in which another one sends entries or a snapshot.
     pub(super) fn check_single_leader(&self, from: &Name, term: u64) {
-        let two_leaders = self.leads() && term == self.vow.term && *from != self.me;
+        let two_leaders = self.is_leader() && term == self.hard_state.term && *from != self.me;
         invariants::check(Invariant::OneLeaderATerm, !two_leaders, || {
             format!("{from} and {} lead in term {term}", self.me)
         });
@@ -671,12 +684,12 @@
     fn handle_append_response(
         &mut self, now: Millis, from: Name, response: &AppendResponse, actions: &mut Vec<Action>,
     ) {
-        if response.term > self.vow.term {
+        if response.term > self.hard_state.term {
             return self.become_follower(now, response.term, None, actions);
         }
-        let (last_index, commit_index) = (self.last(), self.commit_index);
+        let (last_index, commit_index) = (self.last_index(), self.commit_index);
         let Role::Leader(leader) = &mut self.role else { return };
-        if response.term < self.vow.term {
+        if response.term < self.hard_state.term {
             return;
         }
         let first_index = leader.first_index;
@@ -715,17 +728,17 @@
 
     /// Commits the entries that a quorum holds, once the last of them is of the current term.
     fn advance_commit(&mut self, actions: &mut Vec<Action>) {
-        let last_index = self.last();
+        let last_index = self.last_index();
         let Role::Leader(leader) = &self.role else { return };
         let replicated = self.quorum_value(|name| {
             if *name == self.me {
-                return self.vow.counts.then_some(last_index);
+                return self.hard_state.voting.then_some(last_index);
             }
             let peer = leader.peers.get(name).filter(|peer| peer.voting && !peer.released);
             peer.map(|peer| peer.match_index)
         });
         let Some(replicated) = replicated.filter(|index| *index > self.commit_index) else { return };
-        if self.term_at(replicated) == Some(self.vow.term) {
+        if self.term_at(replicated) == Some(self.hard_state.term) {
             self.commit_index = replicated;
             self.apply_committed(actions);
         }
@@ -747,7 +760,7 @@
 
     /// Sends one member the entries or the snapshot that it lacks, or a heartbeat.
     fn replicate_to(&mut self, now: Millis, to: &Name, actions: &mut Vec<Action>) {
-        let (term, commit, min_prev_index) = (self.vow.term, self.commit_index, self.min_prev_index());
+        let (term, commit, min_prev_index) = (self.hard_state.term, self.commit_index, self.min_prev_index());
         let released = self.may_release(now, to);
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.progress_mut(to) else { return };
@@ -778,7 +791,7 @@
         }
         let (grants_voting, since_heard_ms) = (progress.caught_up, now - progress.last_heard);
         progress.released |= released;
-        let append = Append {
+        let append = AppendEntries {
             term,
             prev_index,
             prev_term: self.term_at(prev_index).unwrap_or(0),
@@ -789,6 +802,6 @@
             released,
             since_heard_ms,
         };
-        actions.push(Action::Send { to: to.clone(), say: Say::Append(append) });
+        actions.push(Action::Send { to: to.clone(), payload: RaftPayload::AppendEntries(append) });
     }
 }
--- a/overland/src/agreement/snapshot.rs
+++ b/overland/src/agreement/snapshot.rs
@@ -4,10 +4,11 @@
 //! A snapshot is sent in chunks, each acknowledged before the next, so that heartbeats queue behind one chunk
 //! at most. A digest covers the whole.
 
-use super::letter::{AppendResponse, ChunkResponse, Entry, Install, Piece, Say};
+use super::letter::{AppendResponse, ChunkResponse, Entry, InstallSnapshot, RaftPayload, SnapshotChunk};
 use super::role::Role;
 use super::{
-    Action, Agreement, Append, Base, Name, Save, HEARTBEAT_MS, READS, RETRANSMIT_BYTES_PER_MS, RETRANSMIT_MS,
+    Action, AppendEntries, Name, RaftNode, Save, Snapshot, HEARTBEAT_MS, MAX_ENTRY_VERSION,
+    RETRANSMIT_BYTES_PER_MS, RETRANSMIT_MS,
 };
 use crate::state::hasher;
 use cherrytally::Millis;
@@ -17,18 +18,22 @@
 
 /// Limits on retained log entries and on the size of snapshot chunks.
 #[derive(Clone, Copy, Debug)]
-pub struct Sizes {
+pub struct LogLimits {
     /// Bytes of a snapshot chunk.
-    pub piece: usize,
+    pub chunk_bytes: usize,
     /// Number of applied entries retained after compaction.
-    pub tail: usize,
+    pub trailing_entries: usize,
     /// Bytes of `data` in retained entries.
-    pub tail_bytes: usize,
+    pub trailing_bytes: usize,
 }
 
-impl Default for Sizes {
+impl Default for LogLimits {
     fn default() -> Self {
-        Sizes { piece: SNAPSHOT_CHUNK_BYTES, tail: TRAILING_ENTRIES, tail_bytes: TRAILING_BYTES }
+        LogLimits {
+            chunk_bytes: SNAPSHOT_CHUNK_BYTES,
+            trailing_entries: TRAILING_ENTRIES,
+            trailing_bytes: TRAILING_BYTES,
+        }
     }
 }
 
@@ -50,7 +55,7 @@
 
 /// A snapshot being sent to a follower.
 pub(super) struct SnapshotTransfer {
-    snapshot: Arc<Base>,
+    snapshot: Arc<Snapshot>,
     digest: u64,
     /// Offset of the next chunk.
     offset: usize,
@@ -59,7 +64,7 @@
 }
 
 impl SnapshotTransfer {
-    fn new(snapshot: Arc<Base>) -> Self {
+    fn new(snapshot: Arc<Snapshot>) -> Self {
         let digest = digest(snapshot.index, snapshot.term, &snapshot.members, &snapshot.state);
         SnapshotTransfer { snapshot, digest, offset: 0, outstanding: None }
     }
@@ -102,25 +107,25 @@
     hasher.finish()
 }
 
-impl Agreement {
+impl RaftNode {
     // ---- Log compaction -----------------------------------------------------------------------------------
 
     /// The lowest index that can precede entries to send: later entries are held, and its term is known.
     pub(super) fn min_prev_index(&self) -> u64 {
-        self.trailing.front().map_or(self.base.index, |entry| entry.index)
+        self.trailing.front().map_or(self.snapshot.index, |entry| entry.index)
     }
 
     /// All entries after this index, from the trailing entries and the log; none if some of them were
     /// dropped.
     pub(super) fn entries_after(&self, index: u64) -> Option<impl Iterator<Item = &Entry>> {
-        let first = self.trailing.front().map_or(self.base.index + 1, |entry| entry.index);
+        let first = self.trailing.front().map_or(self.snapshot.index + 1, |entry| entry.index);
         let skip = (index + 1).checked_sub(first)? as usize;
         let trailing = self.trailing.iter().skip(skip);
         Some(trailing.chain(self.log.iter().skip(skip.saturating_sub(self.trailing.len()))))
     }
 
     /// Applied entries after this index; none if some of them were dropped.
-    pub fn since(&self, index: u64) -> Option<impl Iterator<Item = &Entry>> {
+    pub fn applied_entries_after(&self, index: u64) -> Option<impl Iterator<Item = &Entry>> {
         let applied_index = self.applied_index;
         Some(self.entries_after(index)?.take_while(move |entry| entry.index <= applied_index))
     }
@@ -133,11 +138,11 @@
     /// Replaces the log up to and including `index` by a snapshot with this state. Does nothing if `index` is
     /// not applied, is already compacted, or lies within joint consensus.
     pub fn compact(&mut self, index: u64, state: Vec<u8>, actions: &mut Vec<Action>) {
-        if index <= self.base.index || index > self.applied_index {
+        if index <= self.snapshot.index || index > self.applied_index {
             return;
         }
-        let term = self.term_at(index).unwrap_or(self.base.term);
-        let compacted = (index - self.base.index) as usize;
+        let term = self.term_at(index).unwrap_or(self.snapshot.term);
+        let compacted = (index - self.snapshot.index) as usize;
         let Some(members) = self.members_at(index) else { return };
         self.trailing.extend(self.log.drain(..compacted));
         let mut bytes = self.trailing.iter().map(|entry| entry.data.len()).sum::<usize>();
@@ -147,13 +152,13 @@
                 |max_entries: usize, max_bytes: usize| self.trailing.len() > max_entries || bytes > max_bytes;
             let before_transfer = self.trailing.front().is_some_and(|entry| entry.index < transfer_index);
             if !(exceeds(TRANSFER_TRAILING_ENTRIES, TRANSFER_TRAILING_BYTES)
-                || before_transfer && exceeds(self.sizes.tail, self.sizes.tail_bytes))
+                || before_transfer && exceeds(self.limits.trailing_entries, self.limits.trailing_bytes))
             {
                 break;
             }
             bytes -= self.trailing.pop_front().map_or(0, |entry| entry.data.len());
         }
-        self.replace_snapshot(Base { index, term, members, state }, None, actions);
+        self.replace_snapshot(Snapshot { index, term, members, state }, None, actions);
     }
 
     /// Index of the oldest snapshot being sent: later entries will be needed when that transfer is done.
@@ -165,19 +170,23 @@
     }
 
     fn replace_snapshot(
-        &mut self, snapshot: Base, entries: Option<(u64, Vec<Entry>)>, actions: &mut Vec<Action>,
+        &mut self, snapshot: Snapshot, entries: Option<(u64, Vec<Entry>)>, actions: &mut Vec<Action>,
     ) {
-        actions.push(Action::Save(Save { vow: self.vow.clone(), entries, base: Some(snapshot.clone()) }));
-        self.base = Arc::new(snapshot);
+        actions.push(Action::Save(Save {
+            hard_state: self.hard_state.clone(),
+            entries,
+            snapshot: Some(snapshot.clone()),
+        }));
+        self.snapshot = Arc::new(snapshot);
     }
 
     // ---- Sending snapshots --------------------------------------------------------------------------------
 
     /// Sends the next chunk of the snapshot, or a heartbeat while one is unacknowledged.
     pub(super) fn send_snapshot(&mut self, now: Millis, to: &Name, actions: &mut Vec<Action>) {
-        let (term, commit, latest) = (self.vow.term, self.commit_index, self.base.clone());
+        let (term, commit, latest) = (self.hard_state.term, self.commit_index, self.snapshot.clone());
         let min_prev_index = self.min_prev_index();
-        let chunk_bytes = self.sizes.piece;
+        let chunk_bytes = self.limits.chunk_bytes;
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.progress_mut(to) else { return };
         // A newer snapshot replaces the one being sent only if the log no longer continues from it.
@@ -188,32 +197,40 @@
                 progress.last_sent = now;
                 let (prev_index, prev_term) = (transfer.snapshot.index, transfer.snapshot.term);
                 let since_heard_ms = now - progress.last_heard;
-                let heartbeat = Append {
+                let heartbeat = AppendEntries {
                     term,
                     prev_index,
                     prev_term,
                     commit,
                     sent_at: now,
                     since_heard_ms,
-                    ..Append::default()
+                    ..AppendEntries::default()
                 };
-                actions.push(Action::Send { to: to.clone(), say: Say::Append(heartbeat) });
+                actions.push(Action::Send { to: to.clone(), payload: RaftPayload::AppendEntries(heartbeat) });
             }
             return;
         }
         progress.last_sent = now;
-        let Base { index, term: last_term, members, state } = &*transfer.snapshot;
+        let Snapshot { index, term: last_term, members, state } = &*transfer.snapshot;
         let end = (transfer.offset + chunk_bytes).min(state.len());
         let bytes = state.get(transfer.offset..end).unwrap_or_default().to_vec();
         let retry_at = now + RETRANSMIT_MS + bytes.len() as f64 / RETRANSMIT_BYTES_PER_MS;
         transfer.outstanding = Some((now, retry_at));
         let first = transfer.offset == 0;
-        let say = if first && end == state.len() {
+        let payload = if first && end == state.len() {
             let (members, state) = (members.clone(), bytes);
             let (index, last_term, digest) = (*index, *last_term, Some(transfer.digest));
-            Say::Install(Install { term, index, last_term, members, state, at: now, digest })
+            RaftPayload::InstallSnapshot(InstallSnapshot {
+                term,
+                index,
+                last_term,
+                members,
+                state,
+                sent_at: now,
+                digest,
+            })
         } else {
-            Say::Piece(Piece {
+            RaftPayload::SnapshotChunk(SnapshotChunk {
                 term,
                 index: *index,
                 last_term: *last_term,
@@ -225,17 +242,17 @@
                 sent_at: now,
             })
         };
-        actions.push(Action::Send { to: to.clone(), say });
+        actions.push(Action::Send { to: to.clone(), payload });
     }
 
     pub(super) fn handle_chunk_response(
         &mut self, now: Millis, from: Name, response: &ChunkResponse, actions: &mut Vec<Action>,
     ) {
-        if response.term > self.vow.term {
+        if response.term > self.hard_state.term {
             return self.become_follower(now, response.term, None, actions);
         }
         let Role::Leader(leader) = &mut self.role else { return };
-        if response.term < self.vow.term {
+        if response.term < self.hard_state.term {
             return;
         }
         let Some(progress) = leader.progress_mut(&from) else { return };
@@ -259,7 +276,7 @@
 
     /// Progress of the snapshot being received: its index, the bytes received, the bytes in total, and
     /// whether it was rejected because it can't be decoded.
-    pub fn filling(&self) -> Option<(u64, u64, u64, bool)> {
+    pub fn snapshot_progress(&self) -> Option<(u64, u64, u64, bool)> {
         self.incoming_snapshot.as_ref().map(|incoming| {
             (incoming.index, incoming.bytes.len() as u64, incoming.total_bytes, incoming.rejected)
         })
@@ -267,21 +284,24 @@
 
     /// Handles a snapshot in one message as a single chunk.
     pub(super) fn handle_install(
-        &mut self, now: Millis, from: Name, install: Install, actions: &mut Vec<Action>,
+        &mut self, now: Millis, from: Name, install: InstallSnapshot, actions: &mut Vec<Action>,
     ) {
-        let Install { term, index, last_term, members, state, at: sent_at, digest } = install;
+        let InstallSnapshot { term, index, last_term, members, state, sent_at, digest } = install;
         let digest = digest.unwrap_or_else(|| self::digest(index, last_term, &members, &state));
         let total_bytes = state.len() as u64;
         let bytes = state;
-        let chunk = Piece { term, index, last_term, members, total_bytes, digest, offset: 0, bytes, sent_at };
+        let chunk =
+            SnapshotChunk { term, index, last_term, members, total_bytes, digest, offset: 0, bytes, sent_at };
         self.handle_chunk(now, from, chunk, actions);
     }
 
-    pub(super) fn handle_chunk(&mut self, now: Millis, from: Name, chunk: Piece, actions: &mut Vec<Action>) {
-        let Piece { term, index, digest, sent_at, .. } = chunk;
-        let voting = self.vow.counts;
+    pub(super) fn handle_chunk(
+        &mut self, now: Millis, from: Name, chunk: SnapshotChunk, actions: &mut Vec<Action>,
+    ) {
+        let SnapshotChunk { term, index, digest, sent_at, .. } = chunk;
+        let voting = self.hard_state.voting;
         let mut response = ChunkResponse {
-            term: self.vow.term,
+            term: self.hard_state.term,
             index,
             digest,
             next_offset: 0,
@@ -289,13 +309,13 @@
             voting,
             request_sent_at: sent_at,
         };
-        if term < self.vow.term {
-            return actions.push(Action::Send { to: from, say: Say::Took(response) });
+        if term < self.hard_state.term {
+            return actions.push(Action::Send { to: from, payload: RaftPayload::ChunkResponse(response) });
         }
         self.check_single_leader(&from, term);
         self.become_follower(now, term, Some(from.clone()), actions);
         self.leader_sent_at = sent_at;
-        response.term = self.vow.term;
+        response.term = self.hard_state.term;
         if index > self.commit_index && self.term_at(index) == Some(chunk.last_term) {
             // The log already holds everything in the snapshot. Later entries stay: they may have been
             // acknowledged.
@@ -310,28 +330,29 @@
                         ChunkOutcome::Incomplete(next_offset) => response.next_offset = next_offset,
                         _ => response.rejected = true,
                     }
-                    return actions.push(Action::Send { to: from, say: Say::Took(response) });
+                    return actions
+                        .push(Action::Send { to: from, payload: RaftPayload::ChunkResponse(response) });
                 }
             }
         }
         // Up to the snapshot's index, which is committed now, the log matches the leader's.
         let success = index <= self.commit_index;
         let response = AppendResponse {
-            term: self.vow.term,
+            term: self.hard_state.term,
             success,
-            match_index: if success { index } else { self.last() },
+            match_index: if success { index } else { self.last_index() },
             voting,
             request_sent_at: sent_at,
             leaving: self.leaving,
             reachable_agents: self.reachable_agents,
-            max_entry_version: READS,
+            max_entry_version: MAX_ENTRY_VERSION,
         };
-        actions.push(Action::Send { to: from, say: Say::Appended(response) });
+        actions.push(Action::Send { to: from, payload: RaftPayload::AppendResponse(response) });
     }
 
     /// Adds a chunk to the snapshot being received if it is the next one.
-    fn collect_chunk(&mut self, chunk: Piece) -> ChunkOutcome {
-        let Piece { index, last_term, members, total_bytes, digest, offset, bytes, .. } = chunk;
+    fn collect_chunk(&mut self, chunk: SnapshotChunk) -> ChunkOutcome {
+        let SnapshotChunk { index, last_term, members, total_bytes, digest, offset, bytes, .. } = chunk;
         self.incoming_snapshot.take_if(|incoming| {
             (incoming.index, incoming.digest, incoming.total_bytes) != (index, digest, total_bytes)
         });
@@ -380,7 +401,7 @@
         self.log.clear();
         self.trailing = VecDeque::new();
         (self.commit_index, self.applied_index) = (index, index);
-        let snapshot = Base { index, term, members, state: state.clone() };
+        let snapshot = Snapshot { index, term, members, state: state.clone() };
         self.replace_snapshot(snapshot, Some((index + 1, Vec::new())), actions);
         self.reload_membership();
         actions.push(Action::Restore { index, state });
--- a/overland/src/copy.rs
+++ b/overland/src/copy.rs
@@ -1,7 +1,7 @@
 //! What a proxy goes by, without sockets or clock: its copy of the agreed state, what it takes of its agent, how old the
 //! leader's last word is, and when it stops going by keys by itself.
 
-use crate::agreement::READS;
+use crate::agreement::MAX_ENTRY_VERSION;
 use crate::news::{FromProxy, ToProxy};
 use crate::settings::Bounds;
 use crate::state::{Digest, State, Touched};
@@ -85,7 +85,7 @@
     /// What the agent is told.
     pub fn word(&mut self, now: Millis, front: String, ready: bool) -> FromProxy {
         let ranges = self.state.as_ref().filter(|_| std::mem::take(&mut self.differs)).map(State::ranges);
-        FromProxy { front, ready, held: self.held(), ranges, at: Some(now), reads: READS }
+        FromProxy { front, ready, held: self.held(), ranges, at: Some(now), reads: MAX_ENTRY_VERSION }
     }
 
     /// Takes what the agent tells of the state, and how old that is.
--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -2,7 +2,7 @@
 //! tells the core, and what it feeds its proxy. What happens comes in as [`Event`]s with the time, what is to be done
 //! goes out as [`Action`]s; [`Follow::due`] tells when it wants to be told of time.
 
-use crate::agreement::READS;
+use crate::agreement::MAX_ENTRY_VERSION;
 use crate::news::{FromAgent, FromProxy, Gateway, Mend, Numbered, Pulse, ToAgent, ToProxy};
 use crate::settings::Settings;
 use crate::state::{Digest, State, Touched};
@@ -241,7 +241,7 @@
                 follows,
                 applied: proxy.map_or(0, |proxy| proxy.held),
                 ranges: self.state.as_ref().filter(|_| tells).map(State::ranges),
-                reads: READS,
+                reads: MAX_ENTRY_VERSION,
             };
             out.push(Action::Say { core, word: Box::new(word) });
         }
@@ -285,7 +285,7 @@
             }
         }
         if self.held() != before {
-            let read = self.proxy.as_ref().is_some_and(|(_, word)| word.reads >= READS);
+            let read = self.proxy.as_ref().is_some_and(|(_, word)| word.reads >= MAX_ENTRY_VERSION);
             if !changes.is_empty() && (read || !changes.iter().any(Numbered::differs)) {
                 self.feed(now, ToProxy { changes, ..ToProxy::default() }, out);
             } else if !changes.is_empty() {
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -2,7 +2,7 @@
 //! copies that are compared.
 
 use super::{Action, Caller, Member, Next, Stage, Waiting, CALL_MS};
-use crate::agreement::{Event, Letter, Name};
+use crate::agreement::{Event, Name, RaftMessage};
 use crate::calls::{Called, Refusal, Reply};
 use crate::news::{Forwarded, Range, Ranges, Word};
 use cherrytally::Millis;
@@ -39,9 +39,9 @@
     /// Another core process said something.
     pub(super) fn heard(&mut self, now: Millis, from: Name, word: Word, out: &mut Vec<Action>) {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == from);
-        let known = seed || self.agreement.hears(&from);
+        let known = seed || self.agreement.accepts_messages_from(&from);
         let (joins, named) = (matches!(word, Word::Join(_)), from.parse::<SocketAddr>().is_ok());
-        let room = !joins || known || self.agreement.joining() < JOINING_MOST;
+        let room = !joins || known || self.agreement.learner_count() < JOINING_MOST;
         if !named || !(known || joins) || !room {
             self.strange += 1;
             if self.strange.is_power_of_two() {
@@ -50,8 +50,8 @@
             return;
         }
         match word {
-            Word::Agreement(Letter { say: Some(say) }) => {
-                self.next.push_back(Next::Event(Event::Heard { from, say }));
+            Word::Agreement(RaftMessage { payload: Some(say) }) => {
+                self.next.push_back(Next::Event(Event::Received { from, payload: say }));
             }
             Word::Agreement(_) => {}
             Word::Call(call) => self.passed_on(now, from, &call, out),
@@ -90,7 +90,7 @@
 
     /// Asks the core processes that it knows to let it be a member, where it is none.
     pub(super) fn ask_to_join(&self, out: &mut Vec<Action>) {
-        if self.agreement.apart() {
+        if self.agreement.needs_to_join() {
             let seeds = self.seeds.iter().map(SocketAddr::to_string);
             for core in seeds.chain(self.agreement.members().iter().cloned()) {
                 self.tell(&core, Word::Join(true), out);
@@ -109,7 +109,7 @@
         let number = self.number;
         self.number = number.wrapping_add(1);
         let path = format!("{} {}", called.method, called.path);
-        let (term, said) = (self.agreement.term(), self.agreement.leader_said());
+        let (term, said) = (self.agreement.term(), self.agreement.leader_sent_at());
         let call = Forwarded { number, path, body: called.body.to_vec(), status: 0, term, said };
         self.tell(&to, Word::Call(call), out);
         let (granted, until) = (Refusal::Later.reply(), now + CALL_MS);
@@ -119,7 +119,8 @@
 
     /// Whether it follows this one, hears it, and is heard by it.
     pub(super) fn hears_leader(&self, now: Millis, leader: &Name) -> bool {
-        let (heard, unheard) = (now - self.agreement.heard(), self.agreement.unheard(now));
+        let (heard, unheard) =
+            (now - self.agreement.leader_heard_at(), self.agreement.since_heard_by_leader(now));
         self.agreement.leader() == Some(leader) && heard < SILENT_MS && unheard < UNHEARD_MS
     }
 
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -11,7 +11,7 @@
 mod presence;
 mod push;
 
-use crate::agreement::{self, Agreement, Entry, Letter, Name, Save, Saved};
+use crate::agreement::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
 use crate::calls::{self, Called, Outcome, Refusal, Reply, Served, Serves};
 use crate::invariants::{self, Invariant};
 use crate::ledger::Mark;
@@ -239,7 +239,7 @@
     me: Name,
     /// Core processes that the settings name, as they were last read.
     seeds: Vec<SocketAddr>,
-    agreement: Agreement,
+    agreement: RaftNode,
     state: State,
     digest: Digest,
     /// What the agreement wanted that is not done yet: a save comes first.
@@ -285,14 +285,14 @@
 impl Member {
     /// A core process that starts with what its disk holds, and what is to be on disk before it does anything.
     pub fn start(
-        settings: Settings, disk: Option<Saved>, seed: u64, now: Millis,
+        settings: Settings, disk: Option<PersistentState>, seed: u64, now: Millis,
     ) -> Result<(Member, Option<Save>)> {
         let address = settings.control.ok_or_else(|| eyre!("network.docks_at.control is missing"))?;
         let me = address.to_string();
         let mut whole = Whole::default();
         let mut damaged = false;
         if let Some(saved) = &disk {
-            match Whole::decode(&saved.base.state[..]) {
+            match Whole::decode(&saved.snapshot.state[..]) {
                 Ok(read) => whole = read,
                 Err(_) => damaged = true,
             }
@@ -301,33 +301,33 @@
         // nobody at first and counts only once a leader has filled it up.
         let lost = damaged.then(|| {
             log::error!("core: the state on disk can't be read: it is filled up from the others");
-            Saved::default()
+            PersistentState::default()
         });
         let disk = lost.or(disk);
         let founds = disk.is_none() && settings.first_start && settings.seeds.contains(&address);
         let (saved, first) = match disk {
             Some(saved) if damaged => {
-                let (vow, base) = (saved.vow.clone(), Some(saved.base.clone()));
-                (saved, Some(Save { vow, entries: Some((0, Vec::new())), base }))
+                let (vow, base) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
+                (saved, Some(Save { hard_state: vow, entries: Some((0, Vec::new())), snapshot: base }))
             }
             Some(saved) => (saved, None),
             None if founds => {
-                let saved = Agreement::found(settings.seeds.iter().map(SocketAddr::to_string).collect());
-                let (vow, base) = (saved.vow.clone(), Some(saved.base.clone()));
-                (saved, Some(Save { vow, entries: None, base }))
+                let saved = RaftNode::bootstrap(settings.seeds.iter().map(SocketAddr::to_string).collect());
+                let (vow, base) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
+                (saved, Some(Save { hard_state: vow, entries: None, snapshot: base }))
             }
             None => Default::default(),
         };
         log::info!(
             "core: {me} starts, {} entries behind {}, {}",
             saved.entries.len(),
-            saved.base.index,
+            saved.snapshot.index,
             if founds { "founds" } else { "known" }
         );
-        let state = State { index: saved.base.index, ..State::from_whole(now, whole) };
+        let state = State { index: saved.snapshot.index, ..State::from_whole(now, whole) };
         let member = Member {
             seeds: settings.seeds.clone(),
-            agreement: Agreement::new(me.clone(), saved, seed, now).reading(readable),
+            agreement: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(readable),
             settings,
             me,
             state,
@@ -367,7 +367,7 @@
 
     /// Whether it leads.
     pub fn leads(&self) -> bool {
-        self.agreement.leads()
+        self.agreement.is_leader()
     }
 
     /// Its copy of the agreed state.
@@ -387,18 +387,18 @@
     }
 
     /// Its part in the agreement.
-    pub fn agreement(&self) -> &Agreement {
+    pub fn agreement(&self) -> &RaftNode {
         &self.agreement
     }
 
-    /// What a process that was told to end may do: see [`Agreement::left`].
+    /// What a process that was told to end may do: see [`RaftNode::leave_outcome`].
     pub fn left(&self) -> Option<bool> {
-        self.agreement.left()
+        self.agreement.leave_outcome()
     }
 
     /// Whether it may answer for all.
     fn vouches(&self, now: Millis) -> bool {
-        !self.unread && self.agreement.vouches(now)
+        !self.unread && self.agreement.holds_lease(now)
     }
 
     /// Takes in one event and appends what is to be done.
@@ -435,7 +435,7 @@
             self.keep_house(now, out);
         }
         if self.ticks.is_multiple_of(LEADERLESS_TICKS) {
-            if let Some(why) = self.agreement.leaderless() {
+            if let Some(why) = self.agreement.no_leader_reason() {
                 log::warn!("core: nobody leads: {why}");
             }
         }
@@ -470,7 +470,7 @@
     fn keep_house(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.ask_to_join(out);
         if self.unread && self.leads() {
-            self.next.push_back(Next::Event(agreement::Event::Resign));
+            self.next.push_back(Next::Event(agreement::Event::TransferLeadership));
         }
         self.mind_reach(now);
         // What comes later than that is refused as late.
@@ -497,8 +497,8 @@
     /// A leader that agents don't reach hands over to a member that they do reach.
     fn mind_reach(&mut self, now: Millis) {
         let heard = self.agents.values().filter(|agent| now - agent.heard < presence::HEARD_MS).count();
-        self.next.push_back(Next::Event(agreement::Event::Reach(heard as u32)));
-        self.ill_placed = if self.agreement.ill_placed(now) { self.ill_placed + 1 } else { 0 };
+        self.next.push_back(Next::Event(agreement::Event::ReachableAgents(heard as u32)));
+        self.ill_placed = if self.agreement.is_poorly_connected(now) { self.ill_placed + 1 } else { 0 };
         if self.ill_placed >= ILL_PLACED_ROUNDS {
             self.hand_over(now, "agents reach others");
         }
@@ -510,7 +510,7 @@
         if self.leads() && !lately {
             log::warn!("core: {why}; another should lead");
             (self.handed, self.ill_placed) = (Some(now), 0);
-            self.next.push_back(Next::Event(agreement::Event::Resign));
+            self.next.push_back(Next::Event(agreement::Event::TransferLeadership));
         }
     }
 
@@ -547,13 +547,13 @@
     fn propose(
         &mut self, kind: Kind, caller: Option<Caller>, out: &mut Vec<Action>,
     ) -> Option<agreement::Event> {
-        if !self.agreement.takes() {
+        if !self.agreement.accepts_proposals() {
             if let Some(caller) = caller {
                 self.refuse(&caller, &Refusal::Later, out);
             }
             return None;
         }
-        let (index, term) = (self.agreement.last() + 1, self.agreement.term());
+        let (index, term) = (self.agreement.last_index() + 1, self.agreement.term());
         let kind = match kind {
             Kind::Configured(config) => {
                 self.orders.propose(&config, index, term);
@@ -578,8 +578,8 @@
                 self.saving = true;
                 out.push(Action::Save(Box::new(save)));
             }
-            agreement::Action::Send { to, say } => {
-                self.tell(&to, Word::Agreement(Letter { say: Some(say) }), out);
+            agreement::Action::Send { to, payload: say } => {
+                self.tell(&to, Word::Agreement(RaftMessage { payload: Some(say) }), out);
             }
             agreement::Action::Apply(entry) => self.apply(now, &entry, out),
             agreement::Action::Restore { index, state } => match Whole::decode(&state[..]) {
@@ -593,14 +593,14 @@
                 }
                 Err(_) => out.push(Action::Stop(format!("the state {index} that was sent can't be read"))),
             },
-            agreement::Action::Leads(leads) => self.take_duty(now, leads, out),
+            agreement::Action::LeadershipChanged(leads) => self.take_duty(now, leads, out),
         }
     }
 
     fn apply(&mut self, now: Millis, entry: &Entry, out: &mut Vec<Action>) {
         self.applied = true;
-        if !entry.new_members.is_empty() {
-            log::info!("core: the members are {}", entry.new_members.join(", "));
+        if !entry.final_members.is_empty() {
+            log::info!("core: the members are {}", entry.final_members.join(", "));
         }
         let change = change_in(entry);
         if !entry.data.is_empty() && change.as_ref().is_none_or(|change| change.kind.is_none()) {
@@ -745,11 +745,11 @@
     type Wait = Wait;
 
     fn leads(&self) -> bool {
-        self.agreement.leads()
+        self.agreement.is_leader()
     }
 
     fn vouches(&self, now: Millis) -> bool {
-        self.agreement.vouches(now)
+        self.agreement.holds_lease(now)
     }
 }
 
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -205,7 +205,7 @@
     /// are sent the log read that and it is shorter. It is taken nowhere else than on top of that one.
     pub(super) fn shortened(&self, config: Configured) -> Configured {
         let known = self.state.config.as_ref().filter(|known| config.based_on == Some(known.edition));
-        let Some(known) = known.filter(|_| self.agreement.all_read()) else { return config };
+        let Some(known) = known.filter(|_| self.agreement.all_read_entry_version()) else { return config };
         let difference = Difference::between(&known.text, &config.text);
         if difference.encoded_len() >= config.text.len() / 2 {
             return config;
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -154,7 +154,7 @@
     pub(super) fn settle(&mut self) {
         let presence = &mut self.presence;
         let heard = |id: &String| presence.beats.contains_key(id);
-        let agreed = self.state.index >= self.agreement.last();
+        let agreed = self.state.index >= self.agreement.last_index();
         presence.settled |= agreed && self.state.backends.keys().all(heard);
     }
 
@@ -218,28 +218,28 @@
             zone: zone.clone(),
             ..line
         });
-        let roll = agreement.roll(now).unwrap_or_default();
+        let roll = agreement.membership_status(now).unwrap_or_default();
         let count =
             |(tenant, per_s, units): (&str, f64, i64)| CountLine { tenant: tenant.to_owned(), per_s, units };
         Status {
             address: self.me.clone(),
             node: self.settings.node.clone(),
             leader: agreement.leader().cloned().unwrap_or_default(),
-            vouches: agreement.vouches(now),
+            vouches: agreement.holds_lease(now),
             term: agreement.term(),
             index: state.index,
             digest: format!("{:016x}", self.digest.of(state)),
             log: agreement.log_length() as u64,
-            installing: agreement.filling().map(|(index, came, total, refused)| match refused {
+            installing: agreement.snapshot_progress().map(|(index, came, total, refused)| match refused {
                 true => format!("CAN'T READ the state of {index}"),
                 false => format!("has {came} of {total} bytes of the state of {index}"),
             }),
             members: agreement.members().to_vec(),
             missing: roll.missing,
-            filling: roll.filling,
-            listeners: roll.listeners,
-            borne: roll.borne as u64,
-            leaderless: agreement.leaderless(),
+            filling: roll.catching_up,
+            listeners: roll.learners,
+            borne: roll.tolerable_losses as u64,
+            leaderless: agreement.no_leader_reason(),
             violations: Some(violations()),
             edition: state.config.as_ref().map_or(String::new(), |config| format!("r{}", config.edition)),
             evacuated: state.evacuated.iter().cloned().collect(),
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -1,7 +1,7 @@
 //! What agents are told: who leads, and numbered changes.
 
 use super::{change_in, Action, Member, Next};
-use crate::agreement::{Entry, Name, READS};
+use crate::agreement::{Entry, Name, MAX_ENTRY_VERSION};
 use crate::link::framed;
 use crate::news::{Change, FromAgent, Gateway, Kind, Numbered, Pulse, ToAgent};
 use bytes::Bytes;
@@ -115,7 +115,7 @@
 
     fn push_to(&mut self, now: Millis, link: u64, out: &mut Vec<Action>) {
         let Some(agent) = self.agents.get(&link) else { return };
-        let (sent, reads) = (agent.sent, agent.word.reads >= READS);
+        let (sent, reads) = (agent.sent, agent.word.reads >= MAX_ENTRY_VERSION);
         if sent >= self.state.index {
             return;
         }
@@ -144,7 +144,7 @@
             _ => true,
         };
         let change = |entry| change_in(entry).filter(|change| stands(&entry, change));
-        let entries = self.agreement.since(index)?;
+        let entries = self.agreement.applied_entries_after(index)?;
         let changes: Vec<_> =
             entries.map(|entry| Numbered { index: entry.index, change: change(entry) }).collect();
         Some(changes).filter(|changes| reads || !changes.iter().any(Numbered::differs))
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -281,7 +281,7 @@
     /// The copy differs from the leader's with the same number: its ranges.
     #[prost(message, optional, tag = "9")]
     pub ranges: Option<Ranges>,
-    /// What it reads in changes: [`crate::agreement::READS`].
+    /// What it reads in changes: [`crate::agreement::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "10")]
     pub reads: u32,
 }
@@ -382,7 +382,7 @@
     /// When it was sent, by the proxy's own clock, in ms.
     #[prost(double, optional, tag = "5")]
     pub at: Option<f64>,
-    /// What it reads in changes: [`crate::agreement::READS`].
+    /// What it reads in changes: [`crate::agreement::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "6")]
     pub reads: u32,
 }
@@ -484,7 +484,7 @@
 pub enum Word {
     /// Of the agreement.
     #[prost(message, tag = "2")]
-    Agreement(crate::agreement::Letter),
+    Agreement(crate::agreement::RaftMessage),
     /// A call that came to one that does not lead.
     #[prost(message, tag = "3")]
     Call(Forwarded),
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -14,7 +14,7 @@
 
 pub use pace::Pace;
 
-use crate::agreement::{Base, Entry, Save, Saved, Vow};
+use crate::agreement::{Entry, HardState, PersistentState, Save, Snapshot};
 use crate::invariants::{self, Invariant};
 use crate::state::digest;
 use eyre::{bail, Result, WrapErr};
@@ -48,7 +48,7 @@
 const BASE: &[u8] = b"base";
 const ENTRY: u8 = b'e';
 
-/// The disk's form of [`Vow`].
+/// The disk's form of [`HardState`].
 #[derive(Clone, PartialEq, Message)]
 struct VowForm {
     #[prost(uint64, tag = "1")]
@@ -75,7 +75,7 @@
     digest: Option<u64>,
 }
 
-/// The disk's form of [`Base`].
+/// The disk's form of [`Snapshot`].
 #[derive(Clone, PartialEq, Message)]
 struct BaseForm {
     #[prost(uint64, tag = "1")]
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// The disk takes nothing now ([`takes_nothing`] says so), or can't be used at all.
-    fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)>;
+    fn open(&self) -> Result<(Box<dyn Saves>, Option<PersistentState>)>;
 }
 
 /// An open store.
@@ -112,7 +112,7 @@
 pub struct Folder(pub PathBuf);
 
 impl Disk for Folder {
-    fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)> {
+    fn open(&self) -> Result<(Box<dyn Saves>, Option<PersistentState>)> {
         let (store, saved) = Store::open(&self.0)?;
         Ok((Box::new(store), saved))
     }
@@ -143,7 +143,7 @@
 enum Read {
     Nothing,
     /// What it holds, the number of its last save, and that of its last entry.
-    Held(Saved, u64, u64),
+    Held(PersistentState, u64, u64),
     /// It can't go by what it holds, and why.
     Damaged(String),
 }
@@ -213,7 +213,7 @@
     /// # Errors
     ///
     /// The disk takes nothing (it is full, or may not be written), or holds a form of a later program.
-    pub fn open(folder: &Path) -> Result<(Self, Option<Saved>)> {
+    pub fn open(folder: &Path) -> Result<(Self, Option<PersistentState>)> {
         fs::create_dir_all(folder)?;
         let (path, aside) = (folder.join("core"), folder.join("core.damaged"));
         let marked = Mark::read(folder)?;
@@ -227,8 +227,10 @@
                 store.saves.set(saves.max(marked.unwrap_or(0)));
                 store.last.set(last);
                 // A disk that takes nothing more is found before anybody goes by what it will hold.
-                let vow = saved.vow.clone();
-                store.save(&Save { vow, entries: None, base: None }).wrap_err("the disk takes nothing")?;
+                let vow = saved.hard_state.clone();
+                store
+                    .save(&Save { hard_state: vow, entries: None, snapshot: None })
+                    .wrap_err("the disk takes nothing")?;
                 return Ok((store, Some(saved)));
             }
             Ok((store, Read::Nothing)) if !held => return Ok((store, None)),
@@ -242,7 +244,9 @@
 
     /// Sets a damaged store aside and begins one that counts for nothing. Its saves are counted on from those of the damaged
     /// one: behind a loss of power the mark may be that one's again.
-    fn begin_anew(path: &Path, aside: &Path, folder: &Path, marked: u64) -> Result<(Self, Option<Saved>)> {
+    fn begin_anew(
+        path: &Path, aside: &Path, folder: &Path, marked: u64,
+    ) -> Result<(Self, Option<PersistentState>)> {
         if aside.exists() && path.exists() {
             fs::remove_dir_all(aside)?;
         }
@@ -253,11 +257,11 @@
         mark::sync_folder(folder)?;
         let (store, _) = Self::open_at(path, folder)?.map_err(|why| eyre::eyre!("a new store: {why}"))?;
         store.saves.set(marked);
-        let saved = Saved::default();
+        let saved = PersistentState::default();
         store.save(&Save {
-            vow: saved.vow.clone(),
+            hard_state: saved.hard_state.clone(),
             entries: Some((0, Vec::new())),
-            base: Some(saved.base.clone()),
+            snapshot: Some(saved.snapshot.clone()),
         })?;
         Ok((store, Some(saved)))
     }
@@ -365,8 +369,12 @@
         if form > 0 && end != last {
             bail!("the log ends with {end}, and {last} was its last");
         }
-        let vow = Vow { term, vote, counts };
-        let saved = Saved { vow, base: Base { index, term: base_term, members, state }, entries };
+        let vow = HardState { term, vote, voting: counts };
+        let saved = PersistentState {
+            hard_state: vow,
+            snapshot: Snapshot { index, term: base_term, members, state },
+            entries,
+        };
         Ok(Read::Held(saved, saves, end))
     }
 }
@@ -375,8 +383,8 @@
     fn save(&self, save: &Save) -> Result<()> {
         let mut batch = self.database.batch();
         let (mut last, saves) = (self.last.get(), self.saves.get() + 1);
-        if let Some(base) = &save.base {
-            let Base { index, term, members, state } = base.clone();
+        if let Some(base) = &save.snapshot {
+            let Snapshot { index, term, members, state } = base.clone();
             for pair in self.keys.range(entry_key(0)..=entry_key(index)) {
                 batch.remove(&self.keys, pair.key()?);
             }
@@ -392,7 +400,7 @@
             }
             last = (first + entries.len() as u64).saturating_sub(1);
         }
-        let Vow { term, vote, counts } = save.vow.clone();
+        let HardState { term, vote, voting: counts } = save.hard_state.clone();
         batch.insert(&self.keys, VOW, sealed(&VowForm { term, vote, counts, form: FORM, last, saves }));
         batch.commit()?;
         self.database.persist(PersistMode::SyncAll)?;
--- a/overland/tests/agreement.rs
+++ b/overland/tests/agreement.rs
@@ -7,7 +7,7 @@
     lose_one_after_leave, lose_second_after_replacement, replace_members_during_partitions,
     run_random_faults, World,
 };
-use overland::agreement::{Action, Agreement, Append, Entry, Event, Install, Say};
+use overland::agreement::{Action, AppendEntries, Entry, Event, InstallSnapshot, RaftNode, RaftPayload};
 
 /// Longest time without a leader after a loss.
 const MAX_LEADERLESS_MS: f64 = 4000.0;
@@ -100,17 +100,17 @@
     let mut world = World::new(7, 3, 0, None);
     (0..3).for_each(|number| world.start(number, false));
     world.run_until(20_000.0, 0.0);
-    assert!(world.nodes.iter().all(|node| !node.running.as_ref().expect("the node runs").leads()));
+    assert!(world.nodes.iter().all(|node| !node.running.as_ref().expect("the node runs").is_leader()));
     assert!(world.model.committed.is_empty());
 }
 
 #[test]
 fn late_snapshot_keeps_acknowledged_entries() {
     // A follower has acknowledged entries 2 to 5 and knows that 2 and 3 are committed.
-    let saved = Agreement::found((0..3).map(|number| format!("core{number}")).collect());
-    let mut follower = Agreement::new("core1".into(), saved, 7, 0.0);
+    let saved = RaftNode::bootstrap((0..3).map(|number| format!("core{number}")).collect());
+    let mut follower = RaftNode::new("core1".into(), saved, 7, 0.0);
     let entry = |index: u64| Entry { index, term: 1, data: vec![index as u8], ..Entry::default() };
-    let append = Append {
+    let append = AppendEntries {
         term: 1,
         prev_index: 1,
         prev_term: 0,
@@ -118,50 +118,68 @@
         commit: 3,
         grants_voting: true,
         sent_at: 5.0,
-        ..Append::default()
+        ..AppendEntries::default()
     };
-    let receive = |follower: &mut Agreement, say| {
+    let receive = |follower: &mut RaftNode, payload| {
         let mut actions = Vec::new();
-        follower.handle(10.0, Event::Heard { from: "core0".into(), say }, &mut actions);
+        follower.handle(10.0, Event::Received { from: "core0".into(), payload }, &mut actions);
         actions
     };
-    receive(&mut follower, Say::Append(append));
-    assert_eq!((follower.last(), follower.applied()), (5, 3));
+    receive(&mut follower, RaftPayload::AppendEntries(append));
+    assert_eq!((follower.last_index(), follower.applied_index()), (5, 3));
     // The leader has compacted its log up to entry 4 and has not received the response.
     let members: Vec<_> = (0..3).map(|number| format!("core{number}")).collect();
-    let install = Install { term: 1, index: 4, last_term: 1, members, state: vec![1], at: 6.0, digest: None };
-    let actions = receive(&mut follower, Say::Install(install.clone()));
-    assert_eq!((follower.last(), follower.applied()), (5, 4), "entry 5 is kept");
+    let install = InstallSnapshot {
+        term: 1,
+        index: 4,
+        last_term: 1,
+        members,
+        state: vec![1],
+        sent_at: 6.0,
+        digest: None,
+    };
+    let actions = receive(&mut follower, RaftPayload::InstallSnapshot(install.clone()));
+    assert_eq!((follower.last_index(), follower.applied_index()), (5, 4), "entry 5 is kept");
     assert!(actions.contains(&Action::Apply(entry(4))));
     assert!(!actions.iter().any(|action| matches!(action, Action::Save(_) | Action::Restore { .. })));
     // A snapshot beyond the end of the log is installed.
-    let newer = Install { index: 9, last_term: 1, ..install };
-    let actions = receive(&mut follower, Say::Install(newer));
-    assert_eq!((follower.last(), follower.applied()), (9, 9));
+    let newer = InstallSnapshot { index: 9, last_term: 1, ..install };
+    let actions = receive(&mut follower, RaftPayload::InstallSnapshot(newer));
+    assert_eq!((follower.last_index(), follower.applied_index()), (9, 9));
     assert!(actions.iter().any(|action| matches!(action, Action::Restore { index: 9, .. })));
 }
 
 /// A wiped member may first receive an old snapshot, whose list of members lacks the current leader.
 #[test]
 fn messages_from_a_leader_missing_in_an_old_snapshot_are_accepted() {
-    let mut wiped = Agreement::new("core1".into(), Default::default(), 7, 0.0);
+    let mut wiped = RaftNode::new("core1".into(), Default::default(), 7, 0.0);
     let members = (0..3).map(|number| format!("core{number}")).collect();
-    let install = Install { term: 3, index: 1, last_term: 1, members, state: vec![1], ..Install::default() };
-    let event = Event::Heard { from: "core5".into(), say: Say::Install(install) };
+    let install = InstallSnapshot {
+        term: 3,
+        index: 1,
+        last_term: 1,
+        members,
+        state: vec![1],
+        ..InstallSnapshot::default()
+    };
+    let event = Event::Received { from: "core5".into(), payload: RaftPayload::InstallSnapshot(install) };
     wiped.handle(10.0, event, &mut Vec::new());
     assert_eq!(wiped.leader(), Some(&"core5".to_owned()));
     assert!(wiped.members().contains(&"core1".to_owned()));
-    assert!(wiped.hears(&"core5".to_owned()), "it could never receive the entries after that snapshot");
-    assert!(!wiped.hears(&"core6".to_owned()));
+    assert!(
+        wiped.accepts_messages_from(&"core5".to_owned()),
+        "it could never receive the entries after that snapshot"
+    );
+    assert!(!wiped.accepts_messages_from(&"core6".to_owned()));
 }
 
 #[test]
 fn follower_with_conflicting_entries_reports_its_commit_index() {
     // Entries 2 to 11 are of term 1; those up to 4 are committed.
-    let saved = Agreement::found((0..3).map(|number| format!("core{number}")).collect());
-    let mut follower = Agreement::new("core1".into(), saved, 7, 0.0);
-    let append = |follower: &mut Agreement, term, prev_index, prev_term, entries: Vec<Entry>, commit| {
-        let request = Append {
+    let saved = RaftNode::bootstrap((0..3).map(|number| format!("core{number}")).collect());
+    let mut follower = RaftNode::new("core1".into(), saved, 7, 0.0);
+    let append = |follower: &mut RaftNode, term, prev_index, prev_term, entries: Vec<Entry>, commit| {
+        let request = AppendEntries {
             term,
             prev_index,
             prev_term,
@@ -169,13 +187,14 @@
             commit,
             grants_voting: true,
             sent_at: 5.0,
-            ..Append::default()
+            ..AppendEntries::default()
         };
         let mut actions = Vec::new();
-        let event = Event::Heard { from: format!("core{term}"), say: Say::Append(request) };
+        let event =
+            Event::Received { from: format!("core{term}"), payload: RaftPayload::AppendEntries(request) };
         follower.handle(10.0, event, &mut actions);
         let response = actions.iter().find_map(|action| match action {
-            Action::Send { say: Say::Appended(response), .. } => {
+            Action::Send { payload: RaftPayload::AppendResponse(response), .. } => {
                 Some((response.success, response.match_index))
             }
             _ => None,
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -2,7 +2,7 @@
 
 mod simulated;
 
-use overland::agreement::{Base, Install, Letter, Saved, Say, Vow};
+use overland::agreement::{HardState, InstallSnapshot, PersistentState, RaftMessage, RaftPayload, Snapshot};
 use overland::member::{Action, Event, Member};
 use overland::news::Word;
 use overland::state::Known;
@@ -148,7 +148,7 @@
 }
 
 impl Alone {
-    fn start(disk: Option<Saved>) -> (Self, Option<overland::agreement::Save>) {
+    fn start(disk: Option<PersistentState>) -> (Self, Option<overland::agreement::Save>) {
         let seeds = (0..3).map(simulated::core_address).collect();
         let settings = simulated::settings("core-0".into(), Some(simulated::core_address(0)), seeds, true);
         let (member, first) = Member::start(settings, disk, 1, 0.0).expect("it starts");
@@ -169,13 +169,13 @@
         all
     }
 
-    fn hear(&mut self, say: Say) -> Vec<Action> {
+    fn hear(&mut self, say: RaftPayload) -> Vec<Action> {
         let from = simulated::core_address(1).to_string();
-        self.handle(Event::Heard { from, word: Word::Agreement(Letter { say: Some(say) }) })
+        self.handle(Event::Heard { from, word: Word::Agreement(RaftMessage { payload: Some(say) }) })
     }
 
     /// It is left alone for so long: what it says to others.
-    fn said(&mut self, for_ms: f64) -> Vec<Say> {
+    fn said(&mut self, for_ms: f64) -> Vec<RaftPayload> {
         let until = self.now + for_ms;
         let mut said = Vec::new();
         while self.now < until {
@@ -190,9 +190,9 @@
     }
 }
 
-fn say_of(word: &Word) -> Option<&Say> {
+fn say_of(word: &Word) -> Option<&RaftPayload> {
     match word {
-        Word::Agreement(letter) => letter.say.as_ref(),
+        Word::Agreement(letter) => letter.payload.as_ref(),
         _ => None,
     }
 }
@@ -206,34 +206,46 @@
 
 #[test]
 fn a_state_that_cant_be_read_is_neither_saved_nor_followed() {
-    let (mut alone, _) = Alone::start(Some(Saved::default()));
+    let (mut alone, _) = Alone::start(Some(PersistentState::default()));
     let (term, index, last_term, members, at) = (3, 700, 2, members(), 1.0);
-    let install = Install { term, index, last_term, members, state: GARBAGE.to_vec(), at, digest: None };
-    let actions = alone.hear(Say::Install(install.clone()));
-    let kept = actions.iter().any(|action| matches!(action, Action::Save(save) if save.base.is_some()));
+    let install = InstallSnapshot {
+        term,
+        index,
+        last_term,
+        members,
+        state: GARBAGE.to_vec(),
+        sent_at: at,
+        digest: None,
+    };
+    let actions = alone.hear(RaftPayload::InstallSnapshot(install.clone()));
+    let kept = actions.iter().any(|action| matches!(action, Action::Save(save) if save.snapshot.is_some()));
     assert!(!kept, "it is on disk");
     assert!(!actions.iter().any(|action| matches!(action, Action::Stop(_))), "the process ends");
-    let took = actions.iter().any(
-        |action| matches!(action, Action::Tell { word, .. } if matches!(say_of(word), Some(Say::Appended(_)))),
-    );
+    let took = actions.iter().any(|action| {
+        matches!(
+            action,
+            Action::Tell { word, .. } if matches!(say_of(word), Some(RaftPayload::AppendResponse(_)))
+        )
+    });
     assert!(!took && alone.member.state().index == 0);
     // One that can be read is taken.
-    let actions = alone.hear(Say::Install(Install { state: Vec::new(), ..install }));
-    assert!(actions.iter().any(|action| matches!(action, Action::Save(save) if save.base.is_some())));
+    let actions = alone.hear(RaftPayload::InstallSnapshot(InstallSnapshot { state: Vec::new(), ..install }));
+    assert!(actions.iter().any(|action| matches!(action, Action::Save(save) if save.snapshot.is_some())));
     assert_eq!(alone.member.state().index, 700);
 }
 
 #[test]
 fn a_start_from_a_damaged_disk_is_one_from_an_empty_disk() {
-    let vow = Vow { term: 4, vote: None, counts: true };
-    let base = Base { index: 512, term: 3, members: members(), state: GARBAGE.to_vec() };
-    let (mut alone, first) = Alone::start(Some(Saved { vow, base, entries: Vec::new() }));
+    let vow = HardState { term: 4, vote: None, voting: true };
+    let base = Snapshot { index: 512, term: 3, members: members(), state: GARBAGE.to_vec() };
+    let (mut alone, first) =
+        Alone::start(Some(PersistentState { hard_state: vow, snapshot: base, entries: Vec::new() }));
     let first = first.expect("the disk is emptied");
-    assert_eq!((first.base, first.entries), (Some(Base::default()), Some((0, Vec::new()))));
-    assert!(!first.vow.counts);
+    assert_eq!((first.snapshot, first.entries), (Some(Snapshot::default()), Some((0, Vec::new()))));
+    assert!(!first.hard_state.voting);
     // It asks nobody for a vote, and founds nothing, though the settings name a first start.
     let said = alone.said(10_000.0);
-    assert!(!said.iter().any(|say| matches!(say, Say::VoteAsk(_))), "it wants to lead");
+    assert!(!said.iter().any(|say| matches!(say, RaftPayload::VoteRequest(_))), "it wants to lead");
     assert!(alone.member.agreement().members().is_empty());
 }
 
@@ -271,7 +283,7 @@
     world.leader().is_some()
         && world.cores.iter().all(|core| {
             let near = core.running.as_ref().is_some_and(|member| member.state().index + 200 > agreed);
-            near && core.disk.as_ref().is_some_and(|disk| disk.vow.counts)
+            near && core.disk.as_ref().is_some_and(|disk| disk.hard_state.voting)
         })
 }
 
@@ -383,7 +395,7 @@
         let caught_up = world.cores[lost].running.as_ref().is_some_and(|member| {
             member.state().index + 5 > index(&world) && member.state().config.is_some()
         });
-        if caught_up && world.cores[lost].disk.as_ref().is_some_and(|disk| disk.vow.counts) {
+        if caught_up && world.cores[lost].disk.as_ref().is_some_and(|disk| disk.hard_state.voting) {
             return (world.now - started, term(&world) - before);
         }
     }
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -4,7 +4,7 @@
 mod finds;
 mod simulated;
 
-use overland::agreement::{Append, Install, Letter, Say};
+use overland::agreement::{AppendEntries, InstallSnapshot, RaftMessage, RaftPayload};
 use overland::news::{FromAgent, Gateway, Mend, Whole, Word};
 use simulated::troubles::{Trouble, ALL};
 use simulated::{Input, Place, World};
@@ -108,14 +108,26 @@
             let name = names[world.rng.usize(0..names.len())].to_owned();
             let term = world.rng.u64(..);
             let say = match world.rng.u32(0..3) {
-                0 => Say::Append(Append { term, commit: term, ..Append::default() }),
-                1 => Say::Install(Install { term, index: term, state: vec![0xff; 40], ..Install::default() }),
-                _ => Say::Succeed(term),
+                0 => RaftPayload::AppendEntries(AppendEntries {
+                    term,
+                    commit: term,
+                    ..AppendEntries::default()
+                }),
+                1 => RaftPayload::InstallSnapshot(InstallSnapshot {
+                    term,
+                    index: term,
+                    state: vec![0xff; 40],
+                    ..InstallSnapshot::default()
+                }),
+                _ => RaftPayload::TimeoutNow(term),
             };
             let index = world.cores[core].running.as_ref().expect("it runs").state().index;
             let mend = Mend { index, names: vec!["cell z1".into()], parts: Some(Whole::default()) };
-            let word =
-                if world.rng.bool() { Word::Agreement(Letter { say: Some(say) }) } else { Word::Mend(mend) };
+            let word = if world.rng.bool() {
+                Word::Agreement(RaftMessage { payload: Some(say) })
+            } else {
+                Word::Mend(mend)
+            };
             world.input(core, Input::Heard(name, Box::new(word)));
             sent += 1;
             world.pass(world.now + 20.0);
--- a/overland/tests/full_disk.rs
+++ b/overland/tests/full_disk.rs
@@ -5,7 +5,7 @@
 mod processes;
 
 use eyre::{Report, Result};
-use overland::agreement::{Save, Saved};
+use overland::agreement::{PersistentState, Save};
 use overland::control::Control;
 use overland::settings::Settings;
 use overland::store::{takes_nothing, Disk, Saves};
@@ -18,7 +18,7 @@
 #[derive(Clone, Default)]
 struct Memory {
     full: Arc<AtomicBool>,
-    holds: Arc<Mutex<Option<Saved>>>,
+    holds: Arc<Mutex<Option<PersistentState>>>,
 }
 
 impl Memory {
@@ -33,7 +33,7 @@
 }
 
 impl Disk for Memory {
-    fn open(&self) -> Result<(Box<dyn Saves>, Option<Saved>)> {
+    fn open(&self) -> Result<(Box<dyn Saves>, Option<PersistentState>)> {
         self.takes()?;
         Ok((Box::new(self.clone()), self.holds.lock().expect("whole").clone()))
     }
--- a/overland/tests/histories/mod.rs
+++ b/overland/tests/histories/mod.rs
@@ -7,7 +7,7 @@
 mod kept;
 
 use kept::{keep, Watched};
-use overland::agreement::{Action, Agreement, Entry, Event, Saved, Say, Sizes};
+use overland::agreement::{Action, Entry, Event, LogLimits, PersistentState, RaftNode, RaftPayload};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The committed log as seen by all nodes together.
@@ -30,9 +30,9 @@
 
 /// A core process and its disk, which survives restarts.
 pub struct Node {
-    disk: Option<Saved>,
+    disk: Option<PersistentState>,
     is_founder: bool,
-    pub running: Option<Agreement>,
+    pub running: Option<RaftNode>,
     /// It and its disk are lost for good.
     lost: bool,
     /// Entries that it has applied, by index.
@@ -87,8 +87,8 @@
 }
 
 fn skip_joint_consensus(entry: &mut Entry) {
-    if !entry.next_members.is_empty() {
-        entry.new_members = std::mem::take(&mut entry.next_members);
+    if !entry.incoming_members.is_empty() {
+        entry.final_members = std::mem::take(&mut entry.incoming_members);
     }
 }
 
@@ -96,7 +96,7 @@
     arrives_at: f64,
     from: usize,
     to: usize,
-    say: Say,
+    payload: RaftPayload,
 }
 
 pub struct World {
@@ -170,27 +170,27 @@
             return;
         }
         if first && node.is_founder && node.disk.is_none() {
-            node.disk = Some(Agreement::found(founders));
+            node.disk = Some(RaftNode::bootstrap(founders));
         }
         let mut saved = node.disk.clone().unwrap_or_default();
         match self.mutant {
-            Some(Mutant::VoteForgotten) => saved.vow.vote = None,
-            Some(Mutant::EmptyDiskVotes) => saved.vow.counts = true,
+            Some(Mutant::VoteForgotten) => saved.hard_state.vote = None,
+            Some(Mutant::EmptyDiskVotes) => saved.hard_state.voting = true,
             Some(Mutant::EmptyDiskBootstraps) if node.disk.is_none() => {
-                saved = Agreement::found(self.founders())
+                saved = RaftNode::bootstrap(self.founders())
             }
             _ => {}
         }
         let node = &mut self.nodes[number];
-        node.state = decode(&saved.base.state);
-        let raft = Agreement::new(name(number), saved, self.rng.u64(..), self.now);
+        node.state = decode(&saved.snapshot.state);
+        let raft = RaftNode::new(name(number), saved, self.rng.u64(..), self.now);
         // Some histories retain no entries after compaction, and some need many chunks for a snapshot.
-        let sizes = Sizes {
-            piece: [1000, 3000, 1 << 15][self.limit_choice.0],
-            tail: [0, 30][self.limit_choice.1],
-            tail_bytes: 1 << 16,
+        let limits = LogLimits {
+            chunk_bytes: [1000, 3000, 1 << 15][self.limit_choice.0],
+            trailing_entries: [0, 30][self.limit_choice.1],
+            trailing_bytes: 1 << 16,
         };
-        node.running = Some(raft.sized(sizes));
+        node.running = Some(raft.with_limits(limits));
     }
 
     fn crash(&mut self, number: usize) {
@@ -202,13 +202,17 @@
         let Some(raft) = &mut self.nodes[number].running else { return };
         self.events += 1;
         let mut event = event;
-        if let (Some(Mutant::TermUnchecked), Event::Heard { say: Say::Append(append), .. }) =
-            (self.mutant, &mut event)
+        if let (
+            Some(Mutant::TermUnchecked),
+            Event::Received { payload: RaftPayload::AppendEntries(append), .. },
+        ) = (self.mutant, &mut event)
         {
             append.term = append.term.max(raft.term());
         }
-        if let (Some(Mutant::NoJointConsensus), Event::Heard { say: Say::Append(append), .. }) =
-            (self.mutant, &mut event)
+        if let (
+            Some(Mutant::NoJointConsensus),
+            Event::Received { payload: RaftPayload::AppendEntries(append), .. },
+        ) = (self.mutant, &mut event)
         {
             append.entries.iter_mut().for_each(skip_joint_consensus);
         }
@@ -216,7 +220,7 @@
         raft.handle(self.now, event, &mut actions);
         if self.mutant == Some(Mutant::LearnerLacksLog) && number + 1 == self.nodes.len() {
             for action in &mut actions {
-                if let Action::Send { say: Say::Appended(response), .. } = action {
+                if let Action::Send { payload: RaftPayload::AppendResponse(response), .. } = action {
                     (response.success, response.voting) = (true, true);
                     response.match_index = self.model.acked_index.max(response.match_index);
                 }
@@ -229,7 +233,8 @@
             }
             let voted = matches!(
                 &action,
-                Action::Send { say: Say::Vote(vote), .. } if vote.granted && !vote.pre_vote
+                Action::Send { payload: RaftPayload::VoteResponse(vote), .. }
+                    if vote.granted && !vote.pre_vote
             );
             self.carry_out(number, action);
             if voted
@@ -243,26 +248,26 @@
         }
         let node = &mut self.nodes[number];
         let Some(raft) = &mut node.running else { return };
-        if self.mutant == Some(Mutant::NoJointConsensus) && raft.changes() {
+        if self.mutant == Some(Mutant::NoJointConsensus) && raft.in_joint_consensus() {
             // The leader's own list can be changed from outside only by a restart.
             node.disk.iter_mut().flat_map(|disk| &mut disk.entries).for_each(skip_joint_consensus);
             self.crash(number);
             return self.start(number, false);
         }
         let serves_reads = match self.mutant {
-            Some(Mutant::ReadsWithoutLease) => raft.leads(),
-            Some(Mutant::ClockStopsInPause) => raft.vouches(self.now - 1500.0),
-            _ => raft.vouches(self.now),
+            Some(Mutant::ReadsWithoutLease) => raft.is_leader(),
+            Some(Mutant::ClockStopsInPause) => raft.holds_lease(self.now - 1500.0),
+            _ => raft.holds_lease(self.now),
         };
         if serves_reads {
             assert!(
-                raft.applied() >= self.model.acked_index,
+                raft.applied_index() >= self.model.acked_index,
                 "a leader serves reads without all acknowledged entries"
             );
         }
         if self.compacts_log && raft.log_length() > 80 {
             let mut actions = Vec::new();
-            raft.compact(raft.applied(), encode(&node.state), &mut actions);
+            raft.compact(raft.applied_index(), encode(&node.state), &mut actions);
             for action in actions {
                 self.carry_out(number, action);
             }
@@ -273,9 +278,11 @@
         match action {
             Action::Save(mut save) => {
                 let node = &mut self.nodes[number];
-                let leads = node.running.as_ref().is_some_and(Agreement::leads);
+                let leads = node.running.as_ref().is_some_and(RaftNode::is_leader);
                 match self.mutant {
-                    Some(Mutant::VoteBeforeSync) if save.entries.is_none() && save.base.is_none() => return,
+                    Some(Mutant::VoteBeforeSync) if save.entries.is_none() && save.snapshot.is_none() => {
+                        return
+                    }
                     Some(Mutant::EntriesBeforeSync) if !leads && self.rng.bool() => save.entries = None,
                     _ => {}
                 }
@@ -286,7 +293,7 @@
                 }
                 keep(&mut node.disk, save);
             }
-            Action::Send { to, say } => {
+            Action::Send { to, payload } => {
                 for _ in 0..if self.rng.f64() < 0.05 { 2 } else { 1 } {
                     let arrives_at = self.now + 1.0 + self.rng.f64().powi(6) * 400.0;
                     if self.rng.f64() >= self.loss {
@@ -294,7 +301,7 @@
                             arrives_at,
                             from: number,
                             to: self::number(&to),
-                            say: say.clone(),
+                            payload: payload.clone(),
                         });
                     }
                 }
@@ -304,7 +311,7 @@
                 let node = &mut self.nodes[number];
                 node.state.insert(entry.index, entry.data);
                 let raft = node.running.as_ref().expect("the node runs");
-                if raft.leads() && entry.term == raft.term() {
+                if raft.is_leader() && entry.term == raft.term() {
                     self.model.acked_index = self.model.acked_index.max(entry.index);
                 }
             }
@@ -314,12 +321,12 @@
                 assert!(state.keys().all(|applied| *applied <= index));
                 self.nodes[number].state = state;
             }
-            Action::Leads(true) => {
+            Action::LeadershipChanged(true) => {
                 let term = self.nodes[number].running.as_ref().expect("the node runs").term();
                 let known = self.model.leaders.entry(term).or_insert_with(|| name(number)).clone();
                 assert_eq!(known, name(number), "two leaders in term {term}");
             }
-            Action::Leads(false) => {}
+            Action::LeadershipChanged(false) => {}
         }
     }
 
@@ -333,14 +340,16 @@
                     let may_crash = self.rng.f64() < crash_probability;
                     self.step(number, Event::Tick, may_crash);
                 }
-                let needs_to_join = self.nodes[number].running.as_ref().is_some_and(Agreement::apart);
+                let needs_to_join = self.nodes[number].running.as_ref().is_some_and(RaftNode::needs_to_join);
                 if needs_to_join && self.rng.f64() < 0.1 {
                     let to = self.rng.usize(0..self.nodes.len());
                     if !self.blocked.contains(&(number, to)) {
                         self.step(to, Event::Join(name(number)), false);
                     }
                 }
-                if self.nodes[number].running.as_ref().is_some_and(Agreement::leads) && self.rng.f64() < 0.1 {
+                if self.nodes[number].running.as_ref().is_some_and(RaftNode::is_leader)
+                    && self.rng.f64() < 0.1
+                {
                     self.proposed += 1;
                     let data = self.proposed.to_string().into_bytes();
                     let may_crash = self.rng.f64() < crash_probability;
@@ -360,7 +369,7 @@
                     let may_crash = self.rng.f64() < crash_probability;
                     self.step(
                         message.to,
-                        Event::Heard { from: name(message.from), say: message.say },
+                        Event::Received { from: name(message.from), payload: message.payload },
                         may_crash,
                     );
                 }
@@ -377,8 +386,9 @@
 
     /// The leader that holds a lease.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.nodes.len())
-            .find(|number| self.nodes[*number].running.as_ref().is_some_and(|raft| raft.vouches(self.now)))
+        (0..self.nodes.len()).find(|number| {
+            self.nodes[*number].running.as_ref().is_some_and(|raft| raft.holds_lease(self.now))
+        })
     }
 
     /// The members as each running node knows them.
@@ -445,9 +455,9 @@
             }
             6 => {
                 let leader = (0..world.nodes.len())
-                    .find(|number| world.nodes[*number].running.as_ref().is_some_and(Agreement::leads));
+                    .find(|number| world.nodes[*number].running.as_ref().is_some_and(RaftNode::is_leader));
                 if let Some(leader) = leader {
-                    world.step(leader, Event::Resign, false);
+                    world.step(leader, Event::TransferLeadership, false);
                 }
             }
             _ => {}
@@ -579,8 +589,9 @@
     world.step(leaving, Event::Leave, false);
     // Longer than a process waits in production, as messages are lost here.
     let deadline = world.now + 6000.0;
-    let may_stop =
-        |world: &World| world.nodes[leaving].running.as_ref().is_some_and(|raft| raft.left().is_some());
+    let may_stop = |world: &World| {
+        world.nodes[leaving].running.as_ref().is_some_and(|raft| raft.leave_outcome().is_some())
+    };
     while world.mutant != Some(Mutant::StopsUnreleased) && world.now < deadline && !may_stop(world) {
         let until = world.now + 10.0;
         world.run_until(until, 0.0);
--- a/overland/tests/kept/mod.rs
+++ b/overland/tests/kept/mod.rs
@@ -1,17 +1,17 @@
 //! What a disk holds after a save, as both kinds of drawn histories keep it.
 #![allow(dead_code)] // Each test program takes what it needs of it.
 
-use overland::agreement::{Save, Saved};
+use overland::agreement::{PersistentState, Save};
 use overland::invariants::violated_on_this_thread;
 
 /// A save is put to what the disk had.
-pub fn keep(disk: &mut Option<Saved>, save: Save) {
-    let disk = disk.get_or_insert_with(Saved::default);
-    disk.vow = save.vow;
-    if let Some(base) = save.base {
+pub fn keep(disk: &mut Option<PersistentState>, save: Save) {
+    let disk = disk.get_or_insert_with(PersistentState::default);
+    disk.hard_state = save.hard_state;
+    if let Some(base) = save.snapshot {
         let behind = disk.entries.iter().position(|entry| entry.index > base.index);
         disk.entries.drain(..behind.unwrap_or(disk.entries.len()));
-        disk.base = base;
+        disk.snapshot = base;
     }
     if let Some((first, entries)) = save.entries {
         disk.entries.retain(|entry| entry.index < first);
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -48,8 +48,10 @@
 fn travelled(world: &World) -> (usize, usize) {
     let leader = world.leader().expect("somebody leads");
     let agreement = world.cores[leader].running.as_ref().expect("it runs").agreement();
-    let first = (0..agreement.last()).find(|index| agreement.since(*index).is_some()).expect("a log");
-    let entries = agreement.since(first).into_iter().flatten();
+    let first = (0..agreement.last_index())
+        .find(|index| agreement.applied_entries_after(*index).is_some())
+        .expect("a log");
+    let entries = agreement.applied_entries_after(first).into_iter().flatten();
     let configs = entries.filter_map(|entry| match Change::decode(&entry.data[..]).ok()?.kind? {
         Kind::Configured(config) => Some(config.difference.is_some()),
         _ => None,
@@ -196,7 +198,7 @@
 fn who_reads_no_differences_is_sent_whole_texts() {
     let core = simulated::core_address(0).to_string();
     let (old, new) = (r#"{"a":1}"#, r#"{"a":2}"#);
-    for reads in [0, overland::agreement::READS] {
+    for reads in [0, overland::agreement::MAX_ENTRY_VERSION] {
         let mut out = Vec::new();
         let settings = simulated::settings("g".into(), None, vec![simulated::core_address(0)], false);
         let mut agent = Follow::new(&settings, 0.0, &mut out);
@@ -228,8 +230,12 @@
     let seeds = vec![simulated::core_address(0), simulated::core_address(1)];
     let mut out = Vec::new();
     let mut agent = Follow::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
-    let proxy =
-        |held| FromProxy { held, at: Some(0.0), reads: overland::agreement::READS, ..FromProxy::default() };
+    let proxy = |held| FromProxy {
+        held,
+        at: Some(0.0),
+        reads: overland::agreement::MAX_ENTRY_VERSION,
+        ..FromProxy::default()
+    };
     let said = |news| follow::Event::Said { core: leads.clone(), news: Box::new(news) };
     let pulse = Some(Pulse { leads: true, term: 1, ..Pulse::default() });
     let whole = Some(Whole { index: 1, config: Some(configured(1, "{}")), ..Whole::default() });
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -20,7 +20,7 @@
 use callers::Callers;
 use judge::Judge;
 use kept::{keep, Watched};
-use overland::agreement::{Entry, Save, Saved, Say};
+use overland::agreement::{Entry, PersistentState, RaftPayload, Save};
 use overland::calls::Reply;
 use overland::copy::Copy;
 use overland::follow::{self, Follow};
@@ -151,7 +151,7 @@
 /// A core process, and its disk.
 pub struct Core {
     pub running: Option<Member>,
-    pub disk: Option<Saved>,
+    pub disk: Option<PersistentState>,
     /// Counts its starts: what was meant for an earlier life reaches nobody.
     pub life: u64,
     started: f64,
@@ -671,7 +671,7 @@
     pub fn leader(&self) -> Option<usize> {
         (0..self.cores.len()).find(|n| {
             let core = &self.cores[*n];
-            core.running.as_ref().is_some_and(|member| member.agreement().vouches(self.core_local(*n)))
+            core.running.as_ref().is_some_and(|member| member.agreement().holds_lease(self.core_local(*n)))
         })
     }
 
@@ -731,7 +731,7 @@
                 let Some(input) = core.inbox.pop_front() else { return };
                 // It thinks that it leads, and nobody has said so lately.
                 let unasked =
-                    core.running.as_ref().is_some_and(|m| m.leads() && !m.agreement().vouches(local));
+                    core.running.as_ref().is_some_and(|m| m.leads() && !m.agreement().holds_lease(local));
                 match input {
                     Input::Tick => {
                         let life = core.life;
@@ -782,15 +782,15 @@
                 }
                 let core = &mut self.cores[number];
                 let mut save = *save;
-                self.installs += u64::from(save.base.is_some() && save.entries.is_some());
-                match (self.snapshot_mutant, &core.disk, &mut save.base) {
+                self.installs += u64::from(save.snapshot.is_some() && save.entries.is_some());
+                match (self.snapshot_mutant, &core.disk, &mut save.snapshot) {
                     (Some(SnapshotMutant::AppliedTwice), Some(disk), Some(base))
                         if save.entries.is_none() =>
                     {
-                        base.index = disk.base.index;
+                        base.index = disk.snapshot.index;
                     }
                     (Some(SnapshotMutant::OldState), Some(disk), Some(base)) => {
-                        base.state = disk.base.state.clone()
+                        base.state = disk.snapshot.state.clone()
                     }
                     _ => {}
                 }
@@ -902,9 +902,9 @@
     /// States may come otherwise than they were sent.
     fn underway(&mut self, mut word: Word) -> Word {
         let Word::Agreement(letter) = &mut word else { return word };
-        let (bytes, members) = match &mut letter.say {
-            Some(Say::Install(install)) => (&mut install.state, &mut install.members),
-            Some(Say::Piece(piece)) => (&mut piece.bytes, &mut piece.members),
+        let (bytes, members) = match &mut letter.payload {
+            Some(RaftPayload::InstallSnapshot(install)) => (&mut install.state, &mut install.members),
+            Some(RaftPayload::SnapshotChunk(piece)) => (&mut piece.bytes, &mut piece.members),
             _ => return word,
         };
         self.pieces += 1;
--- a/overland/tests/simulated/racers.rs
+++ b/overland/tests/simulated/racers.rs
@@ -4,7 +4,7 @@
 
 use super::callers::{configuration, read_back, Who};
 use super::{Place, World};
-use overland::agreement::{Letter, Save, Say};
+use overland::agreement::{RaftMessage, RaftPayload, Save};
 use overland::calls::Reply;
 use overland::news::{Change, Kind, Whole, Word};
 use prost::Message;
@@ -82,17 +82,17 @@
 
     /// What it makes of a save.
     pub fn save(self, save: &mut Save) {
-        if let Some(base) = &mut save.base {
+        if let Some(base) = &mut save.snapshot {
             self.state(&mut base.state);
         }
     }
 
     /// What it makes of a letter.
     pub fn letter(self, word: &mut Word) {
-        let Word::Agreement(Letter { say: Some(say) }) = word else { return };
+        let Word::Agreement(RaftMessage { payload: Some(say) }) = word else { return };
         match say {
-            Say::Install(install) => self.state(&mut install.state),
-            Say::Append(append) if self == Mutant::ComparedAtProposingAlone => {
+            RaftPayload::InstallSnapshot(install) => self.state(&mut install.state),
+            RaftPayload::AppendEntries(append) if self == Mutant::ComparedAtProposingAlone => {
                 for entry in append.entries.iter_mut().filter(|entry| !entry.data.is_empty()) {
                     let Ok(mut change) = Change::decode(&entry.data[..]) else { continue };
                     if let Some(Kind::Configured(config)) = &mut change.kind {
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -1,7 +1,7 @@
 //! The disk of a core process: what is damaged on it is found at a start, and nothing else is ever read from it than what
 //! was saved last.
 
-use overland::agreement::{Base, Entry, Save, Saved, Vow};
+use overland::agreement::{Entry, HardState, PersistentState, Save, Snapshot};
 use overland::invariants::violated_on_this_thread;
 use overland::store::{Pace, Saves, Store};
 use prost::Message;
@@ -9,31 +9,31 @@
 use std::path::{Path, PathBuf};
 
 /// Saves as a member makes them: entries, a log that is cut, a state in place of the first entries.
-fn fill(folder: &Path, saves: u64) -> Saved {
+fn fill(folder: &Path, saves: u64) -> PersistentState {
     let (store, held) = Store::open(folder).expect("an empty disk");
     assert!(held.is_none());
     let members = vec!["a".to_owned(), "b".to_owned(), "c".to_owned()];
-    let mut saved = Saved::default();
+    let mut saved = PersistentState::default();
     let mut save = |store: &Store, save: Save| {
         store.save(&save).expect("it is saved");
-        saved.vow = save.vow;
-        if let Some(base) = save.base {
+        saved.hard_state = save.hard_state;
+        if let Some(base) = save.snapshot {
             saved.entries.retain(|entry| entry.index > base.index);
-            saved.base = base;
+            saved.snapshot = base;
         }
         if let Some((first, entries)) = save.entries {
             saved.entries.retain(|entry| entry.index < first);
             saved.entries.extend(entries);
         }
     };
-    let vow = |term| Vow { term, vote: Some("a".into()), counts: true };
-    let base = |index| Base { index, term: 1, members: members.clone(), state: vec![7; 300] };
-    save(&store, Save { vow: vow(1), entries: None, base: Some(base(1)) });
+    let vow = |term| HardState { term, vote: Some("a".into()), voting: true };
+    let base = |index| Snapshot { index, term: 1, members: members.clone(), state: vec![7; 300] };
+    save(&store, Save { hard_state: vow(1), entries: None, snapshot: Some(base(1)) });
     for index in 2..saves {
         let entry = Entry { index, term: 1, data: vec![index as u8; 40], ..Entry::default() };
-        save(&store, Save { vow: vow(index), entries: Some((index, vec![entry])), base: None });
+        save(&store, Save { hard_state: vow(index), entries: Some((index, vec![entry])), snapshot: None });
         if index == saves / 2 {
-            save(&store, Save { vow: vow(index), entries: None, base: Some(base(index - 3)) });
+            save(&store, Save { hard_state: vow(index), entries: None, snapshot: Some(base(index - 3)) });
         }
     }
     saved
@@ -80,7 +80,7 @@
         }
         let (store, held) = Store::open(other.path()).expect("it starts");
         let held = held.expect("it was not empty");
-        let lost = held == Saved::default();
+        let lost = held == PersistentState::default();
         assert!(lost || held == saved, "{seed}: {} and something else is read", file.display());
         found += u64::from(lost);
         drop(store);
@@ -126,7 +126,7 @@
     fill(folder.path(), 10);
     fs::remove_dir_all(folder.path().join("core")).expect("it was there");
     let (_, held) = Store::open(folder.path()).expect("it starts");
-    assert_eq!(held, Some(Saved::default()));
+    assert_eq!(held, Some(PersistentState::default()));
 }
 
 /// Entries one by one in the log, and a state in place of them each 512: the disk stays small and opens at once.
@@ -135,21 +135,25 @@
     let entries = if std::env::var("HISTORIES").is_ok() { 100_000 } else { 3000 };
     let folder = tempfile::tempdir().expect("a folder");
     let (store, _) = Store::open(folder.path()).expect("an empty disk");
-    let vow = Vow { term: 1, vote: None, counts: true };
-    let base = |index| Base { index, term: 1, members: vec!["a".into()], state: vec![3; 300_000] };
-    store.save(&Save { vow: vow.clone(), entries: None, base: Some(base(1)) }).expect("it is saved");
+    let vow = HardState { term: 1, vote: None, voting: true };
+    let base = |index| Snapshot { index, term: 1, members: vec!["a".into()], state: vec![3; 300_000] };
+    store
+        .save(&Save { hard_state: vow.clone(), entries: None, snapshot: Some(base(1)) })
+        .expect("it is saved");
     let mut first = 2;
     while first < entries {
         let entry = |index: u64| Entry { index, term: 1, data: vec![index as u8; 120], ..Entry::default() };
         // As many as come while one save is under way.
         let entries = (first..first + 64).map(entry).collect::<Vec<_>>();
         store
-            .save(&Save { vow: vow.clone(), entries: Some((first, entries)), base: None })
+            .save(&Save { hard_state: vow.clone(), entries: Some((first, entries)), snapshot: None })
             .expect("it is saved");
         first += 64;
         if first % 512 < 64 {
             let base = Some(base(first - 1));
-            store.save(&Save { vow: vow.clone(), entries: None, base }).expect("it is saved");
+            store
+                .save(&Save { hard_state: vow.clone(), entries: None, snapshot: base })
+                .expect("it is saved");
         }
     }
     drop(store);
@@ -158,7 +162,7 @@
     let (_, held) = Store::open(folder.path()).expect("it opens");
     eprintln!("{entries} entries: {} KiB on disk, opened in {:?}", bytes / 1024, before.elapsed());
     let held = held.expect("it was not empty");
-    assert_eq!(held.base.index + held.entries.len() as u64, first - 1);
+    assert_eq!(held.snapshot.index + held.entries.len() as u64, first - 1);
     assert!(bytes < 160 << 20, "{bytes} bytes on disk");
 }
 
@@ -180,7 +184,7 @@
 }
 
 /// A disk that another program wrote, without digests: this vow, a state of number 4, and one entry.
-fn written(vow: VowForm) -> eyre::Result<Option<Saved>> {
+fn written(vow: VowForm) -> eyre::Result<Option<PersistentState>> {
     let folder = tempfile::tempdir().expect("a folder");
     let database = fjall::Database::builder(folder.path().join("core")).open().expect("a store");
     let keys = database.keyspace("agreement", fjall::KeyspaceCreateOptions::default).expect("keys");
@@ -200,7 +204,10 @@
     let next = VowForm { form: 2, last: 5, saves: 9, more: 3, ..first.clone() };
     for vow in [first, next.clone()] {
         let held = written(vow).expect("it is read").expect("it was not empty");
-        assert_eq!((held.vow.term, held.vow.counts, held.base.index, held.entries.len()), (7, true, 4, 1));
+        assert_eq!(
+            (held.hard_state.term, held.hard_state.voting, held.snapshot.index, held.entries.len()),
+            (7, true, 4, 1)
+        );
     }
     // It is not taken for damage: it stays as it is, for the program that wrote it.
     assert!(written(VowForm { form: 3, ..next }).is_err());
@@ -248,7 +255,7 @@
         assert_eq!(held, Some(saved.clone()));
         let before = tempfile::tempdir().expect("a folder");
         copy(folder.path(), before.path());
-        let first = saved.base.index + saved.entries.len() as u64 + 1;
+        let first = saved.snapshot.index + saved.entries.len() as u64 + 1;
         let data = |index: u64| vec![index as u8 | 1; 1 << rng.u32(4..13)];
         let entries: Vec<_> = (first..first + 1 + seed % 3).map(data).collect();
         let entry = |(at, data): (usize, Vec<u8>)| Entry {
@@ -260,9 +267,13 @@
         let entries: Vec<_> = entries.into_iter().enumerate().map(entry).collect();
         let earlier = saved.clone();
         saved.entries.extend(entries.clone());
-        saved.vow.term += 1;
+        saved.hard_state.term += 1;
         store
-            .save(&Save { vow: saved.vow.clone(), entries: Some((first, entries)), base: None })
+            .save(&Save {
+                hard_state: saved.hard_state.clone(),
+                entries: Some((first, entries)),
+                snapshot: None,
+            })
             .expect("it is saved");
         for _ in 0..8 {
             let disk = tempfile::tempdir().expect("a folder");
@@ -270,13 +281,19 @@
             lose_power(&mut rng, before.path(), disk.path());
             let (store, held) = Store::open(disk.path()).expect("it starts");
             let held = held.expect("it was not empty");
-            assert!(held == saved || held == earlier, "{seed}: what was saved is lost: {:?}", held.vow);
+            assert!(
+                held == saved || held == earlier,
+                "{seed}: what was saved is lost: {:?}",
+                held.hard_state
+            );
             // It goes on from there.
-            let vow = Vow { term: 99, ..held.vow.clone() };
-            store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("it is saved");
+            let vow = HardState { term: 99, ..held.hard_state.clone() };
+            store
+                .save(&Save { hard_state: vow.clone(), entries: None, snapshot: None })
+                .expect("it is saved");
             drop(store);
             let (_, again) = Store::open(disk.path()).expect("it starts again");
-            assert_eq!(again, Some(Saved { vow, ..held }), "{seed}");
+            assert_eq!(again, Some(PersistentState { hard_state: vow, ..held }), "{seed}");
         }
     }
 }
@@ -287,12 +304,12 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (store, held) = Store::open(folder.path()).expect("an empty disk");
     assert_eq!(held, None);
-    let vow = Vow { term: 7, vote: None, counts: false };
-    store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("it is saved");
+    let vow = HardState { term: 7, vote: None, voting: false };
+    store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: None }).expect("it is saved");
     drop(store);
     let before = violated_on_this_thread();
     let (_, held) = Store::open(folder.path()).expect("it starts");
-    assert_eq!(held, Some(Saved { vow, ..Saved::default() }));
+    assert_eq!(held, Some(PersistentState { hard_state: vow, ..PersistentState::default() }));
     assert_eq!(violated_on_this_thread(), before);
     assert!(!folder.path().join("core.damaged").exists(), "it was set aside");
 }
@@ -308,10 +325,15 @@
         files(folder.path()).into_iter().find(|path| path.extension().is_some_and(|of| of == "jnl"));
     fs::write(journal.expect("a journal"), [1; 100]).expect("it is damaged");
     let (store, held) = Store::open(folder.path()).expect("it starts");
-    assert_eq!(held, Some(Saved::default()));
-    let saved = Saved { vow: Vow { term: 7, vote: None, counts: true }, ..Saved::default() };
+    assert_eq!(held, Some(PersistentState::default()));
+    let saved = PersistentState {
+        hard_state: HardState { term: 7, vote: None, voting: true },
+        ..PersistentState::default()
+    };
     for _ in 0..3 {
-        store.save(&Save { vow: saved.vow.clone(), entries: None, base: None }).expect("it is saved");
+        store
+            .save(&Save { hard_state: saved.hard_state.clone(), entries: None, snapshot: None })
+            .expect("it is saved");
     }
     drop(store);
     fs::write(folder.path().join("core.mark"), mark).expect("it is written");
