--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -4,7 +4,7 @@
 //! connections to backends.
 
 use cherrytally::{Class, Millis};
-use overland::agreement::READS;
+use overland::agreement::MAX_ENTRY_VERSION;
 use overland::follow::{Action, AgentStateMachine, Event};
 use overland::news::{FromAgent, FromProxy, IndexedChange, Kind, StateSnapshot, ToAgent, ToProxy};
 use overland::routes::{Numbers, Table, Zones};
@@ -166,7 +166,7 @@
             applied_index: self.held(),
             ranges: self.state.as_ref().filter(|_| differs).map(State::range_digests),
             sent_at: Some(now),
-            readable_format: READS,
+            readable_format: MAX_ENTRY_VERSION,
         }
     }
 
--- a/overland/src/copy.rs
+++ b/overland/src/copy.rs
@@ -1,7 +1,7 @@
 //! A proxy's replica of the state, without sockets or clock: how updates from the agent are applied, how long
 //! ago the leader was last heard, and when the proxy stops accepting keys (its lease).
 
-use crate::agreement::READS;
+use crate::agreement::MAX_ENTRY_VERSION;
 use crate::news::{FromProxy, ToProxy};
 use crate::settings::Bounds;
 use crate::state::{DigestCache, State, Touched};
@@ -99,7 +99,7 @@
             applied_index: self.applied_index(),
             ranges,
             sent_at: Some(now),
-            readable_format: READS,
+            readable_format: MAX_ENTRY_VERSION,
         }
     }
 
--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -3,7 +3,7 @@
 //! [`Event`]s with the current time, outputs are [`Action`]s; [`AgentStateMachine::next_deadline`] is the
 //! time at which it needs the next tick.
 
-use crate::agreement::READS;
+use crate::agreement::MAX_ENTRY_VERSION;
 use crate::news::{FromAgent, FromProxy, Gateway, HeartbeatReply, IndexedChange, Repair, ToAgent, ToProxy};
 use crate::settings::Settings;
 use crate::state::{DigestCache, State, Touched};
@@ -243,7 +243,7 @@
                 subscribes: follows,
                 proxy_applied_index: proxy.map_or(0, |proxy| proxy.applied_index),
                 ranges: self.state.as_ref().filter(|_| send_ranges).map(State::range_digests),
-                readable_format: READS,
+                readable_format: MAX_ENTRY_VERSION,
             };
             out.push(Action::Send { core, message: Box::new(message) });
         }
@@ -289,7 +289,7 @@
         }
         if self.index() != previous_index {
             let reads_differences =
-                self.proxy.as_ref().is_some_and(|(_, message)| message.readable_format >= READS);
+                self.proxy.as_ref().is_some_and(|(_, message)| message.readable_format >= MAX_ENTRY_VERSION);
             if !changes.is_empty()
                 && (reads_differences || !changes.iter().any(IndexedChange::has_difference))
             {
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -2,7 +2,7 @@
 //! digests.
 
 use super::{Action, AgreementInput, Caller, Member, PendingCall, Stage, CALL_TIMEOUT_MS};
-use crate::agreement::{Event, Letter, Name};
+use crate::agreement::{Event, Name, RaftMessage};
 use crate::calls::{Called, Refusal, Reply};
 use crate::news::{ForwardedCall, RangeDigest, RangeDigests, Word};
 use cherrytally::Millis;
@@ -41,9 +41,9 @@
         &mut self, now: Millis, from: Name, message: Word, out: &mut Vec<Action>,
     ) {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == from);
-        let known = seed || self.agreement.hears(&from);
+        let known = seed || self.agreement.accepts_messages_from(&from);
         let (joins, valid_name) = (matches!(message, Word::Join(_)), from.parse::<SocketAddr>().is_ok());
-        let has_room = !joins || known || self.agreement.joining() < MAX_JOINING;
+        let has_room = !joins || known || self.agreement.learner_count() < MAX_JOINING;
         if !valid_name || !(known || joins) || !has_room {
             self.rejected_messages += 1;
             if self.rejected_messages.is_power_of_two() {
@@ -55,8 +55,8 @@
             return;
         }
         match message {
-            Word::Agreement(Letter { say: Some(say) }) => {
-                self.inputs.push_back(AgreementInput::Event(Event::Heard { from, say }));
+            Word::Agreement(RaftMessage { payload: Some(say) }) => {
+                self.inputs.push_back(AgreementInput::Event(Event::Received { from, payload: say }));
             }
             Word::Agreement(_) => {}
             Word::Call(call) => self.handle_forwarded_call(now, from, &call, out),
@@ -95,7 +95,7 @@
 
     /// Asks all known core processes to be let in, unless this process is a member with a leader.
     pub(super) fn request_join(&self, out: &mut Vec<Action>) {
-        if self.agreement.apart() {
+        if self.agreement.needs_to_join() {
             let seeds = self.seeds.iter().map(SocketAddr::to_string);
             for core in seeds.chain(self.agreement.members().iter().cloned()) {
                 self.send_peer(&core, Word::Join(true), out);
@@ -115,7 +115,7 @@
         let number = self.next_forward;
         self.next_forward = number.wrapping_add(1);
         let path = format!("{} {}", called.method, called.path);
-        let (term, said) = (self.agreement.term(), self.agreement.leader_said());
+        let (term, said) = (self.agreement.term(), self.agreement.leader_sent_at());
         let call = ForwardedCall {
             call_id: number,
             path,
@@ -132,7 +132,8 @@
 
     /// Whether this process follows `leader` and messages pass in both directions.
     pub(super) fn is_leader_reachable(&self, now: Millis, leader: &Name) -> bool {
-        let (silence, unheard) = (now - self.agreement.heard(), self.agreement.unheard(now));
+        let (silence, unheard) =
+            (now - self.agreement.leader_heard_at(), self.agreement.since_heard_by_leader(now));
         self.agreement.leader() == Some(leader)
             && silence < LEADER_SILENCE_MS
             && unheard < UNHEARD_BY_LEADER_MS
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -11,7 +11,7 @@
 mod presence;
 mod push;
 
-use crate::agreement::{self, Agreement, Entry, Letter, Name, Save, Saved};
+use crate::agreement::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
 use crate::calls::{self, Called, Outcome, Refusal, Reply, Served, Serves};
 use crate::invariants::{self, Invariant};
 use crate::ledger::UpdateId;
@@ -241,7 +241,7 @@
     me: Name,
     /// Core processes listed in the current settings.
     seeds: Vec<SocketAddr>,
-    agreement: Agreement,
+    agreement: RaftNode,
     state: State,
     digest: DigestCache,
     /// Actions of the agreement that are held back while a save is in progress.
@@ -287,14 +287,14 @@
     /// Starts a core process from the contents of its disk. Also returns what must be saved before it handles
     /// any event.
     pub fn start(
-        settings: Settings, disk: Option<Saved>, seed: u64, now: Millis,
+        settings: Settings, disk: Option<PersistentState>, seed: u64, now: Millis,
     ) -> Result<(Member, Option<Save>)> {
         let address = settings.control.ok_or_else(|| eyre!("network.docks_at.control is missing"))?;
         let me = address.to_string();
         let mut whole = StateSnapshot::default();
         let mut damaged = false;
         if let Some(saved) = &disk {
-            match StateSnapshot::decode(&saved.base.state[..]) {
+            match StateSnapshot::decode(&saved.snapshot.state[..]) {
                 Ok(decoded) => whole = decoded,
                 Err(_) => damaged = true,
             }
@@ -304,33 +304,33 @@
         // state.
         let lost = damaged.then(|| {
             log::error!("core: can't read the state on disk; waiting for a copy from the leader");
-            Saved::default()
+            PersistentState::default()
         });
         let disk = lost.or(disk);
         let founds = disk.is_none() && settings.first_start && settings.seeds.contains(&address);
         let (saved, first) = match disk {
             Some(saved) if damaged => {
-                let (vow, base) = (saved.vow.clone(), Some(saved.base.clone()));
-                (saved, Some(Save { vow, entries: Some((0, Vec::new())), base }))
+                let (vow, base) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
+                (saved, Some(Save { hard_state: vow, entries: Some((0, Vec::new())), snapshot: base }))
             }
             Some(saved) => (saved, None),
             None if founds => {
-                let saved = Agreement::found(settings.seeds.iter().map(SocketAddr::to_string).collect());
-                let (vow, base) = (saved.vow.clone(), Some(saved.base.clone()));
-                (saved, Some(Save { vow, entries: None, base }))
+                let saved = RaftNode::bootstrap(settings.seeds.iter().map(SocketAddr::to_string).collect());
+                let (vow, base) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
+                (saved, Some(Save { hard_state: vow, entries: None, snapshot: base }))
             }
             None => Default::default(),
         };
         log::info!(
             "core: starting as {me} with {} log entries after snapshot index {} ({})",
             saved.entries.len(),
-            saved.base.index,
+            saved.snapshot.index,
             if founds { "founds" } else { "known" }
         );
-        let state = State { index: saved.base.index, ..State::from_snapshot(now, whole) };
+        let state = State { index: saved.snapshot.index, ..State::from_snapshot(now, whole) };
         let member = Member {
             seeds: settings.seeds.clone(),
-            agreement: Agreement::new(me.clone(), saved, seed, now).reading(is_readable),
+            agreement: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(is_readable),
             settings,
             me,
             state,
@@ -370,7 +370,7 @@
 
     /// Whether it leads.
     pub fn is_leader(&self) -> bool {
-        self.agreement.leads()
+        self.agreement.is_leader()
     }
 
     /// Its copy of the replicated state.
@@ -390,18 +390,18 @@
     }
 
     /// Its Raft state.
-    pub fn agreement(&self) -> &Agreement {
+    pub fn agreement(&self) -> &RaftNode {
         &self.agreement
     }
 
     /// Whether a process that is shutting down may exit: see [`Agreement::left`].
     pub fn leave_outcome(&self) -> Option<bool> {
-        self.agreement.left()
+        self.agreement.leave_outcome()
     }
 
     /// Whether it may answer on behalf of the system: it holds the leader lease and its state is complete.
     fn is_authoritative(&self, now: Millis) -> bool {
-        !self.state_incomplete && self.agreement.vouches(now)
+        !self.state_incomplete && self.agreement.holds_lease(now)
     }
 
     /// Handles one event and appends the resulting actions.
@@ -441,7 +441,7 @@
             self.run_maintenance(now, out);
         }
         if self.ticks.is_multiple_of(LEADERLESS_LOG_INTERVAL_TICKS) {
-            if let Some(why) = self.agreement.leaderless() {
+            if let Some(why) = self.agreement.no_leader_reason() {
                 log::warn!("core: no leader: {why}");
             }
         }
@@ -475,7 +475,7 @@
     fn run_maintenance(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.request_join(out);
         if self.state_incomplete && self.is_leader() {
-            self.inputs.push_back(AgreementInput::Event(agreement::Event::Resign));
+            self.inputs.push_back(AgreementInput::Event(agreement::Event::TransferLeadership));
         }
         self.check_reach(now);
         // Older duplicates are refused for their age.
@@ -503,8 +503,9 @@
         let present =
             self.agents.values().filter(|agent| now - agent.last_report < presence::AGENT_TIMEOUT_MS);
         let reach = present.count() as u32;
-        self.inputs.push_back(AgreementInput::Event(agreement::Event::Reach(reach)));
-        self.poor_reach_rounds = if self.agreement.ill_placed(now) { self.poor_reach_rounds + 1 } else { 0 };
+        self.inputs.push_back(AgreementInput::Event(agreement::Event::ReachableAgents(reach)));
+        self.poor_reach_rounds =
+            if self.agreement.is_poorly_connected(now) { self.poor_reach_rounds + 1 } else { 0 };
         if self.poor_reach_rounds >= POOR_REACH_ROUNDS {
             self.hand_over(now, "agents reach other members better");
         }
@@ -516,7 +517,7 @@
         if self.is_leader() && !recent {
             log::warn!("core: handing over leadership: {why}");
             (self.last_handover, self.poor_reach_rounds) = (Some(now), 0);
-            self.inputs.push_back(AgreementInput::Event(agreement::Event::Resign));
+            self.inputs.push_back(AgreementInput::Event(agreement::Event::TransferLeadership));
         }
     }
 
@@ -554,13 +555,13 @@
     fn propose(
         &mut self, kind: Kind, caller: Option<Caller>, out: &mut Vec<Action>,
     ) -> Option<agreement::Event> {
-        if !self.agreement.takes() {
+        if !self.agreement.accepts_proposals() {
             if let Some(caller) = caller {
                 self.refuse(&caller, &Refusal::Later, out);
             }
             return None;
         }
-        let (index, term) = (self.agreement.last() + 1, self.agreement.term());
+        let (index, term) = (self.agreement.last_index() + 1, self.agreement.term());
         let kind = match kind {
             Kind::Config(config) => {
                 self.updates.add_proposed(&config, index, term);
@@ -585,8 +586,8 @@
                 self.saving = true;
                 out.push(Action::Save(Box::new(save)));
             }
-            agreement::Action::Send { to, say } => {
-                self.send_peer(&to, Word::Agreement(Letter { say: Some(say) }), out);
+            agreement::Action::Send { to, payload: say } => {
+                self.send_peer(&to, Word::Agreement(RaftMessage { payload: Some(say) }), out);
             }
             agreement::Action::Apply(entry) => self.apply(now, &entry, out),
             agreement::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
@@ -602,14 +603,14 @@
                     out.push(Action::Abort(format!("can't decode the received snapshot of index {index}")))
                 }
             },
-            agreement::Action::Leads(leads) => self.leadership_changed(now, leads, out),
+            agreement::Action::LeadershipChanged(leads) => self.leadership_changed(now, leads, out),
         }
     }
 
     fn apply(&mut self, now: Millis, entry: &Entry, out: &mut Vec<Action>) {
         self.state_changed = true;
-        if !entry.new_members.is_empty() {
-            log::info!("core: members are now {}", entry.new_members.join(", "));
+        if !entry.final_members.is_empty() {
+            log::info!("core: members are now {}", entry.final_members.join(", "));
         }
         let change = change_in(entry);
         if !entry.data.is_empty() && change.as_ref().is_none_or(|change| change.kind.is_none()) {
@@ -750,11 +751,11 @@
     type Wait = Wait;
 
     fn leads(&self) -> bool {
-        self.agreement.leads()
+        self.agreement.is_leader()
     }
 
     fn vouches(&self, now: Millis) -> bool {
-        self.agreement.vouches(now)
+        self.agreement.holds_lease(now)
     }
 }
 
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -220,7 +220,9 @@
     /// version.
     pub(super) fn with_difference(&self, config: ConfigRevision) -> ConfigRevision {
         let current = self.state.config.as_ref().filter(|current| config.based_on == Some(current.edition));
-        let Some(current) = current.filter(|_| self.agreement.all_read()) else { return config };
+        let Some(current) = current.filter(|_| self.agreement.all_read_entry_version()) else {
+            return config;
+        };
         let difference = Difference::between(&current.text, &config.text);
         if difference.encoded_len() >= config.text.len() / 2 {
             return config;
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -1,7 +1,7 @@
 //! Messages to agents: answers to their reports, state changes, and whole states.
 
 use super::{change_in, Action, AgreementInput, Member};
-use crate::agreement::{Entry, Name, READS};
+use crate::agreement::{Entry, Name, MAX_ENTRY_VERSION};
 use crate::link::framed;
 use crate::news::{Change, FromAgent, Gateway, HeartbeatReply, IndexedChange, Kind, ToAgent};
 use bytes::Bytes;
@@ -120,7 +120,7 @@
 
     fn push_changes_to(&mut self, now: Millis, link: u64, out: &mut Vec<Action>) {
         let Some(agent) = self.agents.get(&link) else { return };
-        let (sent, reads_differences) = (agent.sent, agent.report.readable_format >= READS);
+        let (sent, reads_differences) = (agent.sent, agent.report.readable_format >= MAX_ENTRY_VERSION);
         if sent >= self.state.index {
             return;
         }
@@ -149,7 +149,7 @@
             _ => true,
         };
         let change = |entry| change_in(entry).filter(|change| took_effect(&entry, change));
-        let entries = self.agreement.since(index)?;
+        let entries = self.agreement.applied_entries_after(index)?;
         let changes: Vec<_> =
             entries.map(|entry| IndexedChange { index: entry.index, change: change(entry) }).collect();
         Some(changes)
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -486,7 +486,7 @@
 pub enum Word {
     /// A message of the consensus protocol.
     #[prost(message, tag = "2")]
-    Agreement(crate::agreement::Letter),
+    Agreement(crate::agreement::RaftMessage),
     /// A call forwarded to the leader.
     #[prost(message, tag = "3")]
     Call(ForwardedCall),
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -15,7 +15,7 @@
 
 pub use pace::SaveLatency;
 
-use crate::agreement::{Base, Entry, Save, Saved, Vow};
+use crate::agreement::{Entry, HardState, PersistentState, Save, Snapshot};
 use crate::invariants::{self, Invariant};
 use crate::state::digest;
 use eyre::{bail, Result, WrapErr};
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// The disk is unavailable for now ([`disk_unavailable`] returns true), or can't be used at all.
-    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<Saved>)>;
+    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<PersistentState>)>;
 }
 
 /// Opened storage.
@@ -109,7 +109,7 @@
 pub struct DirectoryDisk(pub PathBuf);
 
 impl Disk for DirectoryDisk {
-    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<Saved>)> {
+    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<PersistentState>)> {
         let (store, saved) = Store::open(&self.0)?;
         Ok((Box::new(store), saved))
     }
@@ -139,7 +139,7 @@
 enum Contents {
     Empty,
     Valid {
-        saved: Saved,
+        saved: PersistentState,
         save_number: u64,
         last_index: u64,
     },
@@ -214,7 +214,7 @@
     /// # Errors
     ///
     /// The disk is unavailable (full, or not writable), or the store has the format of a later release.
-    pub fn open(dir: &Path) -> Result<(Self, Option<Saved>)> {
+    pub fn open(dir: &Path) -> Result<(Self, Option<PersistentState>)> {
         fs::create_dir_all(dir)?;
         let (path, corrupt_path) = (dir.join("core"), dir.join("core.damaged"));
         let watermark = Watermark::read(dir)?;
@@ -230,9 +230,9 @@
                 store.save_number.set(save_number.max(watermark.unwrap_or(0)));
                 store.last_index.set(last_index);
                 // Find out that the disk is not writable before the process takes part.
-                let vow = saved.vow.clone();
+                let vow = saved.hard_state.clone();
                 store
-                    .save(&Save { vow, entries: None, base: None })
+                    .save(&Save { hard_state: vow, entries: None, snapshot: None })
                     .wrap_err("failed to write to the store")?;
                 return Ok((store, Some(saved)));
             }
@@ -249,7 +249,7 @@
     /// corrupt store, as a power loss may bring back its watermark.
     fn replace_corrupt(
         path: &Path, corrupt_path: &Path, dir: &Path, watermark: u64,
-    ) -> Result<(Self, Option<Saved>)> {
+    ) -> Result<(Self, Option<PersistentState>)> {
         if corrupt_path.exists() && path.exists() {
             fs::remove_dir_all(corrupt_path)?;
         }
@@ -261,11 +261,11 @@
         let (store, _) =
             Self::open_at(path, dir)?.map_err(|why| eyre::eyre!("failed to create a new store: {why}"))?;
         store.save_number.set(watermark);
-        let saved = Saved::default();
+        let saved = PersistentState::default();
         store.save(&Save {
-            vow: saved.vow.clone(),
+            hard_state: saved.hard_state.clone(),
             entries: Some((0, Vec::new())),
-            base: Some(saved.base.clone()),
+            snapshot: Some(saved.snapshot.clone()),
         })?;
         Ok((store, Some(saved)))
     }
@@ -379,8 +379,12 @@
         if format_version > 0 && log_end != last_index {
             bail!("the log ends at index {log_end} instead of {last_index}");
         }
-        let vow = Vow { term, vote, counts };
-        let saved = Saved { vow, base: Base { index, term: base_term, members, state }, entries };
+        let vow = HardState { term, vote, voting: counts };
+        let saved = PersistentState {
+            hard_state: vow,
+            snapshot: Snapshot { index, term: base_term, members, state },
+            entries,
+        };
         Ok(Contents::Valid { saved, save_number, last_index: log_end })
     }
 }
@@ -389,8 +393,8 @@
     fn save(&self, save: &Save) -> Result<()> {
         let mut batch = self.database.batch();
         let (mut last_index, save_number) = (self.last_index.get(), self.save_number.get() + 1);
-        if let Some(base) = &save.base {
-            let Base { index, term, members, state } = base.clone();
+        if let Some(base) = &save.snapshot {
+            let Snapshot { index, term, members, state } = base.clone();
             for pair in self.keyspace.range(entry_key(0)..=entry_key(index)) {
                 batch.remove(&self.keyspace, pair.key()?);
             }
@@ -408,7 +412,7 @@
             }
             last_index = (first + entries.len() as u64).saturating_sub(1);
         }
-        let Vow { term, vote, counts } = save.vow.clone();
+        let HardState { term, vote, voting: counts } = save.hard_state.clone();
         let stored =
             StoredVow { term, vote, counts, format_version: FORMAT_VERSION, last_index, save_number };
         batch.insert(&self.keyspace, VOW_KEY, encode_with_digest(&stored));
--- a/overland/tests/full_disk.rs
+++ b/overland/tests/full_disk.rs
@@ -5,7 +5,7 @@
 mod processes;
 
 use eyre::{Report, Result};
-use overland::agreement::{Save, Saved};
+use overland::agreement::{PersistentState, Save};
 use overland::control::Control;
 use overland::settings::Settings;
 use overland::store::{disk_unavailable, Disk, DurableStore};
@@ -18,7 +18,7 @@
 #[derive(Clone, Default)]
 struct MemoryDisk {
     full: Arc<AtomicBool>,
-    contents: Arc<Mutex<Option<Saved>>>,
+    contents: Arc<Mutex<Option<PersistentState>>>,
 }
 
 impl MemoryDisk {
@@ -33,7 +33,7 @@
 }
 
 impl Disk for MemoryDisk {
-    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<Saved>)> {
+    fn open(&self) -> Result<(Box<dyn DurableStore>, Option<PersistentState>)> {
         self.check_space()?;
         Ok((Box::new(self.clone()), self.contents.lock().expect("not poisoned").clone()))
     }
--- a/overland/tests/kept/mod.rs
+++ b/overland/tests/kept/mod.rs
@@ -1,17 +1,17 @@
 //! An in-memory model of a store, and a check of invariants, shared by test programs.
 #![allow(dead_code)] // Each test program uses only a part.
 
-use overland::agreement::{Save, Saved};
+use overland::agreement::{PersistentState, Save};
 use overland::invariants::violations_on_this_thread;
 
 /// Applies a save to the contents of a store.
-pub fn apply_save(contents: &mut Option<Saved>, save: Save) {
-    let contents = contents.get_or_insert_with(Saved::default);
-    contents.vow = save.vow;
-    if let Some(base) = save.base {
+pub fn apply_save(contents: &mut Option<PersistentState>, save: Save) {
+    let contents = contents.get_or_insert_with(PersistentState::default);
+    contents.hard_state = save.hard_state;
+    if let Some(base) = save.snapshot {
         let first_kept = contents.entries.iter().position(|entry| entry.index > base.index);
         contents.entries.drain(..first_kept.unwrap_or(contents.entries.len()));
-        contents.base = base;
+        contents.snapshot = base;
     }
     if let Some((first, entries)) = save.entries {
         contents.entries.retain(|entry| entry.index < first);
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -50,8 +50,10 @@
 fn travelled(world: &World) -> (usize, usize) {
     let leader = world.leader().expect("somebody leads");
     let agreement = world.cores[leader].running.as_ref().expect("it runs").agreement();
-    let first = (0..agreement.last()).find(|index| agreement.since(*index).is_some()).expect("a log");
-    let entries = agreement.since(first).into_iter().flatten();
+    let first = (0..agreement.last_index())
+        .find(|index| agreement.applied_entries_after(*index).is_some())
+        .expect("a log");
+    let entries = agreement.applied_entries_after(first).into_iter().flatten();
     let configs = entries.filter_map(|entry| match Change::decode(&entry.data[..]).ok()?.kind? {
         Kind::Config(config) => Some(config.difference.is_some()),
         _ => None,
@@ -209,7 +211,7 @@
 fn who_reads_no_differences_is_sent_whole_texts() {
     let core = simulated::core_address(0).to_string();
     let (old, new) = (r#"{"a":1}"#, r#"{"a":2}"#);
-    for reads in [0, overland::agreement::READS] {
+    for reads in [0, overland::agreement::MAX_ENTRY_VERSION] {
         let mut out = Vec::new();
         let settings = simulated::settings("g".into(), None, vec![simulated::core_address(0)], false);
         let mut agent = AgentStateMachine::new(&settings, 0.0, &mut out);
@@ -245,7 +247,7 @@
     let proxy = |held| FromProxy {
         applied_index: held,
         sent_at: Some(0.0),
-        readable_format: overland::agreement::READS,
+        readable_format: overland::agreement::MAX_ENTRY_VERSION,
         ..FromProxy::default()
     };
     let said = |news| follow::Event::CoreMessage { core: leads.clone(), message: Box::new(news) };
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store of a core process: corruption is detected at start-up, and only the last save is ever read back.
 
-use overland::agreement::{Base, Entry, Save, Saved, Vow};
+use overland::agreement::{Entry, HardState, PersistentState, Save, Snapshot};
 use overland::invariants::violations_on_this_thread;
 use overland::store::{DurableStore, SaveLatency, Store};
 use prost::Message;
@@ -8,31 +8,31 @@
 use std::path::{Path, PathBuf};
 
 /// Makes a store like a member's, with appended entries and a compacted log, and returns its contents.
-fn fill_store(dir: &Path, saves: u64) -> Saved {
+fn fill_store(dir: &Path, saves: u64) -> PersistentState {
     let (store, contents) = Store::open(dir).expect("opens an empty directory");
     assert!(contents.is_none());
     let members = vec!["a".to_owned(), "b".to_owned(), "c".to_owned()];
-    let mut saved = Saved::default();
+    let mut saved = PersistentState::default();
     let mut save = |store: &Store, save: Save| {
         store.save(&save).expect("saves");
-        saved.vow = save.vow;
-        if let Some(base) = save.base {
+        saved.hard_state = save.hard_state;
+        if let Some(base) = save.snapshot {
             saved.entries.retain(|entry| entry.index > base.index);
-            saved.base = base;
+            saved.snapshot = base;
         }
         if let Some((first, entries)) = save.entries {
             saved.entries.retain(|entry| entry.index < first);
             saved.entries.extend(entries);
         }
     };
-    let vow = |term| Vow { term, vote: Some("a".into()), counts: true };
-    let base = |index| Base { index, term: 1, members: members.clone(), state: vec![7; 300] };
-    save(&store, Save { vow: vow(1), entries: None, base: Some(base(1)) });
+    let vow = |term| HardState { term, vote: Some("a".into()), voting: true };
+    let base = |index| Snapshot { index, term: 1, members: members.clone(), state: vec![7; 300] };
+    save(&store, Save { hard_state: vow(1), entries: None, snapshot: Some(base(1)) });
     for index in 2..saves {
         let entry = Entry { index, term: 1, data: vec![index as u8; 40], ..Entry::default() };
-        save(&store, Save { vow: vow(index), entries: Some((index, vec![entry])), base: None });
+        save(&store, Save { hard_state: vow(index), entries: Some((index, vec![entry])), snapshot: None });
         if index == saves / 2 {
-            save(&store, Save { vow: vow(index), entries: None, base: Some(base(index - 3)) });
+            save(&store, Save { hard_state: vow(index), entries: None, snapshot: Some(base(index - 3)) });
         }
     }
     saved
@@ -80,7 +80,7 @@
         }
         let (store, contents) = Store::open(copy.path()).expect("opens");
         let contents = contents.expect("not empty");
-        let lost = contents == Saved::default();
+        let lost = contents == PersistentState::default();
         assert!(lost || contents == saved, "seed {seed}: {}: read neither save nor default", file.display());
         reported += u64::from(lost);
         drop(store);
@@ -126,7 +126,7 @@
     fill_store(dir.path(), 10);
     fs::remove_dir_all(dir.path().join("core")).expect("removes the store");
     let (_, contents) = Store::open(dir.path()).expect("opens");
-    assert_eq!(contents, Some(Saved::default()));
+    assert_eq!(contents, Some(PersistentState::default()));
 }
 
 /// Appends a long log with a snapshot every 512 entries: the store stays small and opens quickly.
@@ -135,19 +135,21 @@
     let entries = if std::env::var("HISTORIES").is_ok() { 100_000 } else { 3000 };
     let dir = tempfile::tempdir().expect("a directory");
     let (store, _) = Store::open(dir.path()).expect("opens an empty directory");
-    let vow = Vow { term: 1, vote: None, counts: true };
-    let base = |index| Base { index, term: 1, members: vec!["a".into()], state: vec![3; 300_000] };
-    store.save(&Save { vow: vow.clone(), entries: None, base: Some(base(1)) }).expect("saves");
+    let vow = HardState { term: 1, vote: None, voting: true };
+    let base = |index| Snapshot { index, term: 1, members: vec!["a".into()], state: vec![3; 300_000] };
+    store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: Some(base(1)) }).expect("saves");
     let mut first = 2;
     while first < entries {
         let entry = |index: u64| Entry { index, term: 1, data: vec![index as u8; 120], ..Entry::default() };
         // About as many entries as arrive during one save.
         let entries = (first..first + 64).map(entry).collect::<Vec<_>>();
-        store.save(&Save { vow: vow.clone(), entries: Some((first, entries)), base: None }).expect("saves");
+        store
+            .save(&Save { hard_state: vow.clone(), entries: Some((first, entries)), snapshot: None })
+            .expect("saves");
         first += 64;
         if first % 512 < 64 {
             let base = Some(base(first - 1));
-            store.save(&Save { vow: vow.clone(), entries: None, base }).expect("saves");
+            store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: base }).expect("saves");
         }
     }
     drop(store);
@@ -156,7 +158,7 @@
     let (_, contents) = Store::open(dir.path()).expect("opens");
     eprintln!("{entries} entries: {} KiB on disk, opened in {:?}", bytes / 1024, before.elapsed());
     let contents = contents.expect("not empty");
-    assert_eq!(contents.base.index + contents.entries.len() as u64, first - 1);
+    assert_eq!(contents.snapshot.index + contents.entries.len() as u64, first - 1);
     assert!(bytes < 160 << 20, "{bytes} bytes on disk");
 }
 
@@ -179,7 +181,7 @@
 
 /// Opens a store that another release wrote, without digests: this hard state, a snapshot at index 4, and one
 /// entry.
-fn open_written_by_other_release(vow: StoredVow) -> eyre::Result<Option<Saved>> {
+fn open_written_by_other_release(vow: StoredVow) -> eyre::Result<Option<PersistentState>> {
     let dir = tempfile::tempdir().expect("a directory");
     let database = fjall::Database::builder(dir.path().join("core")).open().expect("creates a store");
     let keyspace =
@@ -201,7 +203,12 @@
         StoredVow { format_version: 2, last_index: 5, save_number: 9, unknown_field: 3, ..first.clone() };
     for vow in [first, next.clone()] {
         let contents = open_written_by_other_release(vow).expect("opens").expect("not empty");
-        let read = (contents.vow.term, contents.vow.counts, contents.base.index, contents.entries.len());
+        let read = (
+            contents.hard_state.term,
+            contents.hard_state.voting,
+            contents.snapshot.index,
+            contents.entries.len(),
+        );
         assert_eq!(read, (7, true, 4, 1));
     }
     // An error, and not corruption: the store is left as it is for the release that wrote it.
@@ -252,7 +259,7 @@
         assert_eq!(contents, Some(saved.clone()));
         let before = tempfile::tempdir().expect("a directory");
         copy_dir(dir.path(), before.path());
-        let first = saved.base.index + saved.entries.len() as u64 + 1;
+        let first = saved.snapshot.index + saved.entries.len() as u64 + 1;
         let data = |index: u64| vec![index as u8 | 1; 1 << rng.u32(4..13)];
         let entries: Vec<_> = (first..first + 1 + seed % 3).map(data).collect();
         let entry = |(at, data): (usize, Vec<u8>)| Entry {
@@ -264,9 +271,13 @@
         let entries: Vec<_> = entries.into_iter().enumerate().map(entry).collect();
         let previous = saved.clone();
         saved.entries.extend(entries.clone());
-        saved.vow.term += 1;
+        saved.hard_state.term += 1;
         store
-            .save(&Save { vow: saved.vow.clone(), entries: Some((first, entries)), base: None })
+            .save(&Save {
+                hard_state: saved.hard_state.clone(),
+                entries: Some((first, entries)),
+                snapshot: None,
+            })
             .expect("saves");
         for _ in 0..8 {
             let copy = tempfile::tempdir().expect("a directory");
@@ -275,12 +286,12 @@
             let (store, contents) = Store::open(copy.path()).expect("opens");
             let contents = contents.expect("not empty");
             let kept = contents == saved || contents == previous;
-            assert!(kept, "seed {seed}: a completed save is lost: {:?}", contents.vow);
-            let vow = Vow { term: 99, ..contents.vow.clone() };
-            store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("saves");
+            assert!(kept, "seed {seed}: a completed save is lost: {:?}", contents.hard_state);
+            let vow = HardState { term: 99, ..contents.hard_state.clone() };
+            store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: None }).expect("saves");
             drop(store);
             let (_, reopened) = Store::open(copy.path()).expect("opens again");
-            assert_eq!(reopened, Some(Saved { vow, ..contents }), "seed {seed}");
+            assert_eq!(reopened, Some(PersistentState { hard_state: vow, ..contents }), "seed {seed}");
         }
     }
 }
@@ -291,12 +302,12 @@
     let dir = tempfile::tempdir().expect("a directory");
     let (store, contents) = Store::open(dir.path()).expect("opens an empty directory");
     assert_eq!(contents, None);
-    let vow = Vow { term: 7, vote: None, counts: false };
-    store.save(&Save { vow: vow.clone(), entries: None, base: None }).expect("saves");
+    let vow = HardState { term: 7, vote: None, voting: false };
+    store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: None }).expect("saves");
     drop(store);
     let violations_before = violations_on_this_thread();
     let (_, contents) = Store::open(dir.path()).expect("opens");
-    assert_eq!(contents, Some(Saved { vow, ..Saved::default() }));
+    assert_eq!(contents, Some(PersistentState { hard_state: vow, ..PersistentState::default() }));
     assert_eq!(violations_on_this_thread(), violations_before);
     assert!(!dir.path().join("core.damaged").exists(), "it was reported as corrupt");
 }
@@ -312,10 +323,15 @@
         .find(|path| path.extension().is_some_and(|extension| extension == "jnl"));
     fs::write(journal.expect("a journal"), [1; 100]).expect("corrupts the journal");
     let (store, contents) = Store::open(dir.path()).expect("opens");
-    assert_eq!(contents, Some(Saved::default()));
-    let saved = Saved { vow: Vow { term: 7, vote: None, counts: true }, ..Saved::default() };
+    assert_eq!(contents, Some(PersistentState::default()));
+    let saved = PersistentState {
+        hard_state: HardState { term: 7, vote: None, voting: true },
+        ..PersistentState::default()
+    };
     for _ in 0..3 {
-        store.save(&Save { vow: saved.vow.clone(), entries: None, base: None }).expect("saves");
+        store
+            .save(&Save { hard_state: saved.hard_state.clone(), entries: None, snapshot: None })
+            .expect("saves");
     }
     drop(store);
     fs::write(dir.path().join("core.mark"), watermark).expect("writes the watermark");
