--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -44,8 +44,8 @@
             }
             return self.handle_over_quota(now, id, actions);
         }
-        let early = Some(self.settings.rules.early_refusal_share).filter(|share| *share > 0.0);
-        if self.expected_latency(now, id) > early.unwrap_or(ADMISSION_SHARE) * target_ms.max(0.0) {
+        let configured = Some(self.settings.rules.early_refusal_share).filter(|share| *share > 0.0);
+        if self.expected_latency(now, id) > configured.unwrap_or(ADMISSION_SHARE) * target_ms.max(0.0) {
             self.pool_load(pool).overloaded_at = now;
             self.summary.no_capacity += 1;
             return self.finish(id, self.classes[class].mean_ms, Reason::Room, actions);
@@ -54,7 +54,7 @@
             return self.grant(now, id, actions);
         }
         let trusted = self.counter.is_trusted();
-        // If the counter can't take all calls, plans that lose by unchecked requests have priority.
+        // If the counter can't take all calls, plans that lose by requests over their quota have priority.
         let peers = self.settings.limits.peers;
         let may_call = self.take_call(now, peers || plan.excess_worth > plan.excess_cost);
         let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
@@ -64,10 +64,10 @@
             let open = self.requests.get_mut(&id).expect("inserted above");
             (open.waiting, open.asked_peer) = (true, true);
             let (plan, units) = (plan_index as u8, units as f32);
-            let ask = Message::BalanceRequest { id, customer: customer_id, plan, units };
-            actions.push(Action::SendMessage { to: home, body: ask.encode() });
-            let wait_ms = target_ms * PEER_WAIT_SHARE;
-            return actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms: wait_ms });
+            let message = Message::BalanceRequest { id, customer: customer_id, plan, units };
+            actions.push(Action::SendMessage { to: home, body: message.encode() });
+            let after_ms = target_ms * PEER_WAIT_SHARE;
+            return actions.push(Action::Timer { token: TOKEN_WAIT | id, after_ms });
         }
         if !may_call {
             customer.defer_units(now, units, plan);
@@ -86,12 +86,12 @@
 
     /// Refuses a request over its quota, unless sending it pays for the plan and there is spare capacity.
     pub(super) fn handle_over_quota(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
-        let unseen = (1.0 - CERTAIN_GATEWAYS / self.gateway_count(now)).max(0.0);
+        let unseen_share = (1.0 - CERTAIN_GATEWAYS / self.gateway_count(now)).max(0.0);
         let Some(pool) = self.requests.get(&id).map(|open| open.request.pool) else { return };
         let expected = self.expected_latency(now, id);
         let load = self.pool_load(pool);
         // One of many gateways may see spare capacity by chance while others refuse requests.
-        let expected = expected * (1.0 + UNCERTAINTY * unseen * (1.0 - load.confidence()));
+        let expected = expected * (1.0 + UNCERTAINTY * unseen_share * (1.0 - load.confidence()));
         let overloaded_at = load.overloaded_at;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let plan = &self.settings.plans[open.plan()];
@@ -126,12 +126,12 @@
             return 0.0;
         }
         // Corrects the averages for their start from 0.
-        let known = 1.0 - (-(now - started_at).max(1.0) / LOAD_AVERAGE_MS).exp();
-        let mean = load.mean_in_flight / known;
+        let observed = 1.0 - (-(now - started_at).max(1.0) / LOAD_AVERAGE_MS).exp();
+        let mean = load.mean_in_flight / observed;
         // An excess over the mean that may be random variation is not counted as a queue.
         let certain = load.in_flight - QUEUE_DEVIATIONS * mean.sqrt();
         let in_flight = load.in_flight.min(certain.clamp(mean, mean * 2.0));
-        let latency = in_flight / (load.responses_per_s / known) * 1000.0;
+        let latency = in_flight / (load.responses_per_s / observed) * 1000.0;
         let latency = Some(latency).filter(|latency| latency.is_finite()).unwrap_or(class_ms);
         // With few responses the mean share of the target is used instead: a hung attempt weighs less in it.
         let confidence = load.confidence();
@@ -163,7 +163,7 @@
             target_share: INITIAL_LATENCY_SHARE,
             updated_at: now,
             overloaded_at: f64::NEG_INFINITY,
-            retry_tokens: rules.retry_budget.map_or(MAX_RETRY_TOKENS, |further| further.burst),
+            retry_tokens: rules.retry_budget.map_or(MAX_RETRY_TOKENS, |budget| budget.burst),
             requests_at: now,
             ..PoolLoad::default()
         }
--- a/src/choice/attempts.rs
+++ b/src/choice/attempts.rs
@@ -10,7 +10,7 @@
         let Some(open) = self.requests.get(&id) else { return };
         let pool = open.request.pool;
         if open.attempts.is_empty() {
-            // Requests that find no backend count too, so that cold backends earn tokens.
+            // Requests that find no backend count too, so that cold backends get tokens.
             let load = self.pool_load(pool);
             let keep = (-(now - load.requests_at).max(0.0) / REQUEST_RATE_MS).exp();
             load.requests_per_s = load.requests_per_s * keep + 1000.0 / REQUEST_RATE_MS;
@@ -65,18 +65,15 @@
         let attempt = Attempt { backend: backend_id, sent_at: now, queue_depth, in_flight: true, processing };
         open.attempts.push(attempt);
         // Times out before the target if a late response earns nothing and costs more than wasted work.
-        let prices = &self.settings.penalties;
-        let cut = class.late_worth <= 0.0 && prices.waste < prices.late_fail;
+        let penalties = &self.settings.penalties;
+        let stop_at_target = class.late_worth <= 0.0 && penalties.waste < penalties.late_fail;
         let target_ms = open.target_deadline - now - TARGET_MARGIN_MS - 2.0 * self.settings.tick_ms;
-        let max_ms = if cut { target_ms } else { left_ms };
+        let max_ms = if stop_at_target { target_ms } else { left_ms };
         actions.push(Action::Send { id, backend: backend_id, timeout_ms: left_ms.min(max_ms.max(1.0)) });
         self.update_load(now, pool, f64::from(u8::from(processing)), 0.0);
         if first {
-            let (ratio, max) = self
-                .settings
-                .rules
-                .retry_budget
-                .map_or((RETRY_RATIO, MAX_RETRY_TOKENS), |f| (f.ratio, f.burst));
+            let budget = self.settings.rules.retry_budget;
+            let (ratio, max) = budget.map_or((RETRY_RATIO, MAX_RETRY_TOKENS), |b| (b.ratio, b.burst));
             let load = self.pool_load(pool);
             load.retry_tokens = (load.retry_tokens + ratio).min(max);
         }
@@ -125,7 +122,7 @@
     }
 
     pub(super) fn handle_outcome(&mut self, now: Millis, outcome: Outcome, actions: &mut Vec<Action>) {
-        let Outcome { id, attempt, result, is_final: ended, units, took_ms, .. } = outcome;
+        let Outcome { id, attempt, result, is_final, units, took_ms, .. } = outcome;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = open.attempts.get_mut(attempt as usize) else { return };
         if !std::mem::take(&mut attempt.in_flight) {
@@ -133,15 +130,14 @@
         }
         let (sent_at, queue_depth, backend) = (attempt.sent_at, attempt.queue_depth, attempt.backend);
         let processing = std::mem::take(&mut attempt.processing);
-        let (class, plan_index, pool) = (open.class(), open.plan(), open.request.pool);
+        let (class, plan, pool) = (open.class(), open.plan(), open.request.pool);
         if let Some(customer) = self.customers.get_mut(&open.request.customer) {
             customer.attempts_in_flight = customer.attempts_in_flight.saturating_sub(1);
             // Settles the difference of the actual units with the customer's next charge.
             if let (true, true, Some(units)) = (self.settings.units_are_estimates, open.within_quota, units) {
                 if units.is_finite() {
                     customer.balance -= units - open.request.units;
-                    let plan = &self.settings.plans[plan_index];
-                    customer.defer_units(now, units - open.request.units, plan);
+                    customer.defer_units(now, units - open.request.units, &self.settings.plans[plan]);
                     open.within_quota = false;
                 }
             }
@@ -151,18 +147,18 @@
         }
         if processing {
             self.end_processing(now, class, pool, now - sent_at, result);
-            self.record_result(now, backend, class, plan_index, result, took_ms, queue_depth);
+            self.record_result(now, backend, class, plan, result, took_ms, queue_depth);
         } else {
-            self.update_health(now, backend, plan_index, result, took_ms);
+            self.update_health(now, backend, plan, result, took_ms);
         }
         let open = self.requests.get_mut(&id).expect("found above");
-        if ended || open.closed {
+        if is_final || open.closed {
             return self.close(id, actions);
         }
         if open.attempts.iter().any(|attempt| attempt.in_flight) {
             return;
         }
-        let effect = self.settings.classes[class].idempotency;
+        let idempotency = self.settings.classes[class].idempotency;
         let worthwhile = self.settings.classes[class].late_worth > 0.0
             || now + self.classes[class].mean_ms < open.target_deadline;
         // Under a configured retry limit, a request that the backend rejected counts as a retry too.
@@ -170,7 +166,7 @@
             Some(_) => matches!(result, CallResult::ConnectFailed | CallResult::NotSent),
             None => result.never_ran(),
         };
-        let allowed = result.never_ran() || effect != Idempotency::NonIdempotent;
+        let allowed = result.never_ran() || idempotency != Idempotency::NonIdempotent;
         let retry = worthwhile && allowed && (free || self.pool_load(pool).retry_tokens >= 1.0);
         let open = &self.requests[&id];
         if retry && result != CallResult::NotSent && open.deadline > now && !open.streaming {
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -10,19 +10,18 @@
     /// backends are warm, all gateways together send at most half of what overloads a cold backend.
     pub(super) fn refill_warm_up_tokens(&mut self, now: Millis, pool: u32) {
         let rules = self.settings.rules;
-        let subset_bound = self.subset_bound(now, pool);
+        let bound = self.subset_bound(now, pool);
         let (mut ready, mut capacity) = (0.0, 0.0);
-        for backend in self.ready_backends(pool).filter(|backend| backend.subset_rank < subset_bound) {
+        for backend in self.ready_backends(pool).filter(|backend| backend.subset_rank < bound) {
             ready += 1.0;
             capacity += warm_share(&rules, now, backend).unwrap_or(1.0);
         }
         let min_capacity = ready / (rules.overload_multiple / 2.0).max(1.0);
         // Corrects the average for its start from 0.
-        let known = 1.0 - (-(now - self.started_at).max(MIN_REQUEST_RATE_AGE_MS) / REQUEST_RATE_MS).exp();
-        let part = self.pool_load(pool).requests_per_s / known / f64::max(capacity, min_capacity).max(1.0);
-        // Only backends of the subset, and those that this gateway was assigned a part of.
-        let assigned =
-            |b: &Backend| b.subset_rank < subset_bound || b.listed.cold_until > now && b.listed.limit > 0;
+        let observed = 1.0 - (-(now - self.started_at).max(MIN_REQUEST_RATE_AGE_MS) / REQUEST_RATE_MS).exp();
+        let part = self.pool_load(pool).requests_per_s / observed / f64::max(capacity, min_capacity).max(1.0);
+        // Only the subset's backends, and cold ones of whose capacity this gateway was assigned a part.
+        let assigned = |b: &Backend| b.subset_rank < bound || b.listed.cold_until > now && b.listed.limit > 0;
         for backend in self.backends.values_mut().filter(|b| b.listed.pool == pool && assigned(b)) {
             let Some(share) = warm_share(&rules, now, backend) else { continue };
             let max_per_s = backend.listed.cold_per_s * WARM_UP_RATE_SHARE;
--- a/src/choice/counting.rs
+++ b/src/choice/counting.rs
@@ -10,7 +10,7 @@
 /// Calls to the shared counter, at a rate that adapts to slow and failed calls.
 #[derive(Default)]
 pub(super) struct CounterClient {
-    /// Calls in flight, by the name of the count.
+    /// Calls in flight, by the key of the count.
     pending: BTreeMap<u64, VecDeque<Call>>,
     consecutive_misses: u32,
     pub(super) calls_per_s: f64,
@@ -43,7 +43,6 @@
 }
 
 impl Gateway {
-    /// How long a request waits for the counter.
     pub(super) fn counter_wait_ms(&self, target_ms: f64) -> f64 {
         let rtts =
             Some(COUNTER_WAIT_RTTS * self.counter.min_rtt_ms).filter(|ms| ms.is_finite()).unwrap_or(0.0);
@@ -100,7 +99,7 @@
                 if plan >= self.settings.plans.len() || !(0.0..=self.settings.max_units).contains(&units) {
                     return;
                 }
-                // The spread is unknown: takes the least share of a ceiling, as nothing is sent from here.
+                // Takes the least share of the hard limit, which doesn't matter: the peer sends the request.
                 self.refresh_customer(now, customer_id, plan, f64::INFINITY);
                 let may_call = self.take_call(now, false);
                 let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
@@ -118,9 +117,8 @@
             Some(Message::BalanceResponse { id, balance }) => {
                 let open = self.requests.get(&id).filter(|open| open.asked_peer && open.waiting);
                 let Some(request) = open.map(|open| &open.request) else { return };
-                let (customer_id, plan, spread) =
-                    (request.customer, request.plan as usize, request.customer_gateways);
-                self.refresh_customer(now, customer_id, plan, spread);
+                let &Request { customer: customer_id, plan, customer_gateways, .. } = request;
+                self.refresh_customer(now, customer_id, plan as usize, customer_gateways);
                 let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
                 customer.balance = f64::from(balance);
                 self.decide_waiting(now, id, actions);
@@ -130,9 +128,9 @@
     }
 
     /// Brings the customer's token buckets up to now.
-    pub(super) fn refresh_customer(&mut self, now: Millis, id: CustomerId, plan: usize, spread: f64) {
+    pub(super) fn refresh_customer(&mut self, now: Millis, id: CustomerId, plan: usize, gateways: f64) {
         let plan = &self.settings.plans[plan];
-        let share = 1.0 / spread.clamp(1.0, f64::from(self.settings.gateways.max(1)));
+        let share = 1.0 / gateways.clamp(1.0, f64::from(self.settings.gateways.max(1)));
         let uptime_s = (now - self.started_at).max(0.0) / 1000.0;
         let customer = self.customers.entry(id).or_insert_with(|| Customer {
             balance: plan.burst,
@@ -169,8 +167,7 @@
             self.counter.pending.remove(&name);
         }
         let ok = result == CallResult::Ok && total.is_finite();
-        let target_ms =
-            self.settings.classes.iter().map(|class| class.target_ms).fold(f64::INFINITY, f64::min);
+        let target_ms = self.settings.classes.iter().map(|c| c.target_ms).fold(f64::INFINITY, f64::min);
         if ok {
             let age_ms = (now - self.counter.min_rtt_at).max(0.0);
             let aged_ms = self.counter.min_rtt_ms * (1.0 + age_ms / MIN_RTT_MEMORY_MS);
@@ -186,8 +183,8 @@
                 counter.calls_per_s = counter.calls_per_s.max(former / 2.0);
             }
             (counter.consecutive_misses, counter.rate_cut) = (0, false);
-            let start = counter.rate_before_cut.is_none();
-            let growth = if start { CALL_RATE_START_GROWTH } else { CALL_RATE_GROWTH };
+            let never_cut = counter.rate_before_cut.is_none();
+            let growth = if never_cut { CALL_RATE_START_GROWTH } else { CALL_RATE_GROWTH };
             counter.calls_per_s =
                 (counter.calls_per_s * (1.0 + growth) + CALL_RATE_STEP_PER_S).min(MAX_CALLS_PER_S);
         } else {
@@ -244,9 +241,9 @@
                     / (USAGE_DECAY * plan.burst * 1000.0);
                 customer.balance += std::mem::take(&mut customer.projected_usage) - by_peers;
                 // The longer ago the last total, the more weight the count gets.
-                let strict = plan.burst - (usage - call.units);
+                let min_balance = plan.burst - (usage - call.units);
                 let weight = (1.0 - keep).powi(2);
-                customer.balance = (1.0 - weight) * customer.balance.max(strict) + weight * from_count;
+                customer.balance = (1.0 - weight) * customer.balance.max(min_balance) + weight * from_count;
                 let keep = (-elapsed_ms / PEER_USAGE_MS).exp();
                 let per_s = by_peers.max(0.0) * 1000.0 / elapsed_ms;
                 customer.peer_rate = customer.peer_rate * keep + per_s * (1.0 - keep);
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -8,7 +8,7 @@
 impl Gateway {
     /// The number of listed backends that get no requests: draining ones and ejected ones.
     pub fn out_of_rotation(&self, now: Millis) -> usize {
-        let out = |b: &Backend| match b.listed.state {
+        let excluded = |b: &Backend| match b.listed.state {
             BackendState::Ready => {
                 !self.in_panic(b.listed.pool)
                     && b.failure_points >= EJECTION_POINTS
@@ -17,7 +17,7 @@
             BackendState::Draining => true,
             BackendState::Gone => false,
         };
-        self.backends.values().filter(|b| out(b)).count()
+        self.backends.values().filter(|b| excluded(b)).count()
     }
 
     /// True if most backends look unhealthy. Ejections are ignored then, as a network failure looks the same.
--- a/src/choice/list.rs
+++ b/src/choice/list.rs
@@ -3,8 +3,8 @@
 use super::tuned::*;
 use super::Gateway;
 use crate::interface::*;
-use crate::lots::subset_rank;
 use crate::state::*;
+use crate::subset::subset_rank;
 
 impl Gateway {
     pub(super) fn update_list(&mut self, now: Millis, full: bool, entries: Vec<BackendEntry>) {
@@ -15,7 +15,7 @@
                 }
             }
         }
-        let known = !self.backends.is_empty();
+        let had_list = !self.backends.is_empty();
         for entry in entries {
             let recent = entry.started > 0.0 && now - entry.started < self.settings.rules.warm_up_ms;
             let started = recent.then_some(entry.started);
@@ -31,12 +31,12 @@
                         (backend.error_rate, backend.error_rate_at) = (0.0, now);
                         backend.full_until = Vec::new();
                     } else if entry.cold_until > now && backend.listed.cold_until <= now {
-                        // Ignores sends while warm. Random, as all gateways get the update at once.
+                        // Attempts while warm don't count. Random, as all gateways get the update at once.
                         (backend.warm_up_tokens, backend.warm_up_tokens_at) = (self.rng.f64(), now);
                     }
                     backend.listed = entry;
                 }
-                None if entry.state != BackendState::Gone || known => {
+                None if entry.state != BackendState::Gone || had_list => {
                     let rank = subset_rank(entry.id, self.settings.gateways, self.settings.position);
                     let mut backend = Backend::new(entry, started, now, rank);
                     backend.warm_up_tokens = self.rng.f64();
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -1,11 +1,10 @@
 //! The decisions of the gateway. Its settings, events and actions are in `src/interface.rs`.
-//!
 //! A request's estimated units are charged to the customer's shared count before it is sent; over the quota
 //! it is refused. The next charge corrects the estimate. If the counter fails, requests are not checked.
 
 use crate::interface::*;
-use crate::lots::subset_rank;
 use crate::state::*;
+use crate::subset::subset_rank;
 use std::collections::BTreeMap;
 use tuned::*;
 
@@ -36,11 +35,20 @@
     summary: Summary,
 }
 
+/// Counts for the next summary in the log.
+#[derive(Default)]
+struct Summary {
+    ticks: u32,
+    requests: u32,
+    no_capacity: u32,
+    over_quota: u32,
+    unsent: u32,
+}
+
 impl Gateway {
     /// A gateway that starts now and knows only its settings.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
-        let initial =
-            |class: &Class| ClassLatency { mean_ms: class.target_ms * INITIAL_LATENCY_SHARE, samples: 0.0 };
+        let initial = |c: &Class| ClassLatency { mean_ms: c.target_ms * INITIAL_LATENCY_SHARE, samples: 0.0 };
         Gateway {
             rng: fastrand::Rng::with_seed(seed),
             started_at: now,
@@ -94,7 +102,7 @@
         }
     }
 
-    /// Keeps the state. A new or changed class starts with the average latency of the classes with samples.
+    /// Keeps the state; a new or changed class starts with the average latency of the classes with samples.
     fn update_settings(&mut self, settings: Settings) {
         let sampled = self.classes.iter().filter(|class| class.samples > 0.0);
         let (sum, count) = sampled.fold((0.0, 0.0), |(sum, n), class| (sum + class.mean_ms, n + 1.0));
@@ -103,22 +111,22 @@
         for backend in self.backends.values_mut() {
             backend.subset_rank = subset_rank(backend.listed.id, gateways, position);
         }
-        for (number, class) in self.settings.classes.iter().enumerate() {
+        for (index, class) in self.settings.classes.iter().enumerate() {
             let mean_ms = if count > 0.0 { sum / count } else { class.target_ms * INITIAL_LATENCY_SHARE };
             let initial = ClassLatency { mean_ms, samples: 0.0 };
-            match self.classes.get_mut(number) {
-                Some(latency) if former.classes[number] != *class => *latency = initial,
+            match self.classes.get_mut(index) {
+                Some(latency) if former.classes[index] != *class => *latency = initial,
                 Some(_) => {}
                 None => self.classes.push(initial),
             }
         }
     }
 
-    /// The number of gateways assumed to share the load: as configured, or as membership reports.
+    /// The number of gateways assumed to share the load: as configured, or as reported; it falls gradually.
     fn gateway_count(&self, now: Millis) -> f64 {
-        let Some(view) = &self.membership else { return f64::from(self.settings.gateways.max(1)) };
-        let keep = (-(now - view.reported_at).max(0.0) / GATEWAY_DECREASE_MS).exp();
-        view.present + (view.previous - view.present).max(0.0) * keep
+        let Some(membership) = &self.membership else { return f64::from(self.settings.gateways.max(1)) };
+        let keep = (-(now - membership.reported_at).max(0.0) / GATEWAY_DECREASE_MS).exp();
+        membership.present + (membership.previous - membership.present).max(0.0) * keep
     }
 
     fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
--- a/src/choice/pick.rs
+++ b/src/choice/pick.rs
@@ -8,16 +8,16 @@
 
 impl Gateway {
     /// Expected latency of an attempt at this backend, in ms, raised by its error rate.
-    pub(super) fn cost(&self, now: Millis, backend: &Backend, class_ms: f64, effect: Idempotency) -> f64 {
+    pub(super) fn cost(&self, now: Millis, backend: &Backend, mean_ms: f64, idempotency: Idempotency) -> f64 {
         let keep = (-(now - backend.latency_at).max(0.0) / RELATIVE_LATENCY_MEMORY_MS).exp();
         let mut relative = 1.0 + (backend.relative_latency - 1.0) * keep;
         if backend.in_flight > 0 {
-            relative = relative.max((now - backend.last_response_at) / (class_ms * SILENCE_LATENCIES));
+            relative = relative.max((now - backend.last_response_at) / (mean_ms * SILENCE_LATENCIES));
         }
         let factor =
-            if effect == Idempotency::NonIdempotent { UNSAFE_ERROR_COST } else { RETRYABLE_ERROR_COST };
+            if idempotency == Idempotency::NonIdempotent { UNSAFE_ERROR_COST } else { RETRYABLE_ERROR_COST };
         let errors = 1.0 + factor * backend.decayed_error_rate(now, ERROR_RATE_MEMORY_MS);
-        errors * relative * class_ms * (f64::from(backend.in_flight) + 1.0 + ASSUMED_PEER_REQUESTS)
+        errors * relative * mean_ms * (f64::from(backend.in_flight) + 1.0 + ASSUMED_PEER_REQUESTS)
             / (1.0 + ASSUMED_PEER_REQUESTS)
     }
 
@@ -25,18 +25,17 @@
         self.backends.values().filter(move |b| b.listed.state == BackendState::Ready && b.listed.pool == pool)
     }
 
-    /// The best backend for the request's next attempt.
     pub(super) fn pick(&mut self, now: Millis, id: RequestId) -> Option<BackendId> {
         let mut rng = self.rng.fork();
         let open = self.requests.get(&id)?;
         let rules = &self.settings.rules;
         let (pool, zones) = (open.request.pool, open.request.zone_mask);
         let class_ms = self.classes[open.class()].mean_ms;
-        let effect = self.settings.classes[open.class()].idempotency;
-        // Where a keyed request may be repeated: the group of the backend that may have executed it.
-        let repeat_at = match (open.executed, effect) {
-            (Some((_, backend)), Idempotency::Keyed { scope: group, .. }) => {
-                self.backends.get(&backend).map(|b| (group, b.listed.zone, b.listed.cell))
+        let idempotency = self.settings.classes[open.class()].idempotency;
+        // Where a keyed request may be repeated: its scope, around the backend that may have executed it.
+        let repeat_at = match (open.executed, idempotency) {
+            (Some((_, backend)), Idempotency::Keyed { scope, .. }) => {
+                self.backends.get(&backend).map(|b| (scope, b.listed.zone, b.listed.cell))
             }
             _ => None,
         };
@@ -44,7 +43,7 @@
             b.listed.state == BackendState::Ready
                 && b.listed.pool == pool
                 && zones >> b.listed.zone.min(63) & 1 == 1
-                && repeat_at.is_none_or(|(group, zone, cell)| match group {
+                && repeat_at.is_none_or(|(scope, zone, cell)| match scope {
                     DedupScope::All => true,
                     DedupScope::Zone => b.listed.zone == zone,
                     DedupScope::Cell => b.listed.cell == cell && b.listed.zone == zone,
@@ -65,8 +64,8 @@
             let bonus = if warm_share(rules, now, b).is_some() { WARM_UP_BONUS } else { 0.0 };
             let extra = if b.subset_rank < subset_bound { -bonus } else { OUTSIDE_SUBSET_COST };
             let extra = extra + b.listed.distance_cost + COST_JITTER * rng.f64();
-            let cost = self.cost(now, b, class_ms, effect) + class_ms * extra;
-            if best.is_none_or(|(other, least, ..)| (last_resort, cost) < (other, least)) {
+            let cost = self.cost(now, b, class_ms, idempotency) + class_ms * extra;
+            if best.is_none_or(|(other, least, _)| (last_resort, cost) < (other, least)) {
                 best = Some((last_resort, cost, b.listed.id));
             }
         }
--- a/src/choice/tuned.rs
+++ b/src/choice/tuned.rs
@@ -7,15 +7,14 @@
 /// Longest counting window. A count outlives its window by the difference to `MAX_COUNT_LIFETIME_MS`.
 pub(super) const MAX_WINDOW_MS: f64 = 50_000.0;
 pub(super) const MAX_COUNT_LIFETIME_MS: f64 = 60_000.0;
-/// Longest wait for the counter, as a share of the latency target.
+/// Longest waits for the counter and for a peer's response, as shares of the latency target.
 pub(super) const COUNTER_WAIT_SHARE: f64 = 0.05;
-/// The wait extends to this many times the shortest round trip, up to the second share of the target.
+pub(super) const PEER_WAIT_SHARE: f64 = 0.1;
+/// The wait for the counter extends to this many of its shortest round trips, up to this share of the target.
 pub(super) const COUNTER_WAIT_RTTS: f64 = 1.5;
 pub(super) const MAX_COUNTER_WAIT_SHARE: f64 = 0.12;
 /// The shortest round trip doubles in this time without another sample.
 pub(super) const MIN_RTT_MEMORY_MS: f64 = 30_000.0;
-/// Longest wait for a peer's response, as a share of the latency target.
-pub(super) const PEER_WAIT_SHARE: f64 = 0.1;
 /// After this many consecutive slow or failed calls, requests no longer wait for the counter.
 pub(super) const MAX_COUNTER_MISSES: u32 = 3;
 /// Initial call rate of one gateway, at most, and of all together.
@@ -25,7 +24,7 @@
 pub(super) const MAX_CALLS_PER_S: f64 = 10_000.0;
 /// A missed call multiplies the call rate by this.
 pub(super) const CALL_RATE_DECREASE: f64 = 0.75;
-/// A timely response adds this and a share to the call rate; the share is larger until the first cut.
+/// A timely response adds this and a share of the rate to it; the share is larger until the first cut.
 pub(super) const CALL_RATE_STEP_PER_S: f64 = 0.02;
 pub(super) const CALL_RATE_GROWTH: f64 = 0.02;
 pub(super) const CALL_RATE_START_GROWTH: f64 = 0.1;
@@ -36,9 +35,7 @@
 pub(super) const LOAD_AVERAGE_MS: f64 = 1500.0;
 /// Responses within that time at which these averages get half the weight in an estimate.
 pub(super) const LOAD_HALF_WEIGHT_RESPONSES: f64 = 20.0;
-/// Weight of one sample in the mean share of the latency target: about the last ten count.
-pub(super) const TARGET_SHARE_GAIN: f64 = 0.1;
-/// Factor on that share in an estimate: it lags, as it is known only after the response.
+/// Factor on the mean share of the latency target in an estimate: it lags, being known after the response.
 pub(super) const TARGET_SHARE_FACTOR: f64 = 1.5;
 /// Time constant of the average of peer usage.
 pub(super) const PEER_USAGE_MS: f64 = 2000.0;
@@ -48,8 +45,9 @@
 pub(super) const IDLE_EXPIRY_MS: f64 = 60_000.0;
 /// Requests of other gateways assumed to be at each backend.
 pub(super) const ASSUMED_PEER_REQUESTS: f64 = 1.0;
-/// Weight of one sample in a backend's relative latency: about the last ten count.
+/// Weight of one sample in a backend's relative latency, and in a pool's mean share of the latency target.
 pub(super) const RELATIVE_LATENCY_GAIN: f64 = 0.1;
+pub(super) const TARGET_SHARE_GAIN: f64 = 0.1;
 /// A relative latency without new samples returns to 1 with this time constant.
 pub(super) const RELATIVE_LATENCY_MEMORY_MS: f64 = 10_000.0;
 /// Weight of one sample in the mean latency of a class and the mean units of a request.
@@ -97,9 +95,8 @@
 /// Time constant of the average request rate, and least age that is assumed for it after the start.
 pub(super) const REQUEST_RATE_MS: f64 = 5000.0;
 pub(super) const MIN_REQUEST_RATE_AGE_MS: f64 = 1000.0;
-/// Least time between two reads of a count for requests that are refused without a charge.
 pub(super) const MIN_COUNT_READ_INTERVAL_MS: f64 = 100.0;
-/// Raises an estimate from few responses for requests over their quota; not up to `CERTAIN_GATEWAYS`.
+/// Raises an expected latency from few responses, for requests over quota and if there are more gateways.
 pub(super) const UNCERTAINTY: f64 = 0.75;
 pub(super) const CERTAIN_GATEWAYS: f64 = 10.0;
 /// No request over its quota is sent for this long after a refusal for lack of capacity.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,11 +36,11 @@
 mod choice;
 pub mod custody;
 pub mod interface;
-mod lots;
 pub mod membership;
 mod message;
 pub mod plane;
 mod state;
+mod subset;
 
 pub use choice::Gateway;
 pub use interface::*;
--- a/src/state.rs
+++ b/src/state.rs
@@ -31,7 +31,7 @@
     /// Peer usage deducted from the balance by extrapolation since the last total.
     pub(crate) projected_usage: f64,
     pub(crate) attempts_in_flight: u32,
-    /// Units left in this gateway's share of the hard ceiling.
+    /// Units left in this gateway's share of the hard limit's token bucket.
     pub(crate) ceiling_balance: f64,
     pub(crate) last_used_at: Millis,
 }
@@ -50,16 +50,6 @@
     pub(crate) reported_at: Millis,
 }
 
-/// Counts for the next summary in the log.
-#[derive(Default)]
-pub(crate) struct Summary {
-    pub(crate) ticks: u32,
-    pub(crate) requests: u32,
-    pub(crate) no_capacity: u32,
-    pub(crate) over_quota: u32,
-    pub(crate) unsent: u32,
-}
-
 /// One attempt of a request.
 pub(crate) struct Attempt {
     pub(crate) backend: BackendId,
@@ -138,7 +128,7 @@
 /// A window in which one customer's usage is counted.
 pub(crate) struct Window {
     pub(crate) number: u64,
-    /// Name of the customer's count in this window.
+    /// Key of the customer's count in this window.
     pub(crate) name: u64,
     pub(crate) left_ms: f64,
 }
@@ -166,7 +156,7 @@
     /// Token bucket of the attempts it may be sent during warm-up.
     pub(crate) warm_up_tokens: f64,
     pub(crate) warm_up_tokens_at: Millis,
-    /// Times of recent attempts, kept while a rate limit applies.
+    /// Times of recent attempts, recorded while a rate limit applies.
     pub(crate) recent_sends: VecDeque<Millis>,
     pub(crate) in_flight: u32,
     /// Its latency relative to the mean of the backends.
@@ -174,14 +164,14 @@
     pub(crate) latency_at: Millis,
     /// Last response while attempts were in flight.
     pub(crate) last_response_at: Millis,
-    /// Points of consecutive failures.
+    /// Sum of the points of consecutive failures; at `EJECTION_POINTS` it is ejected.
     pub(crate) failure_points: u32,
-    /// Share of its responses that are errors, as of `error_rate_at`.
+    /// Moving average of the share of its responses that are errors, as of `error_rate_at`.
     pub(crate) error_rate: f64,
     pub(crate) error_rate_at: Millis,
     /// End of its ejection; a trial request follows.
     pub(crate) ejected_until: Millis,
-    /// Per plan, until when it counts as full.
+    /// Per plan, until when it is avoided because it rejected a request or a connection.
     pub(crate) full_until: Vec<Millis>,
 }
 
