--- a/overland/src/copy.rs
+++ b/overland/src/copy.rs
@@ -43,7 +43,7 @@
 impl StateReplica {
     /// An empty replica.
     pub fn new(bounds: &Bounds) -> Self {
-        let lease_ms = bounds.closed.then(|| bounds.lease().as_secs_f64() * 1000.0);
+        let lease_ms = bounds.fail_closed.then(|| bounds.lease().as_secs_f64() * 1000.0);
         StateReplica {
             state: None,
             digest: DigestCache::default(),
--- a/overland/src/member/count.rs
+++ b/overland/src/member/count.rs
@@ -42,7 +42,7 @@
             return;
         }
         let config = self.state.config.as_ref().and_then(|config| Config::read(&config.text).ok());
-        let tenants = config.into_iter().flat_map(|config| config.patrons.unwrap_or_default());
+        let tenants = config.into_iter().flat_map(|config| config.tenants.unwrap_or_default());
         self.quota_counters.limits = tenants.map(|tenant| (tenant.name.clone(), tenant.limit())).collect();
     }
 
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -14,7 +14,7 @@
 
 use super::{Action, AgreementInput, CallResult, Caller, Member, Stage, Wait};
 use crate::calls::{Answers, Done, Evacuate, Get, Order, Outcome, Patch, Put, Refusal, TakeBack};
-use crate::config::{digest_of_whole, Envelope};
+use crate::config::{full_config_digest, ConfigUpdate};
 use crate::difference::Difference;
 use crate::ledger::UpdateId;
 use crate::news::{ConfigRevision, Kind, RejectedUpdate};
@@ -197,13 +197,13 @@
     }
 
     /// The change that an update based on the current configuration proposes.
-    fn change_for(&self, envelope: &Envelope, mark: &UpdateId, patch: bool) -> Result<Kind, Refusal> {
+    fn change_for(&self, envelope: &ConfigUpdate, mark: &UpdateId, patch: bool) -> Result<Kind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
         let envelope = envelope.clone();
-        let (_, text) = if patch { envelope.patched(current) } else { envelope.whole() }?;
+        let (_, text) = if patch { envelope.apply_to(current) } else { envelope.into_full_config() }?;
         let UpdateId { edition, based_on, content_digest: order, call_digest: call } = *mark;
         log::info!("core: proposing configuration r{edition} based on r{based_on}");
-        let digests = vec![order, digest_of_whole(based_on, &text)];
+        let digests = vec![order, full_config_digest(based_on, &text)];
         let based_on = Some(based_on);
         Ok(Kind::Config(ConfigRevision {
             edition,
@@ -289,10 +289,10 @@
 
     /// Whether every gateway holds this change, or has lost its lease on an older state.
     fn is_enforced(&self, now: Millis, index: u64) -> bool {
-        if !self.settings.bounds.closed {
+        if !self.settings.bounds.fail_closed {
             return true;
         }
-        let settle_ms = self.settings.bounds.settle().as_secs_f64() * 1000.0;
+        let settle_ms = self.settings.bounds.ack_wait().as_secs_f64() * 1000.0;
         self.state.gateways.keys().all(|node| {
             let (at, held) = self.presence.gateway_contact(node);
             held >= index || now - at > settle_ms
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -5,7 +5,7 @@
 use crate::calls::{Answers, Beat, BeatAnswer, Done, Leave, Look, Outcome, Refusal, Resolve, Resolved};
 use crate::invariants;
 use crate::news::{Backend, Gateway, Kind};
-use crate::status::{CountLine, GatewayLine, ServiceLine, Status, ViolationLine};
+use crate::status::{GatewayStatus, ServiceStatus, Status, TenantUsage, ViolationCount};
 use cherrytally::Millis;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -164,7 +164,7 @@
     pub(super) fn presence_changes(&mut self, now: Millis) -> Vec<Kind> {
         let (presence, state) = (&mut self.presence, &self.state);
         let mut changes = Vec::new();
-        let timeout = self.settings.beat.as_secs_f64() * 1000.0 * MAX_MISSED_HEARTBEATS;
+        let timeout = self.settings.heartbeat_interval.as_secs_f64() * 1000.0 * MAX_MISSED_HEARTBEATS;
         for id in state.backends.keys() {
             let heard = presence.heartbeats.get(id).map_or(presence.started, |(at, _)| *at);
             if now - heard > timeout {
@@ -193,46 +193,49 @@
         let gateway_line = |gateway: &Gateway| {
             let agents = self.agents.values().filter(|agent| agent.gateway.node == gateway.node);
             let agent = agents.max_by(|a, b| a.last_report.total_cmp(&b.last_report));
-            GatewayLine {
+            GatewayStatus {
                 node: gateway.node.clone(),
                 zone: gateway.zone.clone(),
-                front: gateway.client_addr.clone(),
+                client_addr: gateway.client_addr.clone(),
                 ready: agent.is_some_and(|agent| agent.report.ready),
-                held: agent.map_or(0, |agent| agent.report.applied_index),
-                applied: agent.map_or(0, |agent| agent.report.proxy_applied_index),
+                received_index: agent.map_or(0, |agent| agent.report.applied_index),
+                applied_index: agent.map_or(0, |agent| agent.report.proxy_applied_index),
                 heard_ms: agent.map(|agent| (now - agent.last_report).max(0.0) as u64),
             }
         };
         let mut services = BTreeMap::new();
         for known in state.backends.values() {
             let Backend { service, zone, draining: closing, max_concurrency: berths, .. } = &known.backend;
-            let line: &mut ServiceLine = services.entry((service, zone)).or_default();
+            let line: &mut ServiceStatus = services.entry((service, zone)).or_default();
             if *closing {
                 line.closing += 1;
             } else {
                 line.open += 1;
                 line.cold += u64::from(known.cold_until > now);
-                line.berths += u64::from(*berths);
+                line.max_concurrency += u64::from(*berths);
             }
         }
-        let services = services.into_iter().map(|((service, zone), line)| ServiceLine {
+        let services = services.into_iter().map(|((service, zone), line)| ServiceStatus {
             service: service.clone(),
             zone: zone.clone(),
             ..line
         });
         let roll = agreement.membership_status(now).unwrap_or_default();
-        let count_line =
-            |(tenant, per_s, units): (&str, f64, i64)| CountLine { tenant: tenant.to_owned(), per_s, units };
+        let count_line = |(tenant, per_s, units): (&str, f64, i64)| TenantUsage {
+            tenant: tenant.to_owned(),
+            per_s,
+            units,
+        };
         Status {
             address: self.me.clone(),
             node: self.settings.node.clone(),
             leader: agreement.leader().cloned().unwrap_or_default(),
-            vouches: agreement.holds_lease(now),
+            confirmed_leader: agreement.holds_lease(now),
             term: agreement.term(),
             index: state.index,
             digest: format!("{:016x}", self.digest.of(state)),
-            log: agreement.log_length() as u64,
-            installing: agreement.snapshot_progress().map(|(index, received, total, unreadable)| {
+            log_entries: agreement.log_length() as u64,
+            snapshot_progress: agreement.snapshot_progress().map(|(index, received, total, unreadable)| {
                 match unreadable {
                     true => format!("CAN'T READ the state of {index}"),
                     false => format!("has {received} of {total} bytes of the state of {index}"),
@@ -240,21 +243,21 @@
             }),
             members: agreement.members().to_vec(),
             missing: roll.missing,
-            filling: roll.catching_up,
-            listeners: roll.learners,
-            borne: roll.tolerable_losses as u64,
-            leaderless: agreement.no_leader_reason(),
+            catching_up: roll.catching_up,
+            learners: roll.learners,
+            tolerable_losses: roll.tolerable_losses as u64,
+            leaderless_reason: agreement.no_leader_reason(),
             violations: Some(violations()),
             edition: state.config.as_ref().map_or(String::new(), |config| format!("r{}", config.edition)),
             evacuated: state.evacuated.iter().cloned().collect(),
             gateways: state.gateways.values().map(gateway_line).collect(),
             services: services.collect(),
-            counts: self.quota_counters.usage(now).map(count_line).collect(),
+            tenant_usage: self.quota_counters.usage(now).map(count_line).collect(),
         }
     }
 }
 
-fn violations() -> Vec<ViolationLine> {
-    let line = |(name, times): (&str, u64)| ViolationLine { invariant: name.to_owned(), times };
+fn violations() -> Vec<ViolationCount> {
+    let line = |(name, times): (&str, u64)| ViolationCount { invariant: name.to_owned(), times };
     invariants::violations_by_name().into_iter().map(line).collect()
 }
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -90,7 +90,7 @@
     /// Whether the replicated state lists a gateway, if keys must be revocable. The next leader waits only
     /// for listed gateways to hold a change.
     fn is_registered(&self, gateway: &Gateway) -> bool {
-        !self.settings.bounds.closed || self.state.gateways.contains_key(&gateway.node)
+        !self.settings.bounds.fail_closed || self.state.gateways.contains_key(&gateway.node)
     }
 
     /// The answer to a report sent at `at`. Its index keeps a gateway that is not registered yet from being
--- a/overland/src/shares.rs
+++ b/overland/src/shares.rs
@@ -38,7 +38,7 @@
     pub fn new<'a>(bounds: &Bounds, own: &str, gateways: impl Iterator<Item = &'a str>) -> Self {
         let (matching, others): (Vec<&str>, Vec<&str>) = gateways.partition(|name| *name == own);
         Shares {
-            excess: (bounds.cold_over, bounds.cold_slack),
+            excess: (bounds.cold_factor, bounds.cold_slack),
             own: matching.first().map(|name| digest(name.as_bytes())),
             others: others.into_iter().map(|name| digest(name.as_bytes())).collect(),
         }
--- a/overland/tests/ledger.rs
+++ b/overland/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The outcomes of configuration updates, checked against a model: a list of all accepted updates.
 
 use overland::calls::{Call, Called, Patch, Put};
-use overland::config::{digest_of_whole, Envelope};
+use overland::config::{full_config_digest, ConfigUpdate};
 use overland::ledger::{UpdateId, MAX_ACCEPTED};
 use overland::news::{Change, ConfigRevision, Kind, StateSnapshot};
 use overland::state::{State, Touched, UpdateCheck};
@@ -170,11 +170,11 @@
             r#"{{"edition":"{edition}","limits":{{"label_bytes":1,"body_bytes":1,"label_time":"1s","idle":"1s"}},"patrons":[{{"name":"t","stamps":["{key}"]}}],"docks":[],"fleets":[],"based_on":"{based_on}"}}"#
         )
     };
-    let read = |text: &str| Envelope::read(text.as_bytes()).expect("an envelope");
-    let (_, before) = read(&text("r3", "a", "r1")).whole().expect("valid");
+    let read = |text: &str| ConfigUpdate::read(text.as_bytes()).expect("an envelope");
+    let (_, before) = read(&text("r3", "a", "r1")).into_full_config().expect("valid");
     let patch =
         read(r#"{"edition":"r7","deliver":{"patrons":[{"stamps":["b"],"name":"t"}]},"based_on":"r3"}"#);
-    let (_, patched) = patch.patched(&before).expect("valid");
-    assert_eq!(digest_of_whole(3, &patched), put(&text("r7", "b", "r3")).content_digest);
-    assert_ne!(digest_of_whole(3, &patched), put(&text("r7", "b", "r1")).content_digest, "another base");
+    let (_, patched) = patch.apply_to(&before).expect("valid");
+    assert_eq!(full_config_digest(3, &patched), put(&text("r7", "b", "r3")).content_digest);
+    assert_ne!(full_config_digest(3, &patched), put(&text("r7", "b", "r1")).content_digest, "another base");
 }
