--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -1,4 +1,5 @@
-//! Members that are behind, and what a leader goes by that has just begun: on the simulated system, in virtual time.
+//! Members that lag behind, late messages after a change of leader, and damaged snapshots, in the simulated
+//! system.
 
 mod simulated;
 
@@ -6,156 +7,159 @@
 use overland::member::{Action, Event, Member};
 use overland::news::Word;
 use overland::state::RegisteredBackend;
-use simulated::{Place, SnapshotMutant, World};
+use simulated::{Endpoint, SnapshotMutant, World};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Plays drawn histories, and tells the seed of one that fails.
-fn histories(few: u64, play: impl Fn(u64)) {
-    let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
-    let first = number("SEED").unwrap_or(0);
-    for seed in first..first + number("HISTORIES").unwrap_or(few) {
-        if let Err(why) = catch_unwind(AssertUnwindSafe(|| play(seed))) {
-            eprintln!("history {seed} fails");
-            std::panic::resume_unwind(why);
+/// Runs random histories, and reports the seed of the first that fails.
+fn run_histories(default_count: u64, scenario: impl Fn(u64)) {
+    let env_number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
+    let first = env_number("SEED").unwrap_or(0);
+    for seed in first..first + env_number("HISTORIES").unwrap_or(default_count) {
+        if let Err(payload) = catch_unwind(AssertUnwindSafe(|| scenario(seed))) {
+            eprintln!("seed {seed} fails");
+            std::panic::resume_unwind(payload);
         }
     }
 }
 
-/// Whether one of so many histories finds what is wrong on purpose.
-fn found(histories: u64, play: impl Fn(u64)) -> bool {
-    (0..histories).any(|seed| catch_unwind(AssertUnwindSafe(|| play(seed))).is_err())
+/// Whether any of this number of histories detects a deliberate fault.
+fn is_detected(histories: u64, scenario: impl Fn(u64)) -> bool {
+    (0..histories).any(|seed| catch_unwind(AssertUnwindSafe(|| scenario(seed))).is_err())
 }
 
-/// One backend's beats and its end, said to whichever core process is named.
-struct Lonely;
+/// The calls of a single backend, sent to a given core process.
+struct SingleBackend;
 
-impl Lonely {
-    fn beat(world: &mut World, core: usize, state: &str, postmark: u64) {
+impl SingleBackend {
+    fn send_heartbeat(world: &mut World, core: usize, state: &str, postmark: u64) {
         let body = format!(
             r#"{{"service":"s","address":"10.128.0.1:80","zone":"z1","edition":"v1","berths":2,"state":"{state}","cold_time":"0ms","postmark":{postmark}}}"#
         );
         world.call(core, "POST", "/api/Instances.Beat/i-1".into(), body.into_bytes());
-        world.pass(world.now + 600.0);
+        world.run_until(world.now + 600.0);
     }
 
     fn leave(world: &mut World, core: usize) {
         world.call(core, "POST", "/api/Instances.Leave/i-1".into(), Vec::new());
-        world.pass(world.now + 600.0);
+        world.run_until(world.now + 600.0);
     }
 
-    /// As the leader has it.
-    fn known(world: &World, leader: usize) -> Option<&RegisteredBackend> {
-        world.cores[leader].running.as_ref().and_then(|member| member.state().backends.get("i-1"))
+    /// The backend as this core process has it.
+    fn registered(world: &World, core: usize) -> Option<&RegisteredBackend> {
+        world.cores[core].running.as_ref().and_then(|member| member.state().backends.get("i-1"))
     }
 }
 
 fn leader(world: &World) -> usize {
-    world.leader().expect("somebody leads")
+    world.leader().expect("a leader")
 }
 
-/// The leader is lost, and another leads.
-fn next_leader(world: &mut World) -> usize {
-    let lost = leader(world);
-    world.kill_core(lost);
-    world.pass(world.now + 4000.0);
+/// Kills the leader, and returns the next one.
+fn fail_over(world: &mut World) -> usize {
+    let old_leader = leader(world);
+    world.kill_core(old_leader);
+    world.run_until(world.now + 4000.0);
     leader(world)
 }
 
-/// The closing of a backend is acknowledged, the leader is lost, and a beat that was sent before comes to the next.
+/// A heartbeat sent before an acknowledged closing arrives at the next leader.
 #[test]
-fn a_late_beat_opens_nothing_at_the_next_leader() {
+fn a_late_heartbeat_reopens_nothing_at_the_next_leader() {
     let mut world = World::new(1, 3, 0, 1, 0, 0);
-    world.begin();
-    world.pass(3000.0);
+    world.start();
+    world.run_until(3000.0);
     let first = leader(&world);
-    Lonely::beat(&mut world, first, "open", 1);
-    Lonely::beat(&mut world, first, "open", 2);
-    Lonely::beat(&mut world, first, "closing", 4);
-    assert!(Lonely::known(&world, first).is_some_and(|known| known.backend.draining));
-    let next = next_leader(&mut world);
-    Lonely::beat(&mut world, next, "open", 3);
-    assert!(Lonely::known(&world, next).is_some_and(|known| known.backend.draining), "a late beat opened it");
-    // One that was sent later counts.
-    Lonely::beat(&mut world, next, "open", 5);
-    assert!(Lonely::known(&world, next).is_some_and(|known| !known.backend.draining));
+    SingleBackend::send_heartbeat(&mut world, first, "open", 1);
+    SingleBackend::send_heartbeat(&mut world, first, "open", 2);
+    SingleBackend::send_heartbeat(&mut world, first, "closing", 4);
+    assert!(SingleBackend::registered(&world, first).is_some_and(|known| known.backend.draining));
+    let next = fail_over(&mut world);
+    SingleBackend::send_heartbeat(&mut world, next, "open", 3);
+    assert!(
+        SingleBackend::registered(&world, next).is_some_and(|known| known.backend.draining),
+        "a late heartbeat reopened the backend"
+    );
+    // A later one counts.
+    SingleBackend::send_heartbeat(&mut world, next, "open", 5);
+    assert!(SingleBackend::registered(&world, next).is_some_and(|known| !known.backend.draining));
 }
 
-/// A backend leaves, the leader is lost, and a beat that was sent before comes to the next.
+/// A heartbeat sent before an acknowledged leaving arrives at the next leader.
 #[test]
-fn a_late_beat_brings_nothing_back_at_the_next_leader() {
+fn a_late_heartbeat_restores_no_backend_at_the_next_leader() {
     let mut world = World::new(2, 3, 0, 1, 0, 0);
-    world.begin();
-    world.pass(3000.0);
+    world.start();
+    world.run_until(3000.0);
     let first = leader(&world);
-    Lonely::beat(&mut world, first, "closing", 1);
-    Lonely::leave(&mut world, first);
-    assert!(Lonely::known(&world, first).is_none());
-    let next = next_leader(&mut world);
-    Lonely::beat(&mut world, next, "open", 0);
-    assert!(Lonely::known(&world, next).is_none(), "a late beat brought it back");
-    // Much later it is one that starts again under its old id.
-    world.pass(world.now + 31_000.0);
-    Lonely::beat(&mut world, next, "open", 1);
-    assert!(Lonely::known(&world, next).is_some());
+    SingleBackend::send_heartbeat(&mut world, first, "closing", 1);
+    SingleBackend::leave(&mut world, first);
+    assert!(SingleBackend::registered(&world, first).is_none());
+    let next = fail_over(&mut world);
+    SingleBackend::send_heartbeat(&mut world, next, "open", 0);
+    assert!(SingleBackend::registered(&world, next).is_none(), "a late heartbeat restored the backend");
+    // Much later, the id may be reused.
+    world.run_until(world.now + 31_000.0);
+    SingleBackend::send_heartbeat(&mut world, next, "open", 1);
+    assert!(SingleBackend::registered(&world, next).is_some());
 }
 
-/// Plays on: whoever answers for all has nothing open whose closing or leaving was acknowledged.
-fn watched(world: &mut World, for_ms: f64) {
-    let until = world.now + for_ms;
+/// Runs on while checking that the leader has no backend open whose closing or leaving was acknowledged.
+fn run_checked(world: &mut World, duration_ms: f64) {
+    let until = world.now + duration_ms;
     while world.now < until {
-        world.pass((world.now + 100.0).min(until));
+        world.run_until((world.now + 100.0).min(until));
         let Some(leader) = world.leader() else { continue };
         let Some(member) = &world.cores[leader].running else { continue };
-        for id in world.judge.closing.keys() {
+        for id in world.model.draining.keys() {
             let open = member.state().backends.get(id).is_some_and(|known| !known.backend.draining);
-            assert!(!open, "{id} is open at {:.0}, and its closing was acknowledged", world.now);
+            assert!(!open, "{id} is open at {:.0}, but its closing was acknowledged", world.now);
         }
     }
 }
 
-/// Beats that a link held up come after their backend's closing was acknowledged, while leaders are lost.
-fn late_beats(seed: u64, late_counts: bool) {
+/// Heartbeats arrive after their backend's closing was acknowledged, while leaders are lost.
+fn delay_heartbeats(seed: u64, look_newest: bool) {
     let mut world = World::new(seed, [3, 5][seed as usize % 2], 0, 3, 12, 0);
-    (world.late, world.late_counts) = (0.15, late_counts);
-    world.begin();
-    world.pass(4000.0);
+    (world.late_call_probability, world.late_calls_look_newest) = (0.15, look_newest);
+    world.start();
+    world.run_until(4000.0);
     for _ in 0..8 {
-        let lost = leader(&world);
-        world.kill_core(lost);
-        let for_ms = 2500.0 + world.rng.f64() * 1500.0;
-        watched(&mut world, for_ms);
-        world.start_core(lost, false);
-        let for_ms = 500.0 + world.rng.f64() * 1500.0;
-        watched(&mut world, for_ms);
+        let old_leader = leader(&world);
+        world.kill_core(old_leader);
+        let duration_ms = 2500.0 + world.rng.f64() * 1500.0;
+        run_checked(&mut world, duration_ms);
+        world.start_core(old_leader, false);
+        let duration_ms = 500.0 + world.rng.f64() * 1500.0;
+        run_checked(&mut world, duration_ms);
     }
     world.settle(12_000.0);
 }
 
 #[test]
-fn no_late_beat_undoes_what_was_acknowledged() {
-    histories(6, |seed| late_beats(seed, false));
+fn late_heartbeats_undo_nothing_acknowledged() {
+    run_histories(6, |seed| delay_heartbeats(seed, false));
 }
 
 #[test]
-fn a_late_beat_that_counts_is_found() {
-    assert!(found(40, |seed| late_beats(seed, true)), "no history finds it");
+fn late_heartbeats_that_look_newest_are_detected() {
+    assert!(is_detected(40, |seed| delay_heartbeats(seed, true)), "not detected");
 }
 
-/// One member with this disk that was filled before, alone with a test that speaks for the others.
-struct Alone {
+/// A member started from a given disk, with the test in the role of its peers.
+struct SingleMember {
     member: Member,
     now: f64,
 }
 
-impl Alone {
+impl SingleMember {
     fn start(disk: Option<PersistentState>) -> (Self, Option<overland::agreement::Save>) {
         let seeds = (0..3).map(simulated::core_address).collect();
         let settings = simulated::settings("core-0".into(), Some(simulated::core_address(0)), seeds, true);
-        let (member, first) = Member::start(settings, disk, 1, 0.0).expect("it starts");
-        (Alone { member, now: 0.0 }, first)
+        let (member, first_save) = Member::start(settings, disk, 1, 0.0).expect("the member starts");
+        (SingleMember { member, now: 0.0 }, first_save)
     }
 
-    /// What it does at an event, and at all saves that it wants.
+    /// Handles an event and completes all resulting saves; returns all actions.
     fn handle(&mut self, event: Event) -> Vec<Action> {
         let (mut all, mut next) = (Vec::new(), Some(event));
         while let Some(event) = next.take() {
@@ -169,30 +173,31 @@
         all
     }
 
-    fn hear(&mut self, say: RaftPayload) -> Vec<Action> {
+    fn receive(&mut self, payload: RaftPayload) -> Vec<Action> {
         let from = simulated::core_address(1).to_string();
-        self.handle(Event::PeerMessage { from, message: Word::Agreement(RaftMessage { payload: Some(say) }) })
+        let message = Word::Agreement(RaftMessage { payload: Some(payload) });
+        self.handle(Event::PeerMessage { from, message })
     }
 
-    /// It is left alone for so long: what it says to others.
-    fn said(&mut self, for_ms: f64) -> Vec<RaftPayload> {
-        let until = self.now + for_ms;
-        let mut said = Vec::new();
+    /// Runs the member without input for this time; returns the payloads that it sends.
+    fn run_idle(&mut self, duration_ms: f64) -> Vec<RaftPayload> {
+        let until = self.now + duration_ms;
+        let mut sent = Vec::new();
         while self.now < until {
             self.now += 25.0;
             for action in self.handle(Event::Tick) {
-                if let Action::SendPeer { message: word, .. } = action {
-                    said.extend(say_of(&word).cloned());
+                if let Action::SendPeer { message, .. } = action {
+                    sent.extend(raft_payload(&message).cloned());
                 }
             }
         }
-        said
+        sent
     }
 }
 
-fn say_of(word: &Word) -> Option<&RaftPayload> {
-    match word {
-        Word::Agreement(letter) => letter.payload.as_ref(),
+fn raft_payload(message: &Word) -> Option<&RaftPayload> {
+    match message {
+        Word::Agreement(message) => message.payload.as_ref(),
         _ => None,
     }
 }
@@ -201,212 +206,226 @@
     (0..3).map(|number| simulated::core_address(number).to_string()).collect()
 }
 
-/// Not a state: a length that leads past the end.
-const GARBAGE: &[u8] = &[0x12, 0x7f, 1, 2, 3];
+/// Not a valid state: a length that points past the end.
+const MALFORMED_STATE: &[u8] = &[0x12, 0x7f, 1, 2, 3];
 
 #[test]
-fn a_state_that_cant_be_read_is_neither_saved_nor_followed() {
-    let (mut alone, _) = Alone::start(Some(PersistentState::default()));
-    let (term, index, last_term, members, at) = (3, 700, 2, members(), 1.0);
+fn a_malformed_snapshot_is_neither_saved_nor_acknowledged() {
+    let (mut node, _) = SingleMember::start(Some(PersistentState::default()));
     let install = InstallSnapshot {
-        term,
-        index,
-        last_term,
-        members,
-        state: GARBAGE.to_vec(),
-        sent_at: at,
+        term: 3,
+        index: 700,
+        last_term: 2,
+        members: members(),
+        state: MALFORMED_STATE.to_vec(),
+        sent_at: 1.0,
         digest: None,
     };
-    let actions = alone.hear(RaftPayload::InstallSnapshot(install.clone()));
-    let kept = actions.iter().any(|action| matches!(action, Action::Save(save) if save.snapshot.is_some()));
-    assert!(!kept, "it is on disk");
-    assert!(!actions.iter().any(|action| matches!(action, Action::Abort(_))), "the process ends");
-    let took = actions.iter().any(|action| {
-        matches!(action, Action::SendPeer { message, .. } if matches!(say_of(message), Some(RaftPayload::AppendResponse(_))))
-    });
-    assert!(!took && alone.member.state().index == 0);
-    // One that can be read is taken.
-    let actions = alone.hear(RaftPayload::InstallSnapshot(InstallSnapshot { state: Vec::new(), ..install }));
+    let actions = node.receive(RaftPayload::InstallSnapshot(install.clone()));
+    let saved = actions.iter().any(|action| matches!(action, Action::Save(save) if save.snapshot.is_some()));
+    assert!(!saved, "the snapshot was saved");
+    assert!(!actions.iter().any(|action| matches!(action, Action::Abort(_))), "the process aborts");
+    let is_append_response =
+        |message: &Word| matches!(raft_payload(message), Some(RaftPayload::AppendResponse(_)));
+    let acknowledged = actions
+        .iter()
+        .any(|action| matches!(action, Action::SendPeer { message, .. } if is_append_response(message)));
+    assert!(!acknowledged && node.member.state().index == 0);
+    // A valid one is accepted.
+    let actions =
+        node.receive(RaftPayload::InstallSnapshot(InstallSnapshot { state: Vec::new(), ..install }));
     assert!(actions.iter().any(|action| matches!(action, Action::Save(save) if save.snapshot.is_some())));
-    assert_eq!(alone.member.state().index, 700);
+    assert_eq!(node.member.state().index, 700);
 }
 
 #[test]
-fn a_start_from_a_damaged_disk_is_one_from_an_empty_disk() {
-    let vow = HardState { term: 4, vote: None, voting: true };
-    let base = Snapshot { index: 512, term: 3, members: members(), state: GARBAGE.to_vec() };
-    let (mut alone, first) =
-        Alone::start(Some(PersistentState { hard_state: vow, snapshot: base, entries: Vec::new() }));
-    let first = first.expect("the disk is emptied");
-    assert_eq!((first.snapshot, first.entries), (Some(Snapshot::default()), Some((0, Vec::new()))));
-    assert!(!first.hard_state.voting);
-    // It asks nobody for a vote, and founds nothing, though the settings name a first start.
-    let said = alone.said(10_000.0);
-    assert!(!said.iter().any(|say| matches!(say, RaftPayload::VoteRequest(_))), "it wants to lead");
-    assert!(alone.member.agreement().members().is_empty());
+fn a_damaged_disk_is_treated_as_empty() {
+    let hard_state = HardState { term: 4, vote: None, voting: true };
+    let snapshot = Snapshot { index: 512, term: 3, members: members(), state: MALFORMED_STATE.to_vec() };
+    let (mut node, first_save) =
+        SingleMember::start(Some(PersistentState { hard_state, snapshot, entries: Vec::new() }));
+    let first_save = first_save.expect("a save that clears the disk");
+    assert_eq!((first_save.snapshot, first_save.entries), (Some(Snapshot::default()), Some((0, Vec::new()))));
+    assert!(!first_save.hard_state.voting);
+    // It requests no votes and bootstraps no cluster, although the settings say that this is a first start.
+    let sent = node.run_idle(10_000.0);
+    assert!(!sent.iter().any(|payload| matches!(payload, RaftPayload::VoteRequest(_))), "it requests votes");
+    assert!(node.member.agreement().members().is_empty());
 }
 
-/// A history of so many changes: 400 routes, backends that tell something new with each beat, and members that are
-/// killed, wiped, frozen, slow and cut off, the leader among them. A state goes in many pieces.
-fn long(seed: u64, changes: u64, with: impl Fn(&mut World)) -> World {
+/// Runs until this number of changes is committed, with 400 routes, backends that change with each heartbeat,
+/// and core processes that are killed, wiped, paused, slow and cut off. A snapshot is sent in many chunks.
+fn run_long_history(seed: u64, changes: u64, configure: impl Fn(&mut World)) -> World {
     let founders = [3, 5][seed as usize % 2];
     let mut world = World::new(seed, founders, 0, 2, 40, 2);
-    (world.callers.routes, world.callers.restless, world.callers.pause_ms) = (400, true, 6000.0);
-    with(&mut world);
-    world.begin();
-    watched(&mut world, 4000.0);
-    let mut stuck = 0;
-    while index(&world) < changes {
-        let before = index(&world);
-        trouble(&mut world);
-        stuck = if index(&world) > before { 0 } else { stuck + 1 };
-        assert!(stuck < 40, "nothing is agreed on any more at {:.0}", world.now);
+    (world.callers.routes, world.callers.changing_reports, world.callers.pause_ms) = (400, true, 6000.0);
+    configure(&mut world);
+    world.start();
+    run_checked(&mut world, 4000.0);
+    let mut rounds_without_progress = 0;
+    while last_index(&world) < changes {
+        let before = last_index(&world);
+        inject_random_fault(&mut world);
+        rounds_without_progress = if last_index(&world) > before { 0 } else { rounds_without_progress + 1 };
+        assert!(rounds_without_progress < 40, "no progress any more at {:.0}", world.now);
     }
-    (world.bytes_ms, world.callers.restless) = (f64::INFINITY, false);
+    (world.bytes_per_ms, world.callers.changing_reports) = (f64::INFINITY, false);
     world.settle(20_000.0);
-    alike(&world);
+    assert_members_equal(&world);
     world
 }
 
-/// The number of the last change that anybody has.
-fn index(world: &World) -> u64 {
+/// The highest index that any core process has applied.
+fn last_index(world: &World) -> u64 {
     let running = world.cores.iter().filter_map(|core| core.running.as_ref());
     running.map(|member| member.state().index).max().unwrap_or(0)
 }
 
-/// Whether all members are there and know all that is agreed on: another disk may be lost then.
-fn whole(world: &World) -> bool {
-    let agreed = index(world);
+/// Whether all core processes run, vote and have nearly all changes, so that a disk may be wiped.
+fn is_fully_replicated(world: &World) -> bool {
+    let last_index = last_index(world);
     world.leader().is_some()
         && world.cores.iter().all(|core| {
-            let near = core.running.as_ref().is_some_and(|member| member.state().index + 200 > agreed);
-            near && core.disk.as_ref().is_some_and(|disk| disk.hard_state.voting)
+            let is_current =
+                core.running.as_ref().is_some_and(|member| member.state().index + 200 > last_index);
+            is_current && core.disk.as_ref().is_some_and(|disk| disk.hard_state.voting)
         })
 }
 
-fn trouble(world: &mut World) {
-    let any = world.rng.usize(0..world.cores.len());
-    let for_ms = 200.0 + world.rng.f64() * 5000.0;
+/// Applies one random fault to the core, and lets it recover.
+fn inject_random_fault(world: &mut World) {
+    let core = world.rng.usize(0..world.cores.len());
+    let duration_ms = 200.0 + world.rng.f64() * 5000.0;
     match world.rng.u32(0..8) {
-        0 => world.kill_core(any),
+        0 => world.kill_core(core),
         1 => {
             if let Some(leader) = world.leader() {
                 world.kill_core(leader);
             }
         }
-        2 | 3 if whole(world) => {
-            world.kill_core(any);
-            world.cores[any].disk = None;
-            world.start_core(any, false);
+        2 | 3 if is_fully_replicated(world) => {
+            world.kill_core(core);
+            world.cores[core].disk = None;
+            world.start_core(core, false);
         }
         4 => {
-            let all = (0..world.cores.len()).map(Place::Core).collect::<Vec<_>>();
-            world.cut_off(Place::Core(any), all);
+            let all = (0..world.cores.len()).map(Endpoint::Core).collect::<Vec<_>>();
+            world.cut_off(Endpoint::Core(core), all);
         }
-        5 => world.cores[any].sync_ms = 20.0,
-        6 => world.freeze_core(any, for_ms),
+        5 => world.cores[core].sync_ms = 20.0,
+        6 => world.pause_core(core, duration_ms),
         _ => {}
     }
-    watched(world, for_ms);
+    run_checked(world, duration_ms);
     world.cuts.clear();
     world.cores.iter_mut().for_each(|core| core.sync_ms = 0.5);
     (0..world.cores.len()).for_each(|core| world.start_core(core, false));
-    let calm_ms = 500.0 + world.rng.f64() * 4000.0;
-    watched(world, calm_ms);
+    let recovery_ms = 500.0 + world.rng.f64() * 4000.0;
+    run_checked(world, recovery_ms);
 }
 
-/// All members hold the same, what orders beats and orders of operators with it.
-fn alike(world: &World) {
-    let lead = world.cores[leader(world)].running.as_ref().expect("it runs");
-    let whole = |member: &Member| {
-        let mut whole = member.state().snapshot(0.0, true);
-        // By each copy's own clock, and of each start: how long a backend stays cold, and how long ago a zone was taken back.
-        whole.backends.iter_mut().for_each(|backend| backend.cold_ms = 0);
-        whole.evacuation_ends.clear();
-        whole
+/// Checks that all members have the same state, including the postmarks of heartbeats and the outcomes of
+/// updates.
+fn assert_members_equal(world: &World) {
+    let leader = world.cores[leader(world)].running.as_ref().expect("the leader runs");
+    let comparable_snapshot = |member: &Member| {
+        let mut snapshot = member.state().snapshot(0.0, true);
+        // These are measured on each process's own clock, from its own start.
+        snapshot.backends.iter_mut().for_each(|backend| backend.cold_ms = 0);
+        snapshot.evacuation_ends.clear();
+        snapshot
     };
-    for name in lead.agreement().members() {
+    for name in leader.agreement().members() {
         let number = simulated::core_number(name).expect("a core process");
-        let member = world.cores[number].running.as_ref().expect("it runs");
-        assert_eq!(member.state().index, lead.state().index, "core {number} never caught up");
-        assert!(whole(member) == whole(lead), "the copy of core {number} differs");
+        let member = world.cores[number].running.as_ref().expect("a running core");
+        assert_eq!(member.state().index, leader.state().index, "core {number} did not catch up");
+        assert!(
+            comparable_snapshot(member) == comparable_snapshot(leader),
+            "the state of core {number} differs"
+        );
     }
 }
 
 #[test]
-fn after_thousands_of_changes_all_copies_are_one() {
+fn members_are_equal_after_thousands_of_changes() {
     let changes = if std::env::var("HISTORIES").is_ok() { 10_000 } else { 1200 };
-    histories(2, |seed| {
-        let world = long(seed, changes, |world| world.bytes_ms = [250.0, 125_000.0][seed as usize / 2 % 2]);
-        assert!(world.pieces > 0);
+    run_histories(2, |seed| {
+        let bytes_per_ms = [250.0, 125_000.0][seed as usize / 2 % 2];
+        let world = run_long_history(seed, changes, |world| world.bytes_per_ms = bytes_per_ms);
+        assert!(world.snapshot_messages > 0);
     });
 }
 
 #[test]
-fn states_that_are_damaged_on_the_way_are_never_taken() {
-    histories(1, |seed| {
-        let world = long(seed + 100, 1200, |world| world.damage = 0.1);
-        assert!(world.pieces > 0);
+fn corrupted_snapshots_are_never_installed() {
+    run_histories(1, |seed| {
+        let world = run_long_history(seed + 100, 1200, |world| world.corruption = 0.1);
+        assert!(world.snapshot_messages > 0);
     });
 }
 
 #[test]
-fn what_is_wrong_with_snapshots_on_purpose_is_found() {
-    for mutant in [SnapshotMutant::NoMembers, SnapshotMutant::OldState] {
-        let found = found(6, |seed| drop(long(seed, 1200, |world| world.snapshot_mutant = Some(mutant))));
-        assert!(found, "no history finds {mutant:?}");
+fn deliberate_faults_in_snapshots_are_detected() {
+    for mutant in [SnapshotMutant::NoMembers, SnapshotMutant::StaleState] {
+        let detected = is_detected(6, |seed| {
+            drop(run_long_history(seed, 1200, |world| world.snapshot_mutant = Some(mutant)))
+        });
+        assert!(detected, "{mutant:?} is not detected");
     }
 }
 
-/// Not a fault: each change tells what stands after it, and one that is older than what stands changes nothing.
+/// Changes are idempotent: each carries the resulting value, and one older than the current value is ignored.
 #[test]
-fn entries_that_are_applied_twice_change_nothing() {
-    histories(2, |seed| {
-        drop(long(seed, 1200, |world| world.snapshot_mutant = Some(SnapshotMutant::AppliedTwice)))
+fn entries_applied_twice_change_nothing() {
+    run_histories(2, |seed| {
+        drop(run_long_history(seed, 1200, |world| {
+            world.snapshot_mutant = Some(SnapshotMutant::EntriesAppliedTwice)
+        }))
     });
 }
 
-/// One member is started with an empty disk while its links carry so much. How long until it has all that is agreed on,
-/// and how often a leader was elected meanwhile.
-fn catch_up(routes: usize, bytes_ms: f64) -> (f64, u64) {
+/// Restarts a member with an empty disk at this bandwidth. Returns the time in ms until it has caught up, and
+/// the number of terms begun meanwhile.
+fn catch_up(routes: usize, bytes_per_ms: f64) -> (f64, u64) {
     let mut world = World::new(3, 3, 0, 1, 6, 1);
-    (world.callers.routes, world.callers.restless, world.callers.churn) = (routes, true, false);
-    world.begin();
-    // A state takes the place of the log.
-    while index(&world) < 600 {
-        world.pass(world.now + 1000.0);
+    (world.callers.routes, world.callers.changing_reports, world.callers.churn) = (routes, true, false);
+    world.start();
+    // Enough changes for the log to be compacted into a snapshot.
+    while last_index(&world) < 600 {
+        world.run_until(world.now + 1000.0);
     }
-    world.callers.wishes = false;
-    world.pass(world.now + 2000.0);
-    let first = leader(&world);
-    let term = |world: &World| world.cores[first].running.as_ref().expect("it runs").agreement().term();
-    let (lost, before) = ((first + 1) % 3, term(&world));
-    world.bytes_ms = bytes_ms;
-    world.kill_core(lost);
-    world.cores[lost].disk = None;
-    world.start_core(lost, false);
-    let started = world.now;
+    world.callers.operators_active = false;
+    world.run_until(world.now + 2000.0);
+    let leader = leader(&world);
+    let term =
+        |world: &World| world.cores[leader].running.as_ref().expect("the leader runs").agreement().term();
+    let (wiped, term_before) = ((leader + 1) % 3, term(&world));
+    world.bytes_per_ms = bytes_per_ms;
+    world.kill_core(wiped);
+    world.cores[wiped].disk = None;
+    world.start_core(wiped, false);
+    let started_at = world.now;
     loop {
-        world.pass(world.now + 10.0);
-        assert!(world.now - started < 120_000.0, "it never caught up");
-        let caught_up = world.cores[lost].running.as_ref().is_some_and(|member| {
-            member.state().index + 5 > index(&world) && member.state().config.is_some()
+        world.run_until(world.now + 10.0);
+        assert!(world.now - started_at < 120_000.0, "the member did not catch up");
+        let caught_up = world.cores[wiped].running.as_ref().is_some_and(|member| {
+            member.state().index + 5 > last_index(&world) && member.state().config.is_some()
         });
-        if caught_up && world.cores[lost].disk.as_ref().is_some_and(|disk| disk.hard_state.voting) {
-            return (world.now - started, term(&world) - before);
+        if caught_up && world.cores[wiped].disk.as_ref().is_some_and(|disk| disk.hard_state.voting) {
+            return (world.now - started_at, term(&world) - term_before);
         }
     }
 }
 
-/// 2 Mbit/s and 1,000 Mbit/s. `HISTORIES` plays the size that is designed for, too, and tells the times.
+/// At 2 Mbit/s and 1,000 Mbit/s; with `HISTORIES` set, also at the largest supported size.
 #[test]
-fn a_wiped_member_catches_up_on_a_slow_link_and_nobody_else_is_elected() {
+fn a_wiped_member_catches_up_on_a_slow_link_without_an_election() {
     let routes = if std::env::var("HISTORIES").is_ok() { vec![400, 2000, 7600] } else { vec![400] };
     for routes in routes {
-        for bytes_ms in [250.0, 125_000.0] {
-            let (took_ms, elected) = catch_up(routes, bytes_ms);
-            eprintln!("{routes} routes, {bytes_ms} bytes a ms: {took_ms:.0} ms");
-            assert_eq!(elected, 0, "{routes} routes, {bytes_ms} bytes a ms");
+        for bytes_per_ms in [250.0, 125_000.0] {
+            let (took_ms, elections) = catch_up(routes, bytes_per_ms);
+            eprintln!("{routes} routes, {bytes_per_ms} bytes/ms: {took_ms:.0} ms");
+            assert_eq!(elections, 0, "{routes} routes, {bytes_per_ms} bytes/ms");
         }
     }
 }
--- a/overland/tests/finds/mod.rs
+++ b/overland/tests/finds/mod.rs
@@ -1,22 +1,23 @@
-//! Looks for histories that fail, and keeps the shortest.
-#![allow(dead_code)] // Each test program takes what it needs of it.
+//! Runs random histories and returns the shortest that fails.
+#![allow(dead_code)] // Each test program uses only a part.
 
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// How far it is, is told after so many histories.
-const PROGRESS: u64 = 500;
+/// Progress is printed after this many histories.
+const PROGRESS_INTERVAL: u64 = 500;
 
 /// A history that failed.
-pub struct Find {
-    /// Things that happened in it.
+pub struct Failure {
+    /// Number of events in it.
     pub events: u64,
     pub seed: u64,
+    /// The panic's payload.
     pub why: Box<dyn Any + Send>,
 }
 
-impl Find {
-    /// The first line of what is wrong.
+impl Failure {
+    /// The first line of the panic's message.
     pub fn text(&self) -> String {
         let text = self.why.downcast_ref::<String>().map(String::as_str);
         let text = text.or_else(|| self.why.downcast_ref::<&str>().copied()).unwrap_or_default();
@@ -24,25 +25,25 @@
     }
 }
 
-/// Plays a history in each of these worlds until so many have failed. Gives the shortest of those.
+/// Runs a scenario in the world of each seed until this many have failed, and returns the shortest failure.
 pub fn shortest<W>(
-    seeds: std::ops::Range<u64>, most: usize, draw: impl Fn(u64) -> W, play: impl Fn(&mut W),
-    events: impl Fn(&W) -> u64,
-) -> Option<Find> {
-    let mut finds = Vec::new();
-    let (first, all) = (seeds.start, seeds.end - seeds.start);
+    seeds: std::ops::Range<u64>, max_failures: usize, new_world: impl Fn(u64) -> W,
+    scenario: impl Fn(&mut W), events: impl Fn(&W) -> u64,
+) -> Option<Failure> {
+    let mut failures = Vec::new();
+    let (first, total) = (seeds.start, seeds.end - seeds.start);
     for seed in seeds {
-        let played = seed - first;
-        if played > 0 && played.is_multiple_of(PROGRESS) {
-            eprintln!("{played} of {all} histories, {} failed", finds.len());
+        let done = seed - first;
+        if done > 0 && done.is_multiple_of(PROGRESS_INTERVAL) {
+            eprintln!("{done} of {total} histories, {} failed", failures.len());
         }
-        let mut world = draw(seed);
-        if let Err(why) = catch_unwind(AssertUnwindSafe(|| play(&mut world))) {
-            finds.push(Find { events: events(&world), seed, why });
+        let mut world = new_world(seed);
+        if let Err(why) = catch_unwind(AssertUnwindSafe(|| scenario(&mut world))) {
+            failures.push(Failure { events: events(&world), seed, why });
         }
-        if finds.len() == most {
+        if failures.len() == max_failures {
             break;
         }
     }
-    finds.into_iter().min_by_key(|find| (find.events, find.seed))
+    failures.into_iter().min_by_key(|failure| (failure.events, failure.seed))
 }
--- a/overland/tests/order_mutants.rs
+++ b/overland/tests/order_mutants.rs
@@ -1,41 +1,41 @@
-//! Faults put into the program's surroundings on purpose, as if its rules for orders were others: the histories that find
-//! none in it find each of these. In a process of its own, as what is found panics.
+//! Deliberate faults in the handling of operators' requests: the random histories must detect each of them. A
+//! test program of its own, as detection panics.
 
 mod simulated;
 
 use simulated::racers::{self, Mutant};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Histories tried before a fault counts as not found.
-const MOST: u64 = 60;
+/// Histories tried before a fault counts as undetected.
+const MAX_HISTORIES: u64 = 60;
 
 #[test]
-fn each_fault_put_in_on_purpose_is_found() {
+fn every_deliberate_fault_is_detected() {
     let mutants = [
-        (Mutant::ComparedAtProposingAlone, 400),
-        (Mutant::ForgottenAtASnapshot, 1200),
-        (Mutant::KnownByNumberAlone, 400),
-        (Mutant::AnsweredBeforeForce, 400),
-        (Mutant::RefusedWhenGivenUp, 400),
-        (Mutant::ReadAnywhere, 400),
+        (Mutant::BaseCheckedOnlyAtProposal, 400),
+        (Mutant::OutcomesMissingFromSnapshot, 1200),
+        (Mutant::RetryRecognizedByEditionOnly, 400),
+        (Mutant::AcknowledgedByOneMember, 400),
+        (Mutant::TimeoutReportedAsRejection, 400),
+        (Mutant::ReadWithoutLease, 400),
     ];
-    let mut missed = Vec::new();
-    for (mutant, orders) in mutants {
-        let mut found = None;
-        for seed in 0..MOST {
-            let played = catch_unwind(AssertUnwindSafe(|| racers::race(seed, 8, orders, Some(mutant))));
-            if let Err(broken) = played {
-                let text = broken.downcast_ref::<String>().cloned();
-                found = Some((seed, text.unwrap_or_default()));
+    let mut undetected = Vec::new();
+    for (mutant, requests) in mutants {
+        let mut detected = None;
+        for seed in 0..MAX_HISTORIES {
+            let result = catch_unwind(AssertUnwindSafe(|| racers::run_race(seed, 8, requests, Some(mutant))));
+            if let Err(payload) = result {
+                let text = payload.downcast_ref::<String>().cloned();
+                detected = Some((seed, text.unwrap_or_default()));
                 break;
             }
         }
-        match found {
+        match detected {
             Some((seed, text)) => {
-                println!("{mutant:?}: history {seed}: {}", text.lines().next().unwrap_or_default());
+                println!("{mutant:?}: seed {seed}: {}", text.lines().next().unwrap_or_default());
             }
-            None => missed.push(mutant),
+            None => undetected.push(mutant),
         }
     }
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(undetected.is_empty(), "not detected: {undetected:?}");
 }
--- a/overland/tests/promises.rs
+++ b/overland/tests/promises.rs
@@ -1,56 +1,57 @@
-//! Faults put on purpose into what surrounds the rules of control: the histories that find none without them find each of
-//! these. In a process of its own, as what is found panics.
+//! Deliberate faults around the control plane's state machines: the random histories must detect each of
+//! them. A test program of its own, as detection panics.
 
 mod finds;
 mod simulated;
 
-use simulated::troubles::Trouble::{self, *};
+use simulated::troubles::Fault::{self, *};
 use simulated::{Mutant, World};
 
-/// Histories tried before a fault counts as not found.
-const MOST: u64 = 200;
-/// Finds of which the shortest history is told.
-const FINDS: usize = 2;
+/// Histories tried before a fault counts as undetected.
+const MAX_HISTORIES: u64 = 200;
+/// Failing histories to collect; the shortest is printed.
+const MAX_FAILURES: usize = 2;
 
 #[test]
-fn each_fault_in_what_surrounds_the_rules_is_found() {
-    let mutants: [(Mutant, &[Trouble]); 9] = [
-        (Mutant::ClockStoodStill, &[LeaderFrozen, MemberFrozen]),
-        (Mutant::AnswerAfterFreeze, &[Pauses]),
-        (Mutant::LeaveUnasked, &[LeaderFrozen, LeaderFromPeers]),
-        (Mutant::AnyMemberVouches, &[Split]),
-        (Mutant::OldTermHeard, &[Split]),
-        (Mutant::PushBeforeCommit, &[LeaderFromPeers]),
-        (Mutant::HeldUnseen, &[GatewaysAlone]),
-        (Mutant::NeverStops, &[GatewaysAlone]),
-        (Mutant::AgeForgotten, &[GatewayFrozen]),
+fn every_deliberate_fault_is_detected() {
+    let mutants: [(Mutant, &[Fault]); 9] = [
+        (Mutant::ClockStopsInPause, &[LeaderPaused, MemberPaused]),
+        (Mutant::ResponseAfterPause, &[RandomPauses]),
+        (Mutant::LeaveAckedWithoutLease, &[LeaderPaused, LeaderCutFromPeers]),
+        (Mutant::FollowerClaimsLeadership, &[Partition]),
+        (Mutant::StaleTermReportedAsNew, &[Partition]),
+        (Mutant::PushBeforeCommit, &[LeaderCutFromPeers]),
+        (Mutant::AppliedIndexOverstated, &[GatewaysCutOff]),
+        (Mutant::LeaseNeverExpires, &[GatewaysCutOff]),
+        (Mutant::UpdateAgeIgnored, &[GatewayPaused]),
     ];
-    let mut missed = Vec::new();
-    for (mutant, of) in mutants {
-        let draw = |seed| World::new(seed, [3, 5][seed as usize % 2], 0, 4, 6, 4);
-        let play = |world: &mut World| {
+    let mut undetected = Vec::new();
+    for (mutant, faults) in mutants {
+        let new_world = |seed| World::new(seed, [3, 5][seed as usize % 2], 0, 4, 6, 4);
+        let scenario = |world: &mut World| {
             world.mutant = Some(mutant);
-            world.callers.hasty = mutant == Mutant::LeaveUnasked;
-            world.two_troubles(of);
+            world.callers.rapid_churn = mutant == Mutant::LeaveAckedWithoutLease;
+            world.run_two_faults(faults);
         };
-        match finds::shortest(0..MOST, FINDS, draw, play, |world| world.events) {
-            Some(find) => {
-                println!("{mutant:?}: history {}, {} events: {}", find.seed, find.events, find.text());
+        match finds::shortest(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events) {
+            Some(failure) => {
+                println!("{mutant:?}: seed {}, {} events: {}", failure.seed, failure.events, failure.text());
             }
-            None => missed.push(mutant),
+            None => undetected.push(mutant),
         }
     }
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(undetected.is_empty(), "not detected: {undetected:?}");
 }
 
 #[test]
-fn a_leader_that_counts_as_settled_unheard_is_found() {
-    let draw = |seed| World::new(seed, 3, 0, 4, 6, 0);
-    let play = |world: &mut World| {
-        world.mutant = Some(Mutant::SettledUnheard);
-        world.core_is_off_and_hears_no_backend();
+fn a_leader_that_settles_without_heartbeats_is_detected() {
+    let new_world = |seed| World::new(seed, 3, 0, 4, 6, 0);
+    let scenario = |world: &mut World| {
+        world.mutant = Some(Mutant::SettledWithoutHeartbeats);
+        world.restart_core_without_heartbeats();
     };
-    let find = finds::shortest(0..MOST, FINDS, draw, play, |world| world.events).expect("it is not found");
-    assert!(find.text().contains("it takes backends for warm"), "{}", find.text());
-    println!("history {}, {} events", find.seed, find.events);
+    let failure = finds::shortest(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events);
+    let failure = failure.expect("a failing history");
+    assert!(failure.text().contains("a gateway grants the full rate"), "{}", failure.text());
+    println!("seed {}, {} events", failure.seed, failure.events);
 }
--- a/overland/tests/replacement.rs
+++ b/overland/tests/replacement.rs
@@ -1,225 +1,242 @@
-//! Core machines that are lost for good, replaced, rolled, emptied and cut off, with a further loss right after the last is
-//! made good and at every step of a change; never more at once than is to be borne. `HISTORIES` plays more, from `SEED` on.
+//! Replacement, rolling restart, wiping and isolation of core machines, with another loss right after
+//! recovery from the previous one and at every step of a membership change, but never more at once than the
+//! cluster must tolerate. `HISTORIES` sets the number of histories, `SEED` the first seed.
 
 mod simulated;
 
-use simulated::{Input, Place, World};
+use simulated::{Endpoint, Input, World};
 use std::sync::Mutex;
 
-/// A machine counts as lost for so long after it is back, in ms.
-const CATCH_UP_MS: f64 = 4000.0;
-/// A process that is told to end may take so long, in ms: a part of `grace`.
-const LEAVE_MS: f64 = 2400.0;
-/// Somebody leads again within so long after a loss, in ms.
-const LED_MS: f64 = 4000.0;
+/// A machine counts as lost until this long after it is back.
+const RECOVERY_MS: f64 = 4000.0;
+/// The time that a process has to shut down: a part of `grace`.
+const SHUTDOWN_MS: f64 = 2400.0;
+/// The longest time without a leader after a loss.
+const MAX_LEADERLESS_MS: f64 = 4000.0;
 
-/// Times without a leader after a loss, in ms.
-static TIMES: Mutex<Vec<f64>> = Mutex::new(Vec::new());
+/// Times without a leader after each loss, in ms.
+static LEADERLESS_MS: Mutex<Vec<f64>> = Mutex::new(Vec::new());
 
-fn running(w: &World) -> Vec<usize> {
-    (0..w.cores.len()).filter(|core| w.cores[*core].running.is_some()).collect()
+fn running(world: &World) -> Vec<usize> {
+    (0..world.cores.len()).filter(|core| world.cores[*core].running.is_some()).collect()
 }
 
-fn any(w: &mut World, of: &[usize]) -> usize {
-    of[w.rng.usize(0..of.len())]
+fn pick_from(world: &mut World, cores: &[usize]) -> usize {
+    cores[world.rng.usize(0..cores.len())]
 }
 
-/// A member that is up, or a listener now and then; the leader in a third of all cases.
-fn pick(w: &mut World) -> usize {
-    let up = running(w);
-    match w.leader() {
-        Some(leader) if w.rng.usize(0..3) == 0 => leader,
-        _ => any(w, &up),
+/// The leader with a probability of at least a third, or else any running core process.
+fn pick_core(world: &mut World) -> usize {
+    let running = running(world);
+    match world.leader() {
+        Some(leader) if world.rng.usize(0..3) == 0 => leader,
+        _ => pick_from(world, &running),
     }
 }
 
-fn rest(w: &mut World, ms: f64) {
-    w.pass(w.now + ms);
+fn run_for(world: &mut World, ms: f64) {
+    world.run_until(world.now + ms);
 }
 
-fn lose(w: &mut World, core: usize) {
-    w.kill_core(core);
-    (w.cores[core].gone, w.cores[core].disk) = (true, None);
+/// Loses a core machine and its disk for good.
+fn lose(world: &mut World, core: usize) {
+    world.kill_core(core);
+    (world.cores[core].lost, world.cores[core].disk) = (true, None);
 }
 
-fn is_led(w: &mut World) {
-    let since = w.now;
-    while w.leader().is_none() {
-        assert!(w.now - since <= LED_MS, "nobody leads {LED_MS} ms after a loss at {since:.0}: {}", told(w));
-        rest(w, 5.0);
+/// Runs until there is a leader, and fails if that takes too long.
+fn await_leader(world: &mut World) {
+    let since = world.now;
+    while world.leader().is_none() {
+        assert!(
+            world.now - since <= MAX_LEADERLESS_MS,
+            "no leader {MAX_LEADERLESS_MS} ms after a loss at {since:.0}: {}",
+            describe_members(world)
+        );
+        run_for(world, 5.0);
     }
-    TIMES.lock().expect("no panic here").push(w.now - since);
+    LEADERLESS_MS.lock().expect("no panic while locked").push(world.now - since);
 }
 
-/// The members as each process has them.
-fn told(w: &World) -> String {
-    let one = |core: usize| {
-        let agreement = w.cores[core].running.as_ref().expect("it runs").agreement();
-        format!("{core}: {:?} follows {:?}", agreement.members(), agreement.leader())
+/// The members and the leader as each running process knows them.
+fn describe_members(world: &World) -> String {
+    let describe = |core: usize| {
+        let agreement = world.cores[core].running.as_ref().expect("a running core").agreement();
+        format!("{core}: members {:?}, leader {:?}", agreement.members(), agreement.leader())
     };
-    running(w).into_iter().map(one).collect::<Vec<_>>().join("; ")
+    running(world).into_iter().map(describe).collect::<Vec<_>>().join("; ")
 }
 
-/// A process is told to end, and ends once it may, or when its time is up. Gives what it said in the end.
-fn end(w: &mut World, core: usize) -> Option<bool> {
-    w.input(core, Input::End);
-    let since = w.now;
+/// Shuts a core process down. Returns its leave outcome: none if it had not finished in time.
+fn shut_down(world: &mut World, core: usize) -> Option<bool> {
+    world.input(core, Input::Shutdown);
+    let since = world.now;
     loop {
-        rest(w, 25.0);
-        let Some(member) = &w.cores[core].running else { return None };
-        let left = member.leave_outcome();
-        if left.is_some() || w.now - since > LEAVE_MS {
-            w.kill_core(core);
-            return left;
+        run_for(world, 25.0);
+        let Some(member) = &world.cores[core].running else { return None };
+        let outcome = member.leave_outcome();
+        if outcome.is_some() || world.now - since > SHUTDOWN_MS {
+            world.kill_core(core);
+            return outcome;
         }
     }
 }
 
-/// The next machine that was never there.
-fn fresh(w: &World) -> Option<usize> {
-    (0..w.cores.len()).find(|core| w.cores[*core].life == 0)
+/// The next machine that has never run.
+fn unused_core(world: &World) -> Option<usize> {
+    (0..world.cores.len()).find(|core| world.cores[*core].incarnation == 0)
 }
 
-/// A new machine starts. Its settings name three that run at that time: all that were named before may be gone.
-fn start_new(w: &mut World, core: usize) {
-    let mut up = running(w);
-    w.rng.shuffle(&mut up);
-    w.seeds = up.into_iter().take(3).map(simulated::core_address).collect();
-    w.start_core(core, false);
+/// Starts a new machine with three running ones as its seeds: all earlier seeds may be lost.
+fn start_new(world: &mut World, core: usize) {
+    let mut running = running(world);
+    world.rng.shuffle(&mut running);
+    world.seeds = running.into_iter().take(3).map(simulated::core_address).collect();
+    world.start_core(core, false);
 }
 
-fn calm(w: &mut World) {
-    let more = w.rng.f64() * 1500.0;
-    rest(w, CATCH_UP_MS + more);
+fn recover(world: &mut World) {
+    let extra_ms = world.rng.f64() * 1500.0;
+    run_for(world, RECOVERY_MS + extra_ms);
 }
 
-/// One thing that happens to the core. Afterwards everything that counts is back for `catch_up`.
-fn strike(w: &mut World) {
-    let core = pick(w);
-    let pause = w.rng.f64() * 1200.0;
-    match (w.rng.u32(0..7), fresh(w)) {
-        // Gone for good; a new one comes before, with or after that, at another address.
+/// Applies one random fault to the core, and lets it recover.
+fn inject_random_fault(world: &mut World) {
+    let core = pick_core(world);
+    let pause = world.rng.f64() * 1200.0;
+    match (world.rng.u32(0..7), unused_core(world)) {
+        // Loss for good; a replacement at another address starts before or after that.
         (0, Some(new)) => {
-            if w.rng.bool() {
-                start_new(w, new);
-                rest(w, pause);
-                lose(w, core);
+            if world.rng.bool() {
+                start_new(world, new);
+                run_for(world, pause);
+                lose(world, core);
             } else {
-                lose(w, core);
-                rest(w, pause);
-                start_new(w, new);
+                lose(world, core);
+                run_for(world, pause);
+                start_new(world, new);
             }
-            is_led(w);
+            await_leader(world);
         }
-        // Planned: the new one first, and the old one told to end; in the midst of that another is lost, with its disk.
+        // Planned replacement; while the old machine shuts down, another one is lost with its disk.
         (1, Some(new)) => {
-            start_new(w, new);
-            calm(w);
-            w.input(core, Input::End);
-            let at = w.rng.f64() * 500.0;
-            rest(w, at);
-            let others: Vec<_> = running(w).into_iter().filter(|other| *other != core).collect();
-            let other = any(w, &others);
-            w.kill_core(other);
-            w.cores[other].disk = None;
-            is_led(w);
-            rest(w, LEAVE_MS);
-            lose(w, core);
-            w.start_core(other, false);
-            is_led(w);
+            start_new(world, new);
+            recover(world);
+            world.input(core, Input::Shutdown);
+            let delay_ms = world.rng.f64() * 500.0;
+            run_for(world, delay_ms);
+            let others: Vec<_> = running(world).into_iter().filter(|other| *other != core).collect();
+            let other = pick_from(world, &others);
+            world.kill_core(other);
+            world.cores[other].disk = None;
+            await_leader(world);
+            run_for(world, SHUTDOWN_MS);
+            lose(world, core);
+            world.start_core(other, false);
+            await_leader(world);
         }
-        // Rolled, each after the other.
+        // Rolling restart.
         (2, _) => {
-            for core in running(w) {
-                end(w, core);
-                is_led(w);
-                rest(w, 200.0 + pause);
-                w.start_core(core, false);
-                calm(w);
+            for core in running(world) {
+                shut_down(world, core);
+                await_leader(world);
+                run_for(world, 200.0 + pause);
+                world.start_core(core, false);
+                recover(world);
             }
         }
-        // An empty disk, and all others without power at that moment.
+        // One disk is wiped while all machines are without power.
         (3, _) => {
-            for core in running(w) {
-                w.kill_core(core);
+            for core in running(world) {
+                world.kill_core(core);
             }
-            w.cores[core].disk = None;
-            rest(w, pause);
-            for core in 0..w.cores.len() {
-                if w.cores[core].life > 0 {
-                    w.start_core(core, false);
+            world.cores[core].disk = None;
+            run_for(world, pause);
+            for core in 0..world.cores.len() {
+                if world.cores[core].incarnation > 0 {
+                    world.start_core(core, false);
                 }
             }
-            is_led(w);
+            await_leader(world);
         }
-        // An empty disk.
+        // One disk is wiped.
         (4, _) => {
-            w.kill_core(core);
-            w.cores[core].disk = None;
-            is_led(w);
-            rest(w, pause);
-            w.start_core(core, false);
+            world.kill_core(core);
+            world.cores[core].disk = None;
+            await_leader(world);
+            run_for(world, pause);
+            world.start_core(core, false);
         }
-        // Cut off from all through its own replacement, and back with an old disk and an old list.
+        // Isolated while it is replaced, and back with an old disk and an old member list.
         (5, Some(new)) => {
-            let all: Vec<_> = (0..w.cores.len()).map(Place::Core).collect();
-            w.cut_off(Place::Core(core), all);
-            rest(w, pause);
-            start_new(w, new);
-            is_led(w);
-            let long = w.rng.f64() * 15_000.0;
-            calm(w);
-            rest(w, long);
-            w.cuts.clear();
-            rest(w, 300.0);
-            let leader = w.leader();
-            rest(w, 2000.0);
-            assert!(leader.is_some() && w.leader() == leader, "who came back unseated the leader");
+            let all: Vec<_> = (0..world.cores.len()).map(Endpoint::Core).collect();
+            world.cut_off(Endpoint::Core(core), all);
+            run_for(world, pause);
+            start_new(world, new);
+            await_leader(world);
+            let isolated_ms = world.rng.f64() * 15_000.0;
+            recover(world);
+            run_for(world, isolated_ms);
+            world.cuts.clear();
+            run_for(world, 300.0);
+            let leader = world.leader();
+            run_for(world, 2000.0);
+            assert!(leader.is_some() && world.leader() == leader, "the returning member deposed the leader");
         }
-        // Killed, and back.
+        // Crash and restart.
         _ => {
-            w.kill_core(core);
-            is_led(w);
-            rest(w, pause);
-            w.start_core(core, false);
+            world.kill_core(core);
+            await_leader(world);
+            run_for(world, pause);
+            world.start_core(core, false);
         }
     }
-    calm(w);
+    recover(world);
 }
 
-fn play(seed: u64) {
+fn run_history(seed: u64) {
     let founders = [3, 5][seed as usize % 2];
-    let mut w = World::new(seed, founders, 4, 2, 3, 2);
-    w.luck.loss = [0.0, 0.02][w.rng.usize(0..2)];
-    w.begin();
-    w.pass(8000.0);
-    for _ in 0..w.rng.usize(2..6) {
-        strike(&mut w);
+    let mut world = World::new(seed, founders, 4, 2, 3, 2);
+    world.fault_rates.loss = [0.0, 0.02][world.rng.usize(0..2)];
+    world.start();
+    world.run_until(8000.0);
+    for _ in 0..world.rng.usize(2..6) {
+        inject_random_fault(&mut world);
     }
-    w.settle(14_000.0);
-    let leader = w.leader().expect("somebody leads");
-    let agreement = w.cores[leader].running.as_ref().expect("it runs").agreement();
-    let gone = |name: &String| simulated::core_number(name).is_some_and(|core| w.cores[core].gone);
-    // One that nobody is there to replace stays in an odd list: without it the others would bear no loss more.
-    let lost = agreement.members().iter().filter(|name| gone(name)).count();
-    let listens = running(&w).len() + lost > agreement.members().len();
-    assert!(lost == 0 || (lost == 1 && !listens), "who is gone is a member: {}", told(&w));
-    // One of five that left with nobody in its place leaves four: whoever listens makes them five again.
-    assert!(agreement.members().len() % 2 == 1 || !listens, "an even number of members: {}", told(&w));
+    world.settle(14_000.0);
+    let leader = world.leader().expect("a leader");
+    let agreement = world.cores[leader].running.as_ref().expect("the leader runs").agreement();
+    let is_lost = |name: &String| simulated::core_number(name).is_some_and(|core| world.cores[core].lost);
+    // A lost member without a replacement stays in a list of odd size: removing it would tolerate no more
+    // losses.
+    let lost_members = agreement.members().iter().filter(|name| is_lost(name)).count();
+    let has_learner = running(&world).len() + lost_members > agreement.members().len();
+    assert!(
+        lost_members == 0 || (lost_members == 1 && !has_learner),
+        "a lost machine is still a member: {}",
+        describe_members(&world)
+    );
+    // Four are left where one of five left without a replacement; a learner would become the fifth.
+    assert!(
+        agreement.members().len() % 2 == 1 || !has_learner,
+        "an even number of members: {}",
+        describe_members(&world)
+    );
 }
 
+/// Guards against losing data or leadership when a machine is lost as soon as the previous loss is repaired.
 #[test]
-fn a_loss_right_after_a_repair_costs_nothing() {
-    let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
-    let first = number("SEED").unwrap_or(0);
-    for seed in first..first + number("HISTORIES").unwrap_or(12) {
-        let played = std::panic::catch_unwind(|| play(seed));
-        if let Err(why) = played {
-            eprintln!("history {seed} fails");
-            std::panic::resume_unwind(why);
+fn a_loss_right_after_recovery_is_survived() {
+    let env_number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
+    let first = env_number("SEED").unwrap_or(0);
+    for seed in first..first + env_number("HISTORIES").unwrap_or(12) {
+        let result = std::panic::catch_unwind(|| run_history(seed));
+        if let Err(payload) = result {
+            eprintln!("seed {seed} fails");
+            std::panic::resume_unwind(payload);
         }
     }
-    let mut times = TIMES.lock().expect("no panic here");
+    let mut times = LEADERLESS_MS.lock().expect("no panic while locked");
     times.sort_by(f64::total_cmp);
     println!(
         "{} losses, median {:.0} ms, worst {:.0} ms without a leader",
@@ -229,68 +246,69 @@
     );
 }
 
-/// Three members, and nobody to take a place: whoever is told to end is let go as soon as the others hold all, and stays a
-/// member.
+/// Without a learner to replace it, a member that shuts down is released once the others hold all entries,
+/// and stays a member.
 #[test]
-fn a_member_that_restarts_stays_one_where_nobody_can_take_its_place() {
+fn a_restarting_member_without_a_replacement_stays_a_member() {
     for core in 0..3 {
-        let mut w = World::new(core as u64, 3, 0, 2, 3, 2);
-        w.begin();
-        w.pass(8000.0);
-        let since = w.now;
-        assert_eq!(end(&mut w, core), Some(false));
-        assert!(w.now - since < 1500.0, "it took {} ms", w.now - since);
-        rest(&mut w, 12_000.0);
-        assert_eq!(w.cores[(core + 1) % 3].running.as_ref().expect("it runs").agreement().members().len(), 3);
-        w.settle(10_000.0);
+        let mut world = World::new(core as u64, 3, 0, 2, 3, 2);
+        world.start();
+        world.run_until(8000.0);
+        let since = world.now;
+        assert_eq!(shut_down(&mut world, core), Some(false));
+        assert!(world.now - since < 1500.0, "the shutdown took {} ms", world.now - since);
+        run_for(&mut world, 12_000.0);
+        let other = world.cores[(core + 1) % 3].running.as_ref().expect("a running core");
+        assert_eq!(other.agreement().members().len(), 3);
+        world.settle(10_000.0);
     }
 }
 
-/// With a listener the place is handed over before the process ends; without a majority beside it, it says so.
+/// With a learner, membership is transferred before the process ends; without a majority of the others, it is
+/// not released.
 #[test]
-fn a_member_that_leaves_hands_its_place_over() {
+fn a_leaving_member_is_replaced_before_it_ends() {
     for core in 0..3 {
-        let mut w = World::new(core as u64, 3, 1, 2, 3, 2);
-        w.begin();
-        w.pass(8000.0);
-        w.start_core(3, false);
-        rest(&mut w, CATCH_UP_MS);
-        assert_eq!(end(&mut w, core), Some(true));
-        w.cores[core].gone = true;
-        is_led(&mut w);
-        // Another is lost at once.
-        lose(&mut w, (core + 1) % 3);
-        is_led(&mut w);
-        // The two that are left need each other.
-        assert_eq!(end(&mut w, (core + 2) % 3), None);
+        let mut world = World::new(core as u64, 3, 1, 2, 3, 2);
+        world.start();
+        world.run_until(8000.0);
+        world.start_core(3, false);
+        run_for(&mut world, RECOVERY_MS);
+        assert_eq!(shut_down(&mut world, core), Some(true));
+        world.cores[core].lost = true;
+        await_leader(&mut world);
+        lose(&mut world, (core + 1) % 3);
+        await_leader(&mut world);
+        // The two that remain are both needed for a quorum.
+        assert_eq!(shut_down(&mut world, (core + 2) % 3), None);
     }
 }
 
-/// The incident LOST: one of three is gone for good and another takes its place; `catch_up` later one member is kept from
-/// what the others agree on, and then all lose power and one its disk. The two others lead on.
+/// One of three is replaced; then one member misses the latest entries, all lose power and one its disk. The
+/// other two must elect a leader.
 #[test]
-fn a_closing_fault_after_a_replacement_is_borne() {
+fn a_power_loss_with_a_wiped_disk_after_a_replacement_is_survived() {
     let histories = std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(24);
     for seed in 0..histories {
-        let mut w = World::new(seed, 3, 1, 2, 3, 2);
-        w.begin();
-        w.pass(8000.0);
-        let (core, pause) = (pick(&mut w), 200.0 + w.rng.f64() * 1800.0);
-        lose(&mut w, core);
-        rest(&mut w, pause);
-        start_new(&mut w, 3);
-        calm(&mut w);
-        let up = running(&w);
-        let (behind, wiped) = (any(&mut w, &up), any(&mut w, &up));
-        w.cut_off(Place::Core(behind), (0..4).map(Place::Core));
-        let held_back = w.rng.f64() * 400.0;
-        rest(&mut w, held_back);
-        w.cuts.clear();
-        up.iter().for_each(|core| w.kill_core(*core));
-        w.cores[wiped].disk = None;
-        rest(&mut w, 1000.0);
-        up.iter().for_each(|core| w.start_core(*core, false));
-        is_led(&mut w);
-        w.settle(14_000.0);
+        let mut world = World::new(seed, 3, 1, 2, 3, 2);
+        world.start();
+        world.run_until(8000.0);
+        let (core, pause) = (pick_core(&mut world), 200.0 + world.rng.f64() * 1800.0);
+        lose(&mut world, core);
+        run_for(&mut world, pause);
+        start_new(&mut world, 3);
+        recover(&mut world);
+        let running = running(&world);
+        let (behind, wiped) = (pick_from(&mut world, &running), pick_from(&mut world, &running));
+        world.cut_off(Endpoint::Core(behind), (0..4).map(Endpoint::Core));
+        let cut_ms = world.rng.f64() * 400.0;
+        run_for(&mut world, cut_ms);
+        world.cuts.clear();
+        running.iter().for_each(|core| world.kill_core(*core));
+        world.cores[wiped].disk = None;
+        run_for(&mut world, 1000.0);
+        running.iter().for_each(|core| world.start_core(*core, false));
+        await_leader(&mut world);
+        world.settle(14_000.0);
     }
 }
--- a/overland/tests/simulated/callers.rs
+++ b/overland/tests/simulated/callers.rs
@@ -1,370 +1,381 @@
-//! Who calls the core: backends that beat, drain, leave, crash and come back, and operators that change the
-//! configuration, race, repeat what had no clear answer to another member, empty zones and read.
+//! The core's callers: backends that send heartbeats, drain, leave, crash and come back; operators that
+//! update the configuration concurrently, retry at another member, evacuate zones and read.
 
 use super::{core_number, World};
 use overland::calls::Reply;
 use std::collections::BTreeMap;
 
-/// A backend beats so often, in ms.
-const BEAT_MS: f64 = 1500.0;
-/// It serves on for so long after its closing was acknowledged, in ms.
+/// Interval between a backend's heartbeats.
+const HEARTBEAT_INTERVAL_MS: f64 = 1500.0;
+/// How long a backend keeps serving after its closing was acknowledged.
 pub const DRAIN_MS: f64 = 2500.0;
-/// A planned end waits so long for its acknowledgement, in ms.
-const CLOSING_MS: f64 = 6000.0;
-/// An operator sends one order again and again for so long, in ms.
-const INSIST_MS: f64 = 8000.0;
+/// How long a closing or leaving backend waits for the acknowledgement.
+const CLOSING_TIMEOUT_MS: f64 = 6000.0;
+/// How long an operator retries a request.
+const REQUEST_TIMEOUT_MS: f64 = 8000.0;
 
-/// A caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum Caller {
     Backend(usize),
     Operator(usize),
-    /// One order under way of those that race.
+    /// A slot for one concurrent request; see [`super::racers`].
     Racer(usize),
 }
 
-/// Where a backend stands.
+/// A phase in the life of a backend. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     Open,
-    /// It says that it is closing, since then.
+    /// It has reported itself as closing since this time.
     Closing(f64),
-    /// Its closing was acknowledged; it leaves then.
-    Drains(f64),
+    /// Its closing was acknowledged; it leaves at this time.
+    Draining(f64),
+    /// It has tried to leave since this time.
     Leaving(f64),
-    /// It is gone, and another comes in its place.
+    /// It has ended; a new incarnation takes its slot.
     Gone,
 }
 
-/// A backend's place: one life after the other.
+/// A slot for successive incarnations of a backend.
 pub struct Backend {
-    pub life: u32,
+    pub incarnation: u32,
     pub phase: Phase,
     postmark: u64,
-    /// Where its beats go.
+    /// The core process that its heartbeats go to, if it knows one.
     target: Option<usize>,
-    tries: u32,
+    attempts: u32,
 }
 
 impl Backend {
-    pub fn id(&self, place: usize) -> String {
-        format!("i-{place}-{}", self.life)
+    pub fn id(&self, slot: usize) -> String {
+        format!("i-{slot}-{}", self.incarnation)
     }
 }
 
-/// What an operator wants.
+/// What an operator requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
-    /// A version, by its place in the judge's list.
-    Version(usize),
-    /// A zone is emptied, or taken back.
-    Zone(usize, bool),
-    /// The newest configuration is wanted; asked then.
+pub enum Operation {
+    /// Put the version with this id.
+    Put(usize),
+    /// Start (`true`) or end the evacuation of a zone.
+    Evacuate(usize, bool),
+    /// Read the configuration; the last attempt was sent at this time.
     Read(f64),
 }
 
-/// An order until it has a clear answer.
-pub struct Order {
-    pub wish: Wish,
+/// An operator's request, retried until its outcome is known.
+pub struct Request {
+    pub operation: Operation,
     method: &'static str,
     path: String,
     body: Vec<u8>,
-    since: f64,
-    tries: u32,
+    first_sent_at: f64,
+    attempts: u32,
 }
 
 pub struct Operator {
-    pub order: Option<Order>,
-    /// The version that it takes for the newest.
-    pub believes: u64,
+    pub request: Option<Request>,
+    /// The newest edition that it knows.
+    pub known_edition: u64,
 }
 
-/// All callers.
+/// All callers, and how they behave.
 pub struct Callers {
     pub backends: Vec<Backend>,
     pub operators: Vec<Operator>,
-    waits: BTreeMap<u64, Who>,
-    /// Backends end, crash and come back.
+    pending_calls: BTreeMap<u64, Caller>,
+    /// Whether backends end, crash and come back.
     pub churn: bool,
-    /// Backends come and go in tenths of a second, and end without a word before.
-    pub hasty: bool,
-    /// Operators want something new.
-    pub wishes: bool,
-    /// A pause between two wishes of an operator, in ms.
+    /// Whether backends live for tenths of a second and leave without closing first.
+    pub rapid_churn: bool,
+    /// Whether operators start new requests.
+    pub operators_active: bool,
+    /// Mean pause between an operator's requests, roughly.
     pub pause_ms: f64,
-    /// Routes of the configurations that operators want.
+    /// Number of routes in the configurations that operators put.
     pub routes: usize,
-    /// Each beat tells something new of its backend.
-    pub restless: bool,
+    /// Whether each heartbeat reports a change of its backend.
+    pub changing_reports: bool,
 }
 
 impl Callers {
-    pub fn new(_: &mut fastrand::Rng, backends: usize, operators: usize) -> Self {
-        let backend = |_| Backend { life: 1, phase: Phase::Open, postmark: 0, target: None, tries: 0 };
+    pub fn new(backends: usize, operators: usize) -> Self {
+        let backend =
+            |_| Backend { incarnation: 1, phase: Phase::Open, postmark: 0, target: None, attempts: 0 };
         Callers {
             backends: (0..backends).map(backend).collect(),
-            operators: (0..operators).map(|_| Operator { order: None, believes: 0 }).collect(),
-            waits: BTreeMap::new(),
+            operators: (0..operators).map(|_| Operator { request: None, known_edition: 0 }).collect(),
+            pending_calls: BTreeMap::new(),
             churn: true,
-            hasty: false,
-            wishes: true,
+            rapid_churn: false,
+            operators_active: true,
             pause_ms: 800.0,
             routes: 1,
-            restless: false,
+            changing_reports: false,
         }
     }
 
-    /// The call that this caller waits for.
-    pub fn token(&self, who: Who) -> Option<u64> {
-        self.waits.iter().find(|(_, waits)| **waits == who).map(|(token, _)| *token)
+    /// The token of the call that this caller is waiting for.
+    pub fn token(&self, caller: Caller) -> Option<u64> {
+        self.pending_calls.iter().find(|(_, waiting)| **waiting == caller).map(|(token, _)| *token)
     }
 
-    pub fn all(&self) -> Vec<Who> {
-        let backends = (0..self.backends.len()).map(Who::Backend);
-        backends.chain((0..self.operators.len()).map(Who::Operator)).collect()
+    pub fn all(&self) -> Vec<Caller> {
+        let backends = (0..self.backends.len()).map(Caller::Backend);
+        backends.chain((0..self.operators.len()).map(Caller::Operator)).collect()
     }
 }
 
-/// A valid configuration of that version: one tenant with a key of its own, one route.
-pub fn configuration(edition: u64, based_on: u64, mark: u64) -> String {
-    configuration_of(edition, based_on, mark, 1)
+/// A valid configuration with one route and one tenant, whose key identifies the version.
+pub fn config_body(edition: u64, based_on: u64, version_id: u64) -> String {
+    config_body_with_routes(edition, based_on, version_id, 1)
 }
 
-/// And one of so many routes.
-pub fn configuration_of(edition: u64, based_on: u64, mark: u64, routes: usize) -> String {
+/// The same with this number of routes.
+pub fn config_body_with_routes(edition: u64, based_on: u64, version_id: u64, routes: usize) -> String {
     let based_on = if based_on == 0 { "0".to_owned() } else { format!("\"r{based_on}\"") };
     let route = |n: usize| {
-        let (name, prefix) =
-            if n == 0 { (format!("r-{mark}"), "x".into()) } else { (format!("r-{n}"), format!("x{n}")) };
+        let (name, prefix) = if n == 0 {
+            (format!("r-{version_id}"), "x".into())
+        } else {
+            (format!("r-{n}"), format!("x{n}"))
+        };
         format!(
             r#"{{"name":"{name}","kind":"safe","target":"500ms","priority":1,"unstamped":false,"sorting":{{"lane_prefix":"/{prefix}/"}},"dispatch":{{"service":"s","timeout":"1200ms","attempts":2,"home_regions":[]}}}}"#
         )
     };
     let routes = (0..routes).map(route).collect::<Vec<_>>().join(",");
     format!(
-        r#"{{"edition":"r{edition}","limits":{{"label_bytes":16384,"body_bytes":1048576,"label_time":"3000ms","idle":"15000ms"}},"patrons":[{{"name":"t","stamps":["k{mark}"],"priority":0,"per_s":10,"burst":10,"home_regions":[]}}],"based_on":{based_on},"docks":[{{"depot":"a.example","regulations":[{routes}]}}],"fleets":[{{"name":"s","health_path":"/health","conn_cap":110,"cold":"3s","cold_per_s":4}}]}}"#
+        r#"{{"edition":"r{edition}","limits":{{"label_bytes":16384,"body_bytes":1048576,"label_time":"3000ms","idle":"15000ms"}},"patrons":[{{"name":"t","stamps":["k{version_id}"],"priority":0,"per_s":10,"burst":10,"home_regions":[]}}],"based_on":{based_on},"docks":[{{"depot":"a.example","regulations":[{routes}]}}],"fleets":[{{"name":"s","health_path":"/health","conn_cap":110,"cold":"3s","cold_per_s":4}}]}}"#
     )
 }
 
-/// A caller does what comes next.
-pub fn turn(world: &mut World, who: Who) {
-    if world.callers.waits.values().any(|waits| *waits == who) {
+/// Lets a caller take its next step, unless it is waiting for a response.
+pub fn take_turn(world: &mut World, caller: Caller) {
+    if world.callers.pending_calls.values().any(|waiting| *waiting == caller) {
         return;
     }
-    match who {
-        Who::Backend(place) => backend_turn(world, place),
-        Who::Operator(number) => operator_turn(world, number),
-        Who::Racer(slot) => super::racers::turn(world, slot),
+    match caller {
+        Caller::Backend(slot) => backend_turn(world, slot),
+        Caller::Operator(number) => operator_turn(world, number),
+        Caller::Racer(slot) => super::racers::take_turn(world, slot),
     }
 }
 
-/// An answer came, or none.
-pub fn answered(world: &mut World, token: u64, reply: Option<Reply>) {
-    match world.callers.waits.remove(&token) {
-        Some(Who::Backend(place)) => backend_answered(world, place, reply),
-        Some(Who::Operator(number)) => operator_answered(world, number, reply),
-        Some(Who::Racer(slot)) => super::racers::answered(world, slot, reply),
+/// Handles the end of a call; `reply` is none if there was no response.
+pub fn call_ended(world: &mut World, token: u64, reply: Option<Reply>) {
+    match world.callers.pending_calls.remove(&token) {
+        Some(Caller::Backend(slot)) => backend_call_ended(world, slot, reply),
+        Some(Caller::Operator(number)) => operator_call_ended(world, number, reply),
+        Some(Caller::Racer(slot)) => super::racers::call_ended(world, slot, reply),
         None => {}
     }
 }
 
-pub fn ask(
-    world: &mut World, who: Who, core: usize, method: &'static str, path: String, body: Vec<u8>,
+/// Sends a call on behalf of a caller, and returns its token.
+pub fn send_call(
+    world: &mut World, caller: Caller, core: usize, method: &'static str, path: String, body: Vec<u8>,
 ) -> u64 {
     let token = world.call(core, method, path, body);
-    world.callers.waits.insert(token, who);
+    world.callers.pending_calls.insert(token, caller);
     token
 }
 
-fn any_core(world: &mut World) -> usize {
+fn random_core(world: &mut World) -> usize {
     let cores = world.cores.len();
     world.rng.usize(0..cores)
 }
 
-// ---- Backends ---------------------------------------------------------------------------------------------------
+// ---- Backends ---------------------------------------------------------------------------------------------
 
-fn backend_turn(world: &mut World, place: usize) {
+fn backend_turn(world: &mut World, slot: usize) {
     let (now, chance) = (world.now, world.rng.f64());
-    let (churn, hasty) = (world.callers.churn, world.callers.hasty);
-    let any = any_core(world);
-    let backend = &mut world.callers.backends[place];
+    let (churn, rapid_churn) = (world.callers.churn, world.callers.rapid_churn);
+    let random_core = random_core(world);
+    let backend = &mut world.callers.backends[slot];
     match backend.phase {
-        Phase::Open if hasty && churn && chance < 0.2 && backend.postmark > 1 => {
+        Phase::Open if rapid_churn && churn && chance < 0.2 && backend.postmark > 1 => {
             backend.phase = Phase::Leaving(now);
         }
         Phase::Open if churn && chance < 0.03 => backend.phase = Phase::Closing(now),
         Phase::Open if churn && chance < 0.05 => {
-            // It crashes, and says nothing.
+            // A crash.
             backend.phase = Phase::Gone;
-            return world.turn(1000.0 + chance * 40_000.0, Who::Backend(place));
+            return world.schedule_turn(1000.0 + chance * 40_000.0, Caller::Backend(slot));
         }
-        Phase::Closing(since) if now - since > CLOSING_MS => {
+        Phase::Closing(since) if now - since > CLOSING_TIMEOUT_MS => {
             backend.phase = Phase::Gone;
-            return world.turn(1000.0, Who::Backend(place));
+            return world.schedule_turn(1000.0, Caller::Backend(slot));
         }
-        Phase::Drains(until) if now >= until => backend.phase = Phase::Leaving(now),
-        Phase::Drains(_) => {}
-        Phase::Leaving(since) if now - since > CLOSING_MS => {
+        Phase::Draining(until) if now >= until => backend.phase = Phase::Leaving(now),
+        Phase::Draining(_) => {}
+        Phase::Leaving(since) if now - since > CLOSING_TIMEOUT_MS => {
             backend.phase = Phase::Gone;
-            return world.turn(1000.0, Who::Backend(place));
+            return world.schedule_turn(1000.0, Caller::Backend(slot));
         }
         Phase::Gone => {
-            *backend =
-                Backend { life: backend.life + 1, phase: Phase::Open, postmark: 0, target: None, tries: 0 };
+            *backend = Backend {
+                incarnation: backend.incarnation + 1,
+                phase: Phase::Open,
+                postmark: 0,
+                target: None,
+                attempts: 0,
+            };
         }
         _ => {}
     }
-    let id = backend.id(place);
-    let core = backend.target.unwrap_or(any);
-    let who = Who::Backend(place);
+    let id = backend.id(slot);
+    let core = backend.target.unwrap_or(random_core);
+    let caller = Caller::Backend(slot);
     if let Phase::Leaving(_) = backend.phase {
-        // In haste it tells whoever it finds.
-        let core = if hasty { any } else { core };
-        ask(world, who, core, "POST", format!("/api/Instances.Leave/{id}"), Vec::new());
+        let core = if rapid_churn { random_core } else { core };
+        send_call(world, caller, core, "POST", format!("/api/Instances.Leave/{id}"), Vec::new());
         return;
     }
     backend.postmark += 1;
     let state = if backend.phase == Phase::Open { "open" } else { "closing" };
-    let berths = if world.callers.restless { 1 + backend.postmark % 7 } else { 2 };
-    let zone = ["z1", "z2"][place % 2];
+    let berths = if world.callers.changing_reports { 1 + backend.postmark % 7 } else { 2 };
+    let zone = ["z1", "z2"][slot % 2];
     let body = format!(
-        r#"{{"service":"s","address":"10.128.{place}.{}:80","zone":"{zone}","edition":"v1","berths":{berths},"state":"{state}","cold_time":"0ms","postmark":{}}}"#,
-        backend.life % 200,
+        r#"{{"service":"s","address":"10.128.{slot}.{}:80","zone":"{zone}","edition":"v1","berths":{berths},"state":"{state}","cold_time":"0ms","postmark":{}}}"#,
+        backend.incarnation % 200,
         backend.postmark
     );
-    ask(world, who, core, "POST", format!("/api/Instances.Beat/{id}"), body.into_bytes());
+    send_call(world, caller, core, "POST", format!("/api/Instances.Beat/{id}"), body.into_bytes());
 }
 
-fn backend_answered(world: &mut World, place: usize, reply: Option<Reply>) {
+fn backend_call_ended(world: &mut World, slot: usize, reply: Option<Reply>) {
     let now = world.now;
-    let backend = &mut world.callers.backends[place];
-    let id = backend.id(place);
+    let backend = &mut world.callers.backends[slot];
+    let id = backend.id(slot);
     let Some(reply) = reply.filter(|reply| reply.status == 200) else {
-        (backend.target, backend.tries) = (None, backend.tries + 1);
-        let pause = 50.0 * f64::from(backend.tries.min(6));
-        return world.turn(pause, Who::Backend(place));
+        (backend.target, backend.attempts) = (None, backend.attempts + 1);
+        let pause = 50.0 * f64::from(backend.attempts.min(6));
+        return world.schedule_turn(pause, Caller::Backend(slot));
     };
-    backend.tries = 0;
+    backend.attempts = 0;
     if let Some(address) = reply.body.split('"').nth(3) {
         backend.target = core_number(address).filter(|core| *core < world.cores.len());
     }
     let pause = match backend.phase {
         Phase::Closing(_) => {
-            backend.phase = Phase::Drains(now + DRAIN_MS + 500.0);
-            world.judge.closing(now, &id);
+            backend.phase = Phase::Draining(now + DRAIN_MS + 500.0);
+            world.model.record_draining(now, &id);
             DRAIN_MS + 500.0
         }
         Phase::Leaving(_) => {
             backend.phase = Phase::Gone;
-            world.judge.closing(now, &id);
+            world.model.record_draining(now, &id);
             1000.0
         }
         _ => {
-            world.judge.beat(now, &id);
-            if world.callers.hasty {
-                BEAT_MS / 5.0
+            world.model.record_open(now, &id);
+            if world.callers.rapid_churn {
+                HEARTBEAT_INTERVAL_MS / 5.0
             } else {
-                BEAT_MS
+                HEARTBEAT_INTERVAL_MS
             }
         }
     };
-    world.turn(pause, Who::Backend(place));
+    world.schedule_turn(pause, Caller::Backend(slot));
 }
 
-// ---- Operators --------------------------------------------------------------------------------------------------
+// ---- Operators --------------------------------------------------------------------------------------------
 
-fn wish(world: &mut World, number: usize) -> Order {
+fn random_request(world: &mut World, number: usize) -> Request {
     let (now, chance, step) = (world.now, world.rng.f64(), world.rng.u64(1..4));
-    let believes = world.callers.operators[number].believes;
-    let (wish, method, path, body) = if chance < 0.65 {
-        let version = world.judge.version(now, believes + step, believes);
+    let known_edition = world.callers.operators[number].known_edition;
+    let (operation, method, path, body) = if chance < 0.65 {
+        let edition = known_edition + step;
+        let version_id = world.model.add_version(now, edition, known_edition);
         let routes = world.callers.routes;
-        let body = configuration_of(believes + step, believes, version as u64, routes).into_bytes();
-        (Wish::Version(version), "POST", "/api/Config.Put".to_owned(), body)
+        let body = config_body_with_routes(edition, known_edition, version_id as u64, routes).into_bytes();
+        (Operation::Put(version_id), "POST", "/api/Config.Put".to_owned(), body)
     } else if chance < 0.85 {
-        // Each operator empties a zone of its own: the order of two operators' wishes would be nobody's.
-        let on = world.rng.bool();
-        let path = format!("/api/Evacuate.{}/zone-{number}", if on { "Start" } else { "End" });
-        (Wish::Zone(number, on), "POST", path, Vec::new())
+        // Each operator has a zone of its own: the order of two operators' requests would be undefined.
+        let start = world.rng.bool();
+        let path = format!("/api/Evacuate.{}/zone-{number}", if start { "Start" } else { "End" });
+        (Operation::Evacuate(number, start), "POST", path, Vec::new())
     } else {
-        (Wish::Read(now), "GET", "/api/Config.Get".to_owned(), Vec::new())
+        (Operation::Read(now), "GET", "/api/Config.Get".to_owned(), Vec::new())
     };
-    Order { wish, method, path, body, since: now, tries: 0 }
+    Request { operation, method, path, body, first_sent_at: now, attempts: 0 }
 }
 
 fn operator_turn(world: &mut World, number: usize) {
-    if world.callers.operators[number].order.is_none() {
-        if !world.callers.wishes {
-            return world.turn(500.0, Who::Operator(number));
+    if world.callers.operators[number].request.is_none() {
+        if !world.callers.operators_active {
+            return world.schedule_turn(500.0, Caller::Operator(number));
         }
-        let order = wish(world, number);
-        if let Wish::Zone(zone, on) = order.wish {
-            world.judge.zone_asked(zone, on);
+        let request = random_request(world, number);
+        if let Operation::Evacuate(zone, start) = request.operation {
+            world.model.record_zone_request(zone, start);
         }
-        world.callers.operators[number].order = Some(order);
+        world.callers.operators[number].request = Some(request);
     }
-    let core = any_core(world);
-    let Some(order) = &mut world.callers.operators[number].order else { return };
-    order.tries += 1;
-    if let Wish::Read(at) = &mut order.wish {
-        *at = world.now;
+    let core = random_core(world);
+    let Some(request) = &mut world.callers.operators[number].request else { return };
+    request.attempts += 1;
+    if let Operation::Read(sent_at) = &mut request.operation {
+        *sent_at = world.now;
     }
-    let (method, path, body) = (order.method, order.path.clone(), order.body.clone());
-    ask(world, Who::Operator(number), core, method, path, body);
+    let (method, path, body) = (request.method, request.path.clone(), request.body.clone());
+    send_call(world, Caller::Operator(number), core, method, path, body);
 }
 
-/// The version that an answer of `Config.Get` holds, and its mark.
-pub fn read_back(body: &str) -> Option<(u64, usize)> {
+/// The edition and the version's id in a configuration's text.
+pub fn parse_config(body: &str) -> Option<(u64, usize)> {
     let edition = body.split("\"edition\":\"r").nth(1)?.split('"').next()?.parse().ok()?;
-    let mark = body.split("\"stamps\":[\"k").nth(1)?.split('"').next()?.parse().ok()?;
-    Some((edition, mark))
+    let version_id = body.split("\"stamps\":[\"k").nth(1)?.split('"').next()?.parse().ok()?;
+    Some((edition, version_id))
 }
 
-fn operator_answered(world: &mut World, number: usize, reply: Option<Reply>) {
+fn operator_call_ended(world: &mut World, number: usize, reply: Option<Reply>) {
     let (now, pause) = (world.now, world.callers.pause_ms * (0.2 + world.rng.f64()));
     let operator = &mut world.callers.operators[number];
-    let Some(order) = &operator.order else { return };
-    let (wish, tries, since) = (order.wish.clone(), order.tries, order.since);
+    let Some(request) = &operator.request else { return };
+    let (operation, attempts, first_sent_at) =
+        (request.operation.clone(), request.attempts, request.first_sent_at);
     let status = reply.as_ref().map_or(0, |reply| reply.status);
     let done = match status {
         200 => {
-            match &wish {
-                Wish::Version(version) => {
-                    operator.believes = world.judge.taken(now, *version);
+            match &operation {
+                Operation::Put(version_id) => {
+                    operator.known_edition = world.model.acknowledge(now, *version_id);
                 }
-                Wish::Zone(zone, on) => world.judge.zone_acknowledged(*zone, *on),
-                Wish::Read(asked) => {
-                    let read = reply.as_ref().and_then(|reply| read_back(&reply.body));
-                    let (edition, mark) = read.expect("a configuration");
-                    world.judge.read(*asked, edition, mark);
-                    operator.believes = edition;
+                Operation::Evacuate(zone, start) => world.model.record_zone_acknowledged(*zone, *start),
+                Operation::Read(sent_at) => {
+                    let config = reply.as_ref().and_then(|reply| parse_config(&reply.body));
+                    let (edition, version_id) = config.expect("a configuration");
+                    world.model.check_read(*sent_at, edition, version_id);
+                    operator.known_edition = edition;
                 }
             }
             true
         }
         400..=499 if status != 408 && status != 429 => {
-            if let Wish::Version(version) = wish {
-                world.judge.refused(version);
+            if let Operation::Put(version_id) = operation {
+                world.model.reject(version_id);
             }
             true
         }
-        _ => now - since > INSIST_MS,
+        _ => now - first_sent_at > REQUEST_TIMEOUT_MS,
     };
     if !done {
-        return world.turn(50.0 * f64::from(tries.min(10)), Who::Operator(number));
+        return world.schedule_turn(50.0 * f64::from(attempts.min(10)), Caller::Operator(number));
     }
-    operator.order = None;
+    operator.request = None;
     if status != 200 {
-        // It finds out what is in place before it wants anything new.
-        let read = Order {
-            wish: Wish::Read(now),
+        // Reads the current configuration before the next update.
+        let read = Request {
+            operation: Operation::Read(now),
             method: "GET",
             path: "/api/Config.Get".to_owned(),
             body: Vec::new(),
-            since: now,
-            tries: 0,
+            first_sent_at: now,
+            attempts: 0,
         };
-        operator.order = Some(read).filter(|_| world.judge.any_taken());
+        operator.request = Some(read).filter(|_| world.model.has_acknowledged());
     }
-    world.turn(pause, Who::Operator(number));
+    world.schedule_turn(pause, Caller::Operator(number));
 }
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -1,10 +1,10 @@
-//! The whole control side in virtual time, from one seed: core members with disks, agents with their proxies'
-//! copies, backends that beat, drain and end, and operators that race and repeat, over one drawn network. The
-//! real rules run (`Member`, `AgentStateMachine`, `State`); what surrounds them is made here: links that are
-//! slow, cut one way or both, held up or lost; processes that are killed between any two actions, frozen,
-//! slow or without their disk; clocks at other rates. `judge` holds it all against a plain model, by what
-//! callers and data planes saw alone.
-#![allow(dead_code)] // Each test program takes what it needs of it.
+//! Simulates the whole control plane in virtual time, from one seed: core members with disks, agents with
+//! their proxies' replicas, backends that send heartbeats, drain and leave, and operators that send
+//! concurrent and repeated requests, over a network with random faults. The state machines under test are the
+//! real ones (`Member`, `AgentStateMachine`, `State`). Links can be slow, lossy, blocked or cut in one or
+//! both directions; processes crash between any two actions, pause, or have slow disks; clocks drift. `judge`
+//! checks the results against a reference model, only by what callers and data planes observe.
+#![allow(dead_code)] // Each test program uses only a part.
 
 pub mod callers;
 pub mod judge;
@@ -19,7 +19,7 @@
 pub use bounds::bounds;
 
 use callers::Callers;
-use judge::Judge;
+use judge::ReferenceModel;
 use kept::{apply_save, InvariantCheck};
 use overland::agreement::{Entry, PersistentState, RaftPayload, Save};
 use overland::calls::Reply;
@@ -34,268 +34,270 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// A cut ends a connection after so long, in ms; what it holds up is tried again so often.
-const UNHEARD_MS: f64 = 2000.0;
-const HELD_MS: f64 = 50.0;
-/// Whole states that are kept to be looked at.
-const WHOLES: usize = 32;
-/// The judge looks at all data planes so often, in ms.
-const WATCH_MS: f64 = 100.0;
-/// What was calm for so long is in touch, in ms.
-const TOUCH_MS: f64 = 5000.0;
-/// An answer is written within this after it was decided, in ms: a lease, and no other leads before its end.
-const WRITTEN_MS: f64 = 150.0;
-/// A member that is cut off from all others keeps no call once it has been so for this long, in ms.
-const ALONE_MS: f64 = 1000.0;
-
-/// What is deliberately wrong, in what surrounds the rules.
+/// A connection across a cut breaks after this time.
+const LINK_TIMEOUT_MS: f64 = 2000.0;
+/// Delivery of a message blocked by a cut is retried at this interval.
+const BLOCKED_RETRY_MS: f64 = 50.0;
+/// Number of recently sent snapshots kept for inspection.
+const MAX_SENT_SNAPSHOTS: usize = 32;
+/// Interval between checks of all data planes.
+const CHECK_INTERVAL_MS: f64 = 100.0;
+/// A gateway counts as connected after this time without a disturbance.
+const STABLE_CONNECTION_MS: f64 = 5000.0;
+/// Longest time from deciding a response to writing it: within the leader's lease, before another can lead.
+const MAX_RESPONSE_DELAY_MS: f64 = 150.0;
+/// A member that has been isolated for this long must reject calls at once.
+const ISOLATION_GRACE_MS: f64 = 1000.0;
+
+/// A deliberate fault in the simulated environment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// A core process goes by a clock that stood still while it was frozen.
-    ClockStoodStill,
-    /// An answer that was decided before a freeze is written after it.
-    AnswerAfterFreeze,
-    /// Whoever thinks that it leads acknowledges that a backend is gone.
-    LeaveUnasked,
-    /// A member that doesn't lead tells agents that it does.
-    AnyMemberVouches,
-    /// A leader's last term is told as a later one.
-    OldTermHeard,
-    /// A leader sends agents what is not agreed on yet.
+    /// A core process's clock stands still while the process is paused.
+    ClockStopsInPause,
+    /// A response that was decided before a pause is written after it.
+    ResponseAfterPause,
+    /// A leader without a lease acknowledges that a backend has left.
+    LeaveAckedWithoutLease,
+    /// Members that don't lead claim leadership in their replies to agents.
+    FollowerClaimsLeadership,
+    /// A deposed leader reports its last term as a later one.
+    StaleTermReportedAsNew,
+    /// A leader sends agents uncommitted entries.
     PushBeforeCommit,
-    /// Gateways are taken to hold what they don't.
-    HeldUnseen,
-    /// A leader is taken to have heard all backends as soon as it leads.
-    SettledUnheard,
-    /// A proxy never stops going by keys by itself.
-    NeverStops,
-    /// A proxy takes old news of its agent for new ones.
-    AgeForgotten,
+    /// Gateways report changes as applied that their proxies lack.
+    AppliedIndexOverstated,
+    /// A new leader claims to have heard from every backend.
+    SettledWithoutHeartbeats,
+    /// A proxy's lease never expires.
+    LeaseNeverExpires,
+    /// A proxy treats old updates from its agent as fresh.
+    UpdateAgeIgnored,
 }
 
-/// Where something runs.
+/// One end of a network path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum Endpoint {
     Core(usize),
     Gateway(usize),
-    /// Backends and operators.
-    Outside,
+    /// All backends and operators.
+    External,
 }
 
-/// What comes in at a core process.
+/// An event at a core process.
 #[derive(Clone)]
 pub enum Input {
     Tick,
-    Heard(String, Box<Word>),
-    /// A call: its token, method, path and body.
+    /// A message from another core process: the sender's name and the payload.
+    PeerMessage(String, Box<Word>),
+    /// A client call: token, method, path and body.
     Call(u64, &'static str, String, Vec<u8>),
-    Agent(u64, FromAgent),
-    Closed(u64),
-    End,
+    /// A message from an agent on a link.
+    AgentMessage(u64, FromAgent),
+    LinkClosed(u64),
+    Shutdown,
 }
 
-/// What happens at a moment.
-enum What {
-    /// At a core process, in the life that it was meant for.
-    Core(usize, u64, Input),
-    /// A letter between core processes arrives: from which, to which, in which life, in whose name, and since when it is held
-    /// up.
-    Letter(usize, usize, u64, String, Box<Word>, Option<f64>),
-    /// A core process goes on with what it has to do.
-    Resume(usize, u64),
-    /// What a core process said on a link arrives at the agent, and the other way.
-    Said(u64, Box<ToAgent>),
-    Word(u64, Box<FromAgent>),
-    /// The judge looks at all data planes.
-    Watch,
-    /// A link is to be opened by a gateway, in this life, to this core.
+/// An event of the simulation. Process numbers come with the incarnation that the event is meant for.
+enum SimEvent {
+    CoreInput(usize, u64, Input),
+    /// A message between core processes arrives: sender, receiver, the receiver's incarnation, the name it is
+    /// sent under, the payload, and since when a cut has blocked it.
+    PeerMessage(usize, usize, u64, String, Box<Word>, Option<f64>),
+    ResumeCore(usize, u64),
+    /// A core process's message arrives at the agent's end of a link.
+    ToAgent(u64, Box<ToAgent>),
+    /// An agent's message arrives at the core's end of a link.
+    FromAgent(u64, Box<FromAgent>),
+    /// All data planes are checked against the reference model.
+    Check,
+    /// A gateway opens a link to this core process.
     Connect(usize, u64, String),
-    Opened(u64),
-    Ended(u64),
-    AgentDue(usize, u64),
-    /// A proxy says something of itself.
-    Proxy(usize, u64),
-    /// What an agent tells its proxy arrives.
-    Fed(usize, u64, Box<ToProxy>),
-    /// A gateway that stood still goes on.
-    Wake(usize, u64),
-    /// A caller's turn, or its answer; no answer where the connection broke or it was silent.
-    Turn(callers::Who),
-    Answered(u64, Option<Reply>),
-    /// A core process or a gateway starts.
-    Start(Place),
+    LinkOpened(u64),
+    LinkClosed(u64),
+    AgentTick(usize, u64),
+    /// A proxy sends its periodic report to its agent.
+    ProxyReport(usize, u64),
+    /// An agent's update arrives at its proxy.
+    ProxyUpdate(usize, u64, Box<ToProxy>),
+    ResumeGateway(usize, u64),
+    CallerTurn(callers::Caller),
+    /// A call ends with a response, or with none if the connection broke or timed out.
+    CallEnded(u64, Option<Reply>),
+    Start(Endpoint),
 }
 
-struct Due {
+/// An entry of the event queue, ordered by time and then by sequence number.
+struct ScheduledEvent {
     at: f64,
-    order: u64,
-    what: What,
+    sequence: u64,
+    event: SimEvent,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.order == other.order
+        self.sequence == other.sequence
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.at.total_cmp(&other.at).then(self.order.cmp(&other.order))
+        self.at.total_cmp(&other.at).then(self.sequence.cmp(&other.sequence))
     }
 }
 
-/// A core process, and its disk.
+/// A core process and its disk, which survives restarts.
 pub struct Core {
+    /// The process's state machine while it runs.
     pub running: Option<Member>,
     pub disk: Option<PersistentState>,
-    /// Counts its starts: what was meant for an earlier life reaches nobody.
-    pub life: u64,
-    started: f64,
-    /// Its clock goes so much faster than true time.
-    pub rate: f64,
-    /// A sync takes so long, in ms.
+    /// Incremented by each start and crash; events for an earlier incarnation are dropped.
+    pub incarnation: u64,
+    started_at: f64,
+    /// Its clock's speed relative to virtual time.
+    pub clock_rate: f64,
+    /// How long a disk sync takes.
     pub sync_ms: f64,
-    /// What it has decided and not carried out yet, and what waits to come in.
-    doing: VecDeque<(f64, Action)>,
+    /// Actions to execute, each with the time at which it was decided.
+    pending_actions: VecDeque<(f64, Action)>,
     inbox: VecDeque<Input>,
-    /// A save was carried out: it is told that first.
-    saved: Option<f64>,
-    /// It does nothing before then: frozen, or waiting for its disk.
-    idle_until: f64,
-    /// It stood still until then, for whatever reason.
-    stood: f64,
-    /// It led once.
-    led: bool,
-    /// It was frozen for so long, in all.
-    slept: f64,
-    /// It has been cut off from all others since then.
-    alone: Option<f64>,
-    /// Machines that were never members at the first start.
+    /// How long a completed save took; reported to the member before any other event.
+    completed_save_ms: Option<f64>,
+    /// It is paused or waits for its disk until then.
+    paused_until: f64,
+    /// The end of its latest pause.
+    last_pause_end: f64,
+    was_leader: bool,
+    /// Time spent paused that its clock does not count.
+    uncounted_ms: f64,
+    /// Since when it has been cut off from all other core processes.
+    isolated_since: Option<f64>,
+    /// Whether it is a member from the first start on.
     pub founder: bool,
-    /// It is lost for good.
-    pub gone: bool,
+    /// It and its disk are lost for good.
+    pub lost: bool,
 }
 
-/// A gateway: its agent, and its proxy's copy.
+/// A gateway: its agent and its proxy's replica of the state.
 pub struct Gateway {
     pub agent: Option<AgentStateMachine>,
-    pub life: u64,
-    started: f64,
-    pub rate: f64,
-    /// What the proxy goes by.
-    pub copy: StateReplica,
-    agent_due: f64,
-    /// Agent and proxy stand still until then.
-    agent_until: f64,
-    proxy_until: f64,
-    /// What waits for them meanwhile.
-    waits: VecDeque<follow::Event>,
-    feeds: VecDeque<ToProxy>,
-    /// It reaches the core since then.
-    touch: f64,
+    pub incarnation: u64,
+    started_at: f64,
+    pub clock_rate: f64,
+    pub replica: StateReplica,
+    agent_deadline: f64,
+    agent_paused_until: f64,
+    proxy_paused_until: f64,
+    agent_inbox: VecDeque<follow::Event>,
+    proxy_inbox: VecDeque<ToProxy>,
+    /// Since when it runs and reaches the core.
+    connected_since: f64,
 }
 
 /// A link from an agent to a core process.
 struct Link {
     gateway: usize,
-    gateway_life: u64,
+    gateway_incarnation: u64,
     core: usize,
-    core_life: u64,
-    /// Since when a cut holds up what is on it.
-    held: Option<f64>,
-    /// What was sent last in each direction arrives then: order is kept.
-    to_core: f64,
-    to_agent: f64,
+    core_incarnation: u64,
+    /// Since when a cut has blocked it.
+    blocked_since: Option<f64>,
+    /// When the last message in each direction arrives; later ones arrive after it.
+    last_arrival_at_core: f64,
+    last_arrival_at_agent: f64,
 }
 
-/// How the network and the machines misbehave.
+/// Probabilities of random faults.
 #[derive(Clone, Copy, Debug)]
-pub struct Luck {
-    /// Part of the letters between core processes that is lost, and doubled.
+pub struct FaultRates {
+    /// A message between core processes is lost.
     pub loss: f64,
-    pub twice: f64,
-    /// Chance that a process is killed at an action.
-    pub kill: f64,
-    /// Part of the answers to callers that is lost.
-    pub ack_loss: f64,
-    /// Chance that a core process stands still between two actions, for up to a second and a half.
+    /// A message between core processes is sent twice.
+    pub duplication: f64,
+    /// A core process crashes before an action.
+    pub crash: f64,
+    /// A response to a caller is lost.
+    pub response_loss: f64,
+    /// A core process pauses for up to 1.5 s before an action.
     pub pause: f64,
 }
 
-impl Luck {
-    pub const CALM: Luck = Luck { loss: 0.0, twice: 0.0, kill: 0.0, ack_loss: 0.0, pause: 0.0 };
+impl FaultRates {
+    pub const NONE: FaultRates =
+        FaultRates { loss: 0.0, duplication: 0.0, crash: 0.0, response_loss: 0.0, pause: 0.0 };
 }
 
-/// What is deliberately wrong with snapshots.
+/// A deliberate fault in the handling of snapshots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotMutant {
-    /// A state is sent without its members.
+    /// Snapshots are sent without the member list.
     NoMembers,
-    /// Entries that a state holds stay on disk behind it, and are applied again.
-    AppliedTwice,
-    /// A state on disk is an older one.
-    OldState,
+    /// Entries covered by a snapshot stay in the log and are applied again.
+    EntriesAppliedTwice,
+    /// A saved snapshot holds the state of the previous one.
+    StaleState,
 }
 
-/// The system and all around it.
+/// The simulated system.
 pub struct World {
     pub rng: fastrand::Rng,
     pub now: f64,
-    due: BinaryHeap<Reverse<Due>>,
-    order: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    next_sequence: u64,
     pub cores: Vec<Core>,
     pub gateways: Vec<Gateway>,
     links: BTreeMap<u64, Link>,
     /// Pairs of which the first can't reach the second.
-    pub cuts: BTreeSet<(Place, Place)>,
-    pub luck: Luck,
-    /// Part of the calls that a link holds up for seconds: whoever called has asked another meanwhile.
-    pub late: f64,
-    /// A mutant: what comes late counts as said last.
-    pub late_counts: bool,
-    /// Calls on their way: to which core, in which of its lives, since when, and whether it is an order.
+    pub cuts: BTreeSet<(Endpoint, Endpoint)>,
+    pub fault_rates: FaultRates,
+    /// Probability that a call is delayed past its caller's timeout.
+    pub late_call_probability: f64,
+    /// A deliberate fault: a delayed heartbeat carries a newer postmark than those sent after it.
+    pub late_calls_look_newest: bool,
+    /// Calls in flight: core process, its incarnation, time of sending, and whether it is an operator's
+    /// update.
     calls: BTreeMap<u64, (usize, u64, f64, bool)>,
-    /// Orders that were taken: when, and who said so.
-    pub taken: Vec<(f64, usize)>,
-    /// The last whole states that agents were sent, the newest first.
-    pub wholes: Vec<bytes::Bytes>,
-    /// The core processes that reach a majority of one another, and since when.
-    well: Vec<usize>,
-    settled: f64,
+    /// Acknowledged operators' updates: the time, and the core process that answered.
+    pub acked_updates: Vec<(f64, usize)>,
+    /// The frames of the last snapshots sent to agents, newest first.
+    pub sent_snapshots: Vec<bytes::Bytes>,
+    /// The core processes that reach a majority, and since when that has been so.
+    connected_cores: Vec<usize>,
+    majority_since: f64,
     pub mutant: Option<Mutant>,
-    /// So many gateways start later.
-    pub later: usize,
-    /// What a link between two core processes carries, in bytes a ms, and until when each is busy.
-    pub bytes_ms: f64,
-    busy: BTreeMap<(usize, usize), f64>,
-    /// Part of the states and their pieces in which a byte is another when they arrive.
-    pub damage: f64,
-    watched: InvariantCheck,
-    /// A mutant of the snapshots.
+    /// Number of gateways that [`World::start`] leaves out; [`World::settle`] starts them.
+    pub held_back_gateways: usize,
+    /// Bandwidth of a link between two core processes.
+    pub bytes_per_ms: f64,
+    /// Until when each link between two core processes is busy.
+    link_busy_until: BTreeMap<(usize, usize), f64>,
+    /// Probability that a snapshot message arrives with a flipped bit.
+    pub corruption: f64,
+    invariants: InvariantCheck,
     pub snapshot_mutant: Option<SnapshotMutant>,
-    /// Pieces that were sent, and states that were put in place.
-    pub pieces: u64,
+    /// Number of snapshot messages sent between core processes.
+    pub snapshot_messages: u64,
+    /// Number of snapshots installed.
     pub installs: u64,
     pub callers: Callers,
     pub racers: racers::Racers,
-    pub judge: Judge,
+    pub model: ReferenceModel,
     pub seeds: Vec<SocketAddr>,
-    next: u64,
-    /// Things that have happened.
+    last_id: u64,
+    /// Number of events processed.
     pub events: u64,
 }
 
-/// A core process's control address.
+/// The control address of a core process.
 pub fn core_address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number as u8 + 1], 8080))
 }
 
-/// The number of the core process with this name.
+/// The number of the core process that has this control address as its name.
 pub fn core_number(name: &str) -> Option<usize> {
     let address: SocketAddr = name.parse().ok()?;
     match address.ip() {
@@ -330,270 +332,292 @@
 }
 
 impl World {
-    /// So many founders, core machines that come later, gateways, backends and operators. Nothing runs yet.
+    /// `extra_cores` are core machines that are not members at first. Nothing runs before [`World::start`].
     pub fn new(
-        seed: u64, founders: usize, others: usize, gateways: usize, backends: usize, operators: usize,
+        seed: u64, founders: usize, extra_cores: usize, gateways: usize, backends: usize, operators: usize,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let rate = |rng: &mut fastrand::Rng| 1.0 + (rng.f64() - 0.5) * 0.02;
+        let clock_rate = |rng: &mut fastrand::Rng| 1.0 + (rng.f64() - 0.5) * 0.02;
         let core = |rng: &mut fastrand::Rng, founder| Core {
             running: None,
             disk: None,
-            life: 0,
-            started: 0.0,
-            rate: rate(rng),
+            incarnation: 0,
+            started_at: 0.0,
+            clock_rate: clock_rate(rng),
             sync_ms: 0.5,
-            doing: VecDeque::new(),
+            pending_actions: VecDeque::new(),
             inbox: VecDeque::new(),
-            saved: None,
-            idle_until: 0.0,
-            stood: 0.0,
-            led: false,
-            slept: 0.0,
-            alone: None,
+            completed_save_ms: None,
+            paused_until: 0.0,
+            last_pause_end: 0.0,
+            was_leader: false,
+            uncounted_ms: 0.0,
+            isolated_since: None,
             founder,
-            gone: false,
+            lost: false,
         };
-        let cores = (0..founders + others).map(|n| core(&mut rng, n < founders)).collect();
+        let cores = (0..founders + extra_cores).map(|number| core(&mut rng, number < founders)).collect();
         let gateway = |rng: &mut fastrand::Rng| Gateway {
             agent: None,
-            life: 0,
-            started: 0.0,
-            rate: rate(rng),
-            copy: StateReplica::new(&bounds()),
-            agent_due: f64::INFINITY,
-            agent_until: 0.0,
-            proxy_until: 0.0,
-            waits: VecDeque::new(),
-            feeds: VecDeque::new(),
-            touch: 0.0,
+            incarnation: 0,
+            started_at: 0.0,
+            clock_rate: clock_rate(rng),
+            replica: StateReplica::new(&bounds()),
+            agent_deadline: f64::INFINITY,
+            agent_paused_until: 0.0,
+            proxy_paused_until: 0.0,
+            agent_inbox: VecDeque::new(),
+            proxy_inbox: VecDeque::new(),
+            connected_since: 0.0,
         };
         let gateways = (0..gateways).map(|_| gateway(&mut rng)).collect();
         World {
-            callers: Callers::new(&mut rng, backends, operators),
+            callers: Callers::new(backends, operators),
             rng,
             now: 0.0,
-            due: BinaryHeap::new(),
-            order: 0,
+            queue: BinaryHeap::new(),
+            next_sequence: 0,
             cores,
             gateways,
             links: BTreeMap::new(),
             cuts: BTreeSet::new(),
-            late: 0.0,
-            late_counts: false,
-            bytes_ms: f64::INFINITY,
-            busy: BTreeMap::new(),
-            damage: 0.0,
+            late_call_probability: 0.0,
+            late_calls_look_newest: false,
+            bytes_per_ms: f64::INFINITY,
+            link_busy_until: BTreeMap::new(),
+            corruption: 0.0,
             snapshot_mutant: None,
-            pieces: 0,
+            snapshot_messages: 0,
             installs: 0,
             racers: racers::Racers::default(),
-            luck: Luck::CALM,
+            fault_rates: FaultRates::NONE,
             calls: BTreeMap::new(),
-            taken: Vec::new(),
-            wholes: Vec::new(),
-            well: Vec::new(),
-            settled: 0.0,
+            acked_updates: Vec::new(),
+            sent_snapshots: Vec::new(),
+            connected_cores: Vec::new(),
+            majority_since: 0.0,
             mutant: None,
-            watched: InvariantCheck::start(),
-            later: 0,
-            judge: Judge::default(),
+            invariants: InvariantCheck::start(),
+            held_back_gateways: 0,
+            model: ReferenceModel::default(),
             seeds: (0..founders.min(3)).map(core_address).collect(),
-            next: 0,
+            last_id: 0,
             events: 0,
         }
     }
 
     /// Starts the founders, all gateways and all callers.
-    pub fn begin(&mut self) {
+    pub fn start(&mut self) {
         for core in 0..self.cores.len() {
             if self.cores[core].founder {
                 self.start_core(core, true);
             }
         }
-        (0..self.gateways.len() - self.later).for_each(|gateway| self.start_gateway(gateway));
-        self.at(WATCH_MS, What::Watch);
-        for who in self.callers.all() {
-            let at = self.rng.f64() * 500.0;
-            self.at(at, What::Turn(who));
+        (0..self.gateways.len() - self.held_back_gateways).for_each(|gateway| self.start_gateway(gateway));
+        self.schedule(CHECK_INTERVAL_MS, SimEvent::Check);
+        for caller in self.callers.all() {
+            let after = self.rng.f64() * 500.0;
+            self.schedule(after, SimEvent::CallerTurn(caller));
         }
     }
 
-    /// Trouble ends: all is joined and runs, nobody wants anything new, and that for a while.
-    pub fn settle(&mut self, for_ms: f64) {
+    /// Ends all faults, starts everything that is down, stops churn and new operators' requests, and after
+    /// this time checks the final state.
+    pub fn settle(&mut self, duration_ms: f64) {
         self.cuts.clear();
-        self.luck = Luck::CALM;
-        (self.callers.churn, self.callers.wishes) = (false, false);
-        (self.late, self.damage) = (0.0, 0.0);
+        self.fault_rates = FaultRates::NONE;
+        (self.callers.churn, self.callers.operators_active) = (false, false);
+        (self.late_call_probability, self.corruption) = (0.0, 0.0);
         (0..self.cores.len()).for_each(|core| self.start_core(core, false));
         (0..self.gateways.len()).for_each(|gateway| self.start_gateway(gateway));
-        self.pass(self.now + for_ms);
-        judge::finish(self);
+        self.run_until(self.now + duration_ms);
+        judge::check_final_state(self);
     }
 
-    fn at(&mut self, after: f64, what: What) {
-        self.order += 1;
-        self.due.push(Reverse(Due { at: self.now + after, order: self.order, what }));
+    fn schedule(&mut self, after: f64, event: SimEvent) {
+        self.next_sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent {
+            at: self.now + after,
+            sequence: self.next_sequence,
+            event,
+        }));
     }
 
-    pub fn turn(&mut self, after: f64, who: callers::Who) {
-        self.at(after, What::Turn(who));
+    pub fn schedule_turn(&mut self, after: f64, caller: callers::Caller) {
+        self.schedule(after, SimEvent::CallerTurn(caller));
     }
 
-    fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn new_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// Plays on until then.
-    pub fn pass(&mut self, until: f64) {
-        while self.due.peek().is_some_and(|due| due.0.at <= until) {
-            let Some(Reverse(due)) = self.due.pop() else { break };
-            self.now = self.now.max(due.at);
+    /// Processes events until this time.
+    pub fn run_until(&mut self, until: f64) {
+        while self.queue.peek().is_some_and(|next| next.0.at <= until) {
+            let Some(Reverse(next)) = self.queue.pop() else { break };
+            self.now = self.now.max(next.at);
             self.events += 1;
-            self.happen(due.what);
+            self.handle(next.event);
         }
         self.now = until;
-        self.watched.assert_none_violated();
+        self.invariants.assert_none_violated();
     }
 
-    /// A call is answered so, whoever is asked.
+    /// Schedules this response to a call, whatever the core process answers.
     pub fn answer_later(&mut self, token: u64, reply: Reply) {
         let delay = self.delay();
-        self.at(delay, What::Answered(token, Some(reply)));
+        self.schedule(delay, SimEvent::CallEnded(token, Some(reply)));
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Core(core, life, input) => {
-                if self.cores[core].life == life && self.cores[core].running.is_some() {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::CoreInput(core, incarnation, input) => {
+                if self.cores[core].incarnation == incarnation && self.cores[core].running.is_some() {
                     self.cores[core].inbox.push_back(input);
-                    self.go_on(core);
+                    self.run_core(core);
                 }
             }
-            What::Resume(core, life) => {
-                if self.cores[core].life == life {
+            SimEvent::ResumeCore(core, incarnation) => {
+                if self.cores[core].incarnation == incarnation {
                     if self.rng.bool() {
-                        // Its sockets are read in any order: calls that waited may come before all else.
+                        // Sockets are read in any order: waiting calls may come before all other input.
                         let inbox = std::mem::take(&mut self.cores[core].inbox);
-                        let call = |input: &Input| matches!(input, Input::Call(..));
-                        let (calls, rest): (Vec<_>, Vec<_>) = inbox.into_iter().partition(call);
+                        let is_call = |input: &Input| matches!(input, Input::Call(..));
+                        let (calls, rest): (Vec<_>, Vec<_>) = inbox.into_iter().partition(is_call);
                         self.cores[core].inbox = calls.into_iter().chain(rest).collect();
                     }
-                    self.go_on(core);
+                    self.run_core(core);
                 }
             }
-            What::Letter(from, to, life, name, word, held) => self.arrives(from, to, life, name, word, held),
-            What::Watch => {
-                self.look_round();
-                judge::keys(self);
-                judge::drains(self);
-                self.at(WATCH_MS, What::Watch);
+            SimEvent::PeerMessage(from, to, incarnation, name, payload, blocked_since) => {
+                self.deliver_peer_message(from, to, incarnation, name, payload, blocked_since)
             }
-            What::Connect(gateway, life, core) => self.connect(gateway, life, core),
-            What::Opened(link) => self.opened(link),
-            What::Said(link, news) => self.said(link, news),
-            What::Word(link, word) => self.word(link, word),
-            What::Ended(link) => self.ended(link),
-            What::AgentDue(gateway, life) => self.agent(gateway, life, follow::Event::Tick),
-            What::Proxy(gateway, life) => self.proxy_speaks(gateway, life),
-            What::Fed(gateway, life, news) => {
-                if self.gateways[gateway].life == life {
-                    self.gateways[gateway].feeds.push_back(*news);
-                    self.take_feeds(gateway);
+            SimEvent::Check => {
+                self.update_connectivity();
+                judge::check_key_revocation(self);
+                judge::check_draining(self);
+                self.schedule(CHECK_INTERVAL_MS, SimEvent::Check);
+            }
+            SimEvent::Connect(gateway, incarnation, core) => self.connect(gateway, incarnation, core),
+            SimEvent::LinkOpened(link) => self.link_opened(link),
+            SimEvent::ToAgent(link, message) => self.deliver_to_agent(link, message),
+            SimEvent::FromAgent(link, message) => self.deliver_to_core(link, message),
+            SimEvent::LinkClosed(link) => self.close_at_agent(link),
+            SimEvent::AgentTick(gateway, incarnation) => {
+                self.handle_agent_event(gateway, incarnation, follow::Event::Tick)
+            }
+            SimEvent::ProxyReport(gateway, incarnation) => self.send_proxy_report(gateway, incarnation),
+            SimEvent::ProxyUpdate(gateway, incarnation, update) => {
+                if self.gateways[gateway].incarnation == incarnation {
+                    self.gateways[gateway].proxy_inbox.push_back(*update);
+                    self.run_proxy(gateway);
                 }
             }
-            What::Wake(gateway, life) => {
-                if self.gateways[gateway].life == life {
-                    self.take_feeds(gateway);
-                    self.agent_goes_on(gateway);
+            SimEvent::ResumeGateway(gateway, incarnation) => {
+                if self.gateways[gateway].incarnation == incarnation {
+                    self.run_proxy(gateway);
+                    self.run_agent(gateway);
                 }
             }
-            What::Turn(who) => callers::turn(self, who),
-            What::Answered(token, reply) => {
+            SimEvent::CallerTurn(caller) => callers::take_turn(self, caller),
+            SimEvent::CallEnded(token, reply) => {
                 if self.calls.remove(&token).is_some() {
-                    callers::answered(self, token, reply);
+                    callers::call_ended(self, token, reply);
                 }
             }
-            What::Start(Place::Core(core)) => self.start_core(core, false),
-            What::Start(Place::Gateway(gateway)) => self.start_gateway(gateway),
-            What::Start(Place::Outside) => {}
+            SimEvent::Start(Endpoint::Core(core)) => self.start_core(core, false),
+            SimEvent::Start(Endpoint::Gateway(gateway)) => self.start_gateway(gateway),
+            SimEvent::Start(Endpoint::External) => {}
         }
     }
 
-    // ---- The network ------------------------------------------------------------------------------------------
+    // ---- The network --------------------------------------------------------------------------------------
 
-    pub fn reaches(&self, from: Place, to: Place) -> bool {
+    pub fn can_reach(&self, from: Endpoint, to: Endpoint) -> bool {
         !self.cuts.contains(&(from, to))
     }
 
-    /// Cuts a place off from others, both ways.
-    pub fn cut_off(&mut self, place: Place, from: impl IntoIterator<Item = Place>) {
-        for other in from {
-            if other != place {
-                self.cuts.insert((place, other));
-                self.cuts.insert((other, place));
+    /// Cuts an endpoint off from others in both directions.
+    pub fn cut_off(&mut self, endpoint: Endpoint, others: impl IntoIterator<Item = Endpoint>) {
+        for other in others {
+            if other != endpoint {
+                self.cuts.insert((endpoint, other));
+                self.cuts.insert((other, endpoint));
             }
         }
     }
 
-    /// Who is well, and in touch with them.
-    fn look_round(&mut self) {
+    /// Updates which core processes are isolated, which reach a majority, and which gateways reach all of
+    /// those.
+    fn update_connectivity(&mut self) {
         let founders = self.cores.iter().filter(|core| core.founder).count();
-        let up = |world: &World, n: usize| {
-            let core = &world.cores[n];
-            core.running.is_some() && core.idle_until <= world.now
+        let is_up = |world: &World, number: usize| {
+            let core = &world.cores[number];
+            core.running.is_some() && core.paused_until <= world.now
         };
-        let meets = |world: &World, a: Place, b: Place| world.reaches(a, b) && world.reaches(b, a);
+        let reach_each_other =
+            |world: &World, a: Endpoint, b: Endpoint| world.can_reach(a, b) && world.can_reach(b, a);
         let all: Vec<usize> = (0..self.cores.len()).collect();
-        let near = |world: &World, n: usize| {
-            let others = all.iter().filter(|m| **m != n && up(world, **m));
-            others.filter(|m| meets(world, Place::Core(n), Place::Core(**m))).count()
+        let reachable_peers = |world: &World, number: usize| {
+            let others = all.iter().filter(|other| **other != number && is_up(world, **other));
+            others
+                .filter(|other| reach_each_other(world, Endpoint::Core(number), Endpoint::Core(**other)))
+                .count()
         };
-        for n in all.iter().copied() {
-            // Who leads needs answers; who follows needs to hear.
-            let leads = self.cores[n].running.as_ref().is_some_and(|member| member.is_leader());
-            let other = |m: usize| {
-                let (me, other) = (Place::Core(n), Place::Core(m));
-                up(self, m) && self.reaches(other, me) && (!leads || self.reaches(me, other))
+        for number in all.iter().copied() {
+            // A leader needs replies from its peers; a follower only needs to hear them.
+            let leads = self.cores[number].running.as_ref().is_some_and(|member| member.is_leader());
+            let hears = |other: usize| {
+                let (this, peer) = (Endpoint::Core(number), Endpoint::Core(other));
+                is_up(self, other) && self.can_reach(peer, this) && (!leads || self.can_reach(this, peer))
             };
-            let alone = all.len() > 1 && all.iter().all(|m| *m == n || !other(*m));
-            let core = &mut self.cores[n];
-            core.alone = if alone { core.alone.or(Some(self.now)) } else { None };
+            let isolated = all.len() > 1 && all.iter().all(|other| *other == number || !hears(*other));
+            let core = &mut self.cores[number];
+            core.isolated_since = if isolated { core.isolated_since.or(Some(self.now)) } else { None };
         }
-        let well = |n: &usize| up(self, *n) && near(self, *n) + 1 > founders / 2;
-        let well: Vec<usize> = all.iter().copied().filter(well).collect();
-        if well != self.well || well.len() <= founders / 2 {
-            (self.well, self.settled) = (well, self.now);
+        let connected =
+            |number: &usize| is_up(self, *number) && reachable_peers(self, *number) + 1 > founders / 2;
+        let connected: Vec<usize> = all.iter().copied().filter(connected).collect();
+        if connected != self.connected_cores || connected.len() <= founders / 2 {
+            (self.connected_cores, self.majority_since) = (connected, self.now);
         }
-        for g in 0..self.gateways.len() {
-            let gateway = &self.gateways[g];
-            let runs = gateway.agent.is_some() && gateway.agent_until.max(gateway.proxy_until) <= self.now;
-            let reaches = self.well.iter().all(|n| meets(self, Place::Gateway(g), Place::Core(*n)));
-            if !runs || !reaches {
-                self.gateways[g].touch = self.now;
+        for number in 0..self.gateways.len() {
+            let gateway = &self.gateways[number];
+            let is_up = gateway.agent.is_some()
+                && gateway.agent_paused_until.max(gateway.proxy_paused_until) <= self.now;
+            let reaches_all = self
+                .connected_cores
+                .iter()
+                .all(|core| reach_each_other(self, Endpoint::Gateway(number), Endpoint::Core(*core)));
+            if !is_up || !reaches_all {
+                self.gateways[number].connected_since = self.now;
             }
         }
     }
 
-    /// Whether a gateway, and the core, have been in touch for long.
-    pub fn in_touch(&self, gateway: usize) -> bool {
-        self.now - self.settled > TOUCH_MS && self.now - self.gateways[gateway].touch > TOUCH_MS
+    /// Whether the core has had a majority, and the gateway has reached it, for long enough to rely on.
+    pub fn is_connected(&self, gateway: usize) -> bool {
+        self.now - self.majority_since > STABLE_CONNECTION_MS
+            && self.now - self.gateways[gateway].connected_since > STABLE_CONNECTION_MS
     }
 
-    /// All open links break at once where a cut lies between their ends.
+    /// Breaks all open links that cross a cut.
     pub fn reset_links(&mut self) {
-        let cut = |world: &World, link: &Link| {
-            let (a, b) = (Place::Gateway(link.gateway), Place::Core(link.core));
-            !world.reaches(a, b) || !world.reaches(b, a)
+        let is_cut = |world: &World, link: &Link| {
+            let (a, b) = (Endpoint::Gateway(link.gateway), Endpoint::Core(link.core));
+            !world.can_reach(a, b) || !world.can_reach(b, a)
         };
         let links: Vec<u64> =
-            self.links.iter().filter(|(_, link)| cut(self, link)).map(|(id, _)| *id).collect();
+            self.links.iter().filter(|(_, link)| is_cut(self, link)).map(|(id, _)| *id).collect();
         for link in links {
-            if let Some(of) = self.links.get(&link) {
-                self.at(0.0, What::Core(of.core, of.core_life, Input::Closed(link)));
+            if let Some(broken) = self.links.get(&link) {
+                self.schedule(
+                    0.0,
+                    SimEvent::CoreInput(broken.core, broken.core_incarnation, Input::LinkClosed(link)),
+                );
             }
-            self.ended(link);
+            self.close_at_agent(link);
         }
     }
 
@@ -601,268 +625,278 @@
         1.0 + self.rng.f64().powi(8) * 150.0
     }
 
-    // ---- Core processes ---------------------------------------------------------------------------------------
+    // ---- Core processes -----------------------------------------------------------------------------------
 
-    /// A core process starts, from what its disk holds.
+    /// Starts a core process from its disk, unless it runs or is lost.
     pub fn start_core(&mut self, number: usize, first: bool) {
-        if self.cores[number].running.is_some() || self.cores[number].gone {
+        if self.cores[number].running.is_some() || self.cores[number].lost {
             return;
         }
         let settings =
             settings(format!("core-{number}"), Some(core_address(number)), self.seeds.clone(), first);
         let seed = self.rng.u64(..);
         let core = &mut self.cores[number];
-        let started = Member::start(settings, core.disk.clone(), seed, 0.0);
-        let (member, save) = started.expect("what was saved can be read");
+        let result = Member::start(settings, core.disk.clone(), seed, 0.0);
+        let (member, save) = result.expect("the saved state can be read");
         if let Some(save) = save {
             apply_save(&mut core.disk, save);
         }
-        core.life += 1;
-        (core.started, core.slept) = (self.now, 0.0);
+        core.incarnation += 1;
+        (core.started_at, core.uncounted_ms) = (self.now, 0.0);
         core.running = Some(member);
-        core.doing.clear();
+        core.pending_actions.clear();
         core.inbox.clear();
-        core.saved = None;
-        core.idle_until = self.now;
-        let life = core.life;
-        self.at(TICK_MS, What::Core(number, life, Input::Tick));
+        core.completed_save_ms = None;
+        core.paused_until = self.now;
+        let incarnation = core.incarnation;
+        self.schedule(TICK_MS, SimEvent::CoreInput(number, incarnation, Input::Tick));
     }
 
-    /// A core process is killed; its disk stays.
+    /// Kills a core process; its disk is kept.
     pub fn kill_core(&mut self, number: usize) {
         let core = &mut self.cores[number];
         if core.running.take().is_none() {
             return;
         }
-        core.life += 1;
-        core.doing.clear();
+        core.incarnation += 1;
+        core.pending_actions.clear();
         core.inbox.clear();
-        // Those who held connections to it see them reset.
+        // Open connections to it are reset.
         let calls: Vec<_> =
-            self.calls.iter().filter(|(_, of)| of.0 == number).map(|(token, _)| *token).collect();
+            self.calls.iter().filter(|(_, call)| call.0 == number).map(|(token, _)| *token).collect();
         for token in calls {
             let delay = self.delay();
-            self.at(delay, What::Answered(token, None));
+            self.schedule(delay, SimEvent::CallEnded(token, None));
         }
         let links: Vec<_> =
             self.links.iter().filter(|(_, link)| link.core == number).map(|(id, _)| *id).collect();
         for link in links {
             let delay = self.delay();
-            self.at(delay, What::Ended(link));
+            self.schedule(delay, SimEvent::LinkClosed(link));
         }
     }
 
-    pub fn start_later(&mut self, place: Place, after: f64) {
-        self.at(after, What::Start(place));
+    pub fn start_later(&mut self, endpoint: Endpoint, after: f64) {
+        self.schedule(after, SimEvent::Start(endpoint));
     }
 
-    /// A core process stands still for so long. What comes in waits.
-    pub fn freeze_core(&mut self, number: usize, for_ms: f64) {
+    /// Pauses a core process. Its input is queued.
+    pub fn pause_core(&mut self, number: usize, duration_ms: f64) {
         let core = &mut self.cores[number];
-        let until = core.idle_until.max(self.now + for_ms);
-        if self.mutant == Some(Mutant::ClockStoodStill) {
-            core.slept += until - core.idle_until.max(self.now);
+        let until = core.paused_until.max(self.now + duration_ms);
+        if self.mutant == Some(Mutant::ClockStopsInPause) {
+            core.uncounted_ms += until - core.paused_until.max(self.now);
         }
-        (core.idle_until, core.stood) = (until, until);
-        let life = core.life;
-        self.at(for_ms, What::Resume(number, life));
+        (core.paused_until, core.last_pause_end) = (until, until);
+        let incarnation = core.incarnation;
+        self.schedule(duration_ms, SimEvent::ResumeCore(number, incarnation));
     }
 
-    /// The number of who leads and is answered by a majority, if anybody does.
+    /// The number of the leader that holds a lease.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.cores.len()).find(|n| {
-            let core = &self.cores[*n];
-            core.running.as_ref().is_some_and(|member| member.agreement().holds_lease(self.core_local(*n)))
+        (0..self.cores.len()).find(|number| {
+            let core = &self.cores[*number];
+            let holds_lease = |member: &Member| member.agreement().holds_lease(self.core_clock(*number));
+            core.running.as_ref().is_some_and(holds_lease)
         })
     }
 
-    /// The latest term at any core process.
+    /// The highest term of any core process.
     pub fn term(&self) -> u64 {
         let terms = self.cores.iter().filter_map(|core| core.running.as_ref());
         terms.map(|member| member.agreement().term()).max().unwrap_or(0)
     }
 
-    /// What a core process takes for the time.
-    fn core_local(&self, number: usize) -> f64 {
+    /// The time by a core process's own clock.
+    fn core_clock(&self, number: usize) -> f64 {
         let core = &self.cores[number];
-        (self.now - core.started - core.slept) * core.rate
+        (self.now - core.started_at - core.uncounted_ms) * core.clock_rate
     }
 
     pub fn input(&mut self, core: usize, input: Input) {
-        let life = self.cores[core].life;
-        self.at(0.0, What::Core(core, life, input));
+        let incarnation = self.cores[core].incarnation;
+        self.schedule(0.0, SimEvent::CoreInput(core, incarnation, input));
     }
 
-    /// A core process does what it has to do, until it waits for its disk or stands still.
-    fn go_on(&mut self, number: usize) {
+    /// Runs a core process until it is paused, waits for its disk or has nothing to do.
+    fn run_core(&mut self, number: usize) {
         loop {
             let core = &mut self.cores[number];
-            if core.running.is_none() || core.idle_until > self.now {
+            if core.running.is_none() || core.paused_until > self.now {
                 return;
             }
-            let core_rate = core.rate;
-            if let Some((decided, action)) = core.doing.pop_front() {
-                if self.luck.pause > 0.0 && self.rng.f64() < self.luck.pause {
-                    core.doing.push_front((decided, action));
-                    let for_ms = self.rng.f64() * 1500.0;
-                    return self.freeze_core(number, for_ms);
+            let clock_rate = core.clock_rate;
+            if let Some((decided_at, action)) = core.pending_actions.pop_front() {
+                if self.fault_rates.pause > 0.0 && self.rng.f64() < self.fault_rates.pause {
+                    core.pending_actions.push_front((decided_at, action));
+                    let duration_ms = self.rng.f64() * 1500.0;
+                    return self.pause_core(number, duration_ms);
                 }
-                if self.luck.kill > 0.0 && self.rng.f64() < self.luck.kill {
-                    // A save that was under way may be there or not.
+                if self.fault_rates.crash > 0.0 && self.rng.f64() < self.fault_rates.crash {
+                    // A save in progress may have reached the disk.
                     if let (Action::Save(save), true) = (action, self.rng.bool()) {
                         apply_save(&mut self.cores[number].disk, *save);
                     }
                     self.kill_core(number);
-                    return self.start_later(Place::Core(number), 100.0);
+                    return self.start_later(Endpoint::Core(number), 100.0);
                 }
-                let now = self.core_local(number);
-                let late = (self.now - decided) * core_rate;
+                let now = self.core_clock(number);
+                let age = (self.now - decided_at) * clock_rate;
                 let action = match self.mutant {
-                    Some(Mutant::AnswerAfterFreeze) => action,
-                    _ => action.fenced(now - late, now),
+                    Some(Mutant::ResponseAfterPause) => action,
+                    _ => action.fenced(now - age, now),
                 };
-                self.act(number, decided, action);
+                self.execute_action(number, decided_at, action);
                 continue;
             }
-            let local = self.core_local(number);
+            let local = self.core_clock(number);
             let core = &mut self.cores[number];
-            let event = if let Some(took_ms) = core.saved.take() {
+            let event = if let Some(took_ms) = core.completed_save_ms.take() {
                 Event::Saved { took_ms }
             } else {
                 let Some(input) = core.inbox.pop_front() else { return };
-                // It thinks that it leads, and nobody has said so lately.
-                let unasked =
-                    core.running.as_ref().is_some_and(|m| m.is_leader() && !m.agreement().holds_lease(local));
+                let leads_without_lease = core
+                    .running
+                    .as_ref()
+                    .is_some_and(|member| member.is_leader() && !member.agreement().holds_lease(local));
                 match input {
                     Input::Tick => {
-                        let life = core.life;
-                        self.at(TICK_MS, What::Core(number, life, Input::Tick));
+                        let incarnation = core.incarnation;
+                        self.schedule(TICK_MS, SimEvent::CoreInput(number, incarnation, Input::Tick));
                         Event::Tick
                     }
-                    Input::Heard(from, word) => Event::PeerMessage { from, message: *word },
+                    Input::PeerMessage(from, payload) => Event::PeerMessage { from, message: *payload },
                     Input::Call(call, _, path, _)
-                        if self.mutant == Some(Mutant::LeaveUnasked) && path.contains("Leave") && unasked =>
+                        if self.mutant == Some(Mutant::LeaveAckedWithoutLease)
+                            && path.contains("Leave")
+                            && leads_without_lease =>
                     {
                         let reply = Reply { status: 200, body: "{}".into(), after_ms: None };
-                        core.doing.push_back((self.now, Action::Answer { call, reply }));
+                        core.pending_actions.push_back((self.now, Action::Answer { call, reply }));
                         continue;
                     }
                     Input::Call(call, method, path, body) => {
                         Event::ClientCall { call, method: method.to_owned(), path, body }
                     }
-                    Input::Agent(link, mut word) if self.mutant == Some(Mutant::HeldUnseen) => {
-                        word.proxy_applied_index = u64::MAX;
-                        Event::AgentMessage { link, message: word }
+                    Input::AgentMessage(link, mut message)
+                        if self.mutant == Some(Mutant::AppliedIndexOverstated) =>
+                    {
+                        message.proxy_applied_index = u64::MAX;
+                        Event::AgentMessage { link, message }
                     }
-                    Input::Agent(link, word) => Event::AgentMessage { link, message: word },
-                    Input::Closed(link) => Event::LinkClosed(link),
-                    Input::End => Event::Shutdown,
+                    Input::AgentMessage(link, message) => Event::AgentMessage { link, message },
+                    Input::LinkClosed(link) => Event::LinkClosed(link),
+                    Input::Shutdown => Event::Shutdown,
                 }
             };
-            let now = self.core_local(number);
+            let now = self.core_clock(number);
             let core = &mut self.cores[number];
             let Some(member) = &mut core.running else { return };
             let mut out = Vec::new();
             let edition = |member: &Member| member.state().config.as_ref().map_or(0, |config| config.edition);
-            let before = edition(member);
+            let old_edition = edition(member);
             member.handle(now, event, &mut out);
-            let new = member.state().config.clone().filter(|config| config.edition != before);
-            core.doing.extend(out.into_iter().map(|action| (self.now, action)));
-            if let (Some(config), false) = (new, self.racers.slots.is_empty()) {
-                racers::seen(self, config.edition, &config.text);
+            let new_config = member.state().config.clone().filter(|config| config.edition != old_edition);
+            core.pending_actions.extend(out.into_iter().map(|action| (self.now, action)));
+            if let (Some(config), false) = (new_config, self.racers.slots.is_empty()) {
+                racers::check_applied_config(self, config.edition, &config.text);
             }
         }
     }
 
-    fn act(&mut self, number: usize, decided: f64, action: Action) {
+    /// Executes an action of a core process that was decided at this time.
+    fn execute_action(&mut self, number: usize, decided_at: f64, action: Action) {
         match action {
             Action::Save(mut save) => {
-                self.push_unagreed(number, &save);
+                self.push_uncommitted(number, &save);
                 if let Some(mutant) = self.racers.mutant {
-                    mutant.save(&mut save);
+                    mutant.alter_save(&mut save);
                 }
                 let core = &mut self.cores[number];
                 let mut save = *save;
                 self.installs += u64::from(save.snapshot.is_some() && save.entries.is_some());
                 match (self.snapshot_mutant, &core.disk, &mut save.snapshot) {
-                    (Some(SnapshotMutant::AppliedTwice), Some(disk), Some(base))
+                    (Some(SnapshotMutant::EntriesAppliedTwice), Some(disk), Some(snapshot))
                         if save.entries.is_none() =>
                     {
-                        base.index = disk.snapshot.index;
+                        snapshot.index = disk.snapshot.index;
                     }
-                    (Some(SnapshotMutant::OldState), Some(disk), Some(base)) => {
-                        base.state = disk.snapshot.state.clone()
+                    (Some(SnapshotMutant::StaleState), Some(disk), Some(snapshot)) => {
+                        snapshot.state = disk.snapshot.state.clone()
                     }
                     _ => {}
                 }
                 apply_save(&mut core.disk, save);
                 let took_ms = core.sync_ms;
-                core.saved = Some(took_ms);
+                core.completed_save_ms = Some(took_ms);
                 if took_ms > 1.0 {
-                    self.freeze_core(number, took_ms);
+                    self.pause_core(number, took_ms);
                 }
             }
-            Action::SendPeer { to, message: word } => {
-                self.tell(number, core_address(number).to_string(), &to, *word)
+            Action::SendPeer { to, message: payload } => {
+                self.send_peer_message(number, core_address(number).to_string(), &to, *payload)
             }
-            Action::ForwardJoin { to, from } => self.tell(number, from, &to, Word::Join(true)),
+            Action::ForwardJoin { to, from } => self.send_peer_message(number, from, &to, Word::Join(true)),
             Action::Answer { call, reply } => {
                 let core = &self.cores[number];
-                let Some((of, life, asked, order)) = self.calls.get(&call).copied() else { return };
-                let mine = (of, life) == (number, core.life);
-                judge::written(self.now, decided, &reply);
-                let kept = mine && core.stood < asked - 100.0 && self.now - asked > 200.0;
-                // A cut that has just ended may be seen by the next look round alone.
-                let alone = !self.cuts.is_empty() && core.alone.is_some_and(|since| asked - since > ALONE_MS);
+                let Some((receiver, incarnation, sent_at, is_update)) = self.calls.get(&call).copied() else {
+                    return;
+                };
+                let is_receiver = (receiver, incarnation) == (number, core.incarnation);
+                judge::check_response_delay(self.now, decided_at, &reply);
+                let held = is_receiver && core.last_pause_end < sent_at - 100.0 && self.now - sent_at > 200.0;
+                // A cut may have ended since connectivity was last updated.
+                let isolated = !self.cuts.is_empty()
+                    && core.isolated_since.is_some_and(|since| sent_at - since > ISOLATION_GRACE_MS);
                 assert!(
-                    !kept || !alone,
-                    "core {number}, cut off from all, kept a call for {:.0} ms",
-                    self.now - asked
+                    !held || !isolated,
+                    "isolated core {number} held a call for {:.0} ms",
+                    self.now - sent_at
                 );
-                if mine && order && reply.status == 200 {
-                    self.taken.push((self.now, number));
+                if is_receiver && is_update && reply.status == 200 {
+                    self.acked_updates.push((self.now, number));
                 }
-                if !mine
-                    || !self.reaches(Place::Core(number), Place::Outside)
-                    || self.rng.f64() < self.luck.ack_loss
+                if !is_receiver
+                    || !self.can_reach(Endpoint::Core(number), Endpoint::External)
+                    || self.rng.f64() < self.fault_rates.response_loss
                 {
                     return;
                 }
                 let delay = self.delay();
-                self.at(delay, What::Answered(call, Some(reply)));
+                self.schedule(delay, SimEvent::CallEnded(call, Some(reply)));
             }
-            Action::SendState { link, frame: whole } => {
-                let news = ToAgent::decode(&whole[4..]).expect("it was framed");
-                self.wholes.truncate(WHOLES - 1);
-                self.wholes.insert(0, whole);
-                self.act(number, decided, Action::Send { link, message: Box::new(news) });
+            Action::SendState { link, frame } => {
+                let message = ToAgent::decode(&frame[4..]).expect("a length-prefixed frame");
+                self.sent_snapshots.truncate(MAX_SENT_SNAPSHOTS - 1);
+                self.sent_snapshots.insert(0, frame);
+                self.execute_action(number, decided_at, Action::Send { link, message: Box::new(message) });
             }
-            Action::Send { link, message: mut news } => {
+            Action::Send { link, mut message } => {
                 let core = &mut self.cores[number];
                 let leads = core.running.as_ref().is_some_and(|member| member.is_leader());
-                core.led |= leads;
-                if let Some(pulse) = &mut news.heartbeat_reply {
+                core.was_leader |= leads;
+                if let Some(heartbeat_reply) = &mut message.heartbeat_reply {
                     match self.mutant {
-                        Some(Mutant::AnyMemberVouches) => pulse.leads = true,
-                        Some(Mutant::OldTermHeard) if core.led && !leads => {
-                            (pulse.leads, pulse.term) = (true, pulse.term + 1);
+                        Some(Mutant::FollowerClaimsLeadership) => heartbeat_reply.leads = true,
+                        Some(Mutant::StaleTermReportedAsNew) if core.was_leader && !leads => {
+                            (heartbeat_reply.leads, heartbeat_reply.term) = (true, heartbeat_reply.term + 1);
                         }
                         _ => {}
                     }
                 }
                 let delay = self.delay();
-                let Some(of) = self.links.get_mut(&link) else { return };
-                let arrives = of.to_agent.max(self.now + delay);
-                of.to_agent = arrives;
-                self.at(arrives - self.now, What::Said(link, news));
+                let Some(open) = self.links.get_mut(&link) else { return };
+                let arrival = open.last_arrival_at_agent.max(self.now + delay);
+                open.last_arrival_at_agent = arrival;
+                self.schedule(arrival - self.now, SimEvent::ToAgent(link, message));
             }
             Action::SendTotals { .. } => {}
-            Action::Abort(why) => panic!("core {number} stops: {why}"),
+            Action::Abort(why) => panic!("core {number} aborted: {why}"),
         }
     }
 
-    /// A mutant: a leader sends agents what it saves, before it is agreed on.
-    fn push_unagreed(&mut self, number: usize, save: &Save) {
+    /// With [`Mutant::PushBeforeCommit`], sends agents the entries that a leader saves.
+    fn push_uncommitted(&mut self, number: usize, save: &Save) {
         let leads = self.cores[number].running.as_ref().is_some_and(|member| member.is_leader());
         let (Some((_, entries)), true) =
             (&save.entries, leads && self.mutant == Some(Mutant::PushBeforeCommit))
@@ -874,102 +908,112 @@
             entries.iter().map(|entry| IndexedChange { index: entry.index, change: change(entry) }).collect();
         let links = self.links.iter().filter(|(_, link)| link.core == number).map(|(id, _)| *id);
         for link in links.collect::<Vec<_>>() {
-            let news = ToAgent { changes: changes.clone(), ..ToAgent::default() };
-            self.at(1.0, What::Said(link, Box::new(news)));
+            let message = ToAgent { changes: changes.clone(), ..ToAgent::default() };
+            self.schedule(1.0, SimEvent::ToAgent(link, Box::new(message)));
         }
     }
 
-    fn tell(&mut self, number: usize, from: String, to: &str, mut word: Word) {
+    fn send_peer_message(&mut self, number: usize, from: String, to: &str, mut payload: Word) {
         if let Some(mutant) = self.racers.mutant {
-            mutant.letter(&mut word);
+            mutant.alter_message(&mut payload);
         }
         let Some(to) = core_number(to).filter(|to| *to < self.cores.len()) else { return };
-        let times = if self.rng.f64() < self.luck.twice { 2 } else { 1 };
-        for _ in 0..times {
+        let copies = if self.rng.f64() < self.fault_rates.duplication { 2 } else { 1 };
+        for _ in 0..copies {
             let delay = self.delay();
-            if self.rng.f64() < self.luck.loss {
+            if self.rng.f64() < self.fault_rates.loss {
                 continue;
             }
-            let life = self.cores[to].life;
-            let word = self.underway(word.clone());
-            let way = self.busy.entry((number, to)).or_insert(0.0);
-            if self.bytes_ms.is_finite() {
-                let length = CoreMessage { from: from.clone(), payload: Some(word.clone()) }.encoded_len();
-                *way = way.max(self.now) + length as f64 / self.bytes_ms;
+            let incarnation = self.cores[to].incarnation;
+            let payload = self.alter_in_transit(payload.clone());
+            let busy_until = self.link_busy_until.entry((number, to)).or_insert(0.0);
+            if self.bytes_per_ms.is_finite() {
+                let length = CoreMessage { from: from.clone(), payload: Some(payload.clone()) }.encoded_len();
+                *busy_until = busy_until.max(self.now) + length as f64 / self.bytes_per_ms;
             }
-            let arrives = way.max(self.now) + delay;
-            self.at(arrives - self.now, What::Letter(number, to, life, from.clone(), Box::new(word), None));
+            let arrival = busy_until.max(self.now) + delay;
+            let message =
+                SimEvent::PeerMessage(number, to, incarnation, from.clone(), Box::new(payload), None);
+            self.schedule(arrival - self.now, message);
         }
     }
 
-    /// States may come otherwise than they were sent.
-    fn underway(&mut self, mut word: Word) -> Word {
-        let Word::Agreement(letter) = &mut word else { return word };
-        let (bytes, members) = match &mut letter.payload {
+    /// Counts snapshot messages, and corrupts some of them.
+    fn alter_in_transit(&mut self, mut payload: Word) -> Word {
+        let Word::Agreement(message) = &mut payload else { return payload };
+        let (bytes, members) = match &mut message.payload {
             Some(RaftPayload::InstallSnapshot(install)) => (&mut install.state, &mut install.members),
-            Some(RaftPayload::SnapshotChunk(piece)) => (&mut piece.bytes, &mut piece.members),
-            _ => return word,
+            Some(RaftPayload::SnapshotChunk(chunk)) => (&mut chunk.bytes, &mut chunk.members),
+            _ => return payload,
         };
-        self.pieces += 1;
+        self.snapshot_messages += 1;
         if self.snapshot_mutant == Some(SnapshotMutant::NoMembers) {
             members.clear();
         }
-        if self.damage > 0.0 && self.rng.f64() < self.damage && !bytes.is_empty() {
-            let at = self.rng.usize(0..bytes.len());
-            bytes[at] ^= 1 << self.rng.u32(0..8);
+        if self.corruption > 0.0 && self.rng.f64() < self.corruption && !bytes.is_empty() {
+            let position = self.rng.usize(0..bytes.len());
+            bytes[position] ^= 1 << self.rng.u32(0..8);
         }
-        word
+        payload
     }
 
-    /// A letter arrives, unless a cut holds it up: some are lost then, and some come late.
-    fn arrives(
-        &mut self, from: usize, to: usize, life: u64, name: String, word: Box<Word>, held: Option<f64>,
+    /// Delivers a message between core processes. A cut either drops it or blocks it, in which case it may
+    /// arrive late.
+    fn deliver_peer_message(
+        &mut self, from: usize, to: usize, incarnation: u64, name: String, payload: Box<Word>,
+        blocked_since: Option<f64>,
     ) {
-        if self.reaches(Place::Core(from), Place::Core(to)) {
-            return self.happen(What::Core(to, life, Input::Heard(name, word)));
+        if self.can_reach(Endpoint::Core(from), Endpoint::Core(to)) {
+            return self.handle(SimEvent::CoreInput(to, incarnation, Input::PeerMessage(name, payload)));
         }
-        let since = held.unwrap_or(self.now);
-        if self.now - since < UNHEARD_MS && (held.is_some() || self.rng.bool()) {
-            self.at(HELD_MS, What::Letter(from, to, life, name, word, Some(since)));
+        let since = blocked_since.unwrap_or(self.now);
+        if self.now - since < LINK_TIMEOUT_MS && (blocked_since.is_some() || self.rng.bool()) {
+            self.schedule(
+                BLOCKED_RETRY_MS,
+                SimEvent::PeerMessage(from, to, incarnation, name, payload, Some(since)),
+            );
         }
     }
 
-    // ---- Calls from outside -----------------------------------------------------------------------------------
+    // ---- Client calls -------------------------------------------------------------------------------------
 
-    /// Calls a core process. The answer, or that there is none, comes to whoever holds the token.
+    /// Calls a core process. The returned token identifies the call when it ends.
     pub fn call(&mut self, core: usize, method: &'static str, path: String, body: Vec<u8>) -> u64 {
-        let token = self.number();
-        let life = self.cores[core].life;
-        let order = method == "POST" && !path.contains("Instances");
-        self.calls.insert(token, (core, life, self.now, order));
-        // A second of silence ends it.
-        self.at(1000.0, What::Answered(token, None));
-        if self.reaches(Place::Outside, Place::Core(core)) {
+        let token = self.new_id();
+        let incarnation = self.cores[core].incarnation;
+        let is_update = method == "POST" && !path.contains("Instances");
+        self.calls.insert(token, (core, incarnation, self.now, is_update));
+        // The client's timeout.
+        self.schedule(1000.0, SimEvent::CallEnded(token, None));
+        if self.can_reach(Endpoint::External, Endpoint::Core(core)) {
             let mut delay = self.delay();
             let mut body = body;
-            if self.late > 0.0 && self.rng.f64() < self.late {
+            if self.late_call_probability > 0.0 && self.rng.f64() < self.late_call_probability {
                 delay += 1000.0 + self.rng.f64() * 2500.0;
-                if let (true, Ok(text)) = (self.late_counts, String::from_utf8(body.clone())) {
+                if let (true, Ok(text)) = (self.late_calls_look_newest, String::from_utf8(body.clone())) {
                     body = text.replace("\"postmark\":", "\"postmark\":9").into_bytes();
                 }
             }
             if self.cores[core].running.is_some() {
-                self.at(delay, What::Core(core, life, Input::Call(token, method, path, body)));
+                self.schedule(
+                    delay,
+                    SimEvent::CoreInput(core, incarnation, Input::Call(token, method, path, body)),
+                );
             } else {
-                self.at(delay, What::Answered(token, None));
+                self.schedule(delay, SimEvent::CallEnded(token, None));
             }
         }
         token
     }
 
-    /// Whether a call has no answer yet.
-    pub fn waits(&self, token: u64) -> bool {
+    /// Whether a call has not ended yet.
+    pub fn is_pending(&self, token: u64) -> bool {
         self.calls.contains_key(&token)
     }
 
-    // ---- Gateways ---------------------------------------------------------------------------------------------
+    // ---- Gateways -----------------------------------------------------------------------------------------
 
-    /// A gateway starts: its agent, and its proxy with no copy yet.
+    /// Starts a gateway: its agent, and its proxy with an empty replica.
     pub fn start_gateway(&mut self, number: usize) {
         if self.gateways[number].agent.is_some() {
             return;
@@ -977,252 +1021,282 @@
         let settings = settings(format!("gateway-{number}"), None, self.seeds.clone(), false);
         let mut out = Vec::new();
         let gateway = &mut self.gateways[number];
-        gateway.life += 1;
-        gateway.started = self.now;
-        (gateway.agent_until, gateway.proxy_until) = (self.now, self.now);
-        gateway.waits.clear();
-        gateway.feeds.clear();
+        gateway.incarnation += 1;
+        gateway.started_at = self.now;
+        (gateway.agent_paused_until, gateway.proxy_paused_until) = (self.now, self.now);
+        gateway.agent_inbox.clear();
+        gateway.proxy_inbox.clear();
         let mut bounds = bounds();
-        if self.mutant == Some(Mutant::NeverStops) {
+        if self.mutant == Some(Mutant::LeaseNeverExpires) {
             bounds.revoke *= 1000;
         }
-        (gateway.copy, gateway.agent_due) = (StateReplica::new(&bounds), f64::INFINITY);
+        (gateway.replica, gateway.agent_deadline) = (StateReplica::new(&bounds), f64::INFINITY);
         gateway.agent = Some(AgentStateMachine::new(&settings, 0.0, &mut out));
-        let life = gateway.life;
-        self.carry_out(number, out);
-        self.agent(number, life, follow::Event::ProxyConnected(1));
-        self.at(50.0, What::Proxy(number, life));
+        let incarnation = gateway.incarnation;
+        self.execute_agent_actions(number, out);
+        self.handle_agent_event(number, incarnation, follow::Event::ProxyConnected(1));
+        self.schedule(50.0, SimEvent::ProxyReport(number, incarnation));
     }
 
-    /// A gateway is killed, agent and proxy.
+    /// Kills a gateway: its agent and its proxy.
     pub fn kill_gateway(&mut self, number: usize) {
         let gateway = &mut self.gateways[number];
         gateway.agent = None;
-        gateway.copy = StateReplica::new(&bounds());
-        gateway.life += 1;
+        gateway.replica = StateReplica::new(&bounds());
+        gateway.incarnation += 1;
         let links: Vec<_> =
             self.links.iter().filter(|(_, link)| link.gateway == number).map(|(id, _)| *id).collect();
         for link in links {
-            self.end(link);
+            self.close_at_core(link);
         }
     }
 
-    fn local(&self, number: usize) -> f64 {
+    /// The time by a gateway's own clock.
+    fn gateway_clock(&self, number: usize) -> f64 {
         let gateway = &self.gateways[number];
-        (self.now - gateway.started) * gateway.rate
+        (self.now - gateway.started_at) * gateway.clock_rate
     }
 
-    fn agent(&mut self, number: usize, life: u64, event: follow::Event) {
-        if self.gateways[number].life != life {
+    fn handle_agent_event(&mut self, number: usize, incarnation: u64, event: follow::Event) {
+        if self.gateways[number].incarnation != incarnation {
             return;
         }
-        self.gateways[number].waits.push_back(event);
-        self.agent_goes_on(number);
+        self.gateways[number].agent_inbox.push_back(event);
+        self.run_agent(number);
     }
 
-    /// An agent takes in what waits for it, unless it stands still.
-    fn agent_goes_on(&mut self, number: usize) {
-        while self.gateways[number].agent_until <= self.now {
-            let now = self.local(number);
+    /// Handles an agent's queued events, unless it is paused.
+    fn run_agent(&mut self, number: usize) {
+        while self.gateways[number].agent_paused_until <= self.now {
+            let now = self.gateway_clock(number);
             let gateway = &mut self.gateways[number];
-            let (Some(agent), Some(event)) = (&mut gateway.agent, gateway.waits.pop_front()) else { return };
+            let (Some(agent), Some(event)) = (&mut gateway.agent, gateway.agent_inbox.pop_front()) else {
+                return;
+            };
             let mut out = Vec::new();
             agent.handle(now, event, &mut out);
-            self.carry_out(number, out);
+            self.execute_agent_actions(number, out);
         }
     }
 
-    /// An agent, its proxy or both stand still for so long. What comes in waits.
-    pub fn freeze_gateway(&mut self, number: usize, agent: bool, proxy: bool, for_ms: f64) {
-        let until = self.now + for_ms;
+    /// Pauses a gateway's agent, its proxy or both. Their input is queued.
+    pub fn pause_gateway(&mut self, number: usize, agent: bool, proxy: bool, duration_ms: f64) {
+        let until = self.now + duration_ms;
         let gateway = &mut self.gateways[number];
         if agent {
-            gateway.agent_until = gateway.agent_until.max(until);
+            gateway.agent_paused_until = gateway.agent_paused_until.max(until);
         }
         if proxy {
-            gateway.proxy_until = gateway.proxy_until.max(until);
+            gateway.proxy_paused_until = gateway.proxy_paused_until.max(until);
         }
-        let life = gateway.life;
-        self.at(for_ms, What::Wake(number, life));
+        let incarnation = gateway.incarnation;
+        self.schedule(duration_ms, SimEvent::ResumeGateway(number, incarnation));
     }
 
-    fn carry_out(&mut self, number: usize, actions: Vec<follow::Action>) {
-        let life = self.gateways[number].life;
+    fn execute_agent_actions(&mut self, number: usize, actions: Vec<follow::Action>) {
+        let incarnation = self.gateways[number].incarnation;
         for action in actions {
             match action {
-                follow::Action::Connect(core) => self.at(0.0, What::Connect(number, life, core)),
+                follow::Action::Connect(core) => {
+                    self.schedule(0.0, SimEvent::Connect(number, incarnation, core))
+                }
                 follow::Action::Reset(core) => {
-                    if let Some(link) = self.link_of(number, &core) {
-                        self.end(link);
-                        self.agent(number, life, follow::Event::LinkClosed(core.clone()));
-                        self.at(150.0, What::Connect(number, life, core));
+                    if let Some(link) = self.find_link(number, &core) {
+                        self.close_at_core(link);
+                        self.handle_agent_event(number, incarnation, follow::Event::LinkClosed(core.clone()));
+                        self.schedule(150.0, SimEvent::Connect(number, incarnation, core));
                     }
                 }
-                follow::Action::Send { core, message: word } => {
-                    let Some(link) = self.link_of(number, &core) else { continue };
+                follow::Action::Send { core, message } => {
+                    let Some(link) = self.find_link(number, &core) else { continue };
                     let delay = self.delay();
-                    let Some(of) = self.links.get_mut(&link) else { continue };
-                    let arrives = of.to_core.max(self.now + delay);
-                    of.to_core = arrives;
-                    self.at(arrives - self.now, What::Word(link, word));
+                    let Some(open) = self.links.get_mut(&link) else { continue };
+                    let arrival = open.last_arrival_at_core.max(self.now + delay);
+                    open.last_arrival_at_core = arrival;
+                    self.schedule(arrival - self.now, SimEvent::FromAgent(link, message));
+                }
+                follow::Action::SendProxy(update) => {
+                    self.schedule(0.05, SimEvent::ProxyUpdate(number, incarnation, update))
                 }
-                follow::Action::SendProxy(news) => self.at(0.05, What::Fed(number, life, news)),
             }
         }
-        let (due, local) = match &self.gateways[number].agent {
-            Some(agent) => (agent.next_deadline(), self.local(number)),
+        let (deadline, local) = match &self.gateways[number].agent {
+            Some(agent) => (agent.next_deadline(), self.gateway_clock(number)),
             None => return,
         };
         let gateway = &mut self.gateways[number];
-        if due.is_finite() && due != gateway.agent_due {
-            gateway.agent_due = due;
-            let after = ((due - local) / gateway.rate).max(0.0) + 0.01;
-            self.at(after, What::AgentDue(number, life));
+        if deadline.is_finite() && deadline != gateway.agent_deadline {
+            gateway.agent_deadline = deadline;
+            let after = ((deadline - local) / gateway.clock_rate).max(0.0) + 0.01;
+            self.schedule(after, SimEvent::AgentTick(number, incarnation));
         }
     }
 
-    fn link_of(&self, gateway: usize, core: &str) -> Option<u64> {
+    fn find_link(&self, gateway: usize, core: &str) -> Option<u64> {
         let core = core_number(core)?;
-        let mine = self.links.iter().find(|(_, link)| link.gateway == gateway && link.core == core);
-        mine.map(|(id, _)| *id)
+        let found = self.links.iter().find(|(_, link)| link.gateway == gateway && link.core == core);
+        found.map(|(id, _)| *id)
     }
 
-    fn connect(&mut self, gateway: usize, life: u64, core: String) {
-        let now = self.local(gateway);
-        let of = &mut self.gateways[gateway];
-        if of.life != life || !of.agent.as_mut().is_some_and(|agent| agent.wants_link(now, &core)) {
+    fn connect(&mut self, gateway: usize, incarnation: u64, core: String) {
+        let now = self.gateway_clock(gateway);
+        let opener = &mut self.gateways[gateway];
+        if opener.incarnation != incarnation
+            || !opener.agent.as_mut().is_some_and(|agent| agent.wants_link(now, &core))
+        {
             return;
         }
         let Some(number) = core_number(&core) else { return };
-        let (there, back) = (Place::Gateway(gateway), Place::Core(number));
-        let up = number < self.cores.len() && self.cores[number].running.is_some();
-        if !up
-            || !self.reaches(there, back)
-            || !self.reaches(back, there)
-            || self.link_of(gateway, &core).is_some()
+        let (near, far) = (Endpoint::Gateway(gateway), Endpoint::Core(number));
+        let is_up = number < self.cores.len() && self.cores[number].running.is_some();
+        if !is_up
+            || !self.can_reach(near, far)
+            || !self.can_reach(far, near)
+            || self.find_link(gateway, &core).is_some()
         {
-            return self.at(150.0 + 350.0 * f64::from(u8::from(up)), What::Connect(gateway, life, core));
+            return self.schedule(
+                150.0 + 350.0 * f64::from(u8::from(is_up)),
+                SimEvent::Connect(gateway, incarnation, core),
+            );
         }
-        let link = self.number();
-        let core_life = self.cores[number].life;
-        let (to_core, to_agent) = (self.now, self.now);
-        self.links.insert(
-            link,
-            Link { gateway, gateway_life: life, core: number, core_life, held: None, to_core, to_agent },
-        );
+        let link = self.new_id();
+        let opened = Link {
+            gateway,
+            gateway_incarnation: incarnation,
+            core: number,
+            core_incarnation: self.cores[number].incarnation,
+            blocked_since: None,
+            last_arrival_at_core: self.now,
+            last_arrival_at_agent: self.now,
+        };
+        self.links.insert(link, opened);
         let delay = self.delay();
-        self.at(delay, What::Opened(link));
+        self.schedule(delay, SimEvent::LinkOpened(link));
     }
 
-    fn opened(&mut self, link: u64) {
-        let Some(of) = self.links.get(&link) else { return };
-        let (gateway, life, core) = (of.gateway, of.gateway_life, core_address(of.core).to_string());
-        self.agent(gateway, life, follow::Event::LinkOpened(core));
+    fn link_opened(&mut self, link: u64) {
+        let Some(open) = self.links.get(&link) else { return };
+        let (gateway, incarnation, core) =
+            (open.gateway, open.gateway_incarnation, core_address(open.core).to_string());
+        self.handle_agent_event(gateway, incarnation, follow::Event::LinkOpened(core));
     }
 
-    /// A cut holds up what is on a link, in order, and ends it after a while. Gives when it is tried again.
-    fn held_up(&mut self, link: u64, from: Place, to: Place) -> Option<f64> {
-        if self.reaches(from, to) {
-            self.links.get_mut(&link)?.held = None;
+    /// If a cut blocks this direction of a link, returns the delay until the next delivery attempt. Closes
+    /// the link once it has been blocked for too long.
+    fn retry_if_blocked(&mut self, link: u64, from: Endpoint, to: Endpoint) -> Option<f64> {
+        if self.can_reach(from, to) {
+            self.links.get_mut(&link)?.blocked_since = None;
             return None;
         }
         let now = self.now;
-        let since = *self.links.get_mut(&link)?.held.get_or_insert(now);
-        if now - since > UNHEARD_MS {
-            let of = self.links.get(&link)?;
-            self.at(0.0, What::Core(of.core, of.core_life, Input::Closed(link)));
-            self.ended(link);
+        let since = *self.links.get_mut(&link)?.blocked_since.get_or_insert(now);
+        if now - since > LINK_TIMEOUT_MS {
+            let blocked = self.links.get(&link)?;
+            self.schedule(
+                0.0,
+                SimEvent::CoreInput(blocked.core, blocked.core_incarnation, Input::LinkClosed(link)),
+            );
+            self.close_at_agent(link);
         }
-        Some(HELD_MS)
+        Some(BLOCKED_RETRY_MS)
     }
 
-    fn said(&mut self, link: u64, mut news: Box<ToAgent>) {
-        if let (Some(Mutant::SettledUnheard), Some(pulse)) = (self.mutant, &mut news.heartbeat_reply) {
-            pulse.unsettled = false;
+    fn deliver_to_agent(&mut self, link: u64, mut message: Box<ToAgent>) {
+        if let (Some(Mutant::SettledWithoutHeartbeats), Some(heartbeat_reply)) =
+            (self.mutant, &mut message.heartbeat_reply)
+        {
+            heartbeat_reply.unsettled = false;
         }
-        let Some(of) = self.links.get(&link) else { return };
-        let (gateway, life, core) = (of.gateway, of.gateway_life, of.core);
-        if let Some(again) = self.held_up(link, Place::Core(core), Place::Gateway(gateway)) {
-            if let Some(of) = self.links.get_mut(&link) {
-                of.to_agent = of.to_agent.max(self.now + again);
-                self.at(again, What::Said(link, news));
+        let Some(open) = self.links.get(&link) else { return };
+        let (gateway, incarnation, core) = (open.gateway, open.gateway_incarnation, open.core);
+        if let Some(retry_ms) = self.retry_if_blocked(link, Endpoint::Core(core), Endpoint::Gateway(gateway))
+        {
+            if let Some(blocked) = self.links.get_mut(&link) {
+                blocked.last_arrival_at_agent = blocked.last_arrival_at_agent.max(self.now + retry_ms);
+                self.schedule(retry_ms, SimEvent::ToAgent(link, message));
             }
             return;
         }
         let core = core_address(core).to_string();
-        self.agent(gateway, life, follow::Event::CoreMessage { core, message: news });
+        self.handle_agent_event(gateway, incarnation, follow::Event::CoreMessage { core, message });
     }
 
-    fn word(&mut self, link: u64, word: Box<FromAgent>) {
-        let Some(of) = self.links.get(&link) else { return };
-        let (gateway, core, life) = (of.gateway, of.core, of.core_life);
-        if let Some(again) = self.held_up(link, Place::Gateway(gateway), Place::Core(core)) {
-            if let Some(of) = self.links.get_mut(&link) {
-                of.to_core = of.to_core.max(self.now + again);
-                self.at(again, What::Word(link, word));
+    fn deliver_to_core(&mut self, link: u64, message: Box<FromAgent>) {
+        let Some(open) = self.links.get(&link) else { return };
+        let (gateway, core, incarnation) = (open.gateway, open.core, open.core_incarnation);
+        if let Some(retry_ms) = self.retry_if_blocked(link, Endpoint::Gateway(gateway), Endpoint::Core(core))
+        {
+            if let Some(blocked) = self.links.get_mut(&link) {
+                blocked.last_arrival_at_core = blocked.last_arrival_at_core.max(self.now + retry_ms);
+                self.schedule(retry_ms, SimEvent::FromAgent(link, message));
             }
             return;
         }
-        self.happen(What::Core(core, life, Input::Agent(link, *word)));
+        self.handle(SimEvent::CoreInput(core, incarnation, Input::AgentMessage(link, *message)));
     }
 
-    /// The core's end is gone: the agent sees it.
-    fn ended(&mut self, link: u64) {
-        let Some(of) = self.links.remove(&link) else { return };
-        let (gateway, life, core) = (of.gateway, of.gateway_life, core_address(of.core).to_string());
-        self.agent(gateway, life, follow::Event::LinkClosed(core.clone()));
-        self.at(150.0, What::Connect(gateway, life, core));
+    /// Closes a link whose core end is gone: the agent notices and reconnects.
+    fn close_at_agent(&mut self, link: u64) {
+        let Some(closed) = self.links.remove(&link) else { return };
+        let core = core_address(closed.core).to_string();
+        let (gateway, incarnation) = (closed.gateway, closed.gateway_incarnation);
+        self.handle_agent_event(gateway, incarnation, follow::Event::LinkClosed(core.clone()));
+        self.schedule(150.0, SimEvent::Connect(gateway, incarnation, core));
     }
 
-    /// The gateway's end is gone: the core sees it.
-    fn end(&mut self, link: u64) {
-        let Some(of) = self.links.remove(&link) else { return };
+    /// Closes a link whose gateway end is gone: the core notices.
+    fn close_at_core(&mut self, link: u64) {
+        let Some(closed) = self.links.remove(&link) else { return };
         let delay = self.delay();
-        self.at(delay, What::Core(of.core, of.core_life, Input::Closed(link)));
+        self.schedule(
+            delay,
+            SimEvent::CoreInput(closed.core, closed.core_incarnation, Input::LinkClosed(link)),
+        );
     }
 
-    // ---- Proxies ----------------------------------------------------------------------------------------------
+    // ---- Proxies ------------------------------------------------------------------------------------------
 
-    fn take_feeds(&mut self, number: usize) {
-        while self.gateways[number].proxy_until <= self.now {
-            let now = self.local(number);
+    /// Applies a proxy's queued updates, unless it is paused.
+    fn run_proxy(&mut self, number: usize) {
+        while self.gateways[number].proxy_paused_until <= self.now {
+            let now = self.gateway_clock(number);
             let gateway = &mut self.gateways[number];
-            let Some(mut news) = gateway.feeds.pop_front() else { return };
-            if self.mutant == Some(Mutant::AgeForgotten) {
-                news.request_sent_at = Some(now);
+            let Some(mut update) = gateway.proxy_inbox.pop_front() else { return };
+            if self.mutant == Some(Mutant::UpdateAgeIgnored) {
+                update.request_sent_at = Some(now);
             }
-            self.judge.fed(number, gateway.life, news.term);
-            gateway.copy.apply(now, news);
-            self.judge.copied(number, gateway.life, gateway.copy.state());
+            self.model.check_leader_term(number, gateway.incarnation, update.term);
+            gateway.replica.apply(now, update);
+            self.model.check_replica(number, gateway.incarnation, gateway.replica.state());
         }
     }
 
-    /// Whether a proxy goes by the keys that it has.
-    pub fn goes_by_keys(&self, number: usize) -> bool {
+    /// Whether a proxy runs and its lease allows it to use its keys.
+    pub fn has_valid_lease(&self, number: usize) -> bool {
         let gateway = &self.gateways[number];
-        let runs = gateway.agent.is_some() && gateway.proxy_until <= self.now;
-        runs && gateway.copy.lease_is_valid(self.local(number))
+        let is_up = gateway.agent.is_some() && gateway.proxy_paused_until <= self.now;
+        is_up && gateway.replica.lease_is_valid(self.gateway_clock(number))
     }
 
-    /// Whether its proxy takes backends for warm that it does not know to be cold.
+    /// Whether a proxy grants the full rate to backends that it does not know to be cold.
     pub fn has_full_rate(&self, number: usize) -> bool {
-        self.gateways[number].copy.has_full_rate(self.local(number))
+        self.gateways[number].replica.has_full_rate(self.gateway_clock(number))
     }
 
-    fn proxy_speaks(&mut self, number: usize, life: u64) {
-        if self.gateways[number].life != life {
+    fn send_proxy_report(&mut self, number: usize, incarnation: u64) {
+        if self.gateways[number].incarnation != incarnation {
             return;
         }
-        if self.gateways[number].proxy_until > self.now {
-            return self.at(20.0, What::Proxy(number, life));
+        if self.gateways[number].proxy_paused_until > self.now {
+            return self.schedule(20.0, SimEvent::ProxyReport(number, incarnation));
         }
-        let now = self.local(number);
-        let copy = &mut self.gateways[number].copy;
-        let ready = copy.applied_index() > 0;
-        let word = copy.message(now, format!("10.1.0.{}:80", number + 1), ready);
-        self.agent(number, life, follow::Event::ProxyMessage { link: 1, message: word });
-        if self.gateways[number].life == life {
-            self.at(20.0, What::Proxy(number, life));
+        let now = self.gateway_clock(number);
+        let replica = &mut self.gateways[number].replica;
+        let ready = replica.applied_index() > 0;
+        let message = replica.message(now, format!("10.1.0.{}:80", number + 1), ready);
+        self.handle_agent_event(number, incarnation, follow::Event::ProxyMessage { link: 1, message });
+        if self.gateways[number].incarnation == incarnation {
+            self.schedule(20.0, SimEvent::ProxyReport(number, incarnation));
         }
     }
 }
--- a/overland/tests/simulated/troubles.rs
+++ b/overland/tests/simulated/troubles.rs
@@ -1,203 +1,206 @@
-//! Troubles, each brought about on purpose, drawn in their place, length and kind.
+//! Faults injected into the simulated system, with random targets, durations and variants.
 
-use super::{Luck, Place, World};
+use super::{Endpoint, FaultRates, World};
 
-/// What happens to a system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// The leader is cut off from its peers alone: both ways, or one.
-    LeaderFromPeers,
-    /// From agents alone.
-    LeaderFromAgents,
-    /// From all, backends and operators too.
-    LeaderFromAll,
-    /// A member that doesn't lead is cut off from its peers.
-    MemberFromPeers,
-    /// The leader, or another member, and some gateways are on one side, all others on the other.
-    Split,
-    /// The leader stands still, and is woken.
-    LeaderFrozen,
-    /// Any member does.
-    MemberFrozen,
-    /// Core processes stand still between any two actions.
-    Pauses,
-    /// The leader's disk hangs, or is slow.
-    DiskHangs,
-    /// The leader is killed, and comes back.
+pub enum Fault {
+    /// The leader is cut off from the other core processes, in one or both directions.
+    LeaderCutFromPeers,
+    /// The leader is cut off from all agents, in one or both directions.
+    LeaderCutFromAgents,
+    /// The leader is cut off from peers, agents, backends and operators, in one or both directions.
+    LeaderIsolated,
+    /// A random member is cut off from its peers, in one or both directions.
+    MemberCutFromPeers,
+    /// One core process, often the leader, is partitioned with some gateways from everything else.
+    Partition,
+    LeaderPaused,
+    /// A random member is paused.
+    MemberPaused,
+    /// Core processes pause at random between actions.
+    RandomPauses,
+    /// The leader's disk is slow.
+    SlowDisk,
+    /// The leader is killed and restarted.
     LeaderKilled,
-    /// Any process of the core is killed at any action.
-    Kills,
-    /// Some gateways are cut off from the core, for long.
-    GatewaysAlone,
-    /// A gateway's agent, proxy or both stand still.
-    GatewayFrozen,
-    /// A gateway is killed and starts anew, and is cut off soon after.
-    GatewayAnew,
-    /// Letters are lost and doubled, answers to callers lost.
-    Loss,
+    /// Core processes crash at random between actions.
+    RandomCrashes,
+    /// Some gateways are cut off from the core, possibly for long.
+    GatewaysCutOff,
+    /// A gateway's agent, proxy or both are paused.
+    GatewayPaused,
+    /// A gateway is restarted, and cut off soon after.
+    GatewayRestarted,
+    /// Messages between core processes are lost and duplicated, and responses to callers lost.
+    MessageLoss,
 }
 
-/// All of them.
-pub const ALL: [Trouble; 15] = [
-    Trouble::LeaderFromPeers,
-    Trouble::LeaderFromAgents,
-    Trouble::LeaderFromAll,
-    Trouble::MemberFromPeers,
-    Trouble::Split,
-    Trouble::LeaderFrozen,
-    Trouble::MemberFrozen,
-    Trouble::Pauses,
-    Trouble::DiskHangs,
-    Trouble::LeaderKilled,
-    Trouble::Kills,
-    Trouble::GatewaysAlone,
-    Trouble::GatewayFrozen,
-    Trouble::GatewayAnew,
-    Trouble::Loss,
+pub const ALL_FAULTS: [Fault; 15] = [
+    Fault::LeaderCutFromPeers,
+    Fault::LeaderCutFromAgents,
+    Fault::LeaderIsolated,
+    Fault::MemberCutFromPeers,
+    Fault::Partition,
+    Fault::LeaderPaused,
+    Fault::MemberPaused,
+    Fault::RandomPauses,
+    Fault::SlowDisk,
+    Fault::LeaderKilled,
+    Fault::RandomCrashes,
+    Fault::GatewaysCutOff,
+    Fault::GatewayPaused,
+    Fault::GatewayRestarted,
+    Fault::MessageLoss,
 ];
 
 impl World {
-    fn any_core(&mut self) -> usize {
+    fn random_core(&mut self) -> usize {
         let cores = self.cores.len();
         self.rng.usize(0..cores)
     }
 
-    fn any_gateway(&mut self) -> usize {
+    fn random_gateway(&mut self) -> usize {
         let gateways = self.gateways.len();
         self.rng.usize(0..gateways)
     }
 
-    /// Cuts a place off from others, both ways, or one of them. At times its open links are reset at once.
-    pub fn cut_somehow(&mut self, place: Place, others: Vec<Place>) {
+    /// Cuts an endpoint off from others in one or both directions, and sometimes resets its open links.
+    pub fn cut_randomly(&mut self, endpoint: Endpoint, others: Vec<Endpoint>) {
         match self.rng.u32(0..4) {
-            0 => self.cuts.extend(others.iter().map(|other| (place, *other))),
-            1 => self.cuts.extend(others.iter().map(|other| (*other, place))),
-            _ => self.cut_off(place, others.iter().copied()),
+            0 => self.cuts.extend(others.iter().map(|other| (endpoint, *other))),
+            1 => self.cuts.extend(others.iter().map(|other| (*other, endpoint))),
+            _ => self.cut_off(endpoint, others.iter().copied()),
         }
         if self.rng.bool() {
             self.reset_links();
         }
     }
 
-    /// Two of these troubles, one after the other, and calm at the end.
-    pub fn two_troubles(&mut self, of: &[Trouble]) {
-        self.begin();
-        self.pass(7_000.0);
+    /// Starts the system, injects two of these faults one after the other, and lets it recover.
+    pub fn run_two_faults(&mut self, faults: &[Fault]) {
+        self.start();
+        self.run_until(7_000.0);
         for _ in 0..2 {
-            let trouble = of[self.rng.usize(0..of.len())];
-            self.bring_about(trouble);
+            let fault = faults[self.rng.usize(0..faults.len())];
+            self.inject(fault);
             let pause = self.rng.f64() * 6_000.0;
-            self.pass(self.now + pause);
+            self.run_until(self.now + pause);
         }
         self.settle(15_000.0);
     }
 
-    /// All core processes are killed, and come back; backends reach them again seconds after somebody leads. Nobody takes a
-    /// backend for warm meanwhile: any may have turned cold.
-    pub fn core_is_off_and_hears_no_backend(&mut self) {
+    /// Restarts all core processes while backends can't reach them until seconds after a leader is elected.
+    /// No gateway may grant the full rate meanwhile, as any backend may have turned cold.
+    pub fn restart_core_without_heartbeats(&mut self) {
         let gateways = 0..self.gateways.len();
-        let nobody_has_full_rate = |world: &World| {
-            let has = gateways.clone().find(|gateway| world.has_full_rate(*gateway));
-            assert_eq!(has, None, "it takes backends for warm at {:.0}, and none was heard", world.now);
+        let assert_no_full_rate = |world: &World| {
+            let granting = gateways.clone().find(|gateway| world.has_full_rate(*gateway));
+            assert_eq!(
+                granting, None,
+                "a gateway grants the full rate at {:.0}, before any heartbeat",
+                world.now
+            );
         };
-        self.begin();
-        self.pass(10_000.0);
+        self.start();
+        self.run_until(10_000.0);
         let cores: Vec<_> = (0..self.cores.len()).collect();
         cores.iter().for_each(|core| self.kill_core(*core));
-        self.cut_off(Place::Outside, cores.iter().copied().map(Place::Core));
-        self.pass(12_500.0);
-        nobody_has_full_rate(self);
-        self.pass(14_000.0);
-        cores.iter().for_each(|core| self.start_later(Place::Core(*core), 100.0));
+        self.cut_off(Endpoint::External, cores.iter().copied().map(Endpoint::Core));
+        self.run_until(12_500.0);
+        assert_no_full_rate(self);
+        self.run_until(14_000.0);
+        cores.iter().for_each(|core| self.start_later(Endpoint::Core(*core), 100.0));
         while self.now < 17_500.0 {
-            self.pass(self.now + 50.0);
-            nobody_has_full_rate(self);
+            self.run_until(self.now + 50.0);
+            assert_no_full_rate(self);
         }
-        assert!(self.leader().is_some(), "somebody leads by now");
+        assert!(self.leader().is_some(), "no leader was elected");
         self.settle(8_000.0);
     }
 
-    /// One trouble, from its beginning to its end. Gives how long it lasted, in ms.
-    pub fn bring_about(&mut self, trouble: Trouble) -> f64 {
-        let leader = self.leader().unwrap_or_else(|| self.any_core());
-        let peers = (0..self.cores.len()).map(Place::Core).collect::<Vec<_>>();
-        let agents = (0..self.gateways.len()).map(Place::Gateway).collect::<Vec<_>>();
-        let mut for_ms = [300.0, 2_000.0, 20_000.0][self.rng.usize(0..3)] * (0.5 + self.rng.f64());
-        match trouble {
-            Trouble::LeaderFromPeers => self.cut_somehow(Place::Core(leader), peers),
-            Trouble::LeaderFromAgents => self.cut_somehow(Place::Core(leader), agents),
-            Trouble::LeaderFromAll => {
-                let all = [peers, agents, vec![Place::Outside]].concat();
-                self.cut_somehow(Place::Core(leader), all);
+    /// Injects a fault and ends it. Returns how long it lasted, in ms.
+    pub fn inject(&mut self, fault: Fault) -> f64 {
+        let leader = self.leader().unwrap_or_else(|| self.random_core());
+        let peers = (0..self.cores.len()).map(Endpoint::Core).collect::<Vec<_>>();
+        let agents = (0..self.gateways.len()).map(Endpoint::Gateway).collect::<Vec<_>>();
+        let mut duration_ms = [300.0, 2_000.0, 20_000.0][self.rng.usize(0..3)] * (0.5 + self.rng.f64());
+        match fault {
+            Fault::LeaderCutFromPeers => self.cut_randomly(Endpoint::Core(leader), peers),
+            Fault::LeaderCutFromAgents => self.cut_randomly(Endpoint::Core(leader), agents),
+            Fault::LeaderIsolated => {
+                let all = [peers, agents, vec![Endpoint::External]].concat();
+                self.cut_randomly(Endpoint::Core(leader), all);
             }
-            Trouble::MemberFromPeers => {
-                let core = self.any_core();
-                self.cut_somehow(Place::Core(core), peers);
+            Fault::MemberCutFromPeers => {
+                let core = self.random_core();
+                self.cut_randomly(Endpoint::Core(core), peers);
             }
-            Trouble::Split => {
-                let core = if self.rng.bool() { leader } else { self.any_core() };
-                let side = |place: &Place| {
-                    *place == Place::Core(core) || matches!(place, Place::Gateway(n) if n % 2 == 0)
+            Fault::Partition => {
+                let core = if self.rng.bool() { leader } else { self.random_core() };
+                let is_near = |endpoint: &Endpoint| {
+                    *endpoint == Endpoint::Core(core)
+                        || matches!(endpoint, Endpoint::Gateway(number) if number % 2 == 0)
                 };
                 let all = [peers, agents].concat();
-                let (near, far): (Vec<_>, Vec<_>) = all.into_iter().partition(side);
-                near.into_iter().for_each(|place| self.cut_off(place, far.iter().copied()));
+                let (near, far): (Vec<_>, Vec<_>) = all.into_iter().partition(is_near);
+                near.into_iter().for_each(|endpoint| self.cut_off(endpoint, far.iter().copied()));
             }
-            Trouble::LeaderFrozen => self.freeze_core(leader, for_ms),
-            Trouble::MemberFrozen => {
-                let core = self.any_core();
-                self.freeze_core(core, for_ms);
+            Fault::LeaderPaused => self.pause_core(leader, duration_ms),
+            Fault::MemberPaused => {
+                let core = self.random_core();
+                self.pause_core(core, duration_ms);
             }
-            Trouble::Pauses => {
-                for_ms = for_ms.min(6_000.0);
-                self.luck.pause = 0.006;
+            Fault::RandomPauses => {
+                duration_ms = duration_ms.min(6_000.0);
+                self.fault_rates.pause = 0.006;
             }
-            Trouble::DiskHangs => self.cores[leader].sync_ms = [20.0, 300.0, 4_000.0][self.rng.usize(0..3)],
-            Trouble::LeaderKilled => {
+            Fault::SlowDisk => self.cores[leader].sync_ms = [20.0, 300.0, 4_000.0][self.rng.usize(0..3)],
+            Fault::LeaderKilled => {
                 self.kill_core(leader);
                 let after = self.rng.f64() * 4_000.0;
-                self.start_later(Place::Core(leader), after);
+                self.start_later(Endpoint::Core(leader), after);
             }
-            Trouble::Kills => {
-                for_ms = for_ms.min(6_000.0);
-                self.luck.kill = 0.001;
+            Fault::RandomCrashes => {
+                duration_ms = duration_ms.min(6_000.0);
+                self.fault_rates.crash = 0.001;
             }
-            Trouble::GatewaysAlone => {
-                for_ms += [0.0, 40_000.0][self.rng.usize(0..2)];
+            Fault::GatewaysCutOff => {
+                duration_ms += [0.0, 40_000.0][self.rng.usize(0..2)];
                 for _ in 0..self.rng.u32(1..4) {
-                    let gateway = self.any_gateway();
-                    self.cut_somehow(Place::Gateway(gateway), peers.clone());
+                    let gateway = self.random_gateway();
+                    self.cut_randomly(Endpoint::Gateway(gateway), peers.clone());
                 }
             }
-            Trouble::GatewayFrozen => {
-                let (gateway, kind) = (self.any_gateway(), self.rng.u32(1..4));
-                self.freeze_gateway(gateway, kind & 1 > 0, kind & 2 > 0, for_ms);
+            Fault::GatewayPaused => {
+                let (gateway, paused) = (self.random_gateway(), self.rng.u32(1..4));
+                self.pause_gateway(gateway, paused & 1 > 0, paused & 2 > 0, duration_ms);
                 if self.rng.bool() {
-                    // What it was told last grows old meanwhile, and nothing new comes at once.
-                    self.pass(self.now + 800.0);
-                    self.cut_off(Place::Gateway(gateway), peers);
-                    for_ms += 3_000.0;
+                    // The last update ages, and the cut delays newer ones.
+                    self.run_until(self.now + 800.0);
+                    self.cut_off(Endpoint::Gateway(gateway), peers);
+                    duration_ms += 3_000.0;
                 }
             }
-            Trouble::GatewayAnew => {
-                let gateway = self.any_gateway();
+            Fault::GatewayRestarted => {
+                let gateway = self.random_gateway();
                 self.kill_gateway(gateway);
                 let pause = self.rng.f64() * 1_000.0;
-                self.pass(self.now + pause);
+                self.run_until(self.now + pause);
                 self.start_gateway(gateway);
                 let pause = self.rng.f64() * 600.0;
-                self.pass(self.now + pause);
-                self.cut_off(Place::Gateway(gateway), peers);
+                self.run_until(self.now + pause);
+                self.cut_off(Endpoint::Gateway(gateway), peers);
             }
-            Trouble::Loss => {
-                self.luck = Luck { loss: 0.1, twice: 0.1, ack_loss: 0.2, ..Luck::CALM };
+            Fault::MessageLoss => {
+                self.fault_rates =
+                    FaultRates { loss: 0.1, duplication: 0.1, response_loss: 0.2, ..FaultRates::NONE };
             }
         }
-        self.pass(self.now + for_ms);
+        self.run_until(self.now + duration_ms);
         self.cuts.clear();
-        self.luck = Luck::CALM;
+        self.fault_rates = FaultRates::NONE;
         self.cores.iter_mut().for_each(|core| core.sync_ms = 0.5);
         (0..self.cores.len()).for_each(|core| self.start_core(core, false));
-        for_ms
+        duration_ms
     }
 }
