--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -17,10 +17,10 @@
     let env_number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let first = env_number("SEED").unwrap_or(0);
     let seeds = first..first + env_number("HISTORIES").unwrap_or(default_count);
-    let failure = finds::shortest(seeds, MAX_FAILURES, new_world, scenario, |world| world.events);
+    let failure = finds::shortest_failure(seeds, MAX_FAILURES, new_world, scenario, |world| world.events);
     if let Some(failure) = failure {
         eprintln!("seed {} fails after {} events", failure.seed, failure.events);
-        std::panic::resume_unwind(failure.why);
+        std::panic::resume_unwind(failure.panic_payload);
     }
 }
 
--- a/overland/tests/finds/mod.rs
+++ b/overland/tests/finds/mod.rs
@@ -12,21 +12,21 @@
     /// Number of events in it.
     pub events: u64,
     pub seed: u64,
-    /// The panic's payload.
-    pub why: Box<dyn Any + Send>,
+    pub panic_payload: Box<dyn Any + Send>,
 }
 
 impl Failure {
     /// The first line of the panic's message.
-    pub fn text(&self) -> String {
-        let text = self.why.downcast_ref::<String>().map(String::as_str);
-        let text = text.or_else(|| self.why.downcast_ref::<&str>().copied()).unwrap_or_default();
-        text.lines().next().unwrap_or_default().to_owned()
+    pub fn message(&self) -> String {
+        let message = self.panic_payload.downcast_ref::<String>().map(String::as_str);
+        let message =
+            message.or_else(|| self.panic_payload.downcast_ref::<&str>().copied()).unwrap_or_default();
+        message.lines().next().unwrap_or_default().to_owned()
     }
 }
 
 /// Runs a scenario in the world of each seed until this many have failed, and returns the shortest failure.
-pub fn shortest<W>(
+pub fn shortest_failure<W>(
     seeds: std::ops::Range<u64>, max_failures: usize, new_world: impl Fn(u64) -> W,
     scenario: impl Fn(&mut W), events: impl Fn(&W) -> u64,
 ) -> Option<Failure> {
@@ -38,8 +38,8 @@
             eprintln!("{done} of {total} histories, {} failed", failures.len());
         }
         let mut world = new_world(seed);
-        if let Err(why) = catch_unwind(AssertUnwindSafe(|| scenario(&mut world))) {
-            failures.push(Failure { events: events(&world), seed, why });
+        if let Err(panic_payload) = catch_unwind(AssertUnwindSafe(|| scenario(&mut world))) {
+            failures.push(Failure { events: events(&world), seed, panic_payload });
         }
         if failures.len() == max_failures {
             break;
--- a/overland/tests/mutants.rs
+++ b/overland/tests/mutants.rs
@@ -42,11 +42,17 @@
             world.crashes_after_voting = matches!(mutant, Mutant::VoteBeforeSync | Mutant::VoteForgotten);
             world
         };
-        let failure =
-            finds::shortest(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events);
+        let failure = finds::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| {
+            world.events
+        });
         match failure {
             Some(failure) => {
-                println!("{mutant:?}: seed {}, {} events: {}", failure.seed, failure.events, failure.text());
+                println!(
+                    "{mutant:?}: seed {}, {} events: {}",
+                    failure.seed,
+                    failure.events,
+                    failure.message()
+                );
             }
             None => undetected.push(mutant),
         }
--- a/overland/tests/promises.rs
+++ b/overland/tests/promises.rs
@@ -33,9 +33,17 @@
             world.callers.rapid_churn = mutant == Mutant::LeaveAckedWithoutLease;
             world.run_two_faults(faults);
         };
-        match finds::shortest(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events) {
+        let failure = finds::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| {
+            world.events
+        });
+        match failure {
             Some(failure) => {
-                println!("{mutant:?}: seed {}, {} events: {}", failure.seed, failure.events, failure.text());
+                println!(
+                    "{mutant:?}: seed {}, {} events: {}",
+                    failure.seed,
+                    failure.events,
+                    failure.message()
+                );
             }
             None => undetected.push(mutant),
         }
@@ -50,8 +58,9 @@
         world.mutant = Some(Mutant::SettledWithoutHeartbeats);
         world.restart_core_without_heartbeats();
     };
-    let failure = finds::shortest(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events);
+    let failure =
+        finds::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events);
     let failure = failure.expect("a failing history");
-    assert!(failure.text().contains("a gateway grants the full rate"), "{}", failure.text());
+    assert!(failure.message().contains("a gateway grants the full rate"), "{}", failure.message());
     println!("seed {}, {} events", failure.seed, failure.events);
 }
