--- a/src/plane/backends.rs
+++ b/src/plane/backends.rs
@@ -1,11 +1,12 @@
-//! Connections to backends, and attempts on them. One connection carries one request at a time.
+//! Connection pool for backends, and attempts on its connections. No pipelining: a connection carries one
+//! request at a time.
 
 use super::driver::Speech;
 use super::exchange::{End, Exchange, Happened, Idle, Stage};
 use super::http::{Head, Reader};
 use super::idle::IdleLimit;
 use super::room::{Part, Short, StreamTo, Upload, HELD_MOST};
-use crate::{BackendId, CallResult as Ended};
+use crate::{BackendId, CallResult};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::DefaultHasher;
@@ -21,22 +22,22 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// A backend that is silent for so long in the middle of an answer is taken to be gone.
-const SILENT: Duration = Duration::from_secs(5);
-/// A backend or client that takes nothing for so long holds its connection for nothing. Systems buffer much, and a
-/// slow one may be heard of only when a good part of that is read.
-const STUCK: Duration = Duration::from_secs(20);
-/// An answer of unknown length that takes longer to come is passed on as it comes.
-const GATHER: Duration = Duration::from_millis(100);
+/// Maximum time between two reads of a streamed response body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time for one write to a backend or client. Long, as a slow reader frees its socket buffers in
+/// large steps.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
+/// A response of unknown length is streamed if it takes longer than this to receive.
+const BUFFERING_TIME: Duration = Duration::from_millis(100);
 
-/// Surplus answers at most before an attempt's own.
-const SURPLUS_MOST: usize = 2;
+/// Maximum number of responses to other requests that are skipped before an attempt's own.
+const MAX_UNEXPECTED_RESPONSES: usize = 2;
 
-/// A connection, to a backend or from a client.
+/// A byte stream to a backend or from a client.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {
-    /// True if it is open and nothing lies on it to be read.
+    /// True if it is open and no data is pending to be read.
     fn quiet(&self) -> bool;
-    /// Has small writes go out at once.
+    /// Disables the delay of small writes (Nagle's algorithm).
     fn prompt(&self) -> io::Result<()>;
 }
 
@@ -50,129 +51,137 @@
     }
 }
 
-/// A connection to a backend.
+/// A byte stream to a backend.
 pub type Stretch = Box<dyn Stream>;
 
-/// Opens connections.
+/// Opens a connection to an address.
 pub type Dial = Box<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = io::Result<Stretch>>>>>;
 
 async fn dial(addr: SocketAddr) -> io::Result<Stretch> {
     Ok(Box::new(TcpStream::connect(addr).await?))
 }
 
-/// What an attempt sends, and who hears how it goes.
+/// Source of an attempt's request, and receiver of its progress.
 pub trait Attempt {
-    /// The request, or its beginning.
-    fn message(&self, until: Instant) -> Vec<u8>;
-    /// The rest of its body, which then can't be sent again, and whether it goes in chunks.
-    fn upload(&self) -> Option<(Upload, bool)>;
-    /// The rest of the body can't be had.
-    fn short(&self, short: Short);
-    /// The rest of the body is written. Returns when the attempt times out.
-    fn whole(&self) -> Instant;
-    /// The last byte is written.
-    fn written(&self);
-    /// A large answer has begun: where it goes, unless nobody waits for it any more.
-    fn begun(&self, head: &Head) -> Option<StreamTo>;
-    /// Memory for an answer of that length, where it is known.
-    fn room(&self, length: Option<u64>) -> impl std::future::Future<Output = Part>;
-    /// What is spoken.
+    /// The request, without the streamed body.
+    fn request_bytes(&self, deadline: Instant) -> Vec<u8>;
+    /// Takes the streamed body, if any, and whether it is sent with chunked encoding. It can be sent only
+    /// once.
+    fn take_body(&self) -> Option<(Upload, bool)>;
+    /// The streamed body could not be received from the client.
+    fn body_failed(&self, error: Short);
+    /// The streamed body was written. Returns the attempt's new deadline.
+    fn body_written(&self) -> Instant;
+    /// The whole request was written.
+    fn request_written(&self);
+    /// The head of a streamed response was received. Returns the receiver of its body, or none if the client
+    /// is gone.
+    fn response_started(&self, head: &Head) -> Option<StreamTo>;
+    /// Reserves memory for a response body of this length, if known.
+    fn reserve_memory(&self, length: Option<u64>) -> impl Future<Output = Part>;
+    /// The protocol spoken with the backend.
     fn speech(&self) -> &dyn Speech;
-    /// How the answer names the request, where it does.
-    fn name(&self) -> &[u8];
-    /// Its answer has no body: it asks for the head.
-    fn bodiless(&self) -> bool;
+    /// The id by which a response names its request; empty if the protocol has none.
+    fn correlation_id(&self) -> &[u8];
+    /// Whether it is a HEAD request, whose response has no body.
+    fn is_head(&self) -> bool;
 }
 
-/// An answer that came whole.
-pub struct Answered {
-    /// Its head.
+/// A response that was received completely.
+pub struct AttemptResponse {
+    /// The head.
     pub head: Head,
-    /// The body; none if it was passed on as it came.
+    /// The body and its memory reservation; none if it was streamed.
     pub body: Option<(Bytes, Part)>,
-    /// Time to the first bytes of a large answer, to the last one of others.
+    /// Time to the first body bytes if streamed, otherwise to the last ones.
     pub took: Duration,
 }
 
-/// How an attempt ends before its answer is whole.
-enum Broke {
-    /// By its connection or its time.
-    Ends(End),
-    /// The client takes no more of it.
-    Left,
+/// Why receiving a response stopped before its end.
+enum ReceiveError {
+    /// The connection failed or the attempt timed out.
+    Failed(End),
+    /// The client does not receive the response any more.
+    ClientGone,
 }
 
-impl From<io::Error> for Broke {
+impl From<io::Error> for ReceiveError {
     fn from(_: io::Error) -> Self {
-        Broke::Ends(End::Broken)
+        ReceiveError::Failed(End::Broken)
     }
 }
 
-impl From<tokio::time::error::Elapsed> for Broke {
+impl From<tokio::time::error::Elapsed> for ReceiveError {
     fn from(_: tokio::time::error::Elapsed) -> Self {
-        Broke::Ends(End::Silent)
+        ReceiveError::Failed(End::Silent)
     }
 }
 
-/// Writes a request, or its beginning.
-async fn write(line: &mut Line, exchange: &mut Exchange, bytes: &[u8], until: Instant) -> Result<(), End> {
+/// Writes a request, or its part before a streamed body.
+async fn write_request(
+    connection: &mut Connection, exchange: &mut Exchange, bytes: &[u8], deadline: Instant,
+) -> Result<(), End> {
     let mut written = 0;
     while written < bytes.len() {
-        match timeout_at(until, line.reader.io.write(&bytes[written..])).await {
-            Ok(Ok(more)) if more > 0 => written += more,
-            ended => {
+        match timeout_at(deadline, connection.reader.io.write(&bytes[written..])).await {
+            Ok(Ok(count)) if count > 0 => written += count,
+            failed => {
                 let head =
                     bytes.windows(4).position(|end| end == b"\r\n\r\n").is_some_and(|at| at + 4 <= written);
                 if written > 0 {
                     exchange.step(Happened::Wrote { head, all: false });
                 }
-                return Err(if ended.is_err() { End::Silent } else { End::Broken });
+                return Err(if failed.is_err() { End::Silent } else { End::Broken });
             }
         }
     }
     Ok(())
 }
 
-enum Uploaded {
-    Whole,
-    /// The backend answers before it has the whole body.
-    Answered,
-    Broken,
-    Short(Short),
+/// Result of sending a streamed body.
+enum UploadResult {
+    Complete,
+    /// The backend responded, or closed the connection, before the end of the body.
+    EarlyResponse,
+    BackendFailed,
+    ClientFailed(Short),
 }
 
-/// Passes on the rest of a body, as fast as both sides go.
+/// Forwards a streamed body from the client to the backend.
 async fn upload_rest(
-    line: &mut Line, exchange: &mut Exchange, mut upload: Upload, chunked: bool,
-) -> Uploaded {
+    connection: &mut Connection, exchange: &mut Exchange, mut upload: Upload, chunked: bool,
+) -> UploadResult {
     let mut left = upload.left().filter(|_| !chunked);
-    // With its last byte a request is whole, whether or not its end was seen.
+    // A body of known length is complete with its last byte, even if its end has not been read yet.
     while left != Some(0) {
-        let piece = tokio::select! {
+        let chunk = tokio::select! {
             biased;
-            piece = upload.piece() => piece,
-            // Its end counts as much: nothing more can be written.
-            _ = line.reader.peek_head() => {
+            chunk = upload.piece() => chunk,
+            // A response, an error or a closed connection: the backend reads no more.
+            _ = connection.reader.peek_head() => {
                 tokio::task::spawn_local(upload.drain());
-                return Uploaded::Answered;
+                return UploadResult::EarlyResponse;
             }
         };
-        let piece = match piece {
-            Ok(piece) => piece,
-            Err(short) => return Uploaded::Short(short),
+        let chunk = match chunk {
+            Ok(chunk) => chunk,
+            Err(short) => return UploadResult::ClientFailed(short),
         };
-        let last = piece.is_none();
-        let bytes = match piece {
-            Some(piece) if !chunked => piece,
-            Some(piece) if piece.is_empty() => continue,
-            Some(piece) => [format!("{:x}\r\n", piece.len()).as_bytes(), &piece, b"\r\n"].concat().into(),
+        let last = chunk.is_none();
+        let bytes = match chunk {
+            Some(chunk) if !chunked => chunk,
+            Some(chunk) if chunk.is_empty() => continue,
+            Some(chunk) => [format!("{:x}\r\n", chunk.len()).as_bytes(), &chunk, b"\r\n"].concat().into(),
             None if chunked => Bytes::from_static(b"0\r\n\r\n"),
             None => Bytes::new(),
         };
         let start = Instant::now();
-        if !matches!(timeout_at(start + STUCK, line.reader.io.write_all(&bytes)).await, Ok(Ok(()))) {
+        if !matches!(
+            timeout_at(start + WRITE_TIMEOUT, connection.reader.io.write_all(&bytes)).await,
+            Ok(Ok(()))
+        ) {
             tokio::task::spawn_local(upload.drain());
-            return Uploaded::Broken;
+            return UploadResult::BackendFailed;
         }
         upload.held_up(start.elapsed());
         left = left.map(|left| left.saturating_sub(bytes.len() as u64));
@@ -181,310 +190,326 @@
         }
     }
     exchange.step(Happened::Wrote { head: true, all: true });
-    Uploaded::Whole
+    UploadResult::Complete
 }
 
-/// What a backend says that does not wait for the whole body.
-async fn answered_early(
-    line: &mut Line, exchange: &mut Exchange, attempt: &impl Attempt, until: Instant,
-) -> (Ended, Option<Answered>) {
+/// Handles a response that arrives before the whole body was sent.
+async fn receive_early_response(
+    connection: &mut Connection, exchange: &mut Exchange, attempt: &impl Attempt, deadline: Instant,
+) -> (CallResult, Option<AttemptResponse>) {
     let begins_early = attempt.speech().begins_early();
-    let broken = exchange.says(End::Broken, begins_early);
-    let Ok(head) = line.reader.peek_head().await.cloned() else { return (broken, None) };
-    if !attempt.speech().own(&head, attempt.name()) {
-        return (broken, None);
+    let failure = exchange.says(End::Broken, begins_early);
+    let Ok(head) = connection.reader.peek_head().await.cloned() else { return (failure, None) };
+    if !attempt.speech().own(&head, attempt.correlation_id()) {
+        return (failure, None);
     }
     exchange.step(Happened::Own { stays: false });
     match attempt.speech().judge(&head) {
-        _ if head.turned_away => (Ended::Rejected, None),
-        // With the rest unwritten nothing has run.
-        _ if !begins_early => (Ended::ConnectFailed, None),
-        Ended::Rejected => (Ended::Rejected, None),
-        // A success before the whole body is none that could be vouched for.
-        Ended::Ok => (Ended::Reset, None),
-        ended => match timeout_at(until, line.reader.held(HELD_MOST)).await {
+        _ if head.turned_away => (CallResult::Rejected, None),
+        // Backends that wait for the whole body have not executed anything.
+        _ if !begins_early => (CallResult::ConnectFailed, None),
+        CallResult::Rejected => (CallResult::Rejected, None),
+        // A success without the whole body can't be trusted.
+        CallResult::Ok => (CallResult::Reset, None),
+        result => match timeout_at(deadline, connection.reader.held(HELD_MOST)).await {
             Ok(Ok(Some(body))) => {
-                (ended, Some(Answered { head, body: Some((body, None)), took: Duration::ZERO }))
+                (result, Some(AttemptResponse { head, body: Some((body, None)), took: Duration::ZERO }))
             }
-            _ => (Ended::Reset, None),
+            _ => (CallResult::Reset, None),
         },
     }
 }
 
-/// Takes in an answer: whole if it is small, else passed on as it comes.
+/// Receives a response: buffers it if it is small, otherwise streams it to the client.
 async fn receive(
-    reader: &mut Reader<Stretch>, exchange: &mut Exchange, attempt: &impl Attempt, until: Instant,
+    reader: &mut Reader<Stretch>, exchange: &mut Exchange, attempt: &impl Attempt, deadline: Instant,
     written: Instant,
-) -> Result<Answered, Broke> {
-    let mut surplus = 0;
-    reader.expect_no_body(attempt.bodiless());
-    let (good, length) = loop {
-        let head = timeout_at(until, reader.peek_head()).await??;
-        if attempt.speech().own(head, attempt.name()) {
+) -> Result<AttemptResponse, ReceiveError> {
+    let mut unexpected = 0;
+    reader.expect_no_body(attempt.is_head());
+    let (success, length) = loop {
+        let head = timeout_at(deadline, reader.peek_head()).await??;
+        if attempt.speech().own(head, attempt.correlation_id()) {
             exchange.step(Happened::Own { stays: head.keep });
-            break (attempt.speech().judge(head) == Ended::Ok, head.length);
+            break (attempt.speech().judge(head) == CallResult::Ok, head.length);
         }
-        // Another request's answer, in the place of this one's: it is read to its end and dropped. Whether one to
-        // another method has a body can't be known.
+        // A response to another request is read to its end and dropped. Not for HEAD requests: whether the
+        // unexpected response has a body can't be determined.
         exchange.step(Happened::Surplus);
-        surplus += 1;
-        if surplus > SURPLUS_MOST || attempt.bodiless() {
-            return Err(Broke::Ends(End::Broken));
+        unexpected += 1;
+        if unexpected > MAX_UNEXPECTED_RESPONSES || attempt.is_head() {
+            return Err(ReceiveError::Failed(End::Broken));
         }
-        timeout_at(until, reader.held(HELD_MOST)).await??.ok_or(Broke::Ends(End::Broken))?;
+        timeout_at(deadline, reader.held(HELD_MOST)).await??.ok_or(ReceiveError::Failed(End::Broken))?;
         reader.take_head()?;
     };
-    let room = timeout_at(until, attempt.room(length)).await?;
-    let gather = match (good, length) {
+    let memory = timeout_at(deadline, attempt.reserve_memory(length)).await?;
+    let buffer_until = match (success, length) {
         (true, Some(length)) if length > HELD_MOST as u64 => Instant::now(),
-        (true, None) => until.min(Instant::now() + GATHER),
-        _ => until,
+        (true, None) => deadline.min(Instant::now() + BUFFERING_TIME),
+        _ => deadline,
     };
-    let large = gather < until;
-    let first = if large && length.is_some() {
-        // The first bytes decide when a large answer is there.
-        timeout_at(until, reader.piece()).await??.ok_or(Broke::Ends(End::Broken))?
+    let may_stream = buffer_until < deadline;
+    let first = if may_stream && length.is_some() {
+        // The deadline applies to the first bytes of a streamed body.
+        timeout_at(deadline, reader.piece()).await??.ok_or(ReceiveError::Failed(End::Broken))?
     } else {
-        match timeout_at(gather, reader.held(HELD_MOST)).await {
+        match timeout_at(buffer_until, reader.held(HELD_MOST)).await {
             Ok(Ok(Some(body))) => {
                 exchange.step(Happened::Whole { more: reader.has_more() });
                 let head = reader.take_head()?;
-                return Ok(Answered { head, body: Some((body, room)), took: written.elapsed() });
+                return Ok(AttemptResponse { head, body: Some((body, memory)), took: written.elapsed() });
             }
-            Ok(Ok(None)) if good => reader.held_so_far(),
-            Err(_) if large => match reader.held_so_far() {
-                so_far if !so_far.is_empty() => so_far,
-                _ => timeout_at(until, reader.piece()).await??.unwrap_or_default(),
+            Ok(Ok(None)) if success => reader.held_so_far(),
+            Err(_) if may_stream => match reader.held_so_far() {
+                received if !received.is_empty() => received,
+                _ => timeout_at(deadline, reader.piece()).await??.unwrap_or_default(),
             },
-            Ok(_) => return Err(Broke::Ends(End::Broken)),
-            Err(_) => return Err(Broke::Ends(End::Silent)),
+            Ok(_) => return Err(ReceiveError::Failed(End::Broken)),
+            Err(_) => return Err(ReceiveError::Failed(End::Silent)),
         }
     };
     let took = written.elapsed();
     let head = reader.take_head()?;
-    let Some(to) = attempt.begun(&head) else { return Err(Broke::Left) };
-    let mut piece = Some(first).filter(|first| !first.is_empty());
+    let Some(sender) = attempt.response_started(&head) else { return Err(ReceiveError::ClientGone) };
+    let mut chunk = Some(first).filter(|first| !first.is_empty());
     loop {
-        if let Some(piece) = piece.take() {
-            match timeout_at(Instant::now() + STUCK, to.send(Ok(piece))).await {
+        if let Some(chunk) = chunk.take() {
+            match timeout_at(Instant::now() + WRITE_TIMEOUT, sender.send(Ok(chunk))).await {
                 Ok(Ok(())) => {}
-                _ => return Err(Broke::Left),
+                _ => return Err(ReceiveError::ClientGone),
             }
         }
         let next = tokio::select! {
-            next = timeout_at(Instant::now() + SILENT, reader.piece()) => next,
-            () = to.closed() => return Err(Broke::Left),
+            next = timeout_at(Instant::now() + BODY_READ_TIMEOUT, reader.piece()) => next,
+            () = sender.closed() => return Err(ReceiveError::ClientGone),
         };
         match next {
-            Ok(Ok(Some(next))) => piece = Some(next),
+            Ok(Ok(Some(next))) => chunk = Some(next),
             Ok(Ok(None)) => break,
             _ => {
-                // The client must see that it is not whole.
-                let broken = io::Error::from(ErrorKind::UnexpectedEof);
-                let _ = timeout_at(Instant::now() + STUCK, to.send(Err(broken))).await;
-                return Err(Broke::Ends(End::Broken));
+                // Makes the client's connection fail, so that it does not take the body for complete.
+                let truncated = io::Error::from(ErrorKind::UnexpectedEof);
+                let _ = timeout_at(Instant::now() + WRITE_TIMEOUT, sender.send(Err(truncated))).await;
+                return Err(ReceiveError::Failed(End::Broken));
             }
         }
     }
-    drop(room);
+    drop(memory);
     exchange.step(Happened::Whole { more: reader.has_more() });
-    Ok(Answered { head, body: None, took })
+    Ok(AttemptResponse { head, body: None, took })
 }
 
-/// Open connections, counted until they are dropped.
-struct Held(Rc<Cell<usize>>);
+/// Counts an open connection until it is dropped.
+struct OpenCount(Rc<Cell<usize>>);
 
-impl Drop for Held {
+impl Drop for OpenCount {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-struct Line {
+struct Connection {
     reader: Reader<Stretch>,
-    used: Instant,
+    last_used: Instant,
     addr: SocketAddr,
-    /// The last request's name, as a digest.
-    last: u64,
-    _held: Held,
+    /// Hash of the last request's correlation id, 0 if it had none.
+    last_correlation: u64,
+    _open_count: OpenCount,
 }
 
-/// The digest of a request's name, so that an idle connection holds no copy of it; none has nought.
-fn digest(name: &[u8]) -> u64 {
-    if name.is_empty() {
+/// Hash of a correlation id, 0 if it is empty; idle connections store it instead of the id.
+fn correlation_hash(correlation_id: &[u8]) -> u64 {
+    if correlation_id.is_empty() {
         return 0;
     }
     let mut hasher = DefaultHasher::new();
-    name.hash(&mut hasher);
+    correlation_id.hash(&mut hasher);
     hasher.finish().max(1)
 }
 
-impl Line {
-    /// Guards against sending on a connection that its backend closed or broke while it stood idle: the
-    /// request would end as a reset, which may have run.
-    fn idle(&self, limit: Duration, addr: SocketAddr, name: u64) -> Idle {
+impl Connection {
+    /// Its state as an idle connection. The check guards against writing to a connection that the backend has
+    /// closed: the request would end as a reset, which can't be retried safely.
+    fn idle(&self, limit: Duration, addr: SocketAddr, correlation: u64) -> Idle {
         Idle {
             stirred: self.reader.has_more() || !self.reader.io.quiet(),
-            rested: self.used.elapsed(),
+            rested: self.last_used.elapsed(),
             limit,
             moved: self.addr != addr,
-            twin: name != 0 && name == self.last,
+            twin: correlation != 0 && correlation == self.last_correlation,
         }
     }
 }
 
-/// All connections to backends.
+/// The connection pool for all backends.
 pub struct Backends {
-    idle: RefCell<HashMap<BackendId, Vec<Line>>>,
+    /// Idle connections by backend, the one used last at the end.
+    idle: RefCell<HashMap<BackendId, Vec<Connection>>>,
     open: Rc<Cell<usize>>,
-    most: Cell<usize>,
-    connect: Cell<Duration>,
+    max_connections: Cell<usize>,
+    connect_timeout: Cell<Duration>,
     idle_limit: IdleLimit,
     dial: Dial,
 }
 
 impl Backends {
-    /// At most `most` connections, each opened within `connect_ms`. One that stood idle for half of
-    /// `idle_ms`, or for longer than others bore, is not used again: its backend may be closing it.
-    pub fn new(most: usize, connect_ms: f64, idle_ms: f64) -> Self {
-        Self::over(Box::new(|addr| Box::pin(dial(addr))), most, connect_ms, idle_ms)
+    /// A pool of at most `max_connections`, each opened within `connect_ms`. A connection is not reused after
+    /// half of `idle_ms`, or after the learned idle limit if that is lower, as its backend may be closing it.
+    pub fn new(max_connections: usize, connect_ms: f64, idle_ms: f64) -> Self {
+        Self::over(Box::new(|addr| Box::pin(dial(addr))), max_connections, connect_ms, idle_ms)
     }
 
-    /// The same over connections that are opened otherwise.
-    pub fn over(dial: Dial, most: usize, connect_ms: f64, idle_ms: f64) -> Self {
+    /// A pool whose connections are opened by `dial`.
+    pub fn over(dial: Dial, max_connections: usize, connect_ms: f64, idle_ms: f64) -> Self {
         Backends {
             dial,
             idle: RefCell::default(),
             open: Rc::default(),
-            most: Cell::new(most),
-            connect: Cell::new(Duration::from_secs_f64(connect_ms / 1000.0)),
+            max_connections: Cell::new(max_connections),
+            connect_timeout: Cell::new(Duration::from_secs_f64(connect_ms / 1000.0)),
             idle_limit: IdleLimit::new(Duration::from_secs_f64(idle_ms / 2000.0)),
         }
     }
 
-    /// Connections open now.
+    /// Number of open connections, including those being opened.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Another most holds: idle connections beyond it are closed, those in use once they are idle.
-    pub fn at_most(&self, most: usize) {
-        self.most.set(most);
-        for _ in most..self.open.get() {
+    /// Changes the maximum. Excess idle connections are closed now, those in use after their request.
+    pub fn at_most(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
+        for _ in max_connections..self.open.get() {
             self.close_oldest();
         }
     }
 
-    /// Takes over other times.
+    /// Changes the connect and idle timeouts.
     pub fn retune(&self, connect_ms: f64, idle_ms: f64) {
-        self.connect.set(Duration::from_secs_f64(connect_ms / 1000.0));
+        self.connect_timeout.set(Duration::from_secs_f64(connect_ms / 1000.0));
         self.idle_limit.at_most(Duration::from_secs_f64(idle_ms / 2000.0));
     }
 
-    /// Sends one request and waits for its answer. Its connection is closed before this returns, unless the
-    /// answer came whole; dropping the future closes it too.
+    /// Sends one request and receives its response. The connection is closed before this returns unless it
+    /// may be reused; dropping the future closes it too.
     pub async fn attempt(
-        &self, backend: BackendId, addr: SocketAddr, attempt: &impl Attempt, until: Instant,
-    ) -> (Ended, Option<Answered>) {
-        let name = digest(attempt.name());
-        let kept = self.reuse(backend, addr, name, attempt.speech());
-        let idle = kept.as_ref().map_or(Duration::ZERO, |line| line.used.elapsed());
-        let mut exchange = Exchange::new(kept.is_some());
-        let line = match kept {
-            Some(line) => Some(line),
-            None => self.connect(addr, until).await,
+        &self, backend: BackendId, addr: SocketAddr, attempt: &impl Attempt, deadline: Instant,
+    ) -> (CallResult, Option<AttemptResponse>) {
+        let correlation = correlation_hash(attempt.correlation_id());
+        let reused = self.reuse(backend, addr, correlation, attempt.speech());
+        let idle = reused.as_ref().map_or(Duration::ZERO, |connection| connection.last_used.elapsed());
+        let mut exchange = Exchange::new(reused.is_some());
+        let connection = match reused {
+            Some(connection) => Some(connection),
+            None => self.connect(addr, deadline).await,
         };
-        let Some(mut line) = line else { return (Ended::ConnectFailed, None) };
-        let (speech, mut until) = (attempt.speech(), until);
-        let message = attempt.message(until);
-        if let Err(end) = write(&mut line, &mut exchange, &message, until).await {
-            return (speech.says(&exchange, end), None);
+        let Some(mut connection) = connection else { return (CallResult::ConnectFailed, None) };
+        let (speech, mut deadline) = (attempt.speech(), deadline);
+        let message = attempt.request_bytes(deadline);
+        if let Err(failure) = write_request(&mut connection, &mut exchange, &message, deadline).await {
+            return (speech.says(&exchange, failure), None);
         }
-        let upload = attempt.upload();
+        let upload = attempt.take_body();
         exchange.step(Happened::Wrote { head: true, all: upload.is_none() });
         if let Some((upload, chunked)) = upload {
-            match upload_rest(&mut line, &mut exchange, upload, chunked).await {
-                Uploaded::Whole => {}
-                Uploaded::Answered => return answered_early(&mut line, &mut exchange, attempt, until).await,
-                Uploaded::Broken => return (speech.says(&exchange, End::Broken), None),
-                Uploaded::Short(short) => {
-                    attempt.short(short);
-                    return (Ended::Cancelled, None);
+            match upload_rest(&mut connection, &mut exchange, upload, chunked).await {
+                UploadResult::Complete => {}
+                UploadResult::EarlyResponse => {
+                    return receive_early_response(&mut connection, &mut exchange, attempt, deadline).await;
+                }
+                UploadResult::BackendFailed => return (speech.says(&exchange, End::Broken), None),
+                UploadResult::ClientFailed(error) => {
+                    attempt.body_failed(error);
+                    return (CallResult::Cancelled, None);
                 }
             }
-            until = attempt.whole();
+            deadline = attempt.body_written();
         }
-        attempt.written();
+        attempt.request_written();
         let written = Instant::now();
-        let received = receive(&mut line.reader, &mut exchange, attempt, until, written).await;
-        let unanswered = exchange.stage() == Stage::Written && !line.reader.has_more();
-        self.idle_limit.used_after(idle, unanswered && matches!(received, Err(Broke::Ends(End::Broken))));
-        let answered = match received {
-            Ok(answered) => answered,
-            Err(Broke::Left) => return (Ended::Cancelled, None),
-            Err(Broke::Ends(end)) => return (speech.says(&exchange, end), None),
+        let received = receive(&mut connection.reader, &mut exchange, attempt, deadline, written).await;
+        let unanswered = exchange.stage() == Stage::Written && !connection.reader.has_more();
+        self.idle_limit
+            .used_after(idle, unanswered && matches!(received, Err(ReceiveError::Failed(End::Broken))));
+        let response = match received {
+            Ok(response) => response,
+            Err(ReceiveError::ClientGone) => return (CallResult::Cancelled, None),
+            Err(ReceiveError::Failed(failure)) => return (speech.says(&exchange, failure), None),
         };
-        if speech.keeps(&exchange) && self.open.get() <= self.most.get() {
-            (line.used, line.last) = (Instant::now(), name);
-            self.idle.borrow_mut().entry(backend).or_default().push(line);
+        if speech.keeps(&exchange) && self.open.get() <= self.max_connections.get() {
+            (connection.last_used, connection.last_correlation) = (Instant::now(), correlation);
+            self.idle.borrow_mut().entry(backend).or_default().push(connection);
         }
-        (speech.judge(&answered.head), Some(answered))
+        (speech.judge(&response.head), Some(response))
     }
 
-    /// The connection used last, as it is the warmest, if one is sound.
-    fn reuse(&self, backend: BackendId, addr: SocketAddr, name: u64, speech: &dyn Speech) -> Option<Line> {
+    /// Takes the most recently used idle connection that may be reused and closes those that may not.
+    fn reuse(
+        &self, backend: BackendId, addr: SocketAddr, correlation: u64, speech: &dyn Speech,
+    ) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let lines = idle.get_mut(&backend)?;
+        let connections = idle.get_mut(&backend)?;
         let limit = self.idle_limit.get();
-        while let Some(line) = lines.pop() {
-            if speech.trusts(&line.idle(limit, addr, name)) {
-                return Some(line);
+        while let Some(connection) = connections.pop() {
+            if speech.trusts(&connection.idle(limit, addr, correlation)) {
+                return Some(connection);
             }
         }
         None
     }
 
-    async fn connect(&self, addr: SocketAddr, until: Instant) -> Option<Line> {
-        if self.open.get() >= self.most.get() {
+    async fn connect(&self, addr: SocketAddr, deadline: Instant) -> Option<Connection> {
+        if self.open.get() >= self.max_connections.get() {
             self.close_oldest();
         }
-        if self.open.get() >= self.most.get() {
+        if self.open.get() >= self.max_connections.get() {
             return None;
         }
         self.open.set(self.open.get() + 1);
-        let held = Held(self.open.clone());
-        // A vanished machine never answers a connect: it is given up after the settings' time.
-        let until = until.min(Instant::now() + self.connect.get());
-        let stream = timeout_at(until, (self.dial)(addr)).await.ok()?.ok()?;
-        // Where a platform refuses it, the connection carries requests all the same.
+        let open_count = OpenCount(self.open.clone());
+        // A host that is down does not refuse a connection, so the connect timeout applies.
+        let deadline = deadline.min(Instant::now() + self.connect_timeout.get());
+        let stream = timeout_at(deadline, (self.dial)(addr)).await.ok()?.ok()?;
+        // Only an optimization: a failure is ignored.
         let _ = stream.prompt();
-        Some(Line { reader: Reader::new(stream), used: Instant::now(), addr, last: 0, _held: held })
+        Some(Connection {
+            reader: Reader::new(stream),
+            last_used: Instant::now(),
+            addr,
+            last_correlation: 0,
+            _open_count: open_count,
+        })
     }
 
+    /// Closes the idle connection that was used least recently.
     fn close_oldest(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0].used);
-        if let Some(lines) = oldest {
-            lines.remove(0);
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].last_used);
+        if let Some(connections) = oldest {
+            connections.remove(0);
         }
     }
 
-    /// Time within which a connection comes up.
+    /// The connect timeout.
     pub fn connect_time(&self) -> Duration {
-        self.connect.get()
+        self.connect_timeout.get()
     }
 
-    /// Closes what has stood idle for too long or broke meanwhile.
+    /// Closes connections that have been idle for too long or have pending data.
     pub fn sweep(&self) {
         let mut idle = self.idle.borrow_mut();
         let limit = self.idle_limit.get();
-        for lines in idle.values_mut() {
-            lines.retain(|line| line.idle(limit, line.addr, 0).sound());
+        for connections in idle.values_mut() {
+            connections.retain(|connection| connection.idle(limit, connection.addr, 0).sound());
         }
-        idle.retain(|_, lines| !lines.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Closes the idle connections to a backend that is gone.
+    /// Closes the idle connections to a backend.
     pub fn forget(&self, backend: BackendId) {
         self.idle.borrow_mut().remove(&backend);
     }
--- a/src/plane/deadline.rs
+++ b/src/plane/deadline.rs
@@ -1,45 +1,45 @@
-//! A request's time: what its client says of it, and the one moment at which it ends. Whatever waits on a request's
-//! way waits until that moment at the longest.
+//! Request deadlines: parsing the client's timeout headers and computing the time by which the response must
+//! be sent. No wait on behalf of a request goes beyond it.
 
 use hyper::HeaderMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Longest wait that a client may state.
-const MOST: Duration = Duration::from_secs(3600);
-/// A final answer leaves so long before the client's time is up: it has a way to go, and the request had one.
-const MARGIN: Duration = Duration::from_millis(10);
+/// Maximum timeout that a client may request.
+const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
+/// Time reserved before the client's deadline for the network latency of request and response.
+const NETWORK_MARGIN: Duration = Duration::from_millis(10);
 
-/// What a client says of its time.
+/// The timeout and the absolute deadline given by a client; at least one is present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stated {
-    /// It waits so long, from when it sent the request's last byte.
+    /// Timeout that starts when the last byte of the request was sent.
     remaining: Option<Duration>,
-    /// It waits until then, whatever came before.
+    /// Absolute deadline, independent of when the request was received.
     until: Option<Instant>,
 }
 
-/// When a request's answer has to leave, on the monotonic clock.
+/// When the response to a request must be sent, on the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deadline(Instant);
 
 impl Stated {
-    /// A client that waits so long, from when it sent the request's last byte.
-    pub fn remaining(wait: Duration) -> Self {
-        Stated { remaining: Some(wait.min(MOST)), until: None }
+    /// A timeout that starts when the last byte of the request was sent, capped at the maximum.
+    pub fn remaining(timeout: Duration) -> Self {
+        Stated { remaining: Some(timeout.min(MAX_TIMEOUT)), until: None }
     }
 
-    /// Reads `X-Remaining-Ms` and `X-Deadline-Unix-Ms`; one of them is needed. The clock that all machines read is
-    /// looked at here, once: what it does later moves no deadline.
+    /// Parses `X-Remaining-Ms` and `X-Deadline-Unix-Ms`, of which at least one is required. The wall clock is
+    /// used only here, so that later changes of it do not move a deadline.
     pub fn read(headers: &HeaderMap, unix: SystemTime, now: Instant) -> Result<Self, &'static str> {
         let remaining = number(headers, "x-remaining-ms")
-            .and_then(|ms| ms.map(wait).transpose())
+            .and_then(|ms| ms.map(timeout).transpose())
             .map_err(|()| "X-Remaining-Ms is no whole number up to an hour, or stands twice\n")?;
         let unix = unix.duration_since(UNIX_EPOCH).unwrap_or_default();
         let absolute = |ms: u64| {
-            // In the past it has no time left. A moment too far ahead is a clock that is wrong.
+            // A deadline in the past leaves no time; one too far ahead indicates a wrong clock.
             let left = Duration::from_millis(ms).saturating_sub(unix);
-            if left <= MOST {
+            if left <= MAX_TIMEOUT {
                 Ok(now + left)
             } else {
                 Err(())
@@ -55,56 +55,57 @@
         Ok(Stated { remaining, until })
     }
 
-    /// The end of a request whose last byte came now; the earlier one where both are stated.
+    /// The deadline of a request whose last byte was received at `now`; the earlier one if both headers are
+    /// present.
     pub fn from(&self, now: Instant) -> Deadline {
-        let ends = self.remaining.map(|remaining| now + remaining);
-        let ends = ends.into_iter().chain(self.until).min().unwrap_or(now);
-        Deadline(ends.checked_sub(MARGIN).map_or(now, |ends| ends.max(now)))
+        let timeout_at = self.remaining.map(|remaining| now + remaining);
+        let client_deadline = timeout_at.into_iter().chain(self.until).min().unwrap_or(now);
+        Deadline(client_deadline.checked_sub(NETWORK_MARGIN).map_or(now, |at| at.max(now)))
     }
 
-    /// The moment that the client stated, less the answer's way.
+    /// The absolute deadline, if any, less the network margin.
     pub fn until(&self) -> Option<Instant> {
-        self.until.and_then(|until| until.checked_sub(MARGIN))
+        self.until.and_then(|until| until.checked_sub(NETWORK_MARGIN))
     }
 
-    /// Until when something may be waited for before the last byte came: so long, and not beyond a stated moment.
+    /// The earlier of `limit` and the absolute deadline; bounds waits before the last byte is received.
     pub fn within(&self, limit: Instant) -> Instant {
         self.until().map_or(limit, |until| until.min(limit))
     }
 
-    /// Whether a stated moment is over before the last byte came.
+    /// Whether the absolute deadline has passed.
     pub fn over(&self, now: Instant) -> bool {
         self.until().is_some_and(|until| until <= now)
     }
 }
 
 impl Deadline {
-    /// The moment.
+    /// The deadline as an instant.
     pub fn at(self) -> Instant {
         self.0
     }
 
-    /// The time left.
+    /// Time left at `now`.
     pub fn left(self, now: Instant) -> Duration {
         self.0.saturating_duration_since(now)
     }
 
-    /// Whether it is over: less is left than any answer takes. The module gives up some milliseconds before the end.
+    /// Whether less time is left than any response needs.
     pub fn over(self, now: Instant) -> bool {
-        self.left(now) < MARGIN
+        self.left(now) < NETWORK_MARGIN
     }
 }
 
-fn wait(ms: u64) -> Result<Duration, ()> {
-    let wait = Duration::from_millis(ms);
-    if wait <= MOST {
-        Ok(wait)
+fn timeout(ms: u64) -> Result<Duration, ()> {
+    let timeout = Duration::from_millis(ms);
+    if timeout <= MAX_TIMEOUT {
+        Ok(timeout)
     } else {
         Err(())
     }
 }
 
-/// A whole number in a header, if it is there. Given twice it is none: who is right can't be known.
+/// Parses a header as an unsigned integer, if present. A repeated header is an error.
 fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, ()> {
     let mut values = headers.get_all(name).into_iter();
     let Some(value) = values.next() else { return Ok(None) };
@@ -112,9 +113,9 @@
         return Err(());
     }
     let digits = value.to_str().map_err(|_| ())?.trim();
-    // A sign is no digit.
-    let whole = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-    if whole {
+    // `parse` alone would accept a leading plus sign.
+    let is_number = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
+    if is_number {
         digits.parse().map(Some).map_err(|_| ())
     } else {
         Err(())
@@ -137,7 +138,7 @@
 
     fn left(lines: &[(&'static str, &str)]) -> Option<u128> {
         let now = Instant::now();
-        read(lines, now).ok().map(|stated| stated.from(now).left(now).as_millis())
+        read(lines, now).ok().map(|client| client.from(now).left(now).as_millis())
     }
 
     const REMAINING: &str = "x-remaining-ms";
@@ -145,7 +146,7 @@
 
     #[test]
     fn remaining_time_is_a_whole_number_up_to_an_hour() {
-        for (value, wanted) in [
+        for (value, expected) in [
             ("480", Some(470)),
             (" 480 ", Some(470)),
             ("0", Some(0)),
@@ -159,19 +160,19 @@
             ("soon", None),
             ("", None),
         ] {
-            assert_eq!(left(&[(REMAINING, value)]), wanted, "{value:?}");
+            assert_eq!(left(&[(REMAINING, value)]), expected, "{value:?}");
         }
         assert_eq!(left(&[(REMAINING, "480"), (REMAINING, "480")]), None);
         assert_eq!(left(&[]), None);
     }
 
     #[test]
-    fn an_absolute_moment_is_taken_by_the_common_clock_and_the_earlier_of_both_holds() {
+    fn the_earlier_of_timeout_and_absolute_deadline_applies() {
         let at = |ms: i64| (UNIX_MS as i64 + ms).to_string();
         assert_eq!(left(&[(DEADLINE, &at(500))]), Some(490));
         assert_eq!(left(&[(DEADLINE, &at(-5000))]), Some(0));
         assert_eq!(left(&[(DEADLINE, "0")]), Some(0));
-        assert_eq!(left(&[(DEADLINE, &at(3_600_001))]), None, "a clock that is wrong");
+        assert_eq!(left(&[(DEADLINE, &at(3_600_001))]), None, "too far ahead");
         assert_eq!(left(&[(DEADLINE, &u64::MAX.to_string())]), None);
         assert_eq!(left(&[(DEADLINE, "-5")]), None);
         assert_eq!(left(&[(DEADLINE, &at(500)), (DEADLINE, &at(600))]), None);
@@ -181,16 +182,16 @@
     }
 
     #[test]
-    fn a_body_that_takes_its_time_moves_what_remains_but_not_a_moment() {
+    fn a_slow_body_extends_the_timeout_but_not_the_absolute_deadline() {
         let now = Instant::now();
         let at = (UNIX_MS + 1000).to_string();
-        let stated = read(&[(DEADLINE, &at), (REMAINING, "800")], now).unwrap();
+        let client = read(&[(DEADLINE, &at), (REMAINING, "800")], now).unwrap();
         let later = now + Duration::from_millis(600);
-        assert_eq!(stated.from(later).left(later), Duration::from_millis(390));
-        assert_eq!(stated.within(now + Duration::from_secs(5)), now + Duration::from_millis(990));
-        assert!(!stated.over(later) && stated.over(now + Duration::from_millis(995)));
+        assert_eq!(client.from(later).left(later), Duration::from_millis(390));
+        assert_eq!(client.within(now + Duration::from_secs(5)), now + Duration::from_millis(990));
+        assert!(!client.over(later) && client.over(now + Duration::from_millis(995)));
         let after = now + Duration::from_secs(9);
-        assert!(stated.from(after).over(after));
-        assert_eq!(stated.from(after).left(after), Duration::ZERO);
+        assert!(client.from(after).over(after));
+        assert_eq!(client.from(after).left(after), Duration::ZERO);
     }
 }
--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -1,14 +1,14 @@
-//! Drives the decision module: turns what happens into its events and carries out its actions. It alone
-//! answers a request, and answers it once.
+//! Driver of the decision module: turns I/O results into its events and executes its actions. Each request
+//! gets exactly one final response, and only from here.
 
-use super::backends::{Answered, Attempt, Backends};
+use super::backends::{Attempt, AttemptResponse, Backends};
 use super::deadline::Deadline;
 use super::exchange::{End, Exchange, Idle};
 use super::http::Head;
 use super::room::{Budget, Content, More, Part, Short, StreamTo, Upload};
 use crate::{
-    Action, BackendEntry, BackendId, BackendState, CallResult as Ended, Event, Gateway, Load, Outcome,
-    Reason, Request, RequestId, Settings,
+    Action, BackendEntry, BackendId, BackendState, CallResult, Event, Gateway, Load, Outcome, Reason,
+    Request, RequestId, Settings,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::DefaultHasher;
@@ -20,224 +20,228 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How often a request whose body streams is looked at: its end is not known before that.
-const LOOK: Duration = Duration::from_secs(1);
+/// Poll interval for requests whose body is still being streamed, as their deadline is not known yet.
+const STREAMING_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after a request's deadline that is left to the decision module to end it.
+const DEADLINE_GRACE: Duration = Duration::from_millis(5);
+/// Maximum time that readiness waits for discovery after the start.
+const MAX_DISCOVERY_WAIT: Duration = Duration::from_secs(1);
 
-/// Unix time in ms that never goes back: gateways name the counter's windows by it, and it is the clock of
-/// `started_ms`.
+/// Monotonic clock in Unix time (ms), as used by the quota counter's windows and the backends' start times.
 struct Clock {
-    unix_ms: f64,
-    at: Instant,
+    start_unix_ms: f64,
+    start: Instant,
 }
 
 impl Clock {
     fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_ms: unix.as_secs_f64() * 1000.0, at: Instant::now() }
+        Clock { start_unix_ms: unix.as_secs_f64() * 1000.0, start: Instant::now() }
     }
 
     fn now(&self) -> f64 {
-        self.unix_ms + self.at.elapsed().as_secs_f64() * 1000.0
+        self.start_unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
 }
 
-/// A request's final answer.
+/// The final response to a request.
 pub enum Answer {
-    /// A backend's answer.
+    /// A backend's response.
     Served {
-        /// Its head.
+        /// The head.
         head: Head,
-        /// Its body.
+        /// The body.
         content: Content,
     },
-    /// Refused: trying again is harmless.
+    /// Refused without being executed; the client may retry.
     Refused {
-        /// When to come back, in ms; 0 if that is not told.
+        /// Suggested retry delay, in ms; 0 for none.
         retry_after_ms: f64,
-        /// Why.
+        /// The reason.
         reason: Reason,
     },
-    /// Failed: nothing is promised.
+    /// Failed; the request may have been executed.
     Failed,
-    /// The client did not send the whole body.
+    /// The request body was not received completely.
     Short(Short),
 }
 
-/// What was done for a request until its final answer.
+/// The attempts of a request up to its final response.
 #[derive(Clone, Copy, Default)]
 pub struct Course {
-    /// When the first attempt was sent.
+    /// When the first attempt was started.
     pub sent: Option<Instant>,
-    /// Attempts so far.
+    /// Number of attempts.
     pub attempts: usize,
-    /// Where the last one went.
+    /// Backend of the last attempt.
     pub server: Option<BackendId>,
-    /// One of them may have run.
+    /// Whether any attempt may have been executed.
     pub ran: bool,
 }
 
-/// How a program speaks with its backends.
+/// The protocol that a program speaks with its backends.
 pub trait Speech {
-    /// Writes the lines of a head that differ from attempt to attempt: the time left, and whom it is meant for.
-    fn terms(&self, message: &mut Vec<u8>, backend: &str, left: Duration);
-    /// What an answer tells of the attempt.
-    fn judge(&self, head: &Head) -> Ended;
-    /// Whether an answer is to the request that is named so.
-    fn own(&self, head: &Head, name: &[u8]) -> bool;
-    /// Whether a backend's failure is the final answer where no other attempt follows.
+    /// Appends the headers specific to one attempt, such as the time left and the backend's name.
+    fn terms(&self, message: &mut Vec<u8>, backend: &str, time_left: Duration);
+    /// Classifies the result of an attempt by its response.
+    fn judge(&self, head: &Head) -> CallResult;
+    /// Whether a response belongs to the request with this correlation id.
+    fn own(&self, head: &Head, correlation_id: &[u8]) -> bool;
+    /// Whether a backend's error response is forwarded to the client if no later attempt succeeds.
     fn passes_failures(&self) -> bool;
-    /// Whether a backend may begin to work on a request before it has all of it.
+    /// Whether a backend may execute a request before it has received the whole body.
     fn begins_early(&self) -> bool;
-    /// What an end without a whole answer says of an attempt.
-    fn says(&self, exchange: &Exchange, end: End) -> Ended {
-        exchange.says(end, self.begins_early())
+    /// Classifies the result of an attempt that failed without a complete response.
+    fn says(&self, exchange: &Exchange, failure: End) -> CallResult {
+        exchange.says(failure, self.begins_early())
     }
-    /// Whether a connection may carry another request after this one.
+    /// Whether the connection may be reused after an exchange.
     fn keeps(&self, exchange: &Exchange) -> bool {
         exchange.sound()
     }
-    /// Whether a connection that stood idle may be used.
+    /// Whether an idle connection may be reused.
     fn trusts(&self, idle: &Idle) -> bool {
         idle.sound()
     }
 }
 
-/// Hears what is done, to count it.
+/// Receives notifications for metrics and logs.
 pub trait Ears {
-    /// An attempt has ended.
-    fn attempted(&self, ended: Ended);
-    /// A call to the counter has ended.
-    fn called(&self, ended: Ended);
+    /// An attempt ended.
+    fn attempted(&self, ended: CallResult);
+    /// A call to the quota counter ended.
+    fn called(&self, ended: CallResult);
     /// A request was refused.
     fn refused(&self, reason: Reason);
-    /// An attempt was written whole.
+    /// The request of an attempt was written completely.
     fn relayed(&self);
-    /// A line for the operators' report.
+    /// The decision module logs a line.
     fn told(&self, line: &str);
 }
 
-/// A call to add an amount to a named number.
+/// A call that adds an amount to a counter.
 pub struct Call {
-    /// The number's name.
+    /// The counter's name.
     pub name: u64,
-    /// What to add.
+    /// The amount to add.
     pub amount: f64,
-    /// A new name is forgotten after this, in ms.
+    /// Time to live of a newly created counter, in ms.
     pub lifetime_ms: f64,
-    /// When it was made.
+    /// When the call was made.
     pub at: Instant,
 }
 
-/// How a call has ended.
+/// The result of a counter call.
 pub struct Counted {
-    /// The number's name.
+    /// The counter's name.
     pub name: u64,
-    /// How it ended.
-    pub result: Ended,
-    /// The number's total after it, where that is known.
+    /// The result.
+    pub result: CallResult,
+    /// The counter's new total, if known.
     pub total: f64,
-    /// Time since the call, in ms.
+    /// Duration of the call, in ms.
     pub took_ms: f64,
 }
 
-/// A backend as discovery tells of it. The driver gives it its number.
+/// A backend reported by discovery. The driver assigns its id.
 pub struct Told {
-    /// Its name.
+    /// The backend's name.
     pub name: String,
-    /// Where it is; needed for all but those that are gone.
+    /// The backend's address; required unless it is gone.
     pub addr: Option<SocketAddr>,
-    /// All else; the number in it is not read.
+    /// Its other properties; the id in it is ignored.
     pub listed: BackendEntry,
 }
 
-/// What goes on to a backend, with the terms of the attempt to be put between the two parts.
+/// A request as it is sent to backends. The headers of each attempt are inserted between `head` and `rest`.
 pub struct Work {
-    /// The request's first line and most of its head.
+    /// The request line and the headers before those of the attempt.
     pub head: Vec<u8>,
-    /// The rest of the head, and the body.
+    /// The rest of the head and the buffered body.
     pub rest: Vec<u8>,
-    /// How the answer names the request, where it does.
+    /// The id by which a response names its request; may be empty.
     pub name: Vec<u8>,
-    /// What is still to come of a large body, and whether it goes on in chunks.
+    /// The streamed body of a large request, and whether it is sent with chunked encoding.
     pub more: Option<(Rc<More>, bool)>,
-    /// The part of the budget that the body has.
+    /// Memory reservation of the body.
     pub _part: Part,
 }
 
-/// Where a request's final answer comes.
+/// Receives the final response to a request.
 pub type Awaited = oneshot::Receiver<(Answer, Course)>;
 
-/// What the module is told of a request.
+/// The properties of a request on which the decision module decides.
 pub struct Asked {
-    /// Whose it is.
+    /// The customer it belongs to.
     pub customer: u64,
-    /// The customer's plan, an index into the settings.
+    /// The customer's plan, as an index into the settings.
     pub plan: u32,
-    /// Its class, an index into the settings.
+    /// Its class, as an index into the settings.
     pub class: u32,
-    /// Units it takes from the quota.
+    /// Quota units it takes.
     pub units: f64,
-    /// Number of gateways this customer comes through.
+    /// Number of gateways that serve this customer.
     pub spread: f64,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub repeat: bool,
-    /// The service whose servers may get it.
+    /// The backend pool (service) that may serve it.
     pub pool: u32,
-    /// The zones whose servers may get it, one bit each.
+    /// Bit mask of the zones that may serve it.
     pub places: u64,
-    /// Attempts at most.
+    /// Maximum number of attempts.
     pub attempts: usize,
-    /// When its answer has to leave.
+    /// When its response must be sent.
     pub deadline: Deadline,
-    /// Its moment, where the client stated one: a large body whose time runs from its end ends no later.
+    /// The client's absolute deadline, if any. It also bounds a streamed request, whose timeout starts with
+    /// its last byte.
     pub until: Option<Instant>,
 }
 
-/// One attempt on its way.
-struct Sending {
+/// An attempt of a request.
+struct RequestAttempt {
     driver: Rc<Driver>,
     id: RequestId,
     number: usize,
     work: Rc<Work>,
-    backend: Rc<str>,
+    backend_name: Rc<str>,
     timeout: Duration,
-    /// When it was sent, or when its large body was whole.
-    since: Cell<Instant>,
+    /// When it was started, or when its streamed body was complete.
+    started: Cell<Instant>,
 }
 
-impl Attempt for Sending {
-    fn message(&self, until: Instant) -> Vec<u8> {
+impl Attempt for RequestAttempt {
+    fn request_bytes(&self, deadline: Instant) -> Vec<u8> {
         let Work { head, rest, .. } = &*self.work;
         let mut message = Vec::with_capacity(head.len() + rest.len() + 96);
         message.extend_from_slice(head);
-        let left = until.saturating_duration_since(Instant::now());
-        self.driver.speech.terms(&mut message, &self.backend, left);
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        self.driver.speech.terms(&mut message, &self.backend_name, time_left);
         message.extend_from_slice(rest);
         message
     }
 
-    fn upload(&self) -> Option<(Upload, bool)> {
+    fn take_body(&self) -> Option<(Upload, bool)> {
         self.work.more.as_ref().and_then(|(more, chunked)| Some((more.take()?, *chunked)))
     }
 
-    fn short(&self, short: Short) {
-        self.driver.short(self.id, short);
+    fn body_failed(&self, error: Short) {
+        self.driver.body_failed(self.id, error);
     }
 
-    fn whole(&self) -> Instant {
-        self.since.set(Instant::now());
-        self.driver.whole(self.id, self.number, self.timeout)
+    fn body_written(&self) -> Instant {
+        self.started.set(Instant::now());
+        self.driver.body_written(self.id, self.number, self.timeout)
     }
 
-    fn written(&self) {
+    fn request_written(&self) {
         self.driver.ears.relayed();
     }
 
-    fn begun(&self, head: &Head) -> Option<StreamTo> {
-        self.driver.begun(self.id, self.number, head)
+    fn response_started(&self, head: &Head) -> Option<StreamTo> {
+        self.driver.response_started(self.id, self.number, head)
     }
 
-    async fn room(&self, length: Option<u64>) -> Part {
+    async fn reserve_memory(&self, length: Option<u64>) -> Part {
         self.driver.budget.answer(length).await
     }
 
@@ -245,129 +249,135 @@
         &*self.driver.speech
     }
 
-    fn name(&self) -> &[u8] {
+    fn correlation_id(&self) -> &[u8] {
         &self.work.name
     }
 
-    fn bodiless(&self) -> bool {
+    fn is_head(&self) -> bool {
         self.work.head.starts_with(b"HEAD ")
     }
 }
 
-/// A probe: an attempt of no request.
-struct Probing(String, Rc<dyn Speech>);
+/// A health probe.
+struct ProbeAttempt {
+    request: String,
+    speech: Rc<dyn Speech>,
+}
 
-impl Attempt for Probing {
-    fn message(&self, _: Instant) -> Vec<u8> {
-        self.0.clone().into_bytes()
+impl Attempt for ProbeAttempt {
+    fn request_bytes(&self, _: Instant) -> Vec<u8> {
+        self.request.clone().into_bytes()
     }
 
-    fn upload(&self) -> Option<(Upload, bool)> {
+    fn take_body(&self) -> Option<(Upload, bool)> {
         None
     }
 
-    fn short(&self, _: Short) {}
+    fn body_failed(&self, _: Short) {}
 
-    fn whole(&self) -> Instant {
+    fn body_written(&self) -> Instant {
         Instant::now()
     }
 
-    fn written(&self) {}
+    fn request_written(&self) {}
 
-    fn begun(&self, _: &Head) -> Option<StreamTo> {
+    fn response_started(&self, _: &Head) -> Option<StreamTo> {
         None
     }
 
-    async fn room(&self, _: Option<u64>) -> Part {
+    async fn reserve_memory(&self, _: Option<u64>) -> Part {
         None
     }
 
     fn speech(&self) -> &dyn Speech {
-        &*self.1
+        &*self.speech
     }
 
-    fn name(&self) -> &[u8] {
+    fn correlation_id(&self) -> &[u8] {
         b""
     }
 
-    fn bodiless(&self) -> bool {
+    fn is_head(&self) -> bool {
         false
     }
 }
 
-struct Open {
-    /// Taken when the final answer is given, or when the client has gone.
-    answer: Option<oneshot::Sender<(Answer, Course)>>,
+/// A request without a final response, or with attempts in flight.
+struct OpenRequest {
+    /// Taken when the final response is sent, or when the client has gone.
+    response: Option<oneshot::Sender<(Answer, Course)>>,
     course: Course,
     work: Rc<Work>,
-    /// When its time is up; none while its body streams.
-    ends: Option<Instant>,
+    /// None while its body is being streamed.
+    deadline: Option<Instant>,
     budget: Duration,
-    /// Its moment, where the client stated one.
-    until: Option<Instant>,
-    /// Withdraws the attempt of this number; none where it has ended.
+    client_deadline: Option<Instant>,
+    /// Senders that cancel the attempts, by attempt number; none if it has ended.
     attempts: Vec<Option<oneshot::Sender<()>>>,
-    attempts_most: usize,
-    /// A backend's failure, to be passed on if nothing better comes.
-    failure: Option<(Head, Content)>,
+    max_attempts: usize,
+    /// A backend's error response, forwarded if no attempt succeeds.
+    error_response: Option<(Head, Content)>,
 }
 
-impl Open {
-    fn out(&self) -> bool {
+impl OpenRequest {
+    fn has_attempts_in_flight(&self) -> bool {
         self.attempts.iter().any(Option::is_some)
     }
 
-    fn give(&mut self, answer: Answer) {
-        if let Some(to) = self.answer.take() {
-            let answer = match (answer, self.failure.take()) {
+    /// Sends the final response, unless one was sent before.
+    fn respond(&mut self, answer: Answer) {
+        if let Some(sender) = self.response.take() {
+            let answer = match (answer, self.error_response.take()) {
                 (Answer::Failed | Answer::Refused { .. }, Some((head, content))) => {
                     Answer::Served { head, content }
                 }
                 (answer, _) => answer,
             };
-            // What is still out may have run.
-            let course = Course { ran: self.course.ran || self.out(), ..self.course };
-            // A client that has just gone needs no answer.
-            let _ = to.send((answer, course));
+            // An attempt in flight may have been executed.
+            let course = Course { ran: self.course.ran || self.has_attempts_in_flight(), ..self.course };
+            // Fails only if the client has just gone.
+            let _ = sender.send((answer, course));
         }
     }
 }
 
 struct Inner {
     gateway: Gateway,
-    open: HashMap<RequestId, Open>,
-    fleet: HashMap<BackendId, Known>,
-    numbers: HashMap<String, BackendId>,
-    next: RequestId,
+    open: HashMap<RequestId, OpenRequest>,
+    listed: HashMap<BackendId, ListedBackend>,
+    /// Ids by name, also of backends no longer listed.
+    ids: HashMap<String, BackendId>,
+    next_request: RequestId,
+    /// Buffer reused between events.
     actions: Vec<Action>,
 }
 
-struct Known {
+struct ListedBackend {
     addr: SocketAddr,
     state: BackendState,
     name: Rc<str>,
 }
 
-/// Tells the gateway of a position something.
+/// Sends a message to the gateway at a position.
 pub type Tells = Box<dyn Fn(u32, &[u8])>;
 
-/// What carries the actions out.
+/// What a driver needs to execute actions.
 pub struct Reach {
-    /// Connections to backends.
+    /// The backend connection pool.
     pub backends: Backends,
-    /// Takes calls to the counter, where there is one.
+    /// Makes calls to the quota counter, if there is one.
     pub calls: Option<Box<dyn Fn(Call)>>,
-    /// Tells another gateway something, where that is possible.
+    /// Sends messages to other gateways, if there are any.
     pub tells: Option<Tells>,
-    /// Memory for bodies and answers.
+    /// Memory budget for request and response bodies.
     pub budget: Rc<Budget>,
-    /// What is spoken with backends.
+    /// The protocol spoken with backends.
     pub speech: Rc<dyn Speech>,
-    /// Who counts what is done.
+    /// Receives notifications for metrics and logs.
     pub ears: Rc<dyn Ears>,
 }
 
-/// The driver; tasks share it on one thread.
+/// The driver, shared by the tasks of one thread.
 pub struct Driver {
     inner: RefCell<Inner>,
     clock: Clock,
@@ -378,24 +388,25 @@
     ears: Rc<dyn Ears>,
     budget: Rc<Budget>,
     max_attempts: Cell<usize>,
-    second_copies: Cell<bool>,
+    hedging: Cell<bool>,
     discovery_heard: Cell<bool>,
     started: Instant,
 }
 
 impl Driver {
-    /// A driver of a module that starts now.
+    /// A driver with a new decision module.
     pub fn new(settings: Settings, seed: u64, reach: Reach) -> Rc<Self> {
         let Reach { backends, calls, tells, budget, speech, ears } = reach;
         let clock = Clock::new();
-        let (max_attempts, second_copies) = (settings.limits.max_attempts as usize, settings.limits.hedging);
+        let (max_attempts, hedging) = (settings.limits.max_attempts as usize, settings.limits.hedging);
         let inner = Inner {
-            // Numbers go on from the clock: an answer to a request from before a restart names none of now.
-            next: (clock.now() as u64) << 16,
+            // Ids start from the clock, so that late responses from before a restart match no current
+            // request.
+            next_request: (clock.now() as u64) << 16,
             gateway: Gateway::new(settings, seed, clock.now()),
             open: HashMap::new(),
-            fleet: HashMap::new(),
-            numbers: HashMap::new(),
+            listed: HashMap::new(),
+            ids: HashMap::new(),
             actions: Vec::new(),
         };
         Rc::new(Driver {
@@ -408,27 +419,33 @@
             ears,
             budget,
             max_attempts: Cell::new(max_attempts),
-            second_copies: Cell::new(second_copies),
+            hedging: Cell::new(hedging),
             discovery_heard: Cell::new(false),
             started: Instant::now(),
         })
     }
 
-    // ---- What happens -------------------------------------------------------------------------------------
+    // ---- Events -------------------------------------------------------------------------------------------
 
-    /// A request came in. Its answer comes by the receiver.
+    /// Starts handling a request. The receiver gets its final response.
     pub fn request(self: &Rc<Self>, asked: &Asked, work: Work) -> (RequestId, Awaited) {
-        let (answer, receiver) = oneshot::channel();
-        let (budget, streams) = (asked.deadline.left(Instant::now()), work.more.is_some());
+        let (sender, receiver) = oneshot::channel();
+        let (budget, body_streams) = (asked.deadline.left(Instant::now()), work.more.is_some());
         let budget_ms = budget.as_secs_f64() * 1000.0;
-        let ends = Some(asked.deadline.at()).filter(|_| !streams);
         let inner = &mut *self.inner.borrow_mut();
-        let id = inner.next;
-        inner.next += 1;
-        let (course, attempts) = Default::default();
-        let (answer, work, until) = (Some(answer), Rc::new(work), asked.until);
-        let (attempts_most, failure) = (asked.attempts, None);
-        let open = Open { answer, course, work, ends, budget, until, attempts, attempts_most, failure };
+        let id = inner.next_request;
+        inner.next_request += 1;
+        let open = OpenRequest {
+            response: Some(sender),
+            course: Course::default(),
+            work: Rc::new(work),
+            deadline: Some(asked.deadline.at()).filter(|_| !body_streams),
+            budget,
+            client_deadline: asked.until,
+            attempts: Vec::new(),
+            max_attempts: asked.attempts,
+            error_response: None,
+        };
         inner.open.insert(id, open);
         let request = Request {
             id,
@@ -439,7 +456,7 @@
             budget_ms,
             customer_gateways: asked.spread,
             is_retry: asked.repeat,
-            body_streams: streams,
+            body_streams,
             pool: asked.pool,
             zone_mask: asked.places,
         };
@@ -447,75 +464,79 @@
         (id, receiver)
     }
 
-    /// Waits for the final answer. The module ends a request in time; this guards against one that it would not.
-    pub async fn answer(self: &Rc<Self>, id: RequestId, mut answer: Awaited) -> (Answer, Course) {
+    /// Waits for the final response. The decision module normally ends a request before its deadline; this is
+    /// the fallback.
+    pub async fn answer(self: &Rc<Self>, id: RequestId, mut receiver: Awaited) -> (Answer, Course) {
         loop {
-            let ends = self.inner.borrow().open.get(&id).and_then(|open| open.ends);
-            let by = ends.map_or_else(|| Instant::now() + LOOK, |ends| ends + Duration::from_millis(5));
-            match timeout_at(by, &mut answer).await {
+            let deadline = self.inner.borrow().open.get(&id).and_then(|open| open.deadline);
+            let wait_until = deadline.map_or_else(
+                || Instant::now() + STREAMING_POLL_INTERVAL,
+                |deadline| deadline + DEADLINE_GRACE,
+            );
+            match timeout_at(wait_until, &mut receiver).await {
                 Ok(answer) => return answer.unwrap_or((Answer::Failed, Course::default())),
-                Err(_) if ends.is_none() => {}
+                Err(_) if deadline.is_none() => {}
                 Err(_) => {
                     self.leave(id);
-                    return answer.try_recv().unwrap_or((Answer::Failed, Course::default()));
+                    return receiver.try_recv().unwrap_or((Answer::Failed, Course::default()));
                 }
             }
         }
     }
 
-    /// The body of a request did not come whole: it is the client's fault.
-    fn short(self: &Rc<Self>, id: RequestId, short: Short) {
-        self.drop_request(id, Answer::Short(short));
+    /// The body of a request was not received completely.
+    fn body_failed(self: &Rc<Self>, id: RequestId, error: Short) {
+        self.drop_request(id, Answer::Short(error));
     }
 
-    /// The body of a request is whole at its backend: its time runs from now on.
-    fn whole(self: &Rc<Self>, id: RequestId, attempt: usize, timeout: Duration) -> Instant {
+    /// The streamed body of a request was written. Its timeout starts now; returns the attempt's deadline.
+    fn body_written(self: &Rc<Self>, id: RequestId, attempt: usize, timeout: Duration) -> Instant {
         let inner = &mut *self.inner.borrow_mut();
-        let until = Instant::now() + timeout;
-        let Some(open) = inner.open.get_mut(&id) else { return until };
-        let ends = Instant::now() + open.budget;
-        let ends = open.until.map_or(ends, |until| until.min(ends));
-        open.ends = Some(ends);
+        let attempt_deadline = Instant::now() + timeout;
+        let Some(open) = inner.open.get_mut(&id) else { return attempt_deadline };
+        let deadline = Instant::now() + open.budget;
+        let deadline = open.client_deadline.map_or(deadline, |at| at.min(deadline));
+        open.deadline = Some(deadline);
         self.handle(inner, Event::BodySent { id, attempt: attempt as u8 });
-        until.min(ends)
+        attempt_deadline.min(deadline)
     }
 
-    /// A large answer has begun and is passed on as it comes, if the client still waits.
-    fn begun(self: &Rc<Self>, id: RequestId, attempt: usize, head: &Head) -> Option<StreamTo> {
+    /// A streamed response has started. Returns the sender of its body if the client still waits.
+    fn response_started(self: &Rc<Self>, id: RequestId, attempt: usize, head: &Head) -> Option<StreamTo> {
         let inner = &mut *self.inner.borrow_mut();
-        let open = inner.open.get_mut(&id).filter(|open| open.answer.is_some())?;
-        let (to, content) = Content::stream(head.length);
-        open.failure = None;
-        open.give(Answer::Served { head: head.clone(), content });
+        let open = inner.open.get_mut(&id).filter(|open| open.response.is_some())?;
+        let (sender, content) = Content::stream(head.length);
+        open.error_response = None;
+        open.respond(Answer::Served { head: head.clone(), content });
         self.handle(inner, Event::ResponseStarted { id, attempt: attempt as u8 });
-        Some(to)
+        Some(sender)
     }
 
-    /// The client has gone, or its time is up: nothing more is sent for the request.
+    /// Ends a request whose client has gone or whose deadline has passed.
     pub fn leave(self: &Rc<Self>, id: RequestId) {
         self.drop_request(id, Answer::Failed);
     }
 
     fn drop_request(self: &Rc<Self>, id: RequestId, answer: Answer) {
         let inner = &mut *self.inner.borrow_mut();
-        if let Some(open) = inner.open.get_mut(&id).filter(|open| open.answer.is_some()) {
-            open.give(answer);
-            if !open.out() {
+        if let Some(open) = inner.open.get_mut(&id).filter(|open| open.response.is_some()) {
+            open.respond(answer);
+            if !open.has_attempts_in_flight() {
                 inner.open.remove(&id);
             }
             self.handle(inner, Event::ClientGone { id });
         }
     }
 
-    /// Fails all that is open, when the program has to end.
+    /// Fails all open requests, at shutdown.
     pub fn leave_all(self: &Rc<Self>) {
         let ids: Vec<_> = self.inner.borrow().open.keys().copied().collect();
         ids.into_iter().for_each(|id| self.leave(id));
     }
 
     fn attempt_ended(
-        self: &Rc<Self>, id: RequestId, attempt: usize, backend: BackendId, took_ms: f64, result: Ended,
-        answer: Option<Answered>,
+        self: &Rc<Self>, id: RequestId, attempt: usize, backend: BackendId, took_ms: f64, result: CallResult,
+        response: Option<AttemptResponse>,
     ) {
         self.ears.attempted(result);
         let inner = &mut *self.inner.borrow_mut();
@@ -523,23 +544,23 @@
         open.attempts[attempt] = None;
         let mut units = None;
         open.course.ran |= !result.never_ran();
-        match answer {
-            Some(Answered { head, body: Some((body, part)), .. }) if result == Ended::Ok => {
-                // One that comes when the client has gone settles nothing.
-                units = head.units.filter(|_| open.answer.is_some());
-                open.failure = None;
-                open.give(Answer::Served { head, content: Content::Whole { bytes: body, _part: part } });
+        match response {
+            Some(AttemptResponse { head, body: Some((body, memory)), .. }) if result == CallResult::Ok => {
+                // The charged units count only for the final response.
+                units = head.units.filter(|_| open.response.is_some());
+                open.error_response = None;
+                open.respond(Answer::Served { head, content: Content::Whole { bytes: body, _part: memory } });
             }
-            Some(Answered { head, .. }) if result == Ended::Ok => units = head.units,
-            Some(Answered { head, body: Some((body, part)), .. })
-                if result == Ended::Error && self.speech.passes_failures() =>
+            Some(AttemptResponse { head, .. }) if result == CallResult::Ok => units = head.units,
+            Some(AttemptResponse { head, body: Some((body, memory)), .. })
+                if result == CallResult::Error && self.speech.passes_failures() =>
             {
-                open.failure = Some((head, Content::Whole { bytes: body, _part: part }));
+                open.error_response = Some((head, Content::Whole { bytes: body, _part: memory }));
             }
             _ => {}
         }
-        let ended = open.answer.is_none();
-        if ended && !open.out() {
+        let is_final = open.response.is_none();
+        if is_final && !open.has_attempts_in_flight() {
             inner.open.remove(&id);
         }
         let outcome = Outcome {
@@ -547,7 +568,7 @@
             attempt: attempt as u8,
             backend,
             result,
-            is_final: ended,
+            is_final,
             units,
             took_ms,
             load: Load::default(),
@@ -555,106 +576,107 @@
         self.handle(inner, Event::Outcome(outcome));
     }
 
-    /// A call to the counter has ended.
+    /// A call to the quota counter ended.
     pub fn counted(self: &Rc<Self>, counted: Counted) {
         let Counted { name, result, total, took_ms } = counted;
         self.ears.called(result);
         self.handle(&mut self.inner.borrow_mut(), Event::Counted { name, result, total, took_ms });
     }
 
-    /// A message from another gateway came in.
+    /// A message from another gateway was received.
     pub fn message(self: &Rc<Self>, from: u32, body: Vec<u8>) {
         self.handle(&mut self.inner.borrow_mut(), Event::Message { from, body });
     }
 
-    /// Membership tells how many gateways are present, and whether they are a majority.
+    /// Membership changed: the number of gateways present, and whether they are a majority.
     pub fn gateways(self: &Rc<Self>, present: u32, majority: bool) {
         self.handle(&mut self.inner.borrow_mut(), Event::Gateways { present, majority });
     }
 
-    /// The module's clock now, in ms.
+    /// The decision module's current time, in ms.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// Discovery told the list, or what changed in it.
-    pub fn list(self: &Rc<Self>, full: bool, told: Vec<Told>) {
+    /// Applies the full backend list from discovery, or changes to it.
+    pub fn list(self: &Rc<Self>, full: bool, backends: Vec<Told>) {
         let inner = &mut *self.inner.borrow_mut();
-        let mut entries = Vec::with_capacity(told.len());
-        for Told { name, addr, listed } in told {
-            let id = number(&mut inner.numbers, &name);
+        let mut entries = Vec::with_capacity(backends.len());
+        for Told { name, addr, listed } in backends {
+            let id = backend_id(&mut inner.ids, &name);
             let state = listed.state;
             entries.push(BackendEntry { id, ..listed });
             match addr {
                 Some(addr) if state != BackendState::Gone => {
-                    let moved = inner.fleet.insert(id, Known { addr, state, name: name.into() });
-                    if moved.is_some_and(|known| known.addr != addr) {
+                    let previous = inner.listed.insert(id, ListedBackend { addr, state, name: name.into() });
+                    if previous.is_some_and(|previous| previous.addr != addr) {
                         self.backends.forget(id);
                     }
                 }
                 _ => {
-                    inner.fleet.remove(&id);
+                    inner.listed.remove(&id);
                     self.backends.forget(id);
                 }
             }
         }
         if full {
-            inner.fleet.retain(|id, _| {
-                let stays = entries.iter().any(|e| e.id == *id);
-                if !stays {
+            inner.listed.retain(|id, _| {
+                let is_listed = entries.iter().any(|entry| entry.id == *id);
+                if !is_listed {
                     self.backends.forget(*id);
                 }
-                stays
+                is_listed
             });
         }
         self.handle(inner, Event::List { full, entries });
     }
 
-    /// Discovery has told what there is to tell by now.
+    /// Discovery is up to date.
     pub fn discovery_heard(&self) {
         self.discovery_heard.set(true);
     }
 
-    /// True once requests can be served: the list is fresh, or discovery is silent, and a backend is ready.
+    /// True once requests can be served: discovery is up to date or has not responded for a second, and a
+    /// backend is ready.
     pub fn ready(&self) -> bool {
-        let told = self.discovery_heard.get() || self.started.elapsed() > Duration::from_secs(1);
-        told && self.inner.borrow().fleet.values().any(|known| known.state == BackendState::Ready)
+        let list_usable = self.discovery_heard.get() || self.started.elapsed() > MAX_DISCOVERY_WAIT;
+        list_usable && self.inner.borrow().listed.values().any(|backend| backend.state == BackendState::Ready)
     }
 
-    /// The name of a backend, as the list gives it. It is looked for: only the log asks.
+    /// The name of a backend, empty if unknown. A linear search; meant for logs.
     pub fn name(&self, backend: BackendId) -> String {
         let inner = self.inner.borrow();
-        let name = inner.numbers.iter().find(|(_, number)| **number == backend).map(|(name, _)| name.clone());
+        let name = inner.ids.iter().find(|(_, id)| **id == backend).map(|(name, _)| name.clone());
         name.unwrap_or_default()
     }
 
-    /// How many backends the list holds, and how many of them are kept from requests.
+    /// The number of listed backends, and of those out of rotation.
     pub fn listed(&self) -> (usize, usize) {
         let inner = self.inner.borrow();
-        (inner.fleet.len(), inner.gateway.out_of_rotation(self.clock.now()))
+        (inner.listed.len(), inner.gateway.out_of_rotation(self.clock.now()))
     }
 
-    /// Takes over other settings. Peers and a counter that the start did not bring stay away.
+    /// Applies new settings. They can't add peers or a counter that were not there at the start.
     pub fn retune(self: &Rc<Self>, mut settings: Settings, connect_ms: f64, idle_ms: f64) {
         self.backends.retune(connect_ms, idle_ms);
         settings.counter = settings.counter.filter(|_| self.calls.is_some());
         settings.limits.peers &= self.tells.is_some();
         self.max_attempts.set(settings.limits.max_attempts as usize);
-        self.second_copies.set(settings.limits.hedging);
+        self.hedging.set(settings.limits.hedging);
         self.handle(&mut self.inner.borrow_mut(), Event::Settings(settings));
     }
 
-    /// The connections to backends.
+    /// The backend connection pool.
     pub fn backends(&self) -> &Backends {
         &self.backends
     }
 
-    /// Closes connections that stood idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self) {
         self.backends.sweep();
     }
 
-    // ---- What is to be done -------------------------------------------------------------------------------
+    // ---- Actions ------------------------------------------------------------------------------------------
 
     fn handle(self: &Rc<Self>, inner: &mut Inner, event: Event) {
         let mut events = VecDeque::from([event]);
@@ -672,29 +694,35 @@
         match action {
             Action::Send { id, backend, timeout_ms } => {
                 if let Some(attempt) = self.send(inner, id, backend, timeout_ms) {
-                    let (result, load) = (Ended::NotSent, Load::default());
-                    let ended = inner.open.get(&id).is_none_or(|open| open.answer.is_none());
-                    let (took_ms, units) = (0.0, None);
-                    let outcome =
-                        Outcome { id, attempt, backend, result, is_final: ended, units, took_ms, load };
+                    let outcome = Outcome {
+                        id,
+                        attempt,
+                        backend,
+                        result: CallResult::NotSent,
+                        is_final: inner.open.get(&id).is_none_or(|open| open.response.is_none()),
+                        units: None,
+                        took_ms: 0.0,
+                        load: Load::default(),
+                    };
                     events.push_back(Event::Outcome(outcome));
                 }
             }
             Action::Cancel { id, attempt } => {
-                let attempt = inner.open.get_mut(&id).and_then(|o| o.attempts.get_mut(attempt as usize));
+                let attempt =
+                    inner.open.get_mut(&id).and_then(|open| open.attempts.get_mut(attempt as usize));
                 if let Some(cancel) = attempt {
-                    // The attempt's task closes the connection, then tells the outcome. The place stays
-                    // taken until then by a sender whose other end is gone.
-                    if let Some(cancel) = cancel.replace(oneshot::channel().0) {
-                        let _ = cancel.send(());
+                    // The attempt's task closes the connection and then reports the outcome. Until then a
+                    // sender without a receiver marks the attempt as in flight.
+                    if let Some(sender) = cancel.replace(oneshot::channel().0) {
+                        let _ = sender.send(());
                     }
                 }
             }
             Action::Refuse { id, retry_after_ms, reason } => {
                 self.ears.refused(reason);
-                give(inner, id, Answer::Refused { retry_after_ms, reason });
+                respond(inner, id, Answer::Refused { retry_after_ms, reason });
             }
-            Action::Fail { id } => give(inner, id, Answer::Failed),
+            Action::Fail { id } => respond(inner, id, Answer::Failed),
             Action::Timer { token, after_ms } => {
                 let driver = self.clone();
                 tokio::task::spawn_local(async move {
@@ -704,23 +732,24 @@
             }
             Action::Probe { backend } => self.probe(inner, backend),
             Action::Count { name, amount, lifetime_ms } => {
-                if let Some(calls) = &self.calls {
-                    calls(Call { name, amount, lifetime_ms, at: Instant::now() });
+                if let Some(call) = &self.calls {
+                    call(Call { name, amount, lifetime_ms, at: Instant::now() });
                 }
             }
-            // The watch on discovery is held open in any case.
+            // The discovery stream is always open.
             Action::Watch => {}
             Action::SendMessage { to, body } => {
-                if let Some(tells) = &self.tells {
-                    tells(to, &body);
+                if let Some(send_message) = &self.tells {
+                    send_message(to, &body);
                 }
             }
             Action::Log { line } => self.ears.told(&line),
         }
     }
 
-    /// Starts an attempt. One that may not be sent is given back with its number: past the attempt limit,
-    /// for a request that has ended, to a backend not listed, out of time, or while another one is out.
+    /// Starts an attempt. Returns its number if it can't be sent: past the attempt limit or the deadline, for
+    /// a request that has ended, to an unlisted backend, without its body, or while another one is in flight
+    /// without hedging.
     fn send(
         self: &Rc<Self>, inner: &mut Inner, id: RequestId, backend: BackendId, timeout_ms: f64,
     ) -> Option<u8> {
@@ -728,15 +757,15 @@
         let number = open.attempts.len();
         let now = Instant::now();
         let timeout = duration(timeout_ms);
-        let until = open.ends.map_or(now + timeout, |ends| ends.min(now + timeout));
-        let known = inner.fleet.get(&backend);
-        let may = open.answer.is_some()
-            && number < self.max_attempts.get().min(open.attempts_most)
-            && until > now
-            // A large body can't be sent again once a part of it was.
+        let attempt_deadline = open.deadline.map_or(now + timeout, |deadline| deadline.min(now + timeout));
+        let listed = inner.listed.get(&backend);
+        let allowed = open.response.is_some()
+            && number < self.max_attempts.get().min(open.max_attempts)
+            && attempt_deadline > now
+            // A streamed body can be sent only once.
             && open.work.more.as_ref().is_none_or(|(more, _)| more.whole())
-            && (self.second_copies.get() || !open.out());
-        let Some(known) = known.filter(|_| may) else {
+            && (self.hedging.get() || !open.has_attempts_in_flight());
+        let Some(listed) = listed.filter(|_| allowed) else {
             open.attempts.push(None);
             return Some(number as u8);
         };
@@ -744,65 +773,73 @@
         open.attempts.push(Some(cancel));
         let sent = open.course.sent.or(Some(now));
         open.course = Course { sent, attempts: number + 1, server: Some(backend), ran: open.course.ran };
-        let since = Cell::new(now);
-        let (work, addr, name) = (open.work.clone(), known.addr, known.name.clone());
-        let sending = Sending { driver: self.clone(), id, number, work, backend: name, timeout, since };
+        let addr = listed.addr;
+        let attempt = RequestAttempt {
+            driver: self.clone(),
+            id,
+            number,
+            work: open.work.clone(),
+            backend_name: listed.name.clone(),
+            timeout,
+            started: Cell::new(now),
+        };
         tokio::task::spawn_local(async move {
-            let driver = &sending.driver;
-            let (result, answer) = tokio::select! {
+            let driver = &attempt.driver;
+            let (result, response) = tokio::select! {
                 biased;
-                ended = driver.backends.attempt(backend, addr, &sending, until) => ended,
-                // Dropping the attempt closes its connection.
-                _ = &mut cancelled => (Ended::Cancelled, None),
+                ended = driver.backends.attempt(backend, addr, &attempt, attempt_deadline) => ended,
+                // Dropping the attempt's future closes its connection.
+                _ = &mut cancelled => (CallResult::Cancelled, None),
             };
-            let took = answer.as_ref().filter(|answer| answer.body.is_none()).map(|answer| answer.took);
-            let took_ms = took.unwrap_or_else(|| sending.since.get().elapsed()).as_secs_f64() * 1000.0;
-            driver.attempt_ended(id, number, backend, took_ms, result, answer);
+            let streamed = response.as_ref().filter(|response| response.body.is_none());
+            let took = streamed.map(|response| response.took);
+            let took_ms = took.unwrap_or_else(|| attempt.started.get().elapsed()).as_secs_f64() * 1000.0;
+            driver.attempt_ended(id, number, backend, took_ms, result, response);
         });
         None
     }
 
     fn probe(self: &Rc<Self>, inner: &Inner, backend: BackendId) {
-        let Some(addr) = inner.fleet.get(&backend).map(|known| known.addr) else { return };
+        let Some(addr) = inner.listed.get(&backend).map(|listed| listed.addr) else { return };
         let driver = self.clone();
         tokio::task::spawn_local(async move {
-            let now = Instant::now();
+            let start = Instant::now();
             let request = format!("GET /health/live HTTP/1.1\r\nHost: {addr}\r\n\r\n");
-            let probing = Probing(request, driver.speech.clone());
-            let until = now + driver.backends.connect_time();
-            let (result, _) = driver.backends.attempt(backend, addr, &probing, until).await;
-            let took_ms = now.elapsed().as_secs_f64() * 1000.0;
+            let attempt = ProbeAttempt { request, speech: driver.speech.clone() };
+            let deadline = start + driver.backends.connect_time();
+            let (result, _) = driver.backends.attempt(backend, addr, &attempt, deadline).await;
+            let took_ms = start.elapsed().as_secs_f64() * 1000.0;
             let event = Event::Probed { backend, result, took_ms, load: Load::default() };
             driver.handle(&mut driver.inner.borrow_mut(), event);
         });
     }
 }
 
-fn give(inner: &mut Inner, id: RequestId, answer: Answer) {
+fn respond(inner: &mut Inner, id: RequestId, answer: Answer) {
     if let Some(open) = inner.open.get_mut(&id) {
-        open.give(answer);
-        if !open.out() {
+        open.respond(answer);
+        if !open.has_attempts_in_flight() {
             inner.open.remove(&id);
         }
     }
 }
 
-/// Milliseconds of the module, which may be negative or huge.
+/// Converts milliseconds from the decision module, which may be negative or huge, with a limit of a day.
 fn duration(ms: f64) -> Duration {
     Duration::from_secs_f64((ms / 1000.0).clamp(0.0, 86_400.0))
 }
 
-/// The module's number of a backend: from its name alone, so that it is the same after a restart.
-fn number(numbers: &mut HashMap<String, BackendId>, name: &str) -> BackendId {
-    if let Some(id) = numbers.get(name) {
+/// The id of a backend. Derived from its name, so that it stays the same after a restart.
+fn backend_id(ids: &mut HashMap<String, BackendId>, name: &str) -> BackendId {
+    if let Some(id) = ids.get(name) {
         return *id;
     }
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     let mut id = hasher.finish() as BackendId;
-    while numbers.values().any(|taken| *taken == id) {
+    while ids.values().any(|taken| *taken == id) {
         id = id.wrapping_add(1);
     }
-    numbers.insert(name.to_owned(), id);
+    ids.insert(name.to_owned(), id);
     id
 }
--- a/src/plane/exchange.rs
+++ b/src/plane/exchange.rs
@@ -1,79 +1,77 @@
-//! One try of a request on one connection: where both stand, and what that says of another try. No socket, no clock.
+//! State machine of one attempt on one connection, without I/O or a clock.
 //!
-//! A try goes forward alone; so does what is known of its connection. What a break, a silence or an answer means is
-//! read off the pair by [`Exchange::says`], and whether the connection may carry another request by
-//! [`Exchange::sound`]. `docs/system/exchange.md` has the same as a table.
+//! The stage of the attempt and the state of its connection only move forward. Together they decide how a
+//! failure is classified ([`Exchange::says`]) and whether the connection may be reused ([`Exchange::sound`]).
 
 use crate::CallResult as Ended;
 use std::time::Duration;
 
-/// Where a try stands.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nothing is written.
+    /// Nothing has been written.
     Unwritten,
-    /// A part of its head is written: nobody can know what it asks.
+    /// The head is partly written, so the backend cannot execute the request.
     Head,
-    /// Its head is written, a part of its body is not.
+    /// The head is written, the body is not complete.
     Body,
-    /// All of it is written. It may lie in a buffer, and run when nobody waits for it any more.
+    /// The request is written. It may still be executed after the client has stopped waiting.
     Written,
-    /// The head of its own answer has come.
+    /// The head of its response was received.
     Answering,
-    /// Its own answer has come whole.
+    /// Its response was received completely.
     Answered,
-    /// It is over.
+    /// The attempt has ended.
     Over,
 }
 
-/// What is known of a connection.
+/// State of the connection that carries an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Line {
-    /// Nothing was sent on it before.
+    /// Newly opened.
     Fresh,
-    /// It has carried requests, each with its answer, and stood idle.
+    /// Taken from the idle pool after complete exchanges.
     Rested,
-    /// Something came on it that this try did not ask for, or something of this try is still to come: it carries no
-    /// other one.
+    /// Not reusable: it carried unexpected bytes, or part of this exchange is outstanding.
     Poisoned,
 }
 
-/// What happens to a try. One that is late or out of order changes nothing but the connection, which it poisons.
+/// An event of an attempt. One that is late or out of order only makes the connection unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Happened {
-    /// Bytes were written; whether its head is whole by that, and all of it.
+    /// Bytes of the request were written.
     Wrote {
-        /// Its head is whole.
+        /// The head is complete.
         head: bool,
-        /// All is.
+        /// The whole request is complete.
         all: bool,
     },
-    /// An answer came that is not its own.
+    /// A response to another request was received.
     Surplus,
-    /// The head of its own answer came, and whether the connection stays open after it.
+    /// The head of its own response was received.
     Own {
-        /// It stays.
+        /// The connection stays open after the response.
         stays: bool,
     },
-    /// The answer's last byte came, and whether more follows it.
+    /// The last byte of the response was received.
     Whole {
-        /// More does.
+        /// Further bytes follow it.
         more: bool,
     },
-    /// It ends where it stands.
+    /// The attempt ended at its current stage.
     End,
 }
 
-/// How a try ends without a whole answer.
+/// Why an attempt ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The connection was reset or closed, or what came on it is no answer.
+    /// The connection was reset or closed, or an invalid response was received.
     Broken,
-    /// Its time is up.
+    /// The attempt timed out.
     Silent,
 }
 
-/// One try on one connection.
+/// One attempt on one connection.
 #[derive(Debug)]
 pub struct Exchange {
     stage: Stage,
@@ -81,35 +79,35 @@
 }
 
 impl Exchange {
-    /// A try that has a connection now.
+    /// An attempt on a connection that is new, or `rested` if it comes from the idle pool.
     pub fn new(rested: bool) -> Self {
         Exchange { stage: Stage::Unwritten, line: if rested { Line::Rested } else { Line::Fresh } }
     }
 
-    /// Where it stands.
+    /// Current stage of the attempt.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// What is known of its connection.
+    /// Current state of the connection.
     pub fn line(&self) -> Line {
         self.line
     }
 
-    /// The one function that changes it.
+    /// Applies an event; the only function that changes the state.
     pub fn step(&mut self, happened: Happened) {
         use Stage::*;
         let (stage, poisons) = match (self.stage, happened) {
             (Unwritten | Head | Body, Happened::Wrote { all: true, .. }) => (Written, false),
             (Unwritten | Head | Body, Happened::Wrote { head: true, .. }) => (Body, false),
             (Unwritten | Head, Happened::Wrote { .. }) => (Head, false),
-            // An answer that did not wait for the whole request: what is unwritten stays so.
+            // An early response: the rest of the request is never written.
             (Unwritten | Head | Body, Happened::Own { .. }) => (Answering, true),
             (Written, Happened::Own { stays }) => (Answering, !stays),
             (Answering, Happened::Whole { more }) => (Answered, more),
             (at, Happened::Surplus) => (at, true),
             (at, Happened::End) => (Over, at != Answered),
-            // Written after an answer began, or an answer out of turn.
+            // A write after the response began, or a response out of order.
             (at, Happened::Wrote { .. } | Happened::Own { .. } | Happened::Whole { .. }) => (at, true),
         };
         self.stage = stage;
@@ -118,8 +116,8 @@
         }
     }
 
-    /// What an end without a whole answer says of the try. Where backends may begin with the head alone, a part of the
-    /// body unwritten proves nothing.
+    /// Classifies a failure of the attempt. With `begins_early`, backends may start on an incomplete body, so
+    /// an unwritten rest does not prove that the request was not executed.
     pub fn says(&self, end: End, begins_early: bool) -> Ended {
         match (self.stage, end) {
             (Stage::Unwritten | Stage::Head, _) => Ended::ConnectFailed,
@@ -129,30 +127,31 @@
         }
     }
 
-    /// Whether the connection may carry another request: all of this one was written, its own answer came whole, and
-    /// nothing besides.
+    /// Whether the connection may be reused: the request was fully written, its response fully received, and
+    /// nothing else arrived.
     pub fn sound(&self) -> bool {
         self.stage == Stage::Answered && self.line != Line::Poisoned
     }
 }
 
-/// A connection that stands idle, as it is looked at before it is used again.
+/// Observations about an idle connection, checked before it is reused.
 #[derive(Clone, Copy, Debug)]
 pub struct Idle {
-    /// Bytes lie on it, or its end: nobody asked for either.
+    /// Unrequested bytes or an end of stream are pending on it.
     pub stirred: bool,
-    /// It has rested for so long.
+    /// Time since its last use.
     pub rested: Duration,
-    /// And may for so long.
+    /// Maximum idle time.
     pub limit: Duration,
-    /// Its backend has another address now.
+    /// The backend's address has changed since it was opened.
     pub moved: bool,
-    /// The last request on it had the same name: a second answer to that one would pass for this one's.
+    /// Its last request had the same id, so a duplicate response to that one could be mistaken for this
+    /// one's.
     pub twin: bool,
 }
 
 impl Idle {
-    /// Whether it may be used.
+    /// Whether the connection may be reused.
     pub fn sound(&self) -> bool {
         !self.stirred && !self.moved && !self.twin && self.rested < self.limit
     }
--- a/src/plane/http.rs
+++ b/src/plane/http.rs
@@ -1,106 +1,117 @@
-//! Reads HTTP/1.1 answers from backends, the counter and discovery: heads by httparse, bodies by their framing.
+//! HTTP/1.1 response reader for backends, the counter and discovery. Heads are parsed by httparse.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::io::{self, ErrorKind};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Largest head or chunk line of an answer.
-const HEAD_MOST: usize = 16 * 1024;
+/// Maximum size of a response head, of a chunk-size line or of the trailers.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Most lines of a head.
-const HEADERS: usize = 64;
+/// Maximum number of headers.
+const MAX_HEADERS: usize = 64;
 
-/// Lines that tell where an answer ends and what follows it.
-const FRAMING: [&str; 3] = ["content-length", "transfer-encoding", "connection"];
+/// Headers that determine where a response ends and whether the connection stays open.
+const FRAMING_HEADERS: [&str; 3] = ["content-length", "transfer-encoding", "connection"];
 
-/// Most heads before an answer's own, such as «continue».
-const BEFORE_MOST: usize = 8;
+/// Maximum number of interim (1xx) responses before a final one.
+const MAX_INTERIM_RESPONSES: usize = 8;
 
-/// Room for one read: a usual answer fits in.
-const READ: usize = 2048;
-/// And in a large body, where each read is a call to the system.
-const READ_LARGE: usize = 32 * 1024;
+/// Read buffer size; holds a typical response.
+const READ_BYTES: usize = 2048;
+/// Maximum read buffer size within a large body, to save system calls.
+const MAX_READ_BYTES: usize = 32 * 1024;
 
-/// What the gateway needs of an answer's head.
+/// The head of a response.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// The body's length, where the head tells.
+    /// Length of the body, if the head gives it.
     pub length: Option<u64>,
-    /// The connection may carry another request.
+    /// The connection stays open after the response.
     pub keep: bool,
-    /// The backend says that the request never ran.
+    /// The backend states that the request was not executed.
     pub turned_away: bool,
-    /// The request's true units.
+    /// Units that the backend charged for the request.
     pub units: Option<f64>,
-    /// The body's type.
+    /// Media type of the body.
     pub content_type: Option<Bytes>,
-    /// The head as it came.
+    /// The unparsed head.
     pub raw: Bytes,
 }
 
-/// What is left of the body that is being read.
-enum Left {
+/// Parser state of the body that is being read.
+enum BodyState {
+    /// Bytes left of a body with a content length.
     Length(u64),
-    /// The line that begins a chunk.
-    Chunk,
-    /// What is left of a chunk, and the end of its line.
-    InChunk(u64),
+    ChunkSize,
+    /// Bytes left of the current chunk.
+    ChunkData(u64),
     ChunkEnd,
     Trailers,
-    Close,
+    /// The body ends when the connection is closed.
+    UntilClose,
     Done,
 }
 
-/// One connection's answers. All state is kept here, so that a read that is dropped loses nothing.
+/// Reads the responses of one connection. Its methods are cancel-safe: dropping their futures loses no data.
 pub struct Reader<R> {
-    /// The connection.
+    /// The underlying connection.
     pub io: R,
     buf: BytesMut,
-    left: Left,
+    state: BodyState,
     head: Option<Head>,
     body: BytesMut,
-    bodiless: bool,
+    no_body: bool,
 }
 
-fn bad(message: &str) -> io::Error {
+fn invalid(message: &str) -> io::Error {
     io::Error::new(ErrorKind::InvalidData, message)
 }
 
+fn bad_chunk() -> io::Error {
+    invalid("invalid response: malformed chunk")
+}
+
+fn no_head() -> io::Error {
+    invalid("no response head was read")
+}
+
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// Nothing has come yet.
+    /// A reader of a connection on which nothing has been received.
     pub fn new(io: R) -> Self {
         Reader {
             io,
             buf: BytesMut::new(),
-            left: Left::Done,
+            state: BodyState::Done,
             head: None,
             body: BytesMut::new(),
-            bodiless: false,
+            no_body: false,
         }
     }
 
-    /// Whether the next answer is to a HEAD, and so without a body whatever its head tells.
-    pub fn expect_no_body(&mut self, none: bool) {
-        self.bodiless = none;
+    /// Sets whether the next response is to a HEAD request and thus has no body, whatever its headers say.
+    pub fn expect_no_body(&mut self, no_body: bool) {
+        self.no_body = no_body;
     }
 
-    /// True if bytes lie here that no request asked for.
+    /// True if unparsed bytes are buffered; after a complete response these are unrequested.
     pub fn has_more(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// True if part of an answer has come.
+    /// True if part of a response has been received.
     pub fn begun(&self) -> bool {
         self.head.is_some() || self.has_more()
     }
 
     async fn fill(&mut self) -> io::Result<()> {
-        // Left to itself the buffer grows by 64 bytes, and each is a call to the system.
-        self.buf.reserve(match self.left {
-            Left::Length(left) | Left::InChunk(left) => (left as usize).clamp(READ, READ_LARGE),
-            _ => READ,
+        // By default the buffer would grow by only 64 bytes per system call.
+        self.buf.reserve(match self.state {
+            BodyState::Length(left) | BodyState::ChunkData(left) => {
+                (left as usize).clamp(READ_BYTES, MAX_READ_BYTES)
+            }
+            _ => READ_BYTES,
         });
         match self.io.read_buf(&mut self.buf).await? {
             0 => Err(ErrorKind::UnexpectedEof.into()),
@@ -108,109 +119,118 @@
         }
     }
 
-    /// The next answer's head; its body follows by `piece`.
+    /// Reads the head of the next response; the body follows by `piece`.
     pub async fn head(&mut self) -> io::Result<Head> {
-        let mut before = 0;
+        let mut interim_responses = 0;
         loop {
-            if let Some((mut head, left, used)) = parse_head(&self.buf, self.bodiless)? {
+            if let Some((mut head, state, used)) = parse_head(&self.buf, self.no_body)? {
                 if head.status < 200 {
-                    before += 1;
-                    // What follows a change of protocol is no answer.
-                    if head.status == 101 || before > BEFORE_MOST {
-                        return Err(bad("no answer that was asked for"));
+                    interim_responses += 1;
+                    // After a protocol switch, the following bytes are not HTTP.
+                    if head.status == 101 || interim_responses > MAX_INTERIM_RESPONSES {
+                        return Err(invalid("invalid response: unexpected interim response"));
                     }
                     self.buf.advance(used);
                     continue;
                 }
                 head.raw = self.buf.split_to(used).freeze();
-                self.left = left;
+                self.state = state;
                 return Ok(head);
             }
-            if self.buf.len() > HEAD_MOST {
-                return Err(bad("head too long"));
+            if self.buf.len() > MAX_HEAD_BYTES {
+                return Err(invalid("invalid response: head too long"));
             }
             self.fill().await?;
         }
     }
 
-    /// The next bytes of the body, `None` at its proper end. A body that ends too early is an error.
+    /// Reads the next bytes of the body; `None` at its end. A truncated body is an error.
     pub async fn piece(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            match self.left {
-                Left::Done | Left::Length(0) => return Ok(None),
-                Left::Length(left) | Left::InChunk(left) if !self.buf.is_empty() => {
-                    let piece = self.buf.split_to((left.min(READ_LARGE as u64) as usize).min(self.buf.len()));
-                    let rest = left - piece.len() as u64;
-                    self.left = match self.left {
-                        Left::Length(_) => Left::Length(rest),
-                        _ if rest == 0 => Left::ChunkEnd,
-                        _ => Left::InChunk(rest),
+            match self.state {
+                BodyState::Done | BodyState::Length(0) => return Ok(None),
+                BodyState::Length(left) | BodyState::ChunkData(left) if !self.buf.is_empty() => {
+                    let data =
+                        self.buf.split_to((left.min(MAX_READ_BYTES as u64) as usize).min(self.buf.len()));
+                    let rest = left - data.len() as u64;
+                    self.state = match self.state {
+                        BodyState::Length(_) => BodyState::Length(rest),
+                        _ if rest == 0 => BodyState::ChunkEnd,
+                        _ => BodyState::ChunkData(rest),
                     };
-                    return Ok(Some(piece.freeze()));
+                    return Ok(Some(data.freeze()));
                 }
-                Left::Chunk => match httparse::parse_chunk_size(&self.buf).map_err(|_| bad("bad chunk"))? {
-                    // A line without a number reads as nought, which would end the body; and who takes a lone LF for a
-                    // line's end sees other chunks.
-                    httparse::Status::Complete((used, _)) if !chunk_line(&self.buf[..used]) => {
-                        return Err(bad("bad chunk"));
+                BodyState::ChunkSize => match httparse::parse_chunk_size(&self.buf)
+                    .map_err(|_| bad_chunk())?
+                {
+                    // httparse reads a line without digits as size zero, which would end the body, and
+                    // accepts a bare LF, which other parsers frame differently.
+                    httparse::Status::Complete((used, _)) if !is_strict_chunk_line(&self.buf[..used]) => {
+                        return Err(bad_chunk());
                     }
                     httparse::Status::Complete((used, 0)) => {
                         self.buf.advance(used);
-                        self.left = Left::Trailers;
+                        self.state = BodyState::Trailers;
                         continue;
                     }
                     httparse::Status::Complete((used, size)) => {
                         self.buf.advance(used);
-                        self.left = Left::InChunk(size);
+                        self.state = BodyState::ChunkData(size);
                         continue;
                     }
-                    httparse::Status::Partial if self.buf.len() > HEAD_MOST => return Err(bad("bad chunk")),
+                    httparse::Status::Partial if self.buf.len() > MAX_HEAD_BYTES => return Err(bad_chunk()),
                     httparse::Status::Partial => {}
                 },
-                Left::ChunkEnd if self.buf.len() >= 2 => {
+                BodyState::ChunkEnd if self.buf.len() >= 2 => {
                     if &self.buf.split_to(2)[..] != b"\r\n" {
-                        return Err(bad("bad chunk"));
+                        return Err(bad_chunk());
                     }
-                    self.left = Left::Chunk;
+                    self.state = BodyState::ChunkSize;
                     continue;
                 }
-                Left::Trailers => {
+                BodyState::Trailers => {
                     if let Some(end) = self.buf.windows(2).position(|w| w == b"\r\n") {
                         if self.buf[..end].contains(&b'\n') {
-                            return Err(bad("bad trailer"));
+                            return Err(invalid("invalid response: bare LF in the trailers"));
                         }
                         self.buf.advance(end + 2);
                         if end == 0 {
-                            self.left = Left::Done;
+                            self.state = BodyState::Done;
                         }
                         continue;
                     }
-                    if self.buf.len() > HEAD_MOST {
-                        return Err(bad("trailer too long"));
+                    if self.buf.len() > MAX_HEAD_BYTES {
+                        return Err(invalid("invalid response: trailers too long"));
                     }
                 }
-                Left::Close if !self.buf.is_empty() => return Ok(Some(self.buf.split().freeze())),
-                Left::Length(_) | Left::InChunk(_) | Left::ChunkEnd | Left::Close => {}
+                BodyState::UntilClose if !self.buf.is_empty() => return Ok(Some(self.buf.split().freeze())),
+                BodyState::Length(_)
+                | BodyState::ChunkData(_)
+                | BodyState::ChunkEnd
+                | BodyState::UntilClose => {}
             }
             match self.fill().await {
-                Err(e) if e.kind() == ErrorKind::UnexpectedEof && matches!(self.left, Left::Close) => {
-                    self.left = Left::Done;
+                Err(e)
+                    if e.kind() == ErrorKind::UnexpectedEof
+                        && matches!(self.state, BodyState::UntilClose) =>
+                {
+                    self.state = BodyState::Done;
                 }
                 other => other?,
             }
         }
     }
 
-    /// A whole answer of at most `most` bytes.
-    pub async fn answer(&mut self, most: usize) -> io::Result<(Head, Bytes)> {
+    /// Reads a complete response whose body has at most `max` bytes.
+    pub async fn answer(&mut self, max: usize) -> io::Result<(Head, Bytes)> {
         self.peek_head().await?;
-        match self.held(most).await? {
-            Some(body) => Ok((self.head.take().ok_or_else(|| bad("no head"))?, body)),
-            None => Err(bad("body too long")),
+        match self.held(max).await? {
+            Some(body) => Ok((self.head.take().ok_or_else(no_head)?, body)),
+            None => Err(invalid("invalid response: body too long")),
         }
     }
 
-    /// The next answer's head, which `answer` or `take_head` still gives.
+    /// Reads the head of the next response without taking it.
     pub async fn peek_head(&mut self) -> io::Result<&Head> {
         let head = match self.head.take() {
             Some(head) => head,
@@ -219,36 +239,37 @@
         Ok(self.head.insert(head))
     }
 
-    /// The head that was peeked at.
+    /// Takes the head read by `peek_head`.
     pub fn take_head(&mut self) -> io::Result<Head> {
-        self.head.take().ok_or_else(|| bad("no head"))
+        self.head.take().ok_or_else(no_head)
     }
 
-    /// The whole body, if it has at most `most` bytes. Else what has come of it is left for `held_so_far`.
-    pub async fn held(&mut self, most: usize) -> io::Result<Option<Bytes>> {
-        while let Some(piece) = self.piece().await? {
-            self.body.extend_from_slice(&piece);
-            if self.body.len() > most {
+    /// Reads the complete body. Returns `None` if it exceeds `max` bytes; the bytes read are left for
+    /// `held_so_far`.
+    pub async fn held(&mut self, max: usize) -> io::Result<Option<Bytes>> {
+        while let Some(data) = self.piece().await? {
+            self.body.extend_from_slice(&data);
+            if self.body.len() > max {
                 return Ok(None);
             }
         }
         Ok(Some(self.body.split().freeze()))
     }
 
-    /// What `held` took in of a body that is not whole.
+    /// Takes the bytes that `held` has read of an incomplete body.
     pub fn held_so_far(&mut self) -> Bytes {
         self.body.split().freeze()
     }
 }
 
 impl Head {
-    /// The lines of the head, in order.
-    pub fn each(&self, mut line: impl FnMut(&str, &[u8])) {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    /// Calls `visit` with the name and value of each header, in order.
+    pub fn each(&self, mut visit: impl FnMut(&str, &[u8])) {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        // It was parsed once already.
+        // The head was parsed successfully before.
         if parser().parse_response(&mut response, &self.raw).is_ok() {
-            response.headers.iter().for_each(|header| line(header.name, header.value));
+            response.headers.iter().for_each(|header| visit(header.name, header.value));
         }
     }
 }
@@ -259,63 +280,63 @@
     parser
 }
 
-/// Whether a head has a line's end that not everyone takes for one: an LF without its CR. An empty line before it is
-/// none of it.
+/// Whether a head contains an LF without a CR, or starts with an empty line. Parsers disagree on both.
 pub fn lone_end(head: &[u8]) -> bool {
-    let mut before = 0;
-    head.iter().any(|byte| std::mem::replace(&mut before, *byte) != b'\r' && *byte == b'\n')
+    let mut previous = 0;
+    head.iter().any(|byte| std::mem::replace(&mut previous, *byte) != b'\r' && *byte == b'\n')
         || matches!(head, [b'\r' | b'\n', ..])
 }
 
-/// Whether a second answer begins inside a head: what was left of a surplus one, and right behind it the answer that is due,
-/// would pass for one with the status of the first and the name of the second.
-fn glued(head: &[u8]) -> bool {
-    let begins = |from: &[u8]| {
+/// Whether a status line occurs inside a head. A truncated unexpected response followed by the expected one
+/// would otherwise be read as one response with the status of the first and the request id of the second.
+fn has_embedded_status_line(head: &[u8]) -> bool {
+    let starts_response = |from: &[u8]| {
         matches!(from, [b'H', b'T', b'T', b'P', b'/', b'1', b'.', _, b' ', status @ ..]
             if status.len() >= 3 && status[..3].iter().all(u8::is_ascii_digit))
     };
-    (1..head.len()).any(|at| head[at] == b'H' && begins(&head[at..]))
+    (1..head.len()).any(|at| head[at] == b'H' && starts_response(&head[at..]))
 }
 
-/// Whether a line that tells where an answer ends goes on in the next one: some read that, and others do not.
-fn folded(head: &[u8]) -> bool {
-    let folds = |line: &[u8]| matches!(line, [b' ' | b'\t', ..]);
-    if !head.windows(2).any(|pair| pair[0] == b'\n' && folds(&pair[1..])) {
+/// Whether a framing header is folded over several lines, which not all parsers support.
+fn has_folded_framing_header(head: &[u8]) -> bool {
+    let is_continuation = |line: &[u8]| matches!(line, [b' ' | b'\t', ..]);
+    if !head.windows(2).any(|pair| pair[0] == b'\n' && is_continuation(&pair[1..])) {
         return false;
     }
     let mut framing = false;
     head.split(|byte| *byte == b'\n').any(|line| {
-        if folds(line) {
+        if is_continuation(line) {
             return framing;
         }
         let name = line.split(|byte| *byte == b':').next().unwrap_or_default();
-        framing = FRAMING.iter().any(|of| name.eq_ignore_ascii_case(of.as_bytes()));
+        framing = FRAMING_HEADERS.iter().any(|header| name.eq_ignore_ascii_case(header.as_bytes()));
         false
     })
 }
 
-/// Whether a chunk's first line begins with a digit of its length and ends where anyone sees it end.
-fn chunk_line(line: &[u8]) -> bool {
+/// Whether a chunk-size line starts with a hex digit and contains no bare CR or LF.
+fn is_strict_chunk_line(line: &[u8]) -> bool {
     let text = line.strip_suffix(b"\r\n").unwrap_or(line);
     text.first().is_some_and(u8::is_ascii_hexdigit) && !text.iter().any(|b| matches!(b, b'\r' | b'\n'))
 }
 
-fn parse_head(buf: &[u8], bodiless: bool) -> io::Result<Option<(Head, Left, usize)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+/// Parses a head; returns it with the state for its body and its length, or `None` if it is incomplete.
+fn parse_head(buf: &[u8], no_body: bool) -> io::Result<Option<(Head, BodyState, usize)>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let used = match parser().parse_response(&mut response, buf) {
         Ok(httparse::Status::Complete(used)) => used,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(bad("no HTTP answer")),
+        Err(_) => return Err(invalid("invalid response: malformed head")),
     };
     if lone_end(&buf[..used]) {
-        return Err(bad("a lone LF, or a line before the answer"));
+        return Err(invalid("invalid response: bare LF or leading empty line"));
     }
-    if glued(&buf[..used]) {
-        return Err(bad("an answer in another's head"));
+    if has_embedded_status_line(&buf[..used]) {
+        return Err(invalid("invalid response: status line inside the head"));
     }
-    if folded(&buf[..used]) {
-        return Err(bad("framing over several lines"));
+    if has_folded_framing_header(&buf[..used]) {
+        return Err(invalid("invalid response: folded framing header"));
     }
     let status = response.code.unwrap_or(0);
     let mut head = Head {
@@ -327,52 +348,53 @@
         content_type: None,
         raw: Bytes::new(),
     };
-    let (mut length, mut chunked) = (None, false);
+    let (mut content_length, mut chunked) = (None, false);
     for header in response.headers.iter() {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
-        let named = |name: &str| header.name.eq_ignore_ascii_case(name);
-        if named("content-length") {
-            // A sign is no digit, though it parses.
+        let is = |name: &str| header.name.eq_ignore_ascii_case(name);
+        if is("content-length") {
+            // `parse` alone would accept a leading plus sign.
             let digits = Some(value).filter(|value| value.bytes().all(|b| b.is_ascii_digit()));
-            let value =
-                digits.and_then(|v| v.parse::<u64>().ok()).ok_or_else(|| bad("bad content length"))?;
-            if length.is_some_and(|l| l != value) {
-                return Err(bad("two content lengths"));
+            let value = digits
+                .and_then(|digits| digits.parse::<u64>().ok())
+                .ok_or_else(|| invalid("invalid response: malformed content length"))?;
+            if content_length.is_some_and(|other| other != value) {
+                return Err(invalid("invalid response: conflicting content lengths"));
             }
-            length = Some(value);
-        } else if named("transfer-encoding") {
+            content_length = Some(value);
+        } else if is("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") || chunked || response.version != Some(1) {
-                return Err(bad("unknown transfer encoding"));
+                return Err(invalid("invalid response: unsupported transfer encoding"));
             }
             chunked = true;
-        } else if named("connection") {
-            for word in value.split(',').map(str::trim) {
-                head.keep &= !word.eq_ignore_ascii_case("close");
-                head.keep |= word.eq_ignore_ascii_case("keep-alive");
+        } else if is("connection") {
+            for option in value.split(',').map(str::trim) {
+                head.keep &= !option.eq_ignore_ascii_case("close");
+                head.keep |= option.eq_ignore_ascii_case("keep-alive");
             }
-        } else if named("x-turned-away") {
+        } else if is("x-turned-away") {
             head.turned_away = value == "1";
-        } else if named("x-units-charged") {
+        } else if is("x-units-charged") {
             head.units = value.parse().ok().filter(|units: &f64| units.is_finite() && *units >= 0.0);
-        } else if named("content-type") {
+        } else if is("content-type") {
             head.content_type = Some(Bytes::copy_from_slice(header.value));
         }
     }
-    if chunked && length.is_some() {
-        return Err(bad("a content length and chunks"));
+    if chunked && content_length.is_some() {
+        return Err(invalid("invalid response: both content length and chunked encoding"));
     }
-    let left = match (status, chunked, length) {
-        _ if bodiless => Left::Done,
-        (100..=199 | 204 | 304, ..) => Left::Done,
-        (_, true, _) => Left::Chunk,
-        (_, _, Some(length)) => Left::Length(length),
+    let state = match (status, chunked, content_length) {
+        _ if no_body => BodyState::Done,
+        (100..=199 | 204 | 304, ..) => BodyState::Done,
+        (_, true, _) => BodyState::ChunkSize,
+        (_, _, Some(length)) => BodyState::Length(length),
         _ => {
             head.keep = false;
-            Left::Close
+            BodyState::UntilClose
         }
     };
-    if let Left::Length(length) = left {
+    if let BodyState::Length(length) = state {
         head.length = Some(length);
     }
-    Ok(Some((head, left, used)))
+    Ok(Some((head, state, used)))
 }
--- a/src/plane/idle.rs
+++ b/src/plane/idle.rs
@@ -1,83 +1,101 @@
-//! How long a connection may stand idle and still be used: learned from those that broke.
+//! Adaptive limit of how long a connection may stay idle and still be reused, learned from failed reuses.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Least limit: below it a connection is as good as in use.
-const LEAST: Duration = Duration::from_millis(10);
-/// The limit doubles in this time, up to the most: what cut idle connections may have gone, and a break by
-/// chance must not cost new connections for long.
-const DOUBLES: Duration = Duration::from_secs(5);
-/// Idle times are told apart in so many steps: below the least, and each up to twice the one before.
-const STEPS: usize = 12;
-/// What was counted is forgotten at this pace.
-const MEMORY: Duration = Duration::from_secs(10);
-/// Breaks and uses of others supposed before any are known: one of ten breaks.
-const BEFORE: (f64, f64) = (0.5, 5.0);
-/// Idle time is at fault from so many breaks on, a little faded, if so many times the spread of chance lies
-/// between them and what chance alone breaks.
-const SURE: (f64, f64) = (1.5, 3.0);
+/// Minimum limit; shorter idle times count as continuous use.
+const MIN_LIMIT: Duration = Duration::from_millis(10);
+/// Time in which a lowered limit doubles again, so that a past or random cause does not lower it for long.
+const DOUBLING_TIME: Duration = Duration::from_secs(5);
+/// Number of idle-time buckets: one below the minimum limit, then each up to twice the one before.
+const BUCKETS: usize = 12;
+/// Time constant of the exponential decay of the counts.
+const DECAY_TIME: Duration = Duration::from_secs(10);
+/// Prior failures of connections with shorter idle times; with the prior uses, a failure rate of one in ten.
+const PRIOR_FAILURES: f64 = 0.5;
+/// Prior uses of connections with shorter idle times.
+const PRIOR_USES: f64 = 5.0;
+/// Minimum decayed failure count from which the limit may be lowered.
+const MIN_FAILURES: f64 = 1.5;
+/// Minimum excess over the expected failures, in standard deviations.
+const MIN_DEVIATIONS: f64 = 3.0;
 
-/// The limit for connections to one kind of peer. A peer, or the path to it, may drop idle connections far
-/// sooner than agreed and say nothing; what is written to one then ends as a reset, which may have run. A path
-/// may as well break connections whatever their age: new ones, which cost both ends, would not be spared that.
+/// Decayed counts of one idle-time bucket.
+#[derive(Clone, Copy, Default)]
+struct Counts {
+    uses: f64,
+    failures: f64,
+}
+
+/// The idle limit for connections to one kind of peer. A peer or a middlebox may silently drop idle
+/// connections; a request written to one then ends as a reset, which cannot be retried safely. Failures that
+/// do not depend on the idle time leave the limit as it is.
 pub struct IdleLimit {
-    most: Cell<Duration>,
+    max: Cell<Duration>,
     limit: Cell<Duration>,
-    at: Cell<Instant>,
-    /// Uses and breaks by step, and when they were last faded.
-    steps: RefCell<[(f64, f64); STEPS]>,
-    faded: Cell<Instant>,
+    lowered_at: Cell<Instant>,
+    buckets: RefCell<[Counts; BUCKETS]>,
+    decayed_at: Cell<Instant>,
 }
 
 impl IdleLimit {
-    /// Starts at the most.
-    pub fn new(most: Duration) -> Self {
+    /// A limit that starts at its maximum.
+    pub fn new(max: Duration) -> Self {
         let now = Instant::now();
         IdleLimit {
-            most: Cell::new(most),
-            limit: Cell::new(most),
-            at: Cell::new(now),
-            steps: RefCell::default(),
-            faded: Cell::new(now),
+            max: Cell::new(max),
+            limit: Cell::new(max),
+            lowered_at: Cell::new(now),
+            buckets: RefCell::default(),
+            decayed_at: Cell::new(now),
         }
     }
 
-    /// Another most holds; what was learned stays.
-    pub fn at_most(&self, most: Duration) {
-        self.most.set(most);
+    /// Changes the maximum; the learned limit stays.
+    pub fn at_most(&self, max: Duration) {
+        self.max.set(max);
     }
 
-    /// The limit now.
+    /// The current limit.
     pub fn get(&self) -> Duration {
-        let doublings = self.at.get().elapsed().as_secs_f64() / DOUBLES.as_secs_f64();
+        let doublings = self.lowered_at.get().elapsed().as_secs_f64() / DOUBLING_TIME.as_secs_f64();
         let grown = self.limit.get().as_secs_f64() * doublings.min(64.0).exp2();
-        Duration::from_secs_f64(grown.min(self.most.get().as_secs_f64()))
+        Duration::from_secs_f64(grown.min(self.max.get().as_secs_f64()))
     }
 
-    /// A connection was used after it had stood idle for so long, a new one for no time, and broke or did not.
-    /// Where such and longer idle ones break more often than the others, beyond chance, half of that time is
-    /// the limit. One that was as good as in use tells nothing of idle ones.
-    pub fn used_after(&self, idle: Duration, broke: bool) {
-        let mut steps = self.steps.borrow_mut();
-        let keep = (-self.faded.replace(Instant::now()).elapsed().as_secs_f64() / MEMORY.as_secs_f64()).exp();
-        for (uses, breaks) in steps.iter_mut() {
-            (*uses, *breaks) = (*uses * keep, *breaks * keep);
+    /// Records the use of a connection that had been idle for this long (zero if new) and whether it failed.
+    /// If connections with at least this idle time fail significantly more often than the others, the limit
+    /// becomes half of it.
+    pub fn used_after(&self, idle: Duration, failed: bool) {
+        let mut buckets = self.buckets.borrow_mut();
+        let decay = (-self.decayed_at.replace(Instant::now()).elapsed().as_secs_f64()
+            / DECAY_TIME.as_secs_f64())
+        .exp();
+        for counts in buckets.iter_mut() {
+            *counts = Counts { uses: counts.uses * decay, failures: counts.failures * decay };
         }
-        let times = idle.as_secs_f64() / LEAST.as_secs_f64();
-        let step = if times < 1.0 { 0 } else { (times.log2() as usize + 1).min(STEPS - 1) };
-        steps[step].0 += 1.0;
-        if !broke {
+        let ratio = idle.as_secs_f64() / MIN_LIMIT.as_secs_f64();
+        let bucket = if ratio < 1.0 { 0 } else { (ratio.log2() as usize + 1).min(BUCKETS - 1) };
+        buckets[bucket].uses += 1.0;
+        if !failed {
             return;
         }
-        steps[step].1 += 1.0;
-        let sum = |steps: &[(f64, f64)]| steps.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
-        let ((others, chance), (uses, breaks)) = (sum(&steps[..step]), sum(&steps[step..]));
-        let by_chance = uses * (chance + BEFORE.0) / (others + BEFORE.1);
-        if step > 0 && breaks >= SURE.0 && breaks - by_chance > SURE.1 * by_chance.sqrt() {
-            self.limit.set(self.get().min((idle / 2).max(LEAST)));
-            self.at.set(Instant::now());
+        buckets[bucket].failures += 1.0;
+        let sum = |buckets: &[Counts]| {
+            buckets.iter().fold(Counts::default(), |sum, counts| Counts {
+                uses: sum.uses + counts.uses,
+                failures: sum.failures + counts.failures,
+            })
+        };
+        let (shorter, longer) = (sum(&buckets[..bucket]), sum(&buckets[bucket..]));
+        let expected = longer.uses * (shorter.failures + PRIOR_FAILURES) / (shorter.uses + PRIOR_USES);
+        if bucket > 0
+            && longer.failures >= MIN_FAILURES
+            && longer.failures - expected > MIN_DEVIATIONS * expected.sqrt()
+        {
+            self.limit.set(self.get().min((idle / 2).max(MIN_LIMIT)));
+            self.lowered_at.set(Instant::now());
         }
     }
 }
@@ -86,38 +104,39 @@
 mod tests {
     use super::*;
 
-    const MOST: Duration = Duration::from_secs(4);
+    const MAX_LIMIT: Duration = Duration::from_secs(4);
 
-    /// Uses one every 20 ms after idle times as traffic has them; `breaks` tells which break.
-    async fn play(limit: &IdleLimit, breaks: impl Fn(u32, Duration) -> bool) -> (u32, u32) {
-        let (mut fresh, mut broken) = (0, 0);
+    /// Uses a connection every 20 ms; `fails` decides by number and idle time which uses fail. Returns the
+    /// number of new connections and of failures.
+    async fn run_traffic(limit: &IdleLimit, fails: impl Fn(u32, Duration) -> bool) -> (u32, u32) {
+        let (mut new_connections, mut failures) = (0, 0);
         for number in 0..1500 {
             tokio::time::advance(Duration::from_millis(20)).await;
-            // 0 to 400 ms, most of them short.
+            // Idle times of 0 to 400 ms, most of them short.
             let idle = Duration::from_millis(u64::from(number * 8 % 21).pow(2));
             let idle = if idle < limit.get() { idle } else { Duration::ZERO };
-            fresh += u32::from(idle.is_zero());
-            let broke = breaks(number, idle);
-            broken += u32::from(broke);
-            limit.used_after(idle, broke);
+            new_connections += u32::from(idle.is_zero());
+            let failed = fails(number, idle);
+            failures += u32::from(failed);
+            limit.used_after(idle, failed);
         }
-        (fresh, broken)
+        (new_connections, failures)
     }
 
     #[tokio::test(start_paused = true)]
-    async fn breaks_by_chance_do_not_cost_new_connections() {
-        let limit = IdleLimit::new(MOST);
-        let (fresh, _) = play(&limit, |number, _| number % 16 == 5).await;
-        // One idle time of 21 is none.
-        assert!(fresh <= 300, "{fresh} of 1500 on new connections");
+    async fn random_failures_do_not_lower_the_limit() {
+        let limit = IdleLimit::new(MAX_LIMIT);
+        let (new_connections, _) = run_traffic(&limit, |number, _| number % 16 == 5).await;
+        // One idle time in 21 is zero.
+        assert!(new_connections <= 300, "{new_connections} of 1500 on new connections");
     }
 
     #[tokio::test(start_paused = true)]
-    async fn what_cuts_idle_connections_is_found_among_breaks_by_chance() {
-        let limit = IdleLimit::new(MOST);
-        let cut = Duration::from_millis(100);
-        let (_, broken) = play(&limit, |number, idle| number % 16 == 5 || idle > cut).await;
-        // By chance 94 break; with no limit more than half of all would.
-        assert!(broken <= 140, "{broken} of 1500 broke");
+    async fn idle_timeouts_are_detected_among_random_failures() {
+        let limit = IdleLimit::new(MAX_LIMIT);
+        let idle_timeout = Duration::from_millis(100);
+        let (_, failures) = run_traffic(&limit, |number, idle| number % 16 == 5 || idle > idle_timeout).await;
+        // 94 failures are random; without a limit more than half of all uses would fail.
+        assert!(failures <= 140, "{failures} of 1500 failed");
     }
 }
--- a/src/plane/mod.rs
+++ b/src/plane/mod.rs
@@ -1,6 +1,6 @@
-//! The data plane that the programs share: connections to backends, attempts on them, room for what passes
-//! through, and the driver that turns what happens into the decision module's events and carries out its
-//! actions. What a program speaks with its clients and backends is its own, as a [`driver::Speech`].
+//! The data plane shared by the programs: backend connections and attempts, body streaming and memory limits,
+//! deadlines, and the driver of the decision module. Each program supplies the protocol it speaks with its
+//! backends as a [`driver::Speech`].
 
 pub mod backends;
 pub mod deadline;
--- a/src/plane/room.rs
+++ b/src/plane/room.rs
@@ -1,4 +1,4 @@
-//! Room for what passes through: bodies and answers too large to be held whole, and the memory for all of them.
+//! Streaming of large request and response bodies, and the memory budget for all bodies.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -12,111 +12,112 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{timeout_at, Instant};
 
-/// Largest body or answer that is held whole, and with it may be sent again. What is larger streams.
+/// Maximum size of a body that is buffered, so that its request can be retried. Larger ones are streamed.
 pub const HELD_MOST: usize = 64 * 1024;
-/// Largest body of a request.
+/// Maximum size of a request body.
 pub const BODY_MOST: u64 = 40 << 20;
-/// What a stream holds at once: one piece as it is read and one as it is written.
-const STREAM: usize = 64 * 1024;
-/// What is smaller than this is not reckoned: connections hold as much anyway.
-const SMALL: usize = 4 * 1024;
-/// Slowest pace of a body, in bytes a second; clients may go at 64 kB/s.
-const PACE: f64 = 40_000.0;
-/// And so far it may fall behind that pace.
-const BEHIND: Duration = Duration::from_secs(1);
-
-/// Memory for bodies and answers, over all connections. Each has a pool of its own, so that no request waits with
-/// its body in hand for another that does the same.
+/// Memory of one stream: a chunk being read and a chunk being written.
+const STREAM_BYTES: usize = 64 * 1024;
+/// Bodies up to this size need no reservation; a connection's own buffers are as large.
+const MAX_UNRESERVED_BYTES: usize = 4 * 1024;
+/// Minimum transfer rate of a request body; clients are allowed 64 kB/s.
+const MIN_BYTES_PER_S: f64 = 40_000.0;
+/// Maximum lag behind the minimum transfer rate.
+const MAX_LAG: Duration = Duration::from_secs(1);
+
+/// Memory for the bodies of all connections. Requests and responses have separate pools, so that requests
+/// holding memory for their bodies cannot deadlock waiting for response memory.
 pub struct Budget {
-    bodies: Arc<Semaphore>,
-    answers: Arc<Semaphore>,
+    requests: Arc<Semaphore>,
+    responses: Arc<Semaphore>,
 }
 
-/// A part of the budget, given back when dropped.
+/// Memory reserved from the budget, released when dropped; none for small bodies.
 pub type Part = Option<OwnedSemaphorePermit>;
 
 impl Budget {
-    /// An eighth of the memory, in bytes, for each pool.
-    pub fn new(memory: u64) -> Self {
-        let part = usize::try_from(memory / 8).unwrap_or(usize::MAX).min(Semaphore::MAX_PERMITS);
-        let pool = || Arc::new(Semaphore::new(part.max(2 * STREAM)));
-        Budget { bodies: pool(), answers: pool() }
+    /// Each pool gets an eighth of the process's memory limit, in bytes.
+    pub fn new(memory_limit: u64) -> Self {
+        let pool_size = usize::try_from(memory_limit / 8).unwrap_or(usize::MAX).min(Semaphore::MAX_PERMITS);
+        let pool = || Arc::new(Semaphore::new(pool_size.max(2 * STREAM_BYTES)));
+        Budget { requests: pool(), responses: pool() }
     }
 
-    /// Waits for room for a body of that size, where it is known.
+    /// Waits for memory for a request body of this size, if known.
     pub async fn body(&self, size: Option<u64>) -> Part {
-        take(&self.bodies, size).await
+        reserve(&self.requests, size).await
     }
 
-    /// Waits for room for an answer of that size, where it is known.
+    /// Waits for memory for a response body of this size, if known.
     pub async fn answer(&self, size: Option<u64>) -> Part {
-        take(&self.answers, size).await
+        reserve(&self.responses, size).await
     }
 }
 
-async fn take(pool: &Arc<Semaphore>, size: Option<u64>) -> Part {
-    let size = size.map_or(STREAM, |size| size.min(STREAM as u64) as usize);
-    if size <= SMALL {
+async fn reserve(pool: &Arc<Semaphore>, size: Option<u64>) -> Part {
+    let size = size.map_or(STREAM_BYTES, |size| size.min(STREAM_BYTES as u64) as usize);
+    if size <= MAX_UNRESERVED_BYTES {
         return None;
     }
     pool.clone().acquire_many_owned(size as u32).await.ok()
 }
 
-/// Why a body did not come whole.
+/// Why a request body was not received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Short {
-    /// Over the largest size.
+    /// It exceeds the maximum size.
     TooLarge,
-    /// Broken off, or not framed as HTTP has it.
+    /// The connection was closed, or the framing is invalid.
     Broken,
-    /// Behind the slowest pace.
+    /// It is slower than the minimum transfer rate.
     Slow,
 }
 
-/// A request's body as it comes in, at a bounded pace: neither a silent client nor one that sends a byte now and
-/// then may hold a place for long.
+/// A request body that is being received. A minimum transfer rate guards against slow clients that hold on to
+/// resources.
 pub struct Upload {
     body: Incoming,
-    got: u64,
-    since: Instant,
-    /// It may be silent until then all the same.
-    by: Instant,
-    /// Its client does not wait any longer, whatever its pace.
-    until: Option<Instant>,
+    received: u64,
+    started: Instant,
+    /// The minimum rate is not enforced before this.
+    grace_until: Instant,
+    /// The client's absolute deadline.
+    deadline: Option<Instant>,
 }
 
 impl Upload {
-    /// A body that begins now. It may be silent until `by`, whatever its pace; its client waits until `until`.
-    pub fn new(body: Incoming, by: Instant, until: Option<Instant>) -> Self {
-        Upload { body, got: 0, since: Instant::now(), by, until }
+    /// A body that starts now. The minimum rate is enforced from `grace_until` on; `deadline` is the client's
+    /// absolute deadline.
+    pub fn new(body: Incoming, grace_until: Instant, deadline: Option<Instant>) -> Self {
+        Upload { body, received: 0, started: Instant::now(), grace_until, deadline }
     }
 
-    /// Its size, if its head tells.
+    /// Total size, if the head gives it.
     pub fn size(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// Bytes that are still to come, if its head tells.
+    /// Bytes not received yet, if the head gives the size.
     pub fn left(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// The next bytes; none at its end.
+    /// The next bytes; none at the end of the body.
     pub async fn piece(&mut self) -> Result<Option<Bytes>, Short> {
         loop {
-            let pace = Duration::from_secs_f64(self.got as f64 / PACE);
-            let by = self.by.max(self.since + BEHIND + pace);
-            let by = self.until.map_or(by, |until| until.min(by));
-            match timeout_at(by, self.body.frame()).await {
+            let max_elapsed = Duration::from_secs_f64(self.received as f64 / MIN_BYTES_PER_S);
+            let wait_until = self.grace_until.max(self.started + MAX_LAG + max_elapsed);
+            let wait_until = self.deadline.map_or(wait_until, |deadline| deadline.min(wait_until));
+            match timeout_at(wait_until, self.body.frame()).await {
                 Ok(None) => return Ok(None),
                 Ok(Some(Ok(frame))) => {
-                    // Trailers are of no use to anyone here.
-                    let Ok(piece) = frame.into_data() else { continue };
-                    self.got += piece.len() as u64;
-                    if self.got > BODY_MOST {
+                    // Trailers are not forwarded.
+                    let Ok(chunk) = frame.into_data() else { continue };
+                    self.received += chunk.len() as u64;
+                    if self.received > BODY_MOST {
                         return Err(Short::TooLarge);
                     }
-                    return Ok(Some(piece));
+                    return Ok(Some(chunk));
                 }
                 Ok(Some(Err(_))) => return Err(Short::Broken),
                 Err(_) => return Err(Short::Slow),
@@ -124,33 +125,33 @@
         }
     }
 
-    /// The pace does not run while others keep the body waiting.
+    /// Excludes time spent waiting for the backend from the minimum rate.
     pub fn held_up(&mut self, time: Duration) {
-        self.since += time;
+        self.started += time;
     }
 
-    /// Reads on to the end for a client that has its answer already: it might not see it while it writes.
+    /// Reads and discards the rest, so that a client that is still writing can read its early response.
     pub async fn drain(mut self) {
         while let Ok(Some(_)) = self.piece().await {}
     }
 }
 
-/// What is still to come of a request's body. The first attempt that gets so far takes it, and then no other can be
-/// made.
+/// The part of a request body that has not been received yet. The first attempt that reaches it takes it;
+/// after that the request cannot be retried. If dropped untaken, the rest is read and discarded.
 pub struct More(RefCell<Option<Upload>>);
 
 impl More {
-    /// What follows by `upload`.
+    /// The remaining body, received through `upload`.
     pub fn new(upload: Upload) -> Self {
         More(RefCell::new(Some(upload)))
     }
 
-    /// Takes it; it can't be sent again then.
+    /// Takes the body, so that no further attempt can send it.
     pub fn take(&self) -> Option<Upload> {
         self.0.borrow_mut().take()
     }
 
-    /// True while it can still be sent.
+    /// True until the body has been taken.
     pub fn whole(&self) -> bool {
         self.0.borrow().is_some()
     }
@@ -164,30 +165,30 @@
     }
 }
 
-/// The end of a stream of an answer, for whoever reads the backend.
+/// Sending side of a streamed response body.
 pub type StreamTo = mpsc::Sender<io::Result<Bytes>>;
 
-/// An answer's body, whole or as it comes.
+/// A response body, buffered or streamed.
 pub enum Content {
-    /// All of it, and its part of the budget.
+    /// A complete body.
     Whole {
         /// The bytes.
         bytes: Bytes,
-        /// Their part of the budget.
+        /// Their memory reservation.
         _part: Part,
     },
-    /// Piece by piece, with its length where that is known.
+    /// A streamed body, with the number of bytes left if known.
     Stream(mpsc::Receiver<io::Result<Bytes>>, Option<u64>),
 }
 
 impl Content {
-    /// A stream and where its pieces go in. One piece waits at most.
+    /// Creates a streamed body and its sender; at most one chunk is queued.
     pub fn stream(length: Option<u64>) -> (StreamTo, Self) {
-        let (to, from) = mpsc::channel(1);
-        (to, Content::Stream(from, length))
+        let (sender, receiver) = mpsc::channel(1);
+        (sender, Content::Stream(receiver, length))
     }
 
-    /// A small body that is not reckoned.
+    /// A small buffered body without a memory reservation.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Content::Whole { bytes: bytes.into(), _part: None }
     }
@@ -203,12 +204,12 @@
         match &mut *self {
             Content::Whole { bytes, .. } if bytes.is_empty() => Poll::Ready(None),
             Content::Whole { bytes, .. } => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Content::Stream(from, left) => {
-                let piece = ready!(from.poll_recv(cx));
-                if let (Some(Ok(piece)), Some(left)) = (&piece, left) {
-                    *left = left.saturating_sub(piece.len() as u64);
+            Content::Stream(receiver, left) => {
+                let chunk = ready!(receiver.poll_recv(cx));
+                if let (Some(Ok(chunk)), Some(left)) = (&chunk, left) {
+                    *left = left.saturating_sub(chunk.len() as u64);
                 }
-                Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -216,7 +217,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Content::Whole { bytes, .. } => bytes.is_empty(),
-            // Its end is told by the channel: the request lasts until then.
+            // The end comes from the channel, so that the request lasts until the backend has finished.
             Content::Stream(..) => false,
         }
     }
--- a/src/plane/seldom.rs
+++ b/src/plane/seldom.rs
@@ -1,31 +1,32 @@
-//! Warnings that may come with every request or line: one in ten seconds is written, with how many were not.
+//! Rate limit for repeated warnings: one in ten seconds is logged, with the number of suppressed ones.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-const EVERY: Duration = Duration::from_secs(10);
+const MIN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// One kind of warning.
+/// Rate limiter of one kind of warning.
 #[derive(Default)]
 pub struct Seldom {
-    written: Cell<Option<Instant>>,
-    held_back: Cell<u64>,
+    last_logged: Cell<Option<Instant>>,
+    suppressed: Cell<u64>,
 }
 
 impl Seldom {
-    /// Whether one is due now: how many like it were held back.
+    /// Returns the number suppressed since the last one if a warning may be logged now.
     pub fn due(&self) -> Option<u64> {
-        if self.written.get().is_some_and(|at| at.elapsed() <= EVERY) {
-            self.held_back.set(self.held_back.get() + 1);
+        if self.last_logged.get().is_some_and(|at| at.elapsed() <= MIN_INTERVAL) {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
-        self.written.set(Some(Instant::now()));
-        Some(self.held_back.take())
+        self.last_logged.set(Some(Instant::now()));
+        Some(self.suppressed.take())
     }
 }
 
-/// Warns if it is due, as the part of the program where it stands.
+/// Logs a warning if its rate limiter allows it. A macro, so that the event has the caller's module as its
+/// target.
 #[macro_export]
 macro_rules! seldom {
     ($seldom:expr, $what:expr, $why:expr) => {
@@ -45,9 +46,9 @@
     use std::sync::{Arc, Mutex};
 
     #[derive(Clone, Default)]
-    struct Written(Arc<Mutex<Vec<u8>>>);
+    struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-    impl io::Write for Written {
+    impl io::Write for LogBuffer {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             self.0.lock().map_err(|_| io::Error::other("poisoned"))?.extend_from_slice(bytes);
             Ok(bytes.len())
@@ -59,18 +60,19 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn repeated_warnings_are_held_back_and_told_by_their_number() {
-        let written = Written::default();
-        let to = written.clone();
-        let lines = tracing_subscriber::fmt().with_writer(move || to.clone()).without_time().with_ansi(false);
+    async fn repeated_warnings_are_suppressed_and_counted() {
+        let written = LogBuffer::default();
+        let buffer = written.clone();
+        let lines =
+            tracing_subscriber::fmt().with_writer(move || buffer.clone()).without_time().with_ansi(false);
         let _guard = tracing::subscriber::set_default(lines.finish());
         let seldom = Seldom::default();
         for number in 0..100 {
             seldom!(seldom, "accept", number);
         }
-        tokio::time::advance(EVERY + Duration::from_millis(1)).await;
+        tokio::time::advance(MIN_INTERVAL + Duration::from_millis(1)).await;
         seldom!(seldom, "accept", "again");
-        tokio::time::advance(EVERY + Duration::from_millis(1)).await;
+        tokio::time::advance(MIN_INTERVAL + Duration::from_millis(1)).await;
         seldom!(seldom, "accept", "once more");
         let text = String::from_utf8(written.0.lock().unwrap().clone()).unwrap();
         let lines: Vec<_> = text.lines().map(|line| line.split_once(": ").unwrap().1).collect();
--- a/tests/played/mod.rs
+++ b/tests/played/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of real processes play: servers, a counter and discovery, and the gateway's own process.
+//! Test doubles for backends, the counter and discovery, and a handle for the gateway process under test.
 #![allow(dead_code, missing_docs)]
 
 use std::collections::HashMap;
@@ -10,14 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Waits are on conditions; this only ends a test that has failed.
+/// Timeout of every wait, after which a test fails.
 pub const LONG: Duration = Duration::from_secs(20);
 
-// ---- What the tests play ----------------------------------------------------------------------------------
+// ---- Test doubles -----------------------------------------------------------------------------------------
 
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The first line.
+    /// The request or status line.
     pub line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
@@ -29,31 +29,31 @@
     }
 }
 
-/// Reads one message; none if the connection ends before it is whole.
-pub fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
+/// Reads one HTTP message; none if the connection is closed before its end.
+pub fn read(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
-    from.read_line(&mut line).ok().filter(|n| *n > 0)?;
+    reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
     message.line = line.trim_end().to_owned();
     loop {
         let mut line = String::new();
-        from.read_line(&mut line).ok().filter(|n| *n > 0)?;
+        reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
         let Some((name, value)) = line.trim_end().split_once(": ") else { break };
         message.headers.insert(name.to_ascii_lowercase(), value.to_owned());
     }
-    let length = message.headers.get("content-length").map_or(0, |l| l.parse().unwrap());
+    let length = message.headers.get("content-length").map_or(0, |length| length.parse().unwrap());
     message.body.resize(length, 0);
-    from.read_exact(&mut message.body).ok()?;
+    reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// What a played server does with a message.
+/// What a test server does with a request.
 pub enum Play {
-    /// Writes this and keeps the connection.
+    /// Writes this text and keeps the connection open.
     Say(String),
-    /// Writes this and closes the connection.
+    /// Writes this text and closes the connection.
     End(String),
-    /// Says nothing until the other side has closed, then notes that by the sender.
+    /// Sends nothing until the peer has closed the connection, then reports the time of that.
     Hush(Sender<Instant>),
 }
 
@@ -61,18 +61,19 @@
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Serves on a port of its own, each connection in a thread.
-pub fn serve(play: impl Fn(&Message) -> Play + Send + Sync + 'static) -> SocketAddr {
+/// Starts a server on a free port, with a thread per connection. `handler` decides how each request is
+/// handled.
+pub fn serve(handler: impl Fn(&Message) -> Play + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let play = Arc::new(play);
+    let handler = Arc::new(handler);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, play) = (stream.unwrap(), play.clone());
+            let (mut stream, handler) = (stream.unwrap(), handler.clone());
             std::thread::spawn(move || {
-                let mut from = BufReader::new(stream.try_clone().unwrap());
-                while let Some(message) = read(&mut from) {
-                    match play(&message) {
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
+                while let Some(message) = read(&mut reader) {
+                    match handler(&message) {
                         Play::Say(text) => stream.write_all(text.as_bytes()).unwrap(),
                         Play::End(text) => {
                             stream.write_all(text.as_bytes()).unwrap();
@@ -80,7 +81,7 @@
                             return;
                         }
                         Play::Hush(closed) => {
-                            let _ = from.read(&mut [0]);
+                            let _ = reader.read(&mut [0]);
                             let _ = closed.send(Instant::now());
                             return;
                         }
@@ -92,22 +93,23 @@
     addr
 }
 
-/// A counter as the real one: totals with three decimals. Notes the amounts.
+/// A quota counter that responds with totals to three decimals, like the real one, and records the amounts
+/// added.
 pub fn counter(amounts: Arc<Mutex<Vec<f64>>>) -> SocketAddr {
     let totals = Mutex::new(HashMap::<String, f64>::new());
-    serve(move |call| {
-        let target = call.line.split(' ').nth(1).unwrap();
+    serve(move |request| {
+        let target = request.line.split(' ').nth(1).unwrap();
         let (name, query) = target.split_once("?by=").unwrap();
-        let by: f64 = query.split('&').next().unwrap().parse().unwrap();
-        amounts.lock().unwrap().push(by);
+        let amount: f64 = query.split('&').next().unwrap().parse().unwrap();
+        amounts.lock().unwrap().push(amount);
         let mut totals = totals.lock().unwrap();
         let total = totals.entry(name.to_owned()).or_default();
-        *total += by;
+        *total += amount;
         Play::Say(say(200, "", &format!("{total:.3}")))
     })
 }
 
-/// Discovery: a watch to which a test can add lines.
+/// A discovery service that hands its watch streams to the test.
 pub struct Discovery {
     pub addr: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
@@ -117,16 +119,16 @@
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (to, watches) = channel();
+        let (sender, watches) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
-                let mut from = BufReader::new(stream.try_clone().unwrap());
-                let Some(asked) = read(&mut from) else { continue };
-                if asked.line.contains("stream=1") {
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
+                let Some(request) = read(&mut reader) else { continue };
+                if request.line.contains("stream=1") {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
                 }
-                let _ = to.send((asked.line, stream));
+                let _ = sender.send((request.line, stream));
             }
         });
         Discovery { addr, watches }
@@ -146,9 +148,10 @@
         "cell": 0, "state": state, "weight": 1.0, "started_ms": 0})
 }
 
-/// A configuration with these backends known.
+/// A gateway configuration that lists these backends.
 pub fn config(backends: &[SocketAddr], counter: SocketAddr, discovery: SocketAddr) -> serde_json::Value {
-    let servers: Vec<_> = backends.iter().enumerate().map(|(i, a)| entry(i, *a, "Ready")).collect();
+    let servers: Vec<_> =
+        backends.iter().enumerate().map(|(number, addr)| entry(number, *addr, "Ready")).collect();
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "aim-ms": 1500.0, "give-up-ms": 4000.0, "value": 1.0, "late-worth": 0.0,
             "effect": effect, "group": "zone", "stream": false, "window-ms": 2500.0})
@@ -183,11 +186,11 @@
     pub child: Child,
     pub addr: SocketAddr,
     pub log: Receiver<String>,
-    /// Its configuration's file.
+    /// Path of its configuration file.
     pub path: PathBuf,
 }
 
-/// Writes a configuration into a file of its own.
+/// Writes a configuration to a new temporary file.
 pub fn write(config: &serde_json::Value) -> PathBuf {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -203,18 +206,18 @@
     (child.unwrap(), path)
 }
 
-/// Starts the program with a clients' listener that it inherits as descriptor 3.
+/// Starts the program with a client listener that it inherits as file descriptor 3.
 pub fn start_inheriting(
-    config: &serde_json::Value, listener: &TcpListener, temporary: &std::path::Path,
+    config: &serde_json::Value, listener: &TcpListener, temp_dir: &std::path::Path,
 ) -> (Child, PathBuf) {
     let path = write(config);
-    let run = format!("exec {} 3<&0 </dev/null", env!("CARGO_BIN_EXE_heronstage"));
+    let script = format!("exec {} 3<&0 </dev/null", env!("CARGO_BIN_EXE_heronstage"));
     let mut command = Command::new("/bin/sh");
     command
-        .args(["-c", &run])
+        .args(["-c", &script])
         .env("RELAY_CONFIG", &path)
         .env("RELAY_LISTEN_FD", "3")
-        .env("TMPDIR", temporary);
+        .env("TMPDIR", temp_dir);
     let listener = std::os::fd::OwnedFd::from(listener.try_clone().unwrap());
     (command.stdin(listener).stderr(Stdio::piped()).spawn().unwrap(), path)
 }
@@ -231,11 +234,13 @@
         gateway
     }
 
-    /// Waits until the program listens.
+    /// Wraps a started program and waits until it listens.
     pub fn started((mut child, path): (Child, PathBuf)) -> Self {
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        let (to, log) = channel();
-        std::thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|l| to.send(l)));
+        let (sender, log) = channel();
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
+        });
         let addr = loop {
             let line = log.recv_timeout(LONG).expect("the gateway starts");
             if let Some((_, addr)) = line.split_once("listening on ") {
@@ -252,9 +257,9 @@
     }
 
     pub fn ask(&self, text: &str) -> Message {
-        let mut open = self.open();
-        open.get_mut().write_all(text.as_bytes()).unwrap();
-        read(&mut open).expect("an answer")
+        let mut connection = self.open();
+        connection.get_mut().write_all(text.as_bytes()).unwrap();
+        read(&mut connection).expect("a response")
     }
 
     pub fn get(&self, customer: u64, units: u32) -> Message {
@@ -291,23 +296,23 @@
 
 pub const KEY: &str = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
 
-/// A calm counter and discovery that is silent.
+/// A configuration with a working counter and a discovery service that never responds.
 pub fn calm(backends: &[SocketAddr]) -> serde_json::Value {
     config(backends, counter(Arc::default()), serve(|_| Play::Hush(channel().0)))
 }
 
-/// A backend that answers all well, and what it got.
+/// A backend that responds to every request with 200, and the requests it received.
 pub fn good() -> (SocketAddr, Arc<Mutex<Vec<Message>>>) {
-    let got = Arc::new(Mutex::new(Vec::new()));
-    let seen = got.clone();
-    let addr = serve(move |m| {
-        seen.lock().unwrap().push(m.clone());
+    let received = Arc::new(Mutex::new(Vec::new()));
+    let seen = received.clone();
+    let addr = serve(move |request| {
+        seen.lock().unwrap().push(request.clone());
         Play::Say(say(200, "X-Units-Charged: 2\r\n", "stock: 12"))
     });
-    (addr, got)
+    (addr, received)
 }
 
-/// A port on which nobody listens, nor will: it stays bound, so that no other test is given it.
+/// An address that refuses connections. The port stays bound, so that no other test gets it.
 pub fn nobody() -> SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -316,13 +321,13 @@
     addr
 }
 
-/// Replaces the configuration and tells the gateway, as the platform does.
+/// Replaces the configuration file and makes the gateway reload it.
 pub fn reload(gateway: &Gateway, text: &str) {
     std::fs::write(&gateway.path, text).unwrap();
     gateway.signal("-HUP");
 }
 
-/// A calm configuration with a place for operators.
+/// The configuration of `calm` with an operator listener.
 pub fn operated(backends: &[SocketAddr]) -> serde_json::Value {
     let mut config = calm(backends);
     config["operator"] = "127.0.0.1:0".into();
@@ -331,8 +336,12 @@
 
 impl Gateway {
     pub fn operator(&self) -> SocketAddr {
-        let told = self.log.recv_timeout(LONG).expect("it tells where operators call");
-        told.split_once("operators call at ").expect("the line after the clients' address").1.parse().unwrap()
+        let line = self.log.recv_timeout(LONG).expect("a log line with the operators' address");
+        line.split_once("operators call at ")
+            .expect("the operators' address after the clients'")
+            .1
+            .parse()
+            .unwrap()
     }
 
     pub fn ready(&self) -> bool {
@@ -340,17 +349,17 @@
     }
 }
 
-/// One operator's call, on a connection of its own that the gateway closes after it.
+/// Sends an operator request on a new connection, which the gateway must close after it.
 pub fn call(at: SocketAddr, line: &str) -> Message {
-    let mut open = BufReader::new(TcpStream::connect(at).unwrap());
-    open.get_mut().set_read_timeout(Some(LONG)).unwrap();
-    open.get_mut().write_all(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).unwrap();
-    let answer = read(&mut open).expect("an answer");
-    assert_eq!(open.read(&mut [0]).unwrap(), 0, "one call a connection");
-    answer
+    let mut connection = BufReader::new(TcpStream::connect(at).unwrap());
+    connection.get_mut().set_read_timeout(Some(LONG)).unwrap();
+    connection.get_mut().write_all(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).unwrap();
+    let response = read(&mut connection).expect("a response");
+    assert_eq!(connection.read(&mut [0]).unwrap(), 0, "one request per connection");
+    response
 }
 
-/// A folder of the test's own, as the platform gives one to the processes of a gateway.
+/// A new directory for the temporary files of a gateway's processes.
 pub fn temporary() -> PathBuf {
     let path = write(&serde_json::json!({})).with_extension("tmp");
     std::fs::create_dir(&path).unwrap();
@@ -365,7 +374,7 @@
     }
 }
 
-/// One figure as operators read it, once it stands at what it must come to.
+/// Waits until a statistic of the operator interface has this value.
 pub fn await_figure(at: SocketAddr, name: &str, value: u64) {
     let start = Instant::now();
     loop {
@@ -379,7 +388,7 @@
     }
 }
 
-/// One figure of those for tools.
+/// The value of a Prometheus metric.
 pub fn metric(at: SocketAddr, name: &str) -> f64 {
     let text = String::from_utf8(call(at, "GET /metrics").body).unwrap();
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -394,7 +403,7 @@
     command
 }
 
-/// Runs a command; its exit code and what it printed on standard output and error.
+/// Runs a command; returns its exit code, standard output and standard error.
 pub fn outcome(command: &mut assert_cmd::Command) -> (i32, String, String) {
     let output = command.output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
