--- a/src/plane/backends.rs
+++ b/src/plane/backends.rs
@@ -74,7 +74,7 @@
     fn body_written(&self) -> Instant;
     /// The whole request was written.
     fn request_written(&self);
-    /// The head of a streamed response was received. Returns the receiver of its body, or none if the client
+    /// The head of a streamed response was received. Returns the sender for its body, or none if the client
     /// is gone.
     fn response_started(&self, head: &Head) -> Option<StreamTo>;
     /// Reserves memory for a response body of this length, if known.
--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -53,7 +53,7 @@
         /// The body.
         content: Content,
     },
-    /// Refused without being executed; the client may retry.
+    /// Refused; the client may retry.
     Refused {
         /// Suggested retry delay, in ms; 0 for none.
         retry_after_ms: f64,
