--- a/tests/played/mod.rs
+++ b/tests/played/mod.rs
@@ -11,30 +11,30 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of every wait, after which a test fails.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 // ---- Test doubles -----------------------------------------------------------------------------------------
 
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The request or status line.
-    pub line: String,
+    pub first_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.first_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
 /// Reads one HTTP message; none if the connection is closed before its end.
-pub fn read(reader: &mut BufReader<TcpStream>) -> Option<Message> {
+pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
-    message.line = line.trim_end().to_owned();
+    message.first_line = line.trim_end().to_owned();
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
@@ -48,22 +48,22 @@
 }
 
 /// What a test server does with a request.
-pub enum Play {
+pub enum ServerAction {
     /// Writes this text and keeps the connection open.
-    Say(String),
+    Respond(String),
     /// Writes this text and closes the connection.
-    End(String),
+    RespondAndClose(String),
     /// Sends nothing until the peer has closed the connection, then reports the time of that.
-    Hush(Sender<Instant>),
+    HangUntilClosed(Sender<Instant>),
 }
 
-pub fn say(status: u16, headers: &str, body: &str) -> String {
+pub fn response_text(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Starts a server on a free port, with a thread per connection. `handler` decides how each request is
 /// handled.
-pub fn serve(handler: impl Fn(&Message) -> Play + Send + Sync + 'static) -> SocketAddr {
+pub fn serve(handler: impl Fn(&Message) -> ServerAction + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let handler = Arc::new(handler);
@@ -72,15 +72,15 @@
             let (mut stream, handler) = (stream.unwrap(), handler.clone());
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
-                while let Some(message) = read(&mut reader) {
+                while let Some(message) = read_message(&mut reader) {
                     match handler(&message) {
-                        Play::Say(text) => stream.write_all(text.as_bytes()).unwrap(),
-                        Play::End(text) => {
+                        ServerAction::Respond(text) => stream.write_all(text.as_bytes()).unwrap(),
+                        ServerAction::RespondAndClose(text) => {
                             stream.write_all(text.as_bytes()).unwrap();
                             stream.shutdown(Shutdown::Both).unwrap();
                             return;
                         }
-                        Play::Hush(closed) => {
+                        ServerAction::HangUntilClosed(closed) => {
                             let _ = reader.read(&mut [0]);
                             let _ = closed.send(Instant::now());
                             return;
@@ -98,14 +98,14 @@
 pub fn counter(amounts: Arc<Mutex<Vec<f64>>>) -> SocketAddr {
     let totals = Mutex::new(HashMap::<String, f64>::new());
     serve(move |request| {
-        let target = request.line.split(' ').nth(1).unwrap();
+        let target = request.first_line.split(' ').nth(1).unwrap();
         let (name, query) = target.split_once("?by=").unwrap();
         let amount: f64 = query.split('&').next().unwrap().parse().unwrap();
         amounts.lock().unwrap().push(amount);
         let mut totals = totals.lock().unwrap();
         let total = totals.entry(name.to_owned()).or_default();
         *total += amount;
-        Play::Say(say(200, "", &format!("{total:.3}")))
+        ServerAction::Respond(response_text(200, "", &format!("{total:.3}")))
     })
 }
 
@@ -124,22 +124,22 @@
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
-                let Some(request) = read(&mut reader) else { continue };
-                if request.line.contains("stream=1") {
+                let Some(request) = read_message(&mut reader) else { continue };
+                if request.first_line.contains("stream=1") {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
                 }
-                let _ = sender.send((request.line, stream));
+                let _ = sender.send((request.first_line, stream));
             }
         });
         Discovery { addr, watches }
     }
 
     pub fn watch(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(LONG).expect("the gateway opens a watch")
+        self.watches.recv_timeout(TEST_TIMEOUT).expect("the gateway opens a watch")
     }
 }
 
-pub fn tell(watch: &mut TcpStream, line: &str) {
+pub fn send_discovery_line(watch: &mut TcpStream, line: &str) {
     watch.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).unwrap();
 }
 
@@ -191,7 +191,7 @@
 }
 
 /// Writes a configuration to a new temporary file.
-pub fn write(config: &serde_json::Value) -> PathBuf {
+pub fn write_config(config: &serde_json::Value) -> PathBuf {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("heronstage-{}-{number}.json", std::process::id()));
@@ -200,7 +200,7 @@
 }
 
 pub fn start(config: &serde_json::Value) -> (Child, PathBuf) {
-    let path = write(config);
+    let path = write_config(config);
     let mut command = Command::new(env!("CARGO_BIN_EXE_heronstage"));
     let child = command.env("RELAY_CONFIG", &path).stdin(Stdio::null()).stderr(Stdio::piped()).spawn();
     (child.unwrap(), path)
@@ -210,7 +210,7 @@
 pub fn start_inheriting(
     config: &serde_json::Value, listener: &TcpListener, temp_dir: &std::path::Path,
 ) -> (Child, PathBuf) {
-    let path = write(config);
+    let path = write_config(config);
     let script = format!("exec {} 3<&0 </dev/null", env!("CARGO_BIN_EXE_heronstage"));
     let mut command = Command::new("/bin/sh");
     command
@@ -227,8 +227,8 @@
     pub fn new(config: &serde_json::Value) -> Self {
         let gateway = Self::started(start(config));
         let start = Instant::now();
-        while gateway.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
-            assert!(start.elapsed() < LONG, "never ready");
+        while gateway.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
+            assert!(start.elapsed() < TEST_TIMEOUT, "never ready");
             std::thread::sleep(Duration::from_millis(20));
         }
         gateway
@@ -242,7 +242,7 @@
             stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
         });
         let addr = loop {
-            let line = log.recv_timeout(LONG).expect("the gateway starts");
+            let line = log.recv_timeout(TEST_TIMEOUT).expect("the gateway starts");
             if let Some((_, addr)) = line.split_once("listening on ") {
                 break addr.parse().unwrap();
             }
@@ -250,20 +250,20 @@
         Gateway { child, addr, log, path }
     }
 
-    pub fn open(&self) -> BufReader<TcpStream> {
+    pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
-    pub fn ask(&self, text: &str) -> Message {
-        let mut connection = self.open();
+    pub fn request(&self, text: &str) -> Message {
+        let mut connection = self.connect();
         connection.get_mut().write_all(text.as_bytes()).unwrap();
-        read(&mut connection).expect("a response")
+        read_message(&mut connection).expect("a response")
     }
 
     pub fn get(&self, customer: u64, units: u32) -> Message {
-        self.ask(&look(customer, units, 3000))
+        self.request(&get_request(customer, units, 3000))
     }
 
     pub fn signal(&self, name: &str) {
@@ -278,14 +278,14 @@
     }
 }
 
-pub fn look(customer: u64, units: u32, remaining: u32) -> String {
+pub fn get_request(customer: u64, units: u32, remaining: u32) -> String {
     format!(
         "GET /look?account={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 0000{customer:012x}\r\n\
          X-Lane: look\r\nX-Plan: small\r\nX-Remaining-Ms: {remaining}\r\nX-Quota: units={units},spread=1,first=0\r\n\r\n"
     )
 }
 
-pub fn post(lane: &str, key: &str, body: &str) -> String {
+pub fn post_request(lane: &str, key: &str, body: &str) -> String {
     format!(
         "POST /{lane}?account=0000000000000007 HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n\
          X-Lane: {lane}\r\nX-Plan: small\r\nX-Remaining-Ms: 3000\r\n{key}X-Quota: units=1,spread=1,first=0\r\n\
@@ -294,26 +294,26 @@
     )
 }
 
-pub const KEY: &str = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
 
 /// A configuration with a working counter and a discovery service that never responds.
-pub fn calm(backends: &[SocketAddr]) -> serde_json::Value {
-    config(backends, counter(Arc::default()), serve(|_| Play::Hush(channel().0)))
+pub fn basic_config(backends: &[SocketAddr]) -> serde_json::Value {
+    config(backends, counter(Arc::default()), serve(|_| ServerAction::HangUntilClosed(channel().0)))
 }
 
 /// A backend that responds to every request with 200, and the requests it received.
-pub fn good() -> (SocketAddr, Arc<Mutex<Vec<Message>>>) {
+pub fn healthy_backend() -> (SocketAddr, Arc<Mutex<Vec<Message>>>) {
     let received = Arc::new(Mutex::new(Vec::new()));
     let seen = received.clone();
     let addr = serve(move |request| {
         seen.lock().unwrap().push(request.clone());
-        Play::Say(say(200, "X-Units-Charged: 2\r\n", "stock: 12"))
+        ServerAction::Respond(response_text(200, "X-Units-Charged: 2\r\n", "stock: 12"))
     });
     (addr, received)
 }
 
 /// An address that refuses connections. The port stays bound, so that no other test gets it.
-pub fn nobody() -> SocketAddr {
+pub fn refusing_address() -> SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let addr = socket.local_addr().unwrap();
@@ -327,16 +327,16 @@
     gateway.signal("-HUP");
 }
 
-/// The configuration of `calm` with an operator listener.
-pub fn operated(backends: &[SocketAddr]) -> serde_json::Value {
-    let mut config = calm(backends);
+/// The configuration of `basic_config` with an operator listener.
+pub fn config_with_operator(backends: &[SocketAddr]) -> serde_json::Value {
+    let mut config = basic_config(backends);
     config["operator"] = "127.0.0.1:0".into();
     config
 }
 
 impl Gateway {
     pub fn operator(&self) -> SocketAddr {
-        let line = self.log.recv_timeout(LONG).expect("a log line with the operators' address");
+        let line = self.log.recv_timeout(TEST_TIMEOUT).expect("a log line with the operators' address");
         line.split_once("operators call at ")
             .expect("the operators' address after the clients'")
             .1
@@ -345,66 +345,66 @@
     }
 
     pub fn ready(&self) -> bool {
-        self.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
+        self.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
     }
 }
 
 /// Sends an operator request on a new connection, which the gateway must close after it.
-pub fn call(at: SocketAddr, line: &str) -> Message {
+pub fn operator_request(at: SocketAddr, line: &str) -> Message {
     let mut connection = BufReader::new(TcpStream::connect(at).unwrap());
-    connection.get_mut().set_read_timeout(Some(LONG)).unwrap();
+    connection.get_mut().set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     connection.get_mut().write_all(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).unwrap();
-    let response = read(&mut connection).expect("a response");
+    let response = read_message(&mut connection).expect("a response");
     assert_eq!(connection.read(&mut [0]).unwrap(), 0, "one request per connection");
     response
 }
 
 /// A new directory for the temporary files of a gateway's processes.
-pub fn temporary() -> PathBuf {
-    let path = write(&serde_json::json!({})).with_extension("tmp");
+pub fn new_temp_dir() -> PathBuf {
+    let path = write_config(&serde_json::json!({})).with_extension("tmp");
     std::fs::create_dir(&path).unwrap();
     path
 }
 
-pub fn await_healthy(at: SocketAddr) {
+pub fn wait_until_healthy(at: SocketAddr) {
     let start = Instant::now();
-    while call(at, "GET /admin/health").status() != 200 {
-        assert!(start.elapsed() < LONG, "never ready");
+    while operator_request(at, "GET /admin/health").status() != 200 {
+        assert!(start.elapsed() < TEST_TIMEOUT, "never ready");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// Waits until a statistic of the operator interface has this value.
-pub fn await_figure(at: SocketAddr, name: &str, value: u64) {
+pub fn wait_for_stat(at: SocketAddr, name: &str, value: u64) {
     let start = Instant::now();
     loop {
-        let text = String::from_utf8(call(at, "GET /admin/stats").body).unwrap();
+        let text = String::from_utf8(operator_request(at, "GET /admin/stats").body).unwrap();
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         if line.is_some_and(|line| line == value.to_string()) {
             return;
         }
-        assert!(start.elapsed() < LONG, "{name} is not {value}:\n{text}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{name} is not {value}:\n{text}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// The value of a Prometheus metric.
 pub fn metric(at: SocketAddr, name: &str) -> f64 {
-    let text = String::from_utf8(call(at, "GET /metrics").body).unwrap();
+    let text = String::from_utf8(operator_request(at, "GET /metrics").body).unwrap();
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     value.unwrap_or_else(|| panic!("no {name}")).parse().unwrap()
 }
 
 // ---- The program as a command -----------------------------------------------------------------------------
 
-pub fn program() -> assert_cmd::Command {
+pub fn gateway_command() -> assert_cmd::Command {
     let mut command = assert_cmd::Command::new(env!("CARGO_BIN_EXE_heronstage"));
-    command.env_remove("RELAY_CONFIG").env_remove("RELAY_OPERATOR").timeout(LONG);
+    command.env_remove("RELAY_CONFIG").env_remove("RELAY_OPERATOR").timeout(TEST_TIMEOUT);
     command
 }
 
 /// Runs a command; returns its exit code, standard output and standard error.
-pub fn outcome(command: &mut assert_cmd::Command) -> (i32, String, String) {
+pub fn run_command(command: &mut assert_cmd::Command) -> (i32, String, String) {
     let output = command.output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
