--- a/overland/src/told.rs
+++ b/overland/src/told.rs
@@ -1,7 +1,7 @@
 //! Chooses the response to a client from the outcome of a request's attempts.
 
-use cherrytally::plane::driver::{Answer, Course};
-use cherrytally::plane::room::Short;
+use cherrytally::plane::driver::{AttemptSummary, FinalResponse};
+use cherrytally::plane::room::BodyError;
 
 /// Statuses that promise the client that the request has not run and never will.
 pub const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
@@ -25,22 +25,26 @@
 
 /// The response to the client. With `at_most_once` (at most one execution) a status that promises "not run"
 /// is returned only if no attempt may have run.
-pub fn client_response(at_most_once: bool, answer: &Answer, course: &Course) -> ClientResponse {
+pub fn client_response(
+    at_most_once: bool, answer: &FinalResponse, course: &AttemptSummary,
+) -> ClientResponse {
     match answer {
         // The backend's own status does not prove that the request did not run.
-        Answer::Served { head, .. } if at_most_once && NOT_RUN_STATUSES.contains(&head.status) => {
+        FinalResponse::Served { head, .. } if at_most_once && NOT_RUN_STATUSES.contains(&head.status) => {
             ClientResponse::MayHaveRun
         }
-        Answer::Served { .. } => ClientResponse::Served,
-        Answer::Refused { retry_after_ms, .. } if !course.ran => {
+        FinalResponse::Served { .. } => ClientResponse::Served,
+        FinalResponse::Refused { retry_after_ms, .. } if !course.may_have_run => {
             ClientResponse::NotRun(Some(*retry_after_ms))
         }
-        Answer::Failed if course.attempts == 0 => ClientResponse::NotRun(None),
-        Answer::Refused { .. } | Answer::Failed => ClientResponse::MayHaveRun,
-        Answer::Short(Short::TooLarge) => ClientResponse::TooLarge,
-        Answer::Short(Short::Broken) => ClientResponse::Broken,
+        FinalResponse::Failed if course.attempts == 0 => ClientResponse::NotRun(None),
+        FinalResponse::Refused { .. } | FinalResponse::Failed => ClientResponse::MayHaveRun,
+        FinalResponse::IncompleteBody(BodyError::TooLarge) => ClientResponse::TooLarge,
+        FinalResponse::IncompleteBody(BodyError::Broken) => ClientResponse::Broken,
         // A backend received part of the body and may have started.
-        Answer::Short(Short::Slow) if at_most_once && course.ran => ClientResponse::MayHaveRun,
-        Answer::Short(Short::Slow) => ClientResponse::Slow,
+        FinalResponse::IncompleteBody(BodyError::Slow) if at_most_once && course.may_have_run => {
+            ClientResponse::MayHaveRun
+        }
+        FinalResponse::IncompleteBody(BodyError::Slow) => ClientResponse::Slow,
     }
 }
--- a/src/plane/deadline.rs
+++ b/src/plane/deadline.rs
@@ -1,110 +1,112 @@
-//! A request's time: what its client says of it, and the one moment at which it ends. Whatever waits on a request's
-//! way waits until that moment at the longest.
+//! Request deadlines: parsing the client's timeout headers and computing the time by which the response must
+//! be sent. No wait on behalf of a request goes beyond it.
 
 use hyper::HeaderMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Longest wait that a client may state.
-const MOST: Duration = Duration::from_secs(3600);
-/// A final answer leaves so long before the client's time is up: it has a way to go, and the request had one.
-const MARGIN: Duration = Duration::from_millis(10);
+/// Maximum timeout that a client may request.
+const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
+/// Time reserved before the client's deadline for the network latency of request and response.
+const NETWORK_MARGIN: Duration = Duration::from_millis(10);
 
-/// What a client says of its time.
+/// The timeout and the absolute deadline given by a client; at least one is present.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stated {
-    /// It waits so long, from when it sent the request's last byte.
-    remaining: Option<Duration>,
-    /// It waits until then, whatever came before.
-    until: Option<Instant>,
+pub struct ClientDeadline {
+    /// Timeout that starts when the last byte of the request was sent.
+    timeout: Option<Duration>,
+    /// Absolute deadline, independent of when the request was received.
+    absolute: Option<Instant>,
 }
 
-/// When a request's answer has to leave, on the monotonic clock.
+/// When the response to a request must be sent, on the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Deadline(Instant);
 
-impl Stated {
-    /// A client that waits so long, from when it sent the request's last byte.
-    pub fn remaining(wait: Duration) -> Self {
-        Stated { remaining: Some(wait.min(MOST)), until: None }
+impl ClientDeadline {
+    /// A timeout that starts when the last byte of the request was sent, capped at the maximum.
+    pub fn from_timeout(timeout: Duration) -> Self {
+        ClientDeadline { timeout: Some(timeout.min(MAX_TIMEOUT)), absolute: None }
     }
 
-    /// Reads `X-Remaining-Ms` and `X-Deadline-Unix-Ms`; one of them is needed. The clock that all machines read is
-    /// looked at here, once: what it does later moves no deadline.
-    pub fn read(headers: &HeaderMap, unix: SystemTime, now: Instant) -> Result<Self, &'static str> {
-        let remaining = number(headers, "x-remaining-ms")
-            .and_then(|ms| ms.map(wait).transpose())
+    /// Parses `X-Remaining-Ms` and `X-Deadline-Unix-Ms`, of which at least one is required. The wall clock is
+    /// used only here, so that later changes of it do not move a deadline.
+    pub fn from_headers(headers: &HeaderMap, unix: SystemTime, now: Instant) -> Result<Self, &'static str> {
+        let timeout = number(headers, "x-remaining-ms")
+            .and_then(|ms| ms.map(timeout_from_ms).transpose())
             .map_err(|()| "X-Remaining-Ms is no whole number up to an hour, or stands twice\n")?;
         let unix = unix.duration_since(UNIX_EPOCH).unwrap_or_default();
-        let absolute = |ms: u64| {
-            // In the past it has no time left. A moment too far ahead is a clock that is wrong.
+        let absolute_from_ms = |ms: u64| {
+            // A deadline in the past leaves no time; one too far ahead indicates a wrong clock.
             let left = Duration::from_millis(ms).saturating_sub(unix);
-            if left <= MOST {
+            if left <= MAX_TIMEOUT {
                 Ok(now + left)
             } else {
                 Err(())
             }
         };
-        let until =
-            number(headers, "x-deadline-unix-ms").and_then(|ms| ms.map(absolute).transpose()).map_err(
-                |()| "X-Deadline-Unix-Ms is no Unix time in ms up to an hour ahead, or stands twice\n",
-            )?;
-        if remaining.is_none() && until.is_none() {
+        let absolute = number(headers, "x-deadline-unix-ms")
+            .and_then(|ms| ms.map(absolute_from_ms).transpose())
+            .map_err(|()| {
+                "X-Deadline-Unix-Ms is no Unix time in ms up to an hour ahead, or stands twice\n"
+            })?;
+        if timeout.is_none() && absolute.is_none() {
             return Err("X-Remaining-Ms is missing\n");
         }
-        Ok(Stated { remaining, until })
+        Ok(ClientDeadline { timeout, absolute })
     }
 
-    /// The end of a request whose last byte came now; the earlier one where both are stated.
-    pub fn from(&self, now: Instant) -> Deadline {
-        let ends = self.remaining.map(|remaining| now + remaining);
-        let ends = ends.into_iter().chain(self.until).min().unwrap_or(now);
-        Deadline(ends.checked_sub(MARGIN).map_or(now, |ends| ends.max(now)))
+    /// The deadline of a request whose last byte was received at `now`; the earlier one if both headers are
+    /// present.
+    pub fn deadline(&self, now: Instant) -> Deadline {
+        let timeout_at = self.timeout.map(|timeout| now + timeout);
+        let client_deadline = timeout_at.into_iter().chain(self.absolute).min().unwrap_or(now);
+        Deadline(client_deadline.checked_sub(NETWORK_MARGIN).map_or(now, |at| at.max(now)))
     }
 
-    /// The moment that the client stated, less the answer's way.
-    pub fn until(&self) -> Option<Instant> {
-        self.until.and_then(|until| until.checked_sub(MARGIN))
+    /// The absolute deadline, if any, less the network margin.
+    pub fn absolute(&self) -> Option<Instant> {
+        self.absolute.and_then(|absolute| absolute.checked_sub(NETWORK_MARGIN))
     }
 
-    /// Until when something may be waited for before the last byte came: so long, and not beyond a stated moment.
-    pub fn within(&self, limit: Instant) -> Instant {
-        self.until().map_or(limit, |until| until.min(limit))
+    /// The earlier of `limit` and the absolute deadline; bounds waits before the last byte is received.
+    pub fn cap(&self, limit: Instant) -> Instant {
+        self.absolute().map_or(limit, |absolute| absolute.min(limit))
     }
 
-    /// Whether a stated moment is over before the last byte came.
-    pub fn over(&self, now: Instant) -> bool {
-        self.until().is_some_and(|until| until <= now)
+    /// Whether the absolute deadline has passed.
+    pub fn expired(&self, now: Instant) -> bool {
+        self.absolute().is_some_and(|absolute| absolute <= now)
     }
 }
 
 impl Deadline {
-    /// The moment.
+    /// The deadline as an instant.
     pub fn at(self) -> Instant {
         self.0
     }
 
-    /// The time left.
-    pub fn left(self, now: Instant) -> Duration {
+    /// Time left at `now`.
+    pub fn remaining(self, now: Instant) -> Duration {
         self.0.saturating_duration_since(now)
     }
 
-    /// Whether it is over: less is left than any answer takes. The module gives up some milliseconds before the end.
-    pub fn over(self, now: Instant) -> bool {
-        self.left(now) < MARGIN
+    /// Whether less time is left than any response needs.
+    pub fn expired(self, now: Instant) -> bool {
+        self.remaining(now) < NETWORK_MARGIN
     }
 }
 
-fn wait(ms: u64) -> Result<Duration, ()> {
-    let wait = Duration::from_millis(ms);
-    if wait <= MOST {
-        Ok(wait)
+fn timeout_from_ms(ms: u64) -> Result<Duration, ()> {
+    let timeout = Duration::from_millis(ms);
+    if timeout <= MAX_TIMEOUT {
+        Ok(timeout)
     } else {
         Err(())
     }
 }
 
-/// A whole number in a header, if it is there. Given twice it is none: who is right can't be known.
+/// Parses a header as an unsigned integer, if present. A repeated header is an error.
 fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, ()> {
     let mut values = headers.get_all(name).into_iter();
     let Some(value) = values.next() else { return Ok(None) };
@@ -112,9 +114,9 @@
         return Err(());
     }
     let digits = value.to_str().map_err(|_| ())?.trim();
-    // A sign is no digit.
-    let whole = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-    if whole {
+    // `parse` alone would accept a leading plus sign.
+    let is_number = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
+    if is_number {
         digits.parse().map(Some).map_err(|_| ())
     } else {
         Err(())
@@ -127,17 +129,17 @@
 
     const UNIX_MS: u64 = 1_800_000_000_000;
 
-    fn read(lines: &[(&'static str, &str)], now: Instant) -> Result<Stated, &'static str> {
+    fn read(lines: &[(&'static str, &str)], now: Instant) -> Result<ClientDeadline, &'static str> {
         let mut headers = HeaderMap::new();
         for (name, value) in lines {
             headers.append(*name, value.parse().unwrap());
         }
-        Stated::read(&headers, UNIX_EPOCH + Duration::from_millis(UNIX_MS), now)
+        ClientDeadline::from_headers(&headers, UNIX_EPOCH + Duration::from_millis(UNIX_MS), now)
     }
 
     fn left(lines: &[(&'static str, &str)]) -> Option<u128> {
         let now = Instant::now();
-        read(lines, now).ok().map(|stated| stated.from(now).left(now).as_millis())
+        read(lines, now).ok().map(|client| client.deadline(now).remaining(now).as_millis())
     }
 
     const REMAINING: &str = "x-remaining-ms";
@@ -145,7 +147,7 @@
 
     #[test]
     fn remaining_time_is_a_whole_number_up_to_an_hour() {
-        for (value, wanted) in [
+        for (value, expected) in [
             ("480", Some(470)),
             (" 480 ", Some(470)),
             ("0", Some(0)),
@@ -159,19 +161,19 @@
             ("soon", None),
             ("", None),
         ] {
-            assert_eq!(left(&[(REMAINING, value)]), wanted, "{value:?}");
+            assert_eq!(left(&[(REMAINING, value)]), expected, "{value:?}");
         }
         assert_eq!(left(&[(REMAINING, "480"), (REMAINING, "480")]), None);
         assert_eq!(left(&[]), None);
     }
 
     #[test]
-    fn an_absolute_moment_is_taken_by_the_common_clock_and_the_earlier_of_both_holds() {
+    fn the_earlier_of_timeout_and_absolute_deadline_applies() {
         let at = |ms: i64| (UNIX_MS as i64 + ms).to_string();
         assert_eq!(left(&[(DEADLINE, &at(500))]), Some(490));
         assert_eq!(left(&[(DEADLINE, &at(-5000))]), Some(0));
         assert_eq!(left(&[(DEADLINE, "0")]), Some(0));
-        assert_eq!(left(&[(DEADLINE, &at(3_600_001))]), None, "a clock that is wrong");
+        assert_eq!(left(&[(DEADLINE, &at(3_600_001))]), None, "too far ahead");
         assert_eq!(left(&[(DEADLINE, &u64::MAX.to_string())]), None);
         assert_eq!(left(&[(DEADLINE, "-5")]), None);
         assert_eq!(left(&[(DEADLINE, &at(500)), (DEADLINE, &at(600))]), None);
@@ -181,16 +183,16 @@
     }
 
     #[test]
-    fn a_body_that_takes_its_time_moves_what_remains_but_not_a_moment() {
+    fn a_slow_body_extends_the_timeout_but_not_the_absolute_deadline() {
         let now = Instant::now();
         let at = (UNIX_MS + 1000).to_string();
-        let stated = read(&[(DEADLINE, &at), (REMAINING, "800")], now).unwrap();
+        let client = read(&[(DEADLINE, &at), (REMAINING, "800")], now).unwrap();
         let later = now + Duration::from_millis(600);
-        assert_eq!(stated.from(later).left(later), Duration::from_millis(390));
-        assert_eq!(stated.within(now + Duration::from_secs(5)), now + Duration::from_millis(990));
-        assert!(!stated.over(later) && stated.over(now + Duration::from_millis(995)));
+        assert_eq!(client.deadline(later).remaining(later), Duration::from_millis(390));
+        assert_eq!(client.cap(now + Duration::from_secs(5)), now + Duration::from_millis(990));
+        assert!(!client.expired(later) && client.expired(now + Duration::from_millis(995)));
         let after = now + Duration::from_secs(9);
-        assert!(stated.from(after).over(after));
-        assert_eq!(stated.from(after).left(after), Duration::ZERO);
+        assert!(client.deadline(after).expired(after));
+        assert_eq!(client.deadline(after).remaining(after), Duration::ZERO);
     }
 }
--- a/src/plane/exchange.rs
+++ b/src/plane/exchange.rs
@@ -1,159 +1,171 @@
-//! One try of a request on one connection: where both stand, and what that says of another try. No socket, no clock.
+//! State machine of one attempt on one connection, without I/O or a clock.
 //!
-//! A try goes forward alone; so does what is known of its connection. What a break, a silence or an answer means is
-//! read off the pair by [`Exchange::says`], and whether the connection may carry another request by
-//! [`Exchange::sound`]. `docs/system/exchange.md` has the same as a table.
+//! The stage of the attempt and the state of its connection only move forward. Together they decide how a
+//! failure is classified ([`Exchange::classify_failure`]) and whether the connection may be reused
+//! ([`Exchange::is_reusable`]).
 
-use crate::CallResult as Ended;
+use crate::CallResult;
 use std::time::Duration;
 
-/// Where a try stands.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nothing is written.
+    /// Nothing has been written.
     Unwritten,
-    /// A part of its head is written: nobody can know what it asks.
-    Head,
-    /// Its head is written, a part of its body is not.
-    Body,
-    /// All of it is written. It may lie in a buffer, and run when nobody waits for it any more.
+    /// The head is partly written, so the backend cannot execute the request.
+    PartialHead,
+    /// The head is written, the body is not complete.
+    PartialBody,
+    /// The request is written. It may still be executed after the client has stopped waiting.
     Written,
-    /// The head of its own answer has come.
-    Answering,
-    /// Its own answer has come whole.
-    Answered,
-    /// It is over.
-    Over,
+    /// The head of its response was received.
+    Responding,
+    /// Its response was received completely.
+    Complete,
+    /// The attempt has ended.
+    Ended,
 }
 
-/// What is known of a connection.
+/// State of the connection that carries an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
-    /// Nothing was sent on it before.
-    Fresh,
-    /// It has carried requests, each with its answer, and stood idle.
-    Rested,
-    /// Something came on it that this try did not ask for, or something of this try is still to come: it carries no
-    /// other one.
-    Poisoned,
+pub enum ConnectionState {
+    /// Newly opened.
+    New,
+    /// Taken from the idle pool after complete exchanges.
+    Reused,
+    /// Not reusable: it carried unexpected bytes, or part of this exchange is outstanding.
+    Unusable,
 }
 
-/// What happens to a try. One that is late or out of order changes nothing but the connection, which it poisons.
+/// An event of an attempt. One that is late or out of order only makes the connection unusable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happened {
-    /// Bytes were written; whether its head is whole by that, and all of it.
+pub enum ExchangeEvent {
+    /// Bytes of the request were written.
     Wrote {
-        /// Its head is whole.
-        head: bool,
-        /// All is.
-        all: bool,
+        /// The head is complete.
+        head_complete: bool,
+        /// The whole request is complete.
+        request_complete: bool,
     },
-    /// An answer came that is not its own.
-    Surplus,
-    /// The head of its own answer came, and whether the connection stays open after it.
-    Own {
-        /// It stays.
-        stays: bool,
+    /// A response to another request was received.
+    UnexpectedResponse,
+    /// The head of its own response was received.
+    ResponseHead {
+        /// The connection stays open after the response.
+        keep_alive: bool,
     },
-    /// The answer's last byte came, and whether more follows it.
-    Whole {
-        /// More does.
-        more: bool,
+    /// The last byte of the response was received.
+    ResponseComplete {
+        /// Further bytes follow it.
+        trailing_bytes: bool,
     },
-    /// It ends where it stands.
-    End,
+    /// The attempt ended at its current stage.
+    Ended,
 }
 
-/// How a try ends without a whole answer.
+/// Why an attempt ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The connection was reset or closed, or what came on it is no answer.
-    Broken,
-    /// Its time is up.
-    Silent,
+pub enum AttemptFailure {
+    /// The connection was reset or closed, or an invalid response was received.
+    ConnectionBroken,
+    /// The attempt timed out.
+    TimedOut,
 }
 
-/// One try on one connection.
+/// One attempt on one connection.
 #[derive(Debug)]
 pub struct Exchange {
     stage: Stage,
-    line: Line,
+    connection: ConnectionState,
 }
 
 impl Exchange {
-    /// A try that has a connection now.
-    pub fn new(rested: bool) -> Self {
-        Exchange { stage: Stage::Unwritten, line: if rested { Line::Rested } else { Line::Fresh } }
+    /// An attempt on a connection that is new, or `reused` if it comes from the idle pool.
+    pub fn new(reused: bool) -> Self {
+        Exchange {
+            stage: Stage::Unwritten,
+            connection: if reused { ConnectionState::Reused } else { ConnectionState::New },
+        }
     }
 
-    /// Where it stands.
+    /// Current stage of the attempt.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// What is known of its connection.
-    pub fn line(&self) -> Line {
-        self.line
+    /// Current state of the connection.
+    pub fn connection(&self) -> ConnectionState {
+        self.connection
     }
 
-    /// The one function that changes it.
-    pub fn step(&mut self, happened: Happened) {
+    /// Applies an event; the only function that changes the state.
+    pub fn apply(&mut self, event: ExchangeEvent) {
         use Stage::*;
-        let (stage, poisons) = match (self.stage, happened) {
-            (Unwritten | Head | Body, Happened::Wrote { all: true, .. }) => (Written, false),
-            (Unwritten | Head | Body, Happened::Wrote { head: true, .. }) => (Body, false),
-            (Unwritten | Head, Happened::Wrote { .. }) => (Head, false),
-            // An answer that did not wait for the whole request: what is unwritten stays so.
-            (Unwritten | Head | Body, Happened::Own { .. }) => (Answering, true),
-            (Written, Happened::Own { stays }) => (Answering, !stays),
-            (Answering, Happened::Whole { more }) => (Answered, more),
-            (at, Happened::Surplus) => (at, true),
-            (at, Happened::End) => (Over, at != Answered),
-            // Written after an answer began, or an answer out of turn.
-            (at, Happened::Wrote { .. } | Happened::Own { .. } | Happened::Whole { .. }) => (at, true),
+        let (stage, unusable) = match (self.stage, event) {
+            (Unwritten | PartialHead | PartialBody, ExchangeEvent::Wrote { request_complete: true, .. }) => {
+                (Written, false)
+            }
+            (Unwritten | PartialHead | PartialBody, ExchangeEvent::Wrote { head_complete: true, .. }) => {
+                (PartialBody, false)
+            }
+            (Unwritten | PartialHead, ExchangeEvent::Wrote { .. }) => (PartialHead, false),
+            // An early response: the rest of the request is never written.
+            (Unwritten | PartialHead | PartialBody, ExchangeEvent::ResponseHead { .. }) => (Responding, true),
+            (Written, ExchangeEvent::ResponseHead { keep_alive }) => (Responding, !keep_alive),
+            (Responding, ExchangeEvent::ResponseComplete { trailing_bytes }) => (Complete, trailing_bytes),
+            (at, ExchangeEvent::UnexpectedResponse) => (at, true),
+            (at, ExchangeEvent::Ended) => (Ended, at != Complete),
+            // A write after the response began, or a response out of order.
+            (
+                at,
+                ExchangeEvent::Wrote { .. }
+                | ExchangeEvent::ResponseHead { .. }
+                | ExchangeEvent::ResponseComplete { .. },
+            ) => (at, true),
         };
         self.stage = stage;
-        if poisons {
-            self.line = Line::Poisoned;
+        if unusable {
+            self.connection = ConnectionState::Unusable;
         }
     }
 
-    /// What an end without a whole answer says of the try. Where backends may begin with the head alone, a part of the
-    /// body unwritten proves nothing.
-    pub fn says(&self, end: End, begins_early: bool) -> Ended {
-        match (self.stage, end) {
-            (Stage::Unwritten | Stage::Head, _) => Ended::ConnectFailed,
-            (Stage::Body, _) if !begins_early => Ended::ConnectFailed,
-            (_, End::Broken) => Ended::Reset,
-            (_, End::Silent) => Ended::Timeout,
+    /// Classifies a failure of the attempt. With `may_start_early`, backends may start on an incomplete body,
+    /// so an unwritten rest does not prove that the request was not executed.
+    pub fn classify_failure(&self, failure: AttemptFailure, may_start_early: bool) -> CallResult {
+        match (self.stage, failure) {
+            (Stage::Unwritten | Stage::PartialHead, _) => CallResult::ConnectFailed,
+            (Stage::PartialBody, _) if !may_start_early => CallResult::ConnectFailed,
+            (_, AttemptFailure::ConnectionBroken) => CallResult::Reset,
+            (_, AttemptFailure::TimedOut) => CallResult::Timeout,
         }
     }
 
-    /// Whether the connection may carry another request: all of this one was written, its own answer came whole, and
-    /// nothing besides.
-    pub fn sound(&self) -> bool {
-        self.stage == Stage::Answered && self.line != Line::Poisoned
+    /// Whether the connection may be reused: the request was fully written, its response fully received, and
+    /// nothing else arrived.
+    pub fn is_reusable(&self) -> bool {
+        self.stage == Stage::Complete && self.connection != ConnectionState::Unusable
     }
 }
 
-/// A connection that stands idle, as it is looked at before it is used again.
+/// Observations about an idle connection, checked before it is reused.
 #[derive(Clone, Copy, Debug)]
-pub struct Idle {
-    /// Bytes lie on it, or its end: nobody asked for either.
-    pub stirred: bool,
-    /// It has rested for so long.
-    pub rested: Duration,
-    /// And may for so long.
+pub struct IdleConnection {
+    /// Unrequested bytes or an end of stream are pending on it.
+    pub data_pending: bool,
+    /// Time since its last use.
+    pub idle_for: Duration,
+    /// Maximum idle time.
     pub limit: Duration,
-    /// Its backend has another address now.
-    pub moved: bool,
-    /// The last request on it had the same name: a second answer to that one would pass for this one's.
-    pub twin: bool,
+    /// The backend's address has changed since it was opened.
+    pub address_changed: bool,
+    /// Its last request had the same correlation id, so a duplicate response to that one could be mistaken
+    /// for this one's.
+    pub same_correlation_id: bool,
 }
 
-impl Idle {
-    /// Whether it may be used.
-    pub fn sound(&self) -> bool {
-        !self.stirred && !self.moved && !self.twin && self.rested < self.limit
+impl IdleConnection {
+    /// Whether the connection may be reused.
+    pub fn is_reusable(&self) -> bool {
+        !self.data_pending && !self.address_changed && !self.same_correlation_id && self.idle_for < self.limit
     }
 }
--- a/tests/played/mod.rs
+++ b/tests/played/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of real processes play: servers, a counter and discovery, and the gateway's own process.
+//! Test doubles for backends, the counter and discovery, and a handle for the gateway process under test.
 #![allow(dead_code, missing_docs)]
 
 use std::collections::HashMap;
@@ -10,77 +10,78 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Waits are on conditions; this only ends a test that has failed.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Timeout of every wait, after which a test fails.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-// ---- What the tests play ----------------------------------------------------------------------------------
+// ---- Test doubles -----------------------------------------------------------------------------------------
 
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The first line.
-    pub line: String,
+    /// The request or status line.
+    pub first_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.first_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message; none if the connection ends before it is whole.
-pub fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
+/// Reads one HTTP message; none if the connection is closed before its end.
+pub fn read_message(reader: &mut BufReader<TcpStream>) -> Option<Message> {
     let mut message = Message::default();
     let mut line = String::new();
-    from.read_line(&mut line).ok().filter(|n| *n > 0)?;
-    message.line = line.trim_end().to_owned();
+    reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
+    message.first_line = line.trim_end().to_owned();
     loop {
         let mut line = String::new();
-        from.read_line(&mut line).ok().filter(|n| *n > 0)?;
+        reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
         let Some((name, value)) = line.trim_end().split_once(": ") else { break };
         message.headers.insert(name.to_ascii_lowercase(), value.to_owned());
     }
-    let length = message.headers.get("content-length").map_or(0, |l| l.parse().unwrap());
+    let length = message.headers.get("content-length").map_or(0, |length| length.parse().unwrap());
     message.body.resize(length, 0);
-    from.read_exact(&mut message.body).ok()?;
+    reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// What a played server does with a message.
-pub enum Play {
-    /// Writes this and keeps the connection.
-    Say(String),
-    /// Writes this and closes the connection.
-    End(String),
-    /// Says nothing until the other side has closed, then notes that by the sender.
-    Hush(Sender<Instant>),
+/// What a test server does with a request.
+pub enum ServerAction {
+    /// Writes this text and keeps the connection open.
+    Respond(String),
+    /// Writes this text and closes the connection.
+    RespondAndClose(String),
+    /// Sends nothing until the peer has closed the connection, then reports the time of that.
+    HangUntilClosed(Sender<Instant>),
 }
 
-pub fn say(status: u16, headers: &str, body: &str) -> String {
+pub fn response_text(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Serves on a port of its own, each connection in a thread.
-pub fn serve(play: impl Fn(&Message) -> Play + Send + Sync + 'static) -> SocketAddr {
+/// Starts a server on a free port, with a thread per connection. `handler` decides how each request is
+/// handled.
+pub fn serve(handler: impl Fn(&Message) -> ServerAction + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let play = Arc::new(play);
+    let handler = Arc::new(handler);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, play) = (stream.unwrap(), play.clone());
+            let (mut stream, handler) = (stream.unwrap(), handler.clone());
             std::thread::spawn(move || {
-                let mut from = BufReader::new(stream.try_clone().unwrap());
-                while let Some(message) = read(&mut from) {
-                    match play(&message) {
-                        Play::Say(text) => stream.write_all(text.as_bytes()).unwrap(),
-                        Play::End(text) => {
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
+                while let Some(message) = read_message(&mut reader) {
+                    match handler(&message) {
+                        ServerAction::Respond(text) => stream.write_all(text.as_bytes()).unwrap(),
+                        ServerAction::RespondAndClose(text) => {
                             stream.write_all(text.as_bytes()).unwrap();
                             stream.shutdown(Shutdown::Both).unwrap();
                             return;
                         }
-                        Play::Hush(closed) => {
-                            let _ = from.read(&mut [0]);
+                        ServerAction::HangUntilClosed(closed) => {
+                            let _ = reader.read(&mut [0]);
                             let _ = closed.send(Instant::now());
                             return;
                         }
@@ -92,22 +93,23 @@
     addr
 }
 
-/// A counter as the real one: totals with three decimals. Notes the amounts.
+/// A quota counter that responds with totals to three decimals, like the real one, and records the amounts
+/// added.
 pub fn counter(amounts: Arc<Mutex<Vec<f64>>>) -> SocketAddr {
     let totals = Mutex::new(HashMap::<String, f64>::new());
-    serve(move |call| {
-        let target = call.line.split(' ').nth(1).unwrap();
+    serve(move |request| {
+        let target = request.first_line.split(' ').nth(1).unwrap();
         let (name, query) = target.split_once("?by=").unwrap();
-        let by: f64 = query.split('&').next().unwrap().parse().unwrap();
-        amounts.lock().unwrap().push(by);
+        let amount: f64 = query.split('&').next().unwrap().parse().unwrap();
+        amounts.lock().unwrap().push(amount);
         let mut totals = totals.lock().unwrap();
         let total = totals.entry(name.to_owned()).or_default();
-        *total += by;
-        Play::Say(say(200, "", &format!("{total:.3}")))
+        *total += amount;
+        ServerAction::Respond(response_text(200, "", &format!("{total:.3}")))
     })
 }
 
-/// Discovery: a watch to which a test can add lines.
+/// A discovery service that hands its watch streams to the test.
 pub struct Discovery {
     pub addr: SocketAddr,
     pub watches: Receiver<(String, TcpStream)>,
@@ -117,27 +119,27 @@
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (to, watches) = channel();
+        let (sender, watches) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.unwrap();
-                let mut from = BufReader::new(stream.try_clone().unwrap());
-                let Some(asked) = read(&mut from) else { continue };
-                if asked.line.contains("stream=1") {
+                let mut reader = BufReader::new(stream.try_clone().unwrap());
+                let Some(request) = read_message(&mut reader) else { continue };
+                if request.first_line.contains("stream=1") {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
                 }
-                let _ = to.send((asked.line, stream));
+                let _ = sender.send((request.first_line, stream));
             }
         });
         Discovery { addr, watches }
     }
 
     pub fn watch(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(LONG).expect("the gateway opens a watch")
+        self.watches.recv_timeout(TEST_TIMEOUT).expect("the gateway opens a watch")
     }
 }
 
-pub fn tell(watch: &mut TcpStream, line: &str) {
+pub fn send_discovery_line(watch: &mut TcpStream, line: &str) {
     watch.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).unwrap();
 }
 
@@ -146,9 +148,10 @@
         "cell": 0, "state": state, "weight": 1.0, "started_ms": 0})
 }
 
-/// A configuration with these backends known.
+/// A gateway configuration that lists these backends.
 pub fn config(backends: &[SocketAddr], counter: SocketAddr, discovery: SocketAddr) -> serde_json::Value {
-    let servers: Vec<_> = backends.iter().enumerate().map(|(i, a)| entry(i, *a, "Ready")).collect();
+    let servers: Vec<_> =
+        backends.iter().enumerate().map(|(number, addr)| entry(number, *addr, "Ready")).collect();
     let class = |name: &str, effect: &str| {
         serde_json::json!({"name": name, "aim-ms": 1500.0, "give-up-ms": 4000.0, "value": 1.0, "late-worth": 0.0,
             "effect": effect, "group": "zone", "stream": false, "window-ms": 2500.0})
@@ -183,12 +186,12 @@
     pub child: Child,
     pub addr: SocketAddr,
     pub log: Receiver<String>,
-    /// Its configuration's file.
+    /// Path of its configuration file.
     pub path: PathBuf,
 }
 
-/// Writes a configuration into a file of its own.
-pub fn write(config: &serde_json::Value) -> PathBuf {
+/// Writes a configuration to a new temporary file.
+pub fn write_config(config: &serde_json::Value) -> PathBuf {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("heronstage-{}-{number}.json", std::process::id()));
@@ -197,24 +200,24 @@
 }
 
 pub fn start(config: &serde_json::Value) -> (Child, PathBuf) {
-    let path = write(config);
+    let path = write_config(config);
     let mut command = Command::new(env!("CARGO_BIN_EXE_heronstage"));
     let child = command.env("RELAY_CONFIG", &path).stdin(Stdio::null()).stderr(Stdio::piped()).spawn();
     (child.unwrap(), path)
 }
 
-/// Starts the program with a clients' listener that it inherits as descriptor 3.
+/// Starts the program with a client listener that it inherits as file descriptor 3.
 pub fn start_inheriting(
-    config: &serde_json::Value, listener: &TcpListener, temporary: &std::path::Path,
+    config: &serde_json::Value, listener: &TcpListener, temp_dir: &std::path::Path,
 ) -> (Child, PathBuf) {
-    let path = write(config);
-    let run = format!("exec {} 3<&0 </dev/null", env!("CARGO_BIN_EXE_heronstage"));
+    let path = write_config(config);
+    let script = format!("exec {} 3<&0 </dev/null", env!("CARGO_BIN_EXE_heronstage"));
     let mut command = Command::new("/bin/sh");
     command
-        .args(["-c", &run])
+        .args(["-c", &script])
         .env("RELAY_CONFIG", &path)
         .env("RELAY_LISTEN_FD", "3")
-        .env("TMPDIR", temporary);
+        .env("TMPDIR", temp_dir);
     let listener = std::os::fd::OwnedFd::from(listener.try_clone().unwrap());
     (command.stdin(listener).stderr(Stdio::piped()).spawn().unwrap(), path)
 }
@@ -224,20 +227,22 @@
     pub fn new(config: &serde_json::Value) -> Self {
         let gateway = Self::started(start(config));
         let start = Instant::now();
-        while gateway.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
-            assert!(start.elapsed() < LONG, "never ready");
+        while gateway.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200 {
+            assert!(start.elapsed() < TEST_TIMEOUT, "never ready");
             std::thread::sleep(Duration::from_millis(20));
         }
         gateway
     }
 
-    /// Waits until the program listens.
+    /// Wraps a started program and waits until it listens.
     pub fn started((mut child, path): (Child, PathBuf)) -> Self {
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        let (to, log) = channel();
-        std::thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|l| to.send(l)));
+        let (sender, log) = channel();
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
+        });
         let addr = loop {
-            let line = log.recv_timeout(LONG).expect("the gateway starts");
+            let line = log.recv_timeout(TEST_TIMEOUT).expect("the gateway starts");
             if let Some((_, addr)) = line.split_once("listening on ") {
                 break addr.parse().unwrap();
             }
@@ -245,20 +250,20 @@
         Gateway { child, addr, log, path }
     }
 
-    pub fn open(&self) -> BufReader<TcpStream> {
+    pub fn connect(&self) -> BufReader<TcpStream> {
         let stream = TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 
-    pub fn ask(&self, text: &str) -> Message {
-        let mut open = self.open();
-        open.get_mut().write_all(text.as_bytes()).unwrap();
-        read(&mut open).expect("an answer")
+    pub fn request(&self, text: &str) -> Message {
+        let mut connection = self.connect();
+        connection.get_mut().write_all(text.as_bytes()).unwrap();
+        read_message(&mut connection).expect("a response")
     }
 
     pub fn get(&self, customer: u64, units: u32) -> Message {
-        self.ask(&look(customer, units, 3000))
+        self.request(&get_request(customer, units, 3000))
     }
 
     pub fn signal(&self, name: &str) {
@@ -273,14 +278,14 @@
     }
 }
 
-pub fn look(customer: u64, units: u32, remaining: u32) -> String {
+pub fn get_request(customer: u64, units: u32, remaining: u32) -> String {
     format!(
         "GET /look?account={customer:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 0000{customer:012x}\r\n\
          X-Lane: look\r\nX-Plan: small\r\nX-Remaining-Ms: {remaining}\r\nX-Quota: units={units},spread=1,first=0\r\n\r\n"
     )
 }
 
-pub fn post(lane: &str, key: &str, body: &str) -> String {
+pub fn post_request(lane: &str, key: &str, body: &str) -> String {
     format!(
         "POST /{lane}?account=0000000000000007 HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: 9b1f03aa5c7e2d41\r\n\
          X-Lane: {lane}\r\nX-Plan: small\r\nX-Remaining-Ms: 3000\r\n{key}X-Quota: units=1,spread=1,first=0\r\n\
@@ -289,26 +294,26 @@
     )
 }
 
-pub const KEY: &str = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
 
-/// A calm counter and discovery that is silent.
-pub fn calm(backends: &[SocketAddr]) -> serde_json::Value {
-    config(backends, counter(Arc::default()), serve(|_| Play::Hush(channel().0)))
+/// A configuration with a working counter and a discovery service that never responds.
+pub fn basic_config(backends: &[SocketAddr]) -> serde_json::Value {
+    config(backends, counter(Arc::default()), serve(|_| ServerAction::HangUntilClosed(channel().0)))
 }
 
-/// A backend that answers all well, and what it got.
-pub fn good() -> (SocketAddr, Arc<Mutex<Vec<Message>>>) {
-    let got = Arc::new(Mutex::new(Vec::new()));
-    let seen = got.clone();
-    let addr = serve(move |m| {
-        seen.lock().unwrap().push(m.clone());
-        Play::Say(say(200, "X-Units-Charged: 2\r\n", "stock: 12"))
+/// A backend that responds to every request with 200, and the requests it received.
+pub fn healthy_backend() -> (SocketAddr, Arc<Mutex<Vec<Message>>>) {
+    let received = Arc::new(Mutex::new(Vec::new()));
+    let seen = received.clone();
+    let addr = serve(move |request| {
+        seen.lock().unwrap().push(request.clone());
+        ServerAction::Respond(response_text(200, "X-Units-Charged: 2\r\n", "stock: 12"))
     });
-    (addr, got)
+    (addr, received)
 }
 
-/// A port on which nobody listens, nor will: it stays bound, so that no other test is given it.
-pub fn nobody() -> SocketAddr {
+/// An address that refuses connections. The port stays bound, so that no other test gets it.
+pub fn refusing_address() -> SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let addr = socket.local_addr().unwrap();
@@ -316,86 +321,90 @@
     addr
 }
 
-/// Replaces the configuration and tells the gateway, as the platform does.
+/// Replaces the configuration file and makes the gateway reload it.
 pub fn reload(gateway: &Gateway, text: &str) {
     std::fs::write(&gateway.path, text).unwrap();
     gateway.signal("-HUP");
 }
 
-/// A calm configuration with a place for operators.
-pub fn operated(backends: &[SocketAddr]) -> serde_json::Value {
-    let mut config = calm(backends);
+/// The configuration of `basic_config` with an operator listener.
+pub fn config_with_operator(backends: &[SocketAddr]) -> serde_json::Value {
+    let mut config = basic_config(backends);
     config["operator"] = "127.0.0.1:0".into();
     config
 }
 
 impl Gateway {
     pub fn operator(&self) -> SocketAddr {
-        let told = self.log.recv_timeout(LONG).expect("it tells where operators call");
-        told.split_once("operators call at ").expect("the line after the clients' address").1.parse().unwrap()
+        let line = self.log.recv_timeout(TEST_TIMEOUT).expect("a log line with the operators' address");
+        line.split_once("operators call at ")
+            .expect("the operators' address after the clients'")
+            .1
+            .parse()
+            .unwrap()
     }
 
     pub fn ready(&self) -> bool {
-        self.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
+        self.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200
     }
 }
 
-/// One operator's call, on a connection of its own that the gateway closes after it.
-pub fn call(at: SocketAddr, line: &str) -> Message {
-    let mut open = BufReader::new(TcpStream::connect(at).unwrap());
-    open.get_mut().set_read_timeout(Some(LONG)).unwrap();
-    open.get_mut().write_all(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).unwrap();
-    let answer = read(&mut open).expect("an answer");
-    assert_eq!(open.read(&mut [0]).unwrap(), 0, "one call a connection");
-    answer
+/// Sends an operator request on a new connection, which the gateway must close after it.
+pub fn operator_request(at: SocketAddr, line: &str) -> Message {
+    let mut connection = BufReader::new(TcpStream::connect(at).unwrap());
+    connection.get_mut().set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    connection.get_mut().write_all(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).unwrap();
+    let response = read_message(&mut connection).expect("a response");
+    assert_eq!(connection.read(&mut [0]).unwrap(), 0, "one request per connection");
+    response
 }
 
-/// A folder of the test's own, as the platform gives one to the processes of a gateway.
-pub fn temporary() -> PathBuf {
-    let path = write(&serde_json::json!({})).with_extension("tmp");
+/// A new directory for the temporary files of a gateway's processes.
+pub fn new_temp_dir() -> PathBuf {
+    let path = write_config(&serde_json::json!({})).with_extension("tmp");
     std::fs::create_dir(&path).unwrap();
     path
 }
 
-pub fn await_healthy(at: SocketAddr) {
+pub fn wait_until_healthy(at: SocketAddr) {
     let start = Instant::now();
-    while call(at, "GET /admin/health").status() != 200 {
-        assert!(start.elapsed() < LONG, "never ready");
+    while operator_request(at, "GET /admin/health").status() != 200 {
+        assert!(start.elapsed() < TEST_TIMEOUT, "never ready");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// One figure as operators read it, once it stands at what it must come to.
-pub fn await_figure(at: SocketAddr, name: &str, value: u64) {
+/// Waits until a statistic of the operator interface has this value.
+pub fn wait_for_stat(at: SocketAddr, name: &str, value: u64) {
     let start = Instant::now();
     loop {
-        let text = String::from_utf8(call(at, "GET /admin/stats").body).unwrap();
+        let text = String::from_utf8(operator_request(at, "GET /admin/stats").body).unwrap();
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         if line.is_some_and(|line| line == value.to_string()) {
             return;
         }
-        assert!(start.elapsed() < LONG, "{name} is not {value}:\n{text}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{name} is not {value}:\n{text}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// One figure of those for tools.
+/// The value of a Prometheus metric.
 pub fn metric(at: SocketAddr, name: &str) -> f64 {
-    let text = String::from_utf8(call(at, "GET /metrics").body).unwrap();
+    let text = String::from_utf8(operator_request(at, "GET /metrics").body).unwrap();
     let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     value.unwrap_or_else(|| panic!("no {name}")).parse().unwrap()
 }
 
 // ---- The program as a command -----------------------------------------------------------------------------
 
-pub fn program() -> assert_cmd::Command {
+pub fn gateway_command() -> assert_cmd::Command {
     let mut command = assert_cmd::Command::new(env!("CARGO_BIN_EXE_heronstage"));
-    command.env_remove("RELAY_CONFIG").env_remove("RELAY_OPERATOR").timeout(LONG);
+    command.env_remove("RELAY_CONFIG").env_remove("RELAY_OPERATOR").timeout(TEST_TIMEOUT);
     command
 }
 
-/// Runs a command; its exit code and what it printed on standard output and error.
-pub fn outcome(command: &mut assert_cmd::Command) -> (i32, String, String) {
+/// Runs a command; returns its exit code, standard output and standard error.
+pub fn run_command(command: &mut assert_cmd::Command) -> (i32, String, String) {
     let output = command.output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
