--- a/overland/src/bin/narcissus.rs
+++ b/overland/src/bin/narcissus.rs
@@ -1,11 +1,11 @@
-//! A core process.
+//! The program of a core process.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     overland::start::main(
         "narcissus",
-        "agrees with the other core processes on the state, and answers backends and operators",
+        "replicates the configuration and the registry of backends, and serves the API",
         overland::control::Control::run,
     )
 }
--- a/overland/src/bin/pelion.rs
+++ b/overland/src/bin/pelion.rs
@@ -1,11 +1,7 @@
-//! The proxy that carries the traffic.
+//! The program of the proxy.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    overland::start::main(
-        "pelion",
-        "takes clients' requests and sends them to backends",
-        overland::proxy::Proxy::run,
-    )
+    overland::start::main("pelion", "forwards clients' requests to backends", overland::proxy::Proxy::run)
 }
--- a/overland/src/bin/windermere.rs
+++ b/overland/src/bin/windermere.rs
@@ -1,11 +1,11 @@
-//! The agent beside a proxy.
+//! The program of the agent that runs beside each proxy.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     overland::start::main(
         "windermere",
-        "keeps the links to the core and feeds the proxy beside it",
+        "replicates the state of the core processes to the proxy on the same machine",
         overland::agent::Agent::run,
     )
 }
--- a/overland/src/calls.rs
+++ b/overland/src/calls.rs
@@ -1,5 +1,5 @@
-//! Calls of backends, operators and clients that ask where to go: each is a pair of types, a question and its answer,
-//! behind one handler.
+//! The HTTP API for backends, operators and clients. Each call is a pair of types, its request and its
+//! response, and all go through one handler.
 
 use crate::config::{Envelope, Invalid};
 use crate::ledger::UpdateId;
@@ -8,41 +8,41 @@
 use cherrytally::Millis;
 use miniserde::{Deserialize, Serialize};
 
-/// A call as it came.
+/// An API request.
 pub struct Called<'a> {
     /// The method.
     pub method: &'a str,
-    /// The path, with its query.
+    /// The path and query.
     pub path: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// An answer on the wire.
+/// An API response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The body: JSON.
+    /// The body, as JSON.
     pub body: String,
-    /// When to come back, in ms.
+    /// The delay before a retry, in ms (`retry-after`).
     pub after_ms: Option<u64>,
 }
 
-/// Why a call is not granted.
+/// The reason why a call is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is wrong: a 4xx that ends it.
+    /// The request is invalid; a retry would fail, too.
     Bad(String),
-    /// Another version is in place.
+    /// The update builds on another edition than the one in force.
     Conflict(String),
-    /// Not known here.
+    /// No call has this name.
     Unknown,
-    /// The method is another.
+    /// The call takes another HTTP method.
     Method,
-    /// Not now, or not known whether: the same call again finds out.
+    /// The service is unavailable, or the outcome is not known yet; a retry finds out.
     Later,
-    /// It can't be told any more whether it was taken: nothing is claimed.
+    /// The outcome is no longer recorded, so it cannot be reported.
     Unclear(String),
 }
 
@@ -53,81 +53,81 @@
 }
 
 #[derive(Serialize)]
-struct Wrong<'a> {
+struct ErrorBody<'a> {
     error: &'a str,
 }
 
-/// When a caller may come back, in ms.
-const LATER_MS: u64 = 200;
+/// The delay before a retry that a refusal asks for.
+const RETRY_AFTER_MS: u64 = 200;
 
 impl Refusal {
-    /// The answer that tells it.
+    /// The response that reports this refusal.
     pub fn reply(&self) -> Reply {
-        let (status, why) = match self {
-            Refusal::Bad(why) => (400, why.as_str()),
-            Refusal::Conflict(why) => (412, why.as_str()),
+        let (status, reason) = match self {
+            Refusal::Bad(reason) => (400, reason.as_str()),
+            Refusal::Conflict(reason) => (412, reason.as_str()),
             Refusal::Unknown => (404, "no such call"),
             Refusal::Method => (405, "another method is needed"),
             Refusal::Later => (503, "not now"),
-            Refusal::Unclear(why) => (503, why.as_str()),
+            Refusal::Unclear(reason) => (503, reason.as_str()),
         };
-        let after_ms = (status == 503).then_some(LATER_MS);
-        Reply { status, body: miniserde::json::to_string(&Wrong { error: why }), after_ms }
+        let after_ms = (status == 503).then_some(RETRY_AFTER_MS);
+        Reply { status, body: miniserde::json::to_string(&ErrorBody { error: reason }), after_ms }
     }
 }
 
-/// One kind of call.
+/// A kind of API call: the request, as parsed.
 pub trait Call: Sized {
-    /// Its name in the path.
+    /// Its name in the path, after `/api/`.
     const NAME: &'static str;
-    /// Its method.
+    /// Its HTTP method.
     const METHOD: &'static str;
-    /// Whether only the leader answers it.
+    /// Whether only the leader may answer it.
     const LEADER: bool;
-    /// The answer's type.
+    /// The body of a successful response.
     type Answer: Serialize;
 
-    /// Reads the question. `arg` is what follows the name in the path.
+    /// Parses a request; `arg` is the part of the path after the name.
     fn read(arg: &str, query: &str, called: &Called) -> Result<Self, Refusal>;
 }
 
-/// What comes of a call that is granted.
+/// The outcome of a call that is not refused.
 pub enum Outcome<A, W> {
-    /// This is the answer.
+    /// The response.
     Now(A),
-    /// This is the answer, once what it waits for has come about.
+    /// The response to give once the wait has succeeded.
     Waits(A, W),
 }
 
-/// Whoever answers calls.
+/// A handler of API calls.
 pub trait Serves {
-    /// What an answer may wait for.
+    /// A condition that a response may wait for.
     type Wait;
 
-    /// Whether it leads.
+    /// Whether this process is the leader.
     fn leads(&self) -> bool;
 
-    /// Whether it may answer for all: it leads, and a majority has said so lately.
+    /// Whether it holds the leader's lease, so that its state is authoritative.
     fn vouches(&self, now: Millis) -> bool;
 }
 
-/// Whoever answers calls of one kind.
+/// A handler of one kind of call.
 pub trait Answers<C: Call>: Serves {
-    /// Answers one.
+    /// Handles one call.
     fn answer(&mut self, now: Millis, call: C) -> Result<Outcome<C::Answer, Self::Wait>, Refusal>;
 }
 
-/// What is to be done with a call.
+/// How a request is to be completed.
 pub enum Served<W> {
-    /// It is answered.
+    /// With this reply, now.
     Now(Reply),
-    /// It is answered so once what it waits for has come about.
+    /// With this reply, once the wait has succeeded.
     Waits(Reply, W),
-    /// Who leads answers it.
+    /// By the leader, to which it must be forwarded.
     Elsewhere,
 }
 
-/// The one handler.
+/// Checks the method and the leadership, then parses and handles a call.
 fn serve<C: Call, S: Answers<C>>(to: &mut S, now: Millis, arg: &str, called: &Called<'_>) -> Served<S::Wait> {
     if called.method != C::METHOD {
         return Served::Now(Refusal::Method.reply());
@@ -136,20 +136,20 @@
         return Served::Elsewhere;
     }
     if C::LEADER && !to.vouches(now) {
-        // Another may lead by now, and have been told more.
+        // Another process may lead by now and hold later changes.
         return Served::Now(Refusal::Later.reply());
     }
     let query = called.path.split_once('?').map_or("", |(_, query)| query);
-    let granted =
+    let success =
         |answer: &C::Answer| Reply { status: 200, body: miniserde::json::to_string(answer), after_ms: None };
     match C::read(arg, query, called).and_then(|call| to.answer(now, call)) {
-        Ok(Outcome::Now(answer)) => Served::Now(granted(&answer)),
-        Ok(Outcome::Waits(answer, wait)) => Served::Waits(granted(&answer), wait),
+        Ok(Outcome::Now(answer)) => Served::Now(success(&answer)),
+        Ok(Outcome::Waits(answer, wait)) => Served::Waits(success(&answer), wait),
         Err(refusal) => Served::Now(refusal.reply()),
     }
 }
 
-/// Finds the call that a path names and has it answered.
+/// Dispatches a request to the call that its path names.
 pub fn answer<S>(to: &mut S, now: Millis, called: &Called<'_>) -> Served<S::Wait>
 where
     S: Answers<Beat> + Answers<Leave> + Answers<Put> + Answers<Patch> + Answers<Get> + Answers<Evacuate>,
@@ -172,24 +172,24 @@
     }
 }
 
-fn text(body: &[u8]) -> Result<&str, Refusal> {
+fn body_text(body: &[u8]) -> Result<&str, Refusal> {
     std::str::from_utf8(body).map_err(|_| Refusal::Bad("the body is no text".into()))
 }
 
-/// Nothing is told besides that it is done.
+/// An empty response.
 #[derive(Serialize)]
 pub struct Done {}
 
 // ---- Backends ---------------------------------------------------------------------------------------------------
 
-/// A backend says what it is.
+/// A heartbeat of a backend, which also registers it.
 pub struct Beat {
-    /// What it says.
+    /// Its registration.
     pub backend: Backend,
 }
 
 #[derive(Deserialize)]
-struct BeatForm {
+struct BeatBody {
     service: String,
     address: String,
     zone: String,
@@ -199,10 +199,10 @@
     postmark: Option<u64>,
 }
 
-/// Where later beats may go.
+/// The response to a heartbeat.
 #[derive(Serialize)]
 pub struct BeatAnswer {
-    /// The leader's address.
+    /// The address of the leader, which takes further heartbeats directly.
     pub beat_address: String,
 }
 
@@ -213,39 +213,39 @@
     type Answer = BeatAnswer;
 
     fn read(arg: &str, _: &str, called: &Called) -> Result<Self, Refusal> {
-        let bad = |why: &str| Refusal::Bad(why.to_owned());
-        let form: BeatForm = miniserde::json::from_str(text(called.body)?)
+        let bad = |reason: &str| Refusal::Bad(reason.to_owned());
+        let body: BeatBody = miniserde::json::from_str(body_text(called.body)?)
             .map_err(|_| bad("a field is missing or of another type"))?;
         if arg.is_empty() || arg.len() > 256 {
             return Err(bad("the path names no id"));
         }
-        if form.address.parse::<std::net::SocketAddr>().is_err() {
+        if body.address.parse::<std::net::SocketAddr>().is_err() {
             return Err(bad("address is no address and port"));
         }
-        let closing = match form.state.as_str() {
+        let draining = match body.state.as_str() {
             "open" => false,
             "closing" => true,
             _ => return Err(bad("state is neither open nor closing")),
         };
-        let cold = form.cold_time.as_deref().map_or(Some(Default::default()), crate::units::time);
+        let cold = body.cold_time.as_deref().map_or(Some(Default::default()), crate::units::time);
         let cold = cold.ok_or_else(|| bad("cold_time is no time, such as 1500ms or 2.5s"))?;
         let backend = Backend {
             id: arg.to_owned(),
-            service: form.service,
-            address: form.address,
-            zone: form.zone,
-            max_concurrency: form.berths.unwrap_or(0),
-            draining: closing,
+            service: body.service,
+            address: body.address,
+            zone: body.zone,
+            max_concurrency: body.berths.unwrap_or(0),
+            draining,
             cold_ms: cold.as_millis() as u64,
-            heartbeat_seq: form.postmark.unwrap_or(u64::MAX),
+            heartbeat_seq: body.postmark.unwrap_or(u64::MAX),
         };
         Ok(Beat { backend })
     }
 }
 
-/// A backend ends.
+/// The deregistration of a backend.
 pub struct Leave {
-    /// Its id.
+    /// The backend's id.
     pub id: String,
 }
 
@@ -265,8 +265,8 @@
 
 // ---- Operators --------------------------------------------------------------------------------------------------
 
-/// A digest of a call's path and bytes.
-fn digest(called: &Called) -> u64 {
+/// A digest of a request's path and body.
+fn call_digest(called: &Called) -> u64 {
     use std::hash::Hasher;
     let mut hasher = crate::state::hasher();
     hasher.write(called.path.as_bytes());
@@ -274,13 +274,13 @@
     hasher.finish()
 }
 
-/// A change of the configuration that is wanted.
+/// A configuration update.
 pub struct Order {
-    /// What it brings.
+    /// Its content, or why that is invalid.
     pub envelope: Result<Envelope, Invalid>,
-    /// It changes named items; otherwise it brings a whole configuration.
+    /// It changes single items; otherwise it replaces the whole configuration.
     pub patch: bool,
-    /// What tells it from others; none where it can't be read.
+    /// Identifies it, so that retries are recognised; none if the content is invalid.
     pub mark: Option<UpdateId>,
 }
 
@@ -291,13 +291,13 @@
             edition: envelope.edition,
             based_on: envelope.based_on,
             content_digest: envelope.digest(patch),
-            call_digest: digest(called),
+            call_digest: call_digest(called),
         });
         Order { envelope, patch, mark }
     }
 }
 
-/// A whole configuration.
+/// Replaces the whole configuration.
 pub struct Put(pub Order);
 
 impl Call for Put {
@@ -311,7 +311,7 @@
     }
 }
 
-/// Changes of named items.
+/// Changes single items of the configuration.
 pub struct Patch(pub Order);
 
 impl Call for Patch {
@@ -325,7 +325,7 @@
     }
 }
 
-/// The newest configuration is wanted.
+/// Reads the configuration in force.
 pub struct Get;
 
 impl Call for Get {
@@ -339,13 +339,13 @@
     }
 }
 
-/// A zone is to be emptied.
+/// Starts the evacuation of a zone.
 pub struct Evacuate(pub Evacuated);
 
-/// A zone is to be taken back.
+/// Ends the evacuation of a zone.
 pub struct TakeBack(pub Evacuated);
 
-fn zone(arg: &str, on: bool) -> Result<Evacuated, Refusal> {
+fn parse_evacuation(arg: &str, on: bool) -> Result<Evacuated, Refusal> {
     match arg {
         "" => Err(Refusal::Bad("the path names no zone".into())),
         zone => Ok(Evacuated { zone: zone.to_owned(), on }),
@@ -359,7 +359,7 @@
     type Answer = Done;
 
     fn read(arg: &str, _: &str, _: &Called) -> Result<Self, Refusal> {
-        zone(arg, true).map(Evacuate)
+        parse_evacuation(arg, true).map(Evacuate)
     }
 }
 
@@ -370,11 +370,11 @@
     type Answer = Done;
 
     fn read(arg: &str, _: &str, _: &Called) -> Result<Self, Refusal> {
-        zone(arg, false).map(TakeBack)
+        parse_evacuation(arg, false).map(TakeBack)
     }
 }
 
-/// The system as this process sees it is wanted.
+/// Reads the status of the system as this process sees it.
 pub struct Look;
 
 impl Call for Look {
@@ -390,20 +390,20 @@
 
 // ---- Clients ----------------------------------------------------------------------------------------------------
 
-/// A client asks for gateways.
+/// A client's lookup of gateways.
 pub struct Resolve {
-    /// Its region.
+    /// The client's region.
     pub region: String,
-    /// Its zone.
+    /// The client's zone.
     pub zone: String,
 }
 
-/// Gateways, and for how long that holds.
+/// The gateways for a client.
 #[derive(Serialize)]
 pub struct Resolved {
-    /// Where clients arrive.
+    /// The addresses at which they accept clients.
     pub addresses: Vec<String>,
-    /// For how long that holds.
+    /// How long the client may cache this, with its unit.
     pub ttl: String,
 }
 
@@ -414,10 +414,10 @@
     type Answer = Resolved;
 
     fn read(_: &str, query: &str, _: &Called) -> Result<Self, Refusal> {
-        let named = |name: &str| {
+        let parameter = |name: &str| {
             let mut parts = query.split('&').filter_map(|part| part.split_once('='));
-            parts.find(|(of, _)| *of == name).map(|(_, value)| value.to_owned()).unwrap_or_default()
+            parts.find(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).unwrap_or_default()
         };
-        Ok(Resolve { region: named("region"), zone: named("zone") })
+        Ok(Resolve { region: parameter("region"), zone: parameter("zone") })
     }
 }
--- a/overland/src/charging.rs
+++ b/overland/src/charging.rs
@@ -1,43 +1,44 @@
-//! Charges on one connection to the counter, and who waits for each. An answer is bound to its charge by the connection
-//! and by its number alone: one with any other number is nobody's, and what waited on a connection that ended is never
-//! answered by another.
+//! Charges in flight on one connection to the counter. A response is matched to its charge by the connection
+//! and its number alone: one with an unknown number is ignored, and a charge is never answered on a later
+//! connection.
 
 use std::collections::VecDeque;
 
-/// Charges that may wait at once: a counter that takes so many without a word is as good as gone.
-const WAITING_MOST: usize = 4096;
+/// Maximum number of charges in flight; a counter that leaves this many unanswered is treated as down.
+const MAX_IN_FLIGHT: usize = 4096;
 
-/// The charges of one connection that were not answered yet, in order.
+/// The unanswered charges of one connection, in the order sent, each with its waiter.
 pub struct Pending<T> {
-    last: u64,
-    waiting: VecDeque<(u64, T)>,
+    last_number: u64,
+    in_flight: VecDeque<(u64, T)>,
 }
 
 impl<T> Default for Pending<T> {
     fn default() -> Self {
-        Pending { last: 0, waiting: VecDeque::new() }
+        Pending { last_number: 0, in_flight: VecDeque::new() }
     }
 }
 
 impl<T> Pending<T> {
-    /// One more is sent; its number, or none if too many wait.
-    pub fn sent(&mut self, who: T) -> Option<u64> {
-        if self.waiting.len() >= WAITING_MOST {
+    /// Records a charge about to be sent. Returns its number, or none if too many are in flight.
+    pub fn sent(&mut self, waiter: T) -> Option<u64> {
+        if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
         }
-        self.last += 1;
-        self.waiting.push_back((self.last, who));
-        Some(self.last)
+        self.last_number += 1;
+        self.in_flight.push_back((self.last_number, waiter));
+        Some(self.last_number)
     }
 
-    /// The answer to the charge of this number came: who waits for it. Those before it are passed over for good.
+    /// Handles the response to the charge with this number. Returns its waiter, and drops all earlier
+    /// charges.
     pub fn answered(&mut self, number: u64) -> Option<T> {
-        while self.waiting.front().is_some_and(|(of, _)| *of < number) {
-            self.waiting.pop_front();
+        while self.in_flight.front().is_some_and(|(sent, _)| *sent < number) {
+            self.in_flight.pop_front();
         }
-        let here = self.waiting.front().is_some_and(|(of, _)| *of == number);
-        if here {
-            self.waiting.pop_front().map(|(_, who)| who)
+        let is_first = self.in_flight.front().is_some_and(|(sent, _)| *sent == number);
+        if is_first {
+            self.in_flight.pop_front().map(|(_, waiter)| waiter)
         } else {
             None
         }
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -1,8 +1,11 @@
-//! The sockets, the clock and the disk of a core process. What it decides is [`Member`]'s.
+//! The sockets, clock and disk of a core process. All decisions are made by [`Member`].
 
 use crate::agreement::{Name, Save};
 use crate::calls::{Refusal, Reply};
-use crate::link::{self, framed, Incoming, Outgoing, AGENT_MOST, CHARGES_MOST, HELLO_MOST, MOST};
+use crate::link::{
+    self, framed, Incoming, Outgoing, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES, MAX_HELLO_BYTES,
+    MAX_MESSAGE_BYTES,
+};
 use crate::member::{Action, Event, Member, MAX_RESPONSE_DELAY_MS, TICK_MS};
 use crate::news::{Charges, CoreMessage, FromAgent, Hello, Purpose, Word};
 use crate::settings::{Settings, Watch};
@@ -32,85 +35,88 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Between two tries of a disk that takes nothing.
-const DISK_AGAIN: Duration = Duration::from_millis(500);
-/// Largest body of a call.
-const BODY_MOST: usize = 16 << 20;
-/// Time for a caller to send its head.
-const HEAD: Duration = Duration::from_secs(5);
-/// Between two tries to reach another process.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Links to core processes at most: members, and those that want to be.
-const PEERS_MOST: usize = 32;
-/// A core process that is neither member nor seed, and was told nothing for so long, is let go.
-const LET_GO: Duration = Duration::from_secs(30);
-/// Connections at the inner port at most: three of each of several hundred machines.
-const INNER_MOST: usize = 2048;
-/// A core process that is told to end is let go by the others within this part of `grace`, or ends all the same: the rest
-/// is for the process that comes after it.
-const LEAVE: f64 = 0.4;
+/// Interval between attempts to reopen an unavailable disk.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum size of a request body.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Time for a peer to send its hello, or for a client to send its request head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between attempts to connect to another core process.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of links to core processes: members and those that want to join.
+const MAX_PEERS: usize = 32;
+/// The link to a core process that is neither a member nor a seed is closed after this long without a message
+/// to it.
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of connections to the inner port: three from each of several hundred machines.
+const MAX_INNER_CONNECTIONS: usize = 2048;
+/// Fraction of `grace` that a process shutting down waits to be removed from the members; the rest is left
+/// for its successor.
+const LEAVE_GRACE_FRACTION: f64 = 0.4;
 
 /// A link to another core process.
 struct Peer {
     out: Outgoing,
-    /// When it was last told something.
-    told: Instant,
+    /// When a message was last sent to it.
+    last_sent: Instant,
 }
 
-/// What a core process needs to take its part.
+/// The state of a core process that participates.
 struct Running {
     member: Member,
     store: Box<dyn DurableStore>,
 }
 
-/// Whether a core process takes its part.
-enum Duty {
+/// Whether a core process participates in the cluster.
+enum Participation {
     /// It does.
-    Takes(Box<Running>),
-    /// Its disk takes nothing, and why. It promises nothing, and begins anew from its disk as soon as there is room.
+    Active(Box<Running>),
+    /// Its disk is unavailable, with the reason. It acknowledges nothing, and reloads its state from the disk
+    /// once that is writable.
     WaitsForDisk(String),
 }
 
-/// A core process.
+/// The runtime of a core process.
 pub struct Control {
     settings: Settings,
-    me: Name,
+    name: Name,
     started: Instant,
     disk: Box<dyn Disk>,
-    duty: RefCell<Duty>,
-    /// Links to agents and proxies by number.
+    participation: RefCell<Participation>,
+    /// Links from agents and proxies, by number.
     links: RefCell<BTreeMap<u64, Outgoing>>,
-    /// Calls in hand by number.
+    /// API calls in flight, by number.
     calls: RefCell<BTreeMap<u64, oneshot::Sender<(Millis, Reply)>>>,
     peers: RefCell<BTreeMap<Name, Peer>>,
-    /// Connections at the inner port that said nothing that can be read.
-    garbage: Cell<u64>,
-    /// Those that are open.
-    open: Cell<usize>,
-    next: Cell<u64>,
-    /// The seeds that are named now.
+    /// Connections to the inner port that were rejected or ended by an invalid message.
+    rejected_connections: Cell<u64>,
+    /// Open connections to the inner port.
+    inner_connections: Cell<usize>,
+    next_number: Cell<u64>,
+    /// The seeds currently configured.
     seeds: RefCell<Vec<SocketAddr>>,
-    /// It has ended: what is dropped after that tells nobody.
-    ended: Cell<bool>,
+    /// It has stopped: events from links and calls dropped after this are ignored.
+    stopped: Cell<bool>,
 }
 
 impl Control {
-    /// Runs a core process until it is told to end.
+    /// Runs a core process until it receives SIGTERM.
     pub async fn run(settings: Settings, mut watch: Watch) -> Result<()> {
-        let folder = settings.data_dir.clone().ok_or_else(|| eyre!("sender.data_dir is missing"))?;
+        let data_dir = settings.data_dir.clone().ok_or_else(|| eyre!("sender.data_dir is missing"))?;
         let seeds = async move || watch.changed().await.seeds;
-        Self::run_on(settings, Box::new(DirectoryDisk(folder)), seeds).await
+        Self::run_on(settings, Box::new(DirectoryDisk(data_dir)), seeds).await
     }
 
-    /// The same on this disk, with the seeds that `changed` tells whenever others are named.
+    /// Like [`Control::run`], on this disk and with the seeds that `seeds_changed` yields on each change.
     pub async fn run_on(
-        settings: Settings, disk: Box<dyn Disk>, mut changed: impl AsyncFnMut() -> Vec<SocketAddr> + 'static,
+        settings: Settings, disk: Box<dyn Disk>,
+        mut seeds_changed: impl AsyncFnMut() -> Vec<SocketAddr> + 'static,
     ) -> Result<()> {
         let address = settings.control.ok_or_else(|| eyre!("network.docks_at.control is missing"))?;
-        let mut term = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
+        let mut sigterm = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
         let control = Rc::new(Control {
-            me: address.to_string(),
-            duty: RefCell::new(Duty::WaitsForDisk("it was not opened yet".to_owned())),
+            name: address.to_string(),
+            participation: RefCell::new(Participation::WaitsForDisk("it is not open yet".to_owned())),
             disk,
             seeds: RefCell::new(settings.seeds.clone()),
             settings,
@@ -118,65 +124,70 @@
             links: RefCell::default(),
             calls: RefCell::default(),
             peers: RefCell::default(),
-            garbage: Cell::new(0),
-            open: Cell::new(0),
-            next: Cell::new(0),
-            ended: Cell::new(false),
+            rejected_connections: Cell::new(0),
+            inner_connections: Cell::new(0),
+            next_number: Cell::new(0),
+            stopped: Cell::new(false),
         });
-        control.begin()?;
+        control.start_or_wait_for_disk()?;
         let inner = SocketAddr::new(control.settings.ip, control.settings.inner_ports.0);
-        let inner = TcpListener::bind(inner).await.wrap_err("inner port")?;
-        tokio::task::spawn_local(control.clone().take_links(inner));
-        let listener = TcpListener::bind(address).await.wrap_err("control address")?;
-        tokio::task::spawn_local(control.clone().take_calls(listener));
+        let inner = TcpListener::bind(inner).await.wrap_err("cannot listen on the inner port")?;
+        tokio::task::spawn_local(control.clone().accept_links(inner));
+        let listener = TcpListener::bind(address).await.wrap_err("cannot listen on the control address")?;
+        tokio::task::spawn_local(control.clone().accept_calls(listener));
         if let Some(directory) = control.settings.directory {
-            let listener = TcpListener::bind(directory).await.wrap_err("directory address")?;
-            tokio::task::spawn_local(control.clone().take_calls(listener));
+            let listener =
+                TcpListener::bind(directory).await.wrap_err("cannot listen on the directory address")?;
+            tokio::task::spawn_local(control.clone().accept_calls(listener));
         }
-        let learning = control.clone();
+        let seed_watcher = control.clone();
         tokio::task::spawn_local(async move {
             loop {
-                let seeds = changed().await;
-                learning.seeds.replace(seeds.clone());
-                learning.step(Event::SeedsChanged(seeds));
+                let seeds = seeds_changed().await;
+                seed_watcher.seeds.replace(seeds.clone());
+                seed_watcher.step(Event::SeedsChanged(seeds));
             }
         });
-        let ticking = control.clone();
+        let ticker = control.clone();
         tokio::task::spawn_local(async move {
             loop {
                 sleep(Duration::from_secs_f64(TICK_MS / 1000.0)).await;
-                ticking.step(Event::Tick);
+                ticker.step(Event::Tick);
             }
         });
-        term.recv().await;
-        log::info!("core: told to end");
+        sigterm.recv().await;
+        log::info!("core: received SIGTERM; shutting down");
         control.step(Event::Shutdown);
-        let (since, most) = (Instant::now(), control.settings.bounds.grace.mul_f64(LEAVE));
-        while control.left().is_none() && since.elapsed() < most {
+        let (since, timeout) = (Instant::now(), control.settings.bounds.grace.mul_f64(LEAVE_GRACE_FRACTION));
+        while control.leave_outcome().is_none() && since.elapsed() < timeout {
             sleep(Duration::from_secs_f64(TICK_MS / 1000.0)).await;
         }
-        match control.left() {
-            Some(true) => log::info!("core: ends, and is no member any more"),
+        match control.leave_outcome() {
+            Some(true) => log::info!("core: stopped; removed from the members"),
             Some(false) => {
-                log::info!("core: ends as a member: the others hold all, and none could take its place")
+                log::info!(
+                    "core: stopped as a member: no replacement, but the others hold every committed entry"
+                )
             }
             None => {
-                log::warn!("core: ends, and is needed: no majority without it holds all that is agreed on")
+                log::warn!(
+                    "core: stopped while still needed: no majority without it holds every committed entry"
+                )
             }
         }
-        control.ended.set(true);
+        control.stopped.set(true);
         Ok(())
     }
 
-    /// Takes its part from what the disk holds, or waits until the disk takes what is written.
+    /// Starts from the state on disk, or waits for the disk if that is unavailable.
     ///
     /// # Errors
     ///
-    /// The disk can't be used at all.
-    fn begin(self: &Rc<Self>) -> Result<()> {
+    /// The disk fails permanently.
+    fn start_or_wait_for_disk(self: &Rc<Self>) -> Result<()> {
         match self.start() {
             Ok(running) => {
-                *self.duty.borrow_mut() = Duty::Takes(Box::new(running));
+                *self.participation.borrow_mut() = Participation::Active(Box::new(running));
                 Ok(())
             }
             Err(error) if disk_unavailable(&error) => {
@@ -190,68 +201,67 @@
     fn start(&self) -> Result<Running> {
         let (store, saved) = self.disk.open()?;
         let settings = Settings { seeds: self.seeds.borrow().clone(), ..self.settings.clone() };
-        let (member, first) = Member::start(settings, saved, fastrand::u64(..), self.now())?;
-        if let Some(first) = first {
-            store.save(&first)?;
+        let (member, initial) = Member::start(settings, saved, fastrand::u64(..), self.now())?;
+        if let Some(initial) = initial {
+            store.save(&initial)?;
         }
         Ok(Running { member, store })
     }
 
-    /// Gives up its part, and all that it has in hand, and begins anew as soon as the disk takes what is written: what it holds
-    /// in memory may be more than what is on disk.
+    /// Stops participating, drops all links and calls, and reloads the state from disk once that is writable:
+    /// the state in memory may be ahead of it.
     fn wait_for_disk(self: &Rc<Self>, error: &eyre::Report) {
-        let why = format!("the disk takes nothing: {}", error.root_cause());
-        if !matches!(&*self.duty.borrow(), Duty::WaitsForDisk(known) if *known == why) {
-            log::error!("core: {why}; it takes no part until it does");
+        let reason = format!("the disk takes nothing: {}", error.root_cause());
+        if !matches!(&*self.participation.borrow(), Participation::WaitsForDisk(known) if *known == reason) {
+            log::error!("core: {reason}; not participating until it is writable");
         }
-        *self.duty.borrow_mut() = Duty::WaitsForDisk(why);
-        // Agents and other core processes come again; until then nobody takes this one for more than a silent one.
+        *self.participation.borrow_mut() = Participation::WaitsForDisk(reason);
+        // Agents reconnect; until then this process looks unreachable to them.
         self.links.borrow_mut().clear();
         let now = self.now();
         for (_, caller) in std::mem::take(&mut *self.calls.borrow_mut()) {
-            // A caller that broke off is its own affair.
+            // The client may have disconnected.
             let _ = caller.send((now, Refusal::Later.reply()));
         }
-        let waiting = self.clone();
+        let control = self.clone();
         tokio::task::spawn_local(async move {
-            sleep(DISK_AGAIN).await;
-            if let Err(error) = waiting.begin() {
+            sleep(DISK_RETRY_INTERVAL).await;
+            if let Err(error) = control.start_or_wait_for_disk() {
                 log::error!("core: {error:#}");
                 std::process::exit(1);
             }
-            if matches!(&*waiting.duty.borrow(), Duty::Takes(_)) {
-                log::info!("core: the disk takes what is written again");
+            if matches!(&*control.participation.borrow(), Participation::Active(_)) {
+                log::info!("core: the disk is writable again");
             }
         });
     }
 
-    /// Whether it may end, where it was told to: see [`Member::left`].
-    fn left(&self) -> Option<bool> {
-        match &*self.duty.borrow() {
-            Duty::Takes(running) => running.member.leave_outcome(),
-            Duty::WaitsForDisk(_) => None,
+    /// See [`Member::leave_outcome`]; none while the disk is unavailable.
+    fn leave_outcome(&self) -> Option<bool> {
+        match &*self.participation.borrow() {
+            Participation::Active(running) => running.member.leave_outcome(),
+            Participation::WaitsForDisk(_) => None,
         }
     }
 
-    /// Whether a link to this core process is kept: see [`Member::keeps`].
-    fn keeps(&self, name: &str) -> bool {
-        match &*self.duty.borrow() {
-            Duty::Takes(running) => running.member.keeps_link_to(name),
-            Duty::WaitsForDisk(_) => true,
+    /// See [`Member::keeps_link_to`]; true while the disk is unavailable.
+    fn keeps_link_to(&self, name: &str) -> bool {
+        match &*self.participation.borrow() {
+            Participation::Active(running) => running.member.keeps_link_to(name),
+            Participation::WaitsForDisk(_) => true,
         }
     }
 
-    /// The answer of a process that takes no part: why, to who asks for its status, and to all others that another is to be
-    /// asked.
-    fn aside(&self, path: &str) -> Option<Reply> {
-        let Duty::WaitsForDisk(why) = &*self.duty.borrow() else { return None };
+    /// The reply while the disk is unavailable: a status with the reason, or a refusal to any other call.
+    fn reply_without_disk(&self, path: &str) -> Option<Reply> {
+        let Participation::WaitsForDisk(reason) = &*self.participation.borrow() else { return None };
         if path != "/api/Status" {
             return Some(Refusal::Later.reply());
         }
         let status = Status {
-            address: self.me.clone(),
+            address: self.name.clone(),
             node: self.settings.node.clone(),
-            leaderless: Some(why.clone()),
+            leaderless: Some(reason.clone()),
             ..Status::default()
         };
         Some(Reply { status: 200, body: json::to_string(&status), after_ms: None })
@@ -261,22 +271,22 @@
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn number(&self) -> u64 {
-        self.next.replace(self.next.get().wrapping_add(1))
+    fn next_number(&self) -> u64 {
+        self.next_number.replace(self.next_number.get().wrapping_add(1))
     }
 
-    /// Tells the member what happened and carries out what it wants.
+    /// Passes an event to the member and carries out the resulting actions.
     fn step(self: &Rc<Self>, event: Event) {
-        let mut next = Some(event).filter(|_| !self.ended.get());
+        let mut next = Some(event).filter(|_| !self.stopped.get());
         while let Some(event) = next.take() {
             let mut actions = Vec::new();
-            let decided = self.now();
-            match &mut *self.duty.borrow_mut() {
-                Duty::Takes(running) => running.member.handle(decided, event, &mut actions),
-                Duty::WaitsForDisk(_) => return,
+            let decided_at = self.now();
+            match &mut *self.participation.borrow_mut() {
+                Participation::Active(running) => running.member.handle(decided_at, event, &mut actions),
+                Participation::WaitsForDisk(_) => return,
             }
             for action in actions {
-                match self.act(action.fenced(decided, self.now())) {
+                match self.act(action.fenced(decided_at, self.now())) {
                     Ok(event) => next = event.or(next),
                     Err(error) => return self.wait_for_disk(&error),
                 }
@@ -284,28 +294,28 @@
         }
     }
 
-    /// Carries out one action. An error where the disk takes nothing: what is not on disk was promised to nobody yet, and what
-    /// follows would promise it.
+    /// Carries out one action. On an error the disk is unavailable, and the remaining actions must be
+    /// dropped: they may acknowledge what was not saved.
     fn act(self: &Rc<Self>, action: Action) -> Result<Option<Event>> {
         match action {
             Action::Save(save) => return self.save(&save),
-            Action::SendPeer { to, message: word } => {
-                self.tell(&to, CoreMessage { from: self.me.clone(), payload: Some(*word) });
+            Action::SendPeer { to, message } => {
+                self.send_peer(&to, CoreMessage { from: self.name.clone(), payload: Some(*message) });
             }
             Action::ForwardJoin { to, from } => {
-                self.tell(&to, CoreMessage { from, payload: Some(Word::Join(true)) });
+                self.send_peer(&to, CoreMessage { from, payload: Some(Word::Join(true)) });
             }
             Action::Answer { call, reply } => {
-                if let Some(to) = self.calls.borrow_mut().remove(&call) {
-                    // A caller that broke off is its own affair.
-                    let _ = to.send((self.now(), reply));
+                if let Some(caller) = self.calls.borrow_mut().remove(&call) {
+                    // The client may have disconnected.
+                    let _ = caller.send((self.now(), reply));
                 }
             }
-            Action::Send { link, message: news } => self.say(link, &*news),
-            Action::SendState { link, frame: whole } => self.say_framed(link, whole),
-            Action::SendTotals { link, totals } => self.say(link, &totals),
-            Action::Abort(why) => {
-                log::error!("core: {why}");
+            Action::Send { link, message } => self.send(link, &*message),
+            Action::SendState { link, frame } => self.send_frame(link, frame),
+            Action::SendTotals { link, totals } => self.send(link, &totals),
+            Action::Abort(reason) => {
+                log::error!("core: {reason}");
                 std::process::exit(1);
             }
         }
@@ -313,148 +323,147 @@
     }
 
     fn save(&self, save: &Save) -> Result<Option<Event>> {
-        let duty = self.duty.borrow();
-        let Duty::Takes(running) = &*duty else { return Ok(None) };
+        let participation = self.participation.borrow();
+        let Participation::Active(running) = &*participation else { return Ok(None) };
         let start = Instant::now();
         match running.store.save(save) {
             Ok(()) => Ok(Some(Event::Saved { took_ms: start.elapsed().as_secs_f64() * 1000.0 })),
             Err(error) if disk_unavailable(&error) => Err(error),
             Err(error) => {
-                log::error!("core: the disk is broken: {error:#}");
+                log::error!("core: cannot write to the disk: {error:#}");
                 std::process::exit(1);
             }
         }
     }
 
-    /// What finds no room ends its link: the other side comes again.
-    fn say(&self, link: u64, news: &impl Message) {
-        self.say_framed(link, framed(news).into());
+    /// Closes the link if its queue is full; the peer reconnects.
+    fn send(&self, link: u64, message: &impl Message) {
+        self.send_frame(link, framed(message).into());
     }
 
-    fn say_framed(&self, link: u64, message: Bytes) {
+    fn send_frame(&self, link: u64, frame: Bytes) {
         let mut links = self.links.borrow_mut();
-        if links.get(&link).is_some_and(|out| !out.send_framed(message)) {
+        if links.get(&link).is_some_and(|out| !out.send_framed(frame)) {
             links.remove(&link);
         }
     }
 
-    // ---- Links to other core processes ------------------------------------------------------------------------
+    // ---- Links to other core processes -----------------------------------------------------------------------
 
-    /// Where the inner port of a core process is, by its name.
-    fn inner(&self, name: &str) -> Option<SocketAddr> {
+    /// The address of a core process's inner port, from its name.
+    fn inner_address(&self, name: &str) -> Option<SocketAddr> {
         let address: SocketAddr = name.parse().ok()?;
         Some(self.settings.inner_at(address.ip()))
     }
 
-    fn tell(self: &Rc<Self>, to: &Name, word: CoreMessage) {
+    fn send_peer(self: &Rc<Self>, to: &Name, message: CoreMessage) {
         let mut peers = self.peers.borrow_mut();
-        let told = Instant::now();
+        let last_sent = Instant::now();
         match peers.get_mut(to) {
-            // What finds no room is lost, as it may be on the way.
+            // A message that does not fit the queue is lost, as messages in transit may be.
             Some(peer) => {
-                peer.told = told;
-                peer.out.send(&word);
+                peer.last_sent = last_sent;
+                peer.out.send(&message);
             }
             None => {
-                let Some(addr) = self.inner(to) else { return };
-                if peers.len() >= PEERS_MOST {
-                    // Their links end with their ways out.
-                    peers.retain(|name, peer| self.keeps(name) || peer.told.elapsed() < LET_GO);
+                let Some(addr) = self.inner_address(to) else { return };
+                if peers.len() >= MAX_PEERS {
+                    // Dropping a peer's queue closes its link.
+                    peers.retain(|name, peer| {
+                        self.keeps_link_to(name) || peer.last_sent.elapsed() < PEER_IDLE_TIMEOUT
+                    });
                 }
-                if peers.len() >= PEERS_MOST {
+                if peers.len() >= MAX_PEERS {
                     return;
                 }
-                let (out, from) = Outgoing::new();
+                let (out, queue) = Outgoing::new();
                 out.send(&Hello { purpose: Purpose::Core as i32 });
-                out.send(&word);
-                peers.insert(to.clone(), Peer { out, told });
-                tokio::task::spawn_local(self.clone().keep_link(to.clone(), addr, from));
+                out.send(&message);
+                peers.insert(to.clone(), Peer { out, last_sent });
+                tokio::task::spawn_local(self.clone().maintain_peer_link(to.clone(), addr, queue));
             }
         }
     }
 
-    async fn keep_link(self: Rc<Self>, to: Name, addr: SocketAddr, mut from: Receiver<Bytes>) {
+    async fn maintain_peer_link(self: Rc<Self>, to: Name, addr: SocketAddr, mut queue: Receiver<Bytes>) {
         loop {
             match link::connect(addr).await {
-                Ok(stream) => link::write(stream.into_split().1, from).await,
-                Err(_) => sleep(AGAIN).await,
+                Ok(stream) => link::write(stream.into_split().1, queue).await,
+                Err(_) => sleep(RECONNECT_INTERVAL).await,
             }
-            let keeps = self.keeps(&to);
+            let keeps_link = self.keeps_link_to(&to);
             let mut peers = self.peers.borrow_mut();
             let Some(peer) = peers.get_mut(&to) else { return };
-            if !keeps && peer.told.elapsed() > LET_GO {
+            if !keeps_link && peer.last_sent.elapsed() > PEER_IDLE_TIMEOUT {
                 peers.remove(&to);
                 return;
             }
-            // What waited is old by now: those that speak say it anew.
-            let (out, next) = Outgoing::new();
+            // Queued messages are outdated by now; their senders repeat what is still needed.
+            let (out, new_queue) = Outgoing::new();
             out.send(&Hello { purpose: Purpose::Core as i32 });
-            (peer.out, from) = (out, next);
+            (peer.out, queue) = (out, new_queue);
         }
     }
 
-    async fn take_links(self: Rc<Self>, listener: TcpListener) {
+    async fn accept_links(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok(_) if self.open.get() >= INNER_MOST => self.count_garbage(),
-                Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().link(stream))),
+                Ok(_) if self.inner_connections.get() >= MAX_INNER_CONNECTIONS => self.count_rejected(),
+                Ok((stream, _)) => drop(tokio::task::spawn_local(self.clone().serve_link(stream))),
                 Err(_) => sleep(Duration::from_millis(20)).await,
             }
         }
     }
 
-    async fn link(self: Rc<Self>, stream: TcpStream) {
-        if matches!(&*self.duty.borrow(), Duty::WaitsForDisk(_)) {
+    async fn serve_link(self: Rc<Self>, stream: TcpStream) {
+        if matches!(&*self.participation.borrow(), Participation::WaitsForDisk(_)) {
             return;
         }
         link::prepare(&stream);
         let (read, write) = stream.into_split();
-        let (out, from) = Outgoing::new();
-        let _open = Open::new(&self);
-        let mut hello = Incoming::<Hello>::within(read, HELLO_MOST);
-        // Whoever says nothing has no place here for long.
-        let first = match timeout(HEAD, hello.next()).await {
+        let (out, queue) = Outgoing::new();
+        let _counted = InnerConnection::new(&self);
+        let mut hello = Incoming::<Hello>::within(read, MAX_HELLO_BYTES);
+        let first = match timeout(HEAD_TIMEOUT, hello.next()).await {
             Ok(Ok(first)) if first.purpose() != Purpose::None => first,
-            _ => return self.count_garbage(),
+            _ => return self.count_rejected(),
         };
-        let writing = tokio::task::spawn_local(link::write(write, from));
-        let link = self.number();
+        let writer = tokio::task::spawn_local(link::write(write, queue));
+        let link = self.next_number();
         self.links.borrow_mut().insert(link, out);
-        let open = Link { control: self.clone(), link };
-        let ended = match first.purpose() {
-            Purpose::Core => open.hear_core(hello.other(MOST)).await,
+        let link_guard = LinkGuard { control: self.clone(), link };
+        let result = match first.purpose() {
+            Purpose::Core => link_guard.receive_from_core(hello.decoding(MAX_MESSAGE_BYTES)).await,
             Purpose::Agent => {
-                open.hear(hello.other(AGENT_MOST), |word: FromAgent| Event::AgentMessage {
-                    link,
-                    message: word,
-                })
-                .await
+                let incoming = hello.decoding(MAX_AGENT_MESSAGE_BYTES);
+                link_guard.receive(incoming, |message: FromAgent| Event::AgentMessage { link, message }).await
             }
             Purpose::Counter => {
-                open.hear(hello.other(CHARGES_MOST), |charges: Charges| Event::Charged { link, charges })
-                    .await
+                let incoming = hello.decoding(MAX_CHARGES_BYTES);
+                link_guard.receive(incoming, |charges: Charges| Event::Charged { link, charges }).await
             }
             Purpose::None => Ok(()),
         };
-        // However it ends: the other side comes again.
-        if ended.is_err_and(|e| e.kind() == ErrorKind::InvalidData) {
-            self.count_garbage();
+        if result.is_err_and(|e| e.kind() == ErrorKind::InvalidData) {
+            self.count_rejected();
         }
-        writing.abort();
+        writer.abort();
     }
 
-    /// What can't be read changes nothing, and is counted.
-    fn count_garbage(&self) {
-        let count = self.garbage.get() + 1;
-        self.garbage.set(count);
+    /// Counts a rejected connection, and logs at each power of two.
+    fn count_rejected(&self) {
+        let count = self.rejected_connections.get() + 1;
+        self.rejected_connections.set(count);
         if count.is_power_of_two() {
-            log::warn!("core: {count} connections said nothing that can be read");
+            log::warn!(
+                "core: {count} connections to the inner port rejected so far (invalid, silent or too many)"
+            );
         }
     }
 
-    // ---- Calls ------------------------------------------------------------------------------------------------
+    // ---- API calls --------------------------------------------------------------------------------------------
 
-    async fn take_calls(self: Rc<Self>, listener: TcpListener) {
+    async fn accept_calls(self: Rc<Self>, listener: TcpListener) {
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
@@ -466,21 +475,23 @@
             let control = self.clone();
             tokio::task::spawn_local(async move {
                 link::prepare(&stream);
-                let service = service_fn(|request| control.called(request));
+                let service = service_fn(|request| control.serve_call(request));
                 let connection = http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(HEAD)
+                    .header_read_timeout(HEAD_TIMEOUT)
                     .serve_connection(TokioIo::new(stream), service);
-                // A caller that breaks off is its own affair.
+                // The client may disconnect at any time.
                 let _ = connection.await;
             });
         }
     }
 
-    async fn called(self: &Rc<Self>, request: Request<Body>) -> Result<Response<Full<Bytes>>, Infallible> {
+    async fn serve_call(
+        self: &Rc<Self>, request: Request<Body>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-        let reply = match Limited::new(body, BODY_MOST).collect().await {
+        let reply = match Limited::new(body, MAX_BODY_BYTES).collect().await {
             Ok(body) => self.answer(parts.method.as_str(), path, body.to_bytes().into()).await,
             Err(_) => Reply { status: 413, body: "{}".into(), after_ms: None },
         };
@@ -488,8 +499,8 @@
         *response.status_mut() =
             StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(after) = reply.after_ms {
-            let seconds = format!("{:.3}", after as f64 / 1000.0);
+        if let Some(retry_after_ms) = reply.after_ms {
+            let seconds = format!("{:.3}", retry_after_ms as f64 / 1000.0);
             response
                 .headers_mut()
                 .extend(HeaderValue::try_from(seconds).ok().map(|value| (RETRY_AFTER, value)));
@@ -497,21 +508,23 @@
         Ok(response)
     }
 
-    /// Has the member answer a call.
+    /// Passes a call to the member and waits for its reply.
     async fn answer(self: &Rc<Self>, method: &str, path: &str, body: Vec<u8>) -> Reply {
-        if let Some(reply) = self.aside(path) {
+        if let Some(reply) = self.reply_without_disk(path) {
             return reply;
         }
-        let call = self.number();
-        let (to, answer) = oneshot::channel();
-        self.calls.borrow_mut().insert(call, to);
-        let waits = Waits { control: self.clone(), call };
+        let call = self.next_number();
+        let (sender, receiver) = oneshot::channel();
+        self.calls.borrow_mut().insert(call, sender);
+        let guard = CallGuard { control: self.clone(), call };
         self.step(Event::ClientCall { call, method: method.to_owned(), path: path.to_owned(), body });
-        let reply = answer.await;
-        drop(waits);
-        // The member answers each call. Between its word and here the process may have stood still.
+        let reply = receiver.await;
+        drop(guard);
+        // The process may have stalled since the member decided on the reply.
         match reply {
-            Ok((decided, reply)) if reply.status >= 500 || self.now() - decided <= MAX_RESPONSE_DELAY_MS => {
+            Ok((decided_at, reply))
+                if reply.status >= 500 || self.now() - decided_at <= MAX_RESPONSE_DELAY_MS =>
+            {
                 reply
             }
             _ => Refusal::Later.reply(),
@@ -519,64 +532,64 @@
     }
 }
 
-/// A connection at the inner port.
-struct Open(Rc<Control>);
+/// Counts an open connection to the inner port while it exists.
+struct InnerConnection(Rc<Control>);
 
-impl Open {
+impl InnerConnection {
     fn new(control: &Rc<Control>) -> Self {
-        control.open.set(control.open.get() + 1);
-        Open(control.clone())
+        control.inner_connections.set(control.inner_connections.get() + 1);
+        InnerConnection(control.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for InnerConnection {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.inner_connections.set(self.0.inner_connections.get() - 1);
     }
 }
 
-/// A call in hand: however it ends, the member is told where nobody waits for it any more.
-struct Waits {
+/// A call in flight. When dropped before its reply, the member is notified that the client has gone.
+struct CallGuard {
     control: Rc<Control>,
     call: u64,
 }
 
-impl Drop for Waits {
+impl Drop for CallGuard {
     fn drop(&mut self) {
-        let waited = self.control.calls.borrow_mut().remove(&self.call).is_some();
-        if waited {
+        let unanswered = self.control.calls.borrow_mut().remove(&self.call).is_some();
+        if unanswered {
             self.control.step(Event::ClientGone(self.call));
         }
     }
 }
 
-/// A link that another process opened: however it ends, the member is told.
-struct Link {
+/// A link opened by another process. When dropped, the member is notified that it is closed.
+struct LinkGuard {
     control: Rc<Control>,
     link: u64,
 }
 
-impl Link {
-    async fn hear<M: Message + Default>(
-        &self, mut from: Incoming<M>, event: impl Fn(M) -> Event,
+impl LinkGuard {
+    async fn receive<M: Message + Default>(
+        &self, mut incoming: Incoming<M>, event: impl Fn(M) -> Event,
     ) -> std::io::Result<()> {
         while self.control.links.borrow().contains_key(&self.link) {
-            let said = from.next().await?;
-            self.control.step(event(said));
+            let message = incoming.next().await?;
+            self.control.step(event(message));
         }
         Ok(())
     }
 
-    async fn hear_core(&self, mut from: Incoming<CoreMessage>) -> std::io::Result<()> {
+    async fn receive_from_core(&self, mut incoming: Incoming<CoreMessage>) -> std::io::Result<()> {
         loop {
-            if let CoreMessage { from, payload: Some(word) } = from.next().await? {
-                self.control.step(Event::PeerMessage { from, message: word });
+            if let CoreMessage { from, payload: Some(message) } = incoming.next().await? {
+                self.control.step(Event::PeerMessage { from, message });
             }
         }
     }
 }
 
-impl Drop for Link {
+impl Drop for LinkGuard {
     fn drop(&mut self) {
         self.control.links.borrow_mut().remove(&self.link);
         self.control.step(Event::LinkClosed(self.link));
--- a/overland/src/lib.rs
+++ b/overland/src/lib.rs
@@ -1,7 +1,6 @@
-//! The system round the gateway: control that agrees on the configuration and keeps the backends, agents that bring
-//! both to the proxies, and proxies that carry the traffic by `cherrytally`'s data plane and decisions.
-//!
-//! `docs/system/design.md` tells which process does what, and what each does when another is silent.
+//! The processes of the load balancer: core processes that replicate the configuration and the registry of
+//! backends, agents that distribute both to the proxies, and proxies that forward requests with
+//! `cherrytally`'s data plane and load balancing.
 
 pub mod agent;
 pub mod agreement;
--- a/overland/src/link.rs
+++ b/overland/src/link.rs
@@ -1,5 +1,5 @@
-//! Connections between the system's processes: messages with their length before them, and a way out for each
-//! that is bounded.
+//! Connections between the system's processes: length-prefixed messages, and a bounded send queue for each
+//! connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 use prost::Message;
@@ -13,81 +13,81 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 use tokio::time::timeout;
 
-/// Largest message: a whole state with a large configuration.
-pub const MOST: usize = 32 << 20;
-/// Largest first message: one small number.
-pub const HELLO_MOST: usize = 64;
-/// Largest word of an agent: who it is, and the ranges of its copy, one for each zone.
-pub const AGENT_MOST: usize = 256 << 10;
-/// Largest message with charges: a few dozen bytes for each tenant.
-pub const CHARGES_MOST: usize = 1 << 20;
-/// Messages that wait to be written. A peer that takes none for so long is dropped, and resumes when it is back.
-const WAITING: usize = 1024;
-/// A connection comes up within this, or is tried again: the farthest region is some hundred ms away, and a machine that
-/// just got its power back hears only what is sent from then on.
-const CONNECT: Duration = Duration::from_millis(350);
-/// Bytes that are not acknowledged for so long end a connection: a machine behind a cut says nothing.
-const UNHEARD: Duration = Duration::from_millis(2000);
-/// Room for one read.
-const READ: usize = 8 * 1024;
-
-/// Opens a connection.
+/// Maximum size of a message, such as a snapshot with a large configuration.
+pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
+/// Maximum size of a hello, which carries one small number.
+pub const MAX_HELLO_BYTES: usize = 64;
+/// Maximum size of a message from an agent: its registration and the range digests of its replica.
+pub const MAX_AGENT_MESSAGE_BYTES: usize = 256 << 10;
+/// Maximum size of a message with charges: a few dozen bytes for each tenant.
+pub const MAX_CHARGES_BYTES: usize = 1 << 20;
+/// Maximum number of messages that wait to be written; a peer that reads too slowly is disconnected.
+const MAX_QUEUED_MESSAGES: usize = 1024;
+/// Timeout of a connection attempt: above the round trip to the farthest region, and short enough for a new
+/// attempt to reach a rebooted machine before the kernel retransmits the SYN.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// A connection is closed when sent bytes stay unacknowledged this long, as behind a network partition.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Buffer space reserved for each read.
+const READ_BYTES: usize = 8 * 1024;
+
+/// Connects to another process, within a timeout.
 pub async fn connect(addr: SocketAddr) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT, TcpStream::connect(addr))
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
         .await
         .map_err(|_| io::Error::from(ErrorKind::TimedOut))??;
     prepare(&stream);
     Ok(stream)
 }
 
-/// Sets the options of a connection, whoever opened it.
+/// Sets the socket options of an outgoing or accepted connection.
 pub fn prepare(stream: &TcpStream) {
-    // Without them it works as well, only later.
+    // Errors are ignored: without these options the connection is only slower.
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNHEARD));
+    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
-/// Reads messages.
+/// Reads and decodes messages from a connection.
 pub struct Incoming<M> {
     io: OwnedReadHalf,
     buf: BytesMut,
-    most: usize,
-    kind: PhantomData<M>,
+    max_bytes: usize,
+    message_type: PhantomData<M>,
 }
 
 impl<M: Message + Default> Incoming<M> {
-    /// Reads from a connection to one of the system's own processes.
+    /// Reads messages of up to [`MAX_MESSAGE_BYTES`].
     pub fn new(io: OwnedReadHalf) -> Self {
-        Incoming::within(io, MOST)
+        Incoming::within(io, MAX_MESSAGE_BYTES)
     }
 
-    /// Reads messages of so many bytes at most from a connection.
-    pub fn within(io: OwnedReadHalf, most: usize) -> Self {
-        Incoming { io, buf: BytesMut::new(), most, kind: PhantomData }
+    /// Reads messages of up to `max_bytes`.
+    pub fn within(io: OwnedReadHalf, max_bytes: usize) -> Self {
+        Incoming { io, buf: BytesMut::new(), max_bytes, message_type: PhantomData }
     }
 
-    /// The same connection, with messages of another type, of so many bytes at most, from now on.
-    pub fn other<N: Message + Default>(self, most: usize) -> Incoming<N> {
-        Incoming { io: self.io, buf: self.buf, most, kind: PhantomData }
+    /// Continues with messages of another type, of up to `max_bytes`.
+    pub fn decoding<N: Message + Default>(self, max_bytes: usize) -> Incoming<N> {
+        Incoming { io: self.io, buf: self.buf, max_bytes, message_type: PhantomData }
     }
 
-    /// The next message. One that is too long, or none, is an error ([`ErrorKind::InvalidData`]) before its bytes are read.
-    /// Dropping the future loses nothing.
+    /// The next message. One that is too long or cannot be decoded is an [`ErrorKind::InvalidData`] error; a
+    /// length above the maximum is rejected before the payload is read. Cancel-safe.
     pub async fn next(&mut self) -> io::Result<M> {
-        let bad = |_| io::Error::from(ErrorKind::InvalidData);
+        let invalid = |_| io::Error::from(ErrorKind::InvalidData);
         loop {
             if self.buf.len() >= 4 {
                 let length =
                     u32::from_le_bytes([self.buf[0], self.buf[1], self.buf[2], self.buf[3]]) as usize;
-                if length > self.most {
+                if length > self.max_bytes {
                     return Err(ErrorKind::InvalidData.into());
                 }
                 if self.buf.len() >= 4 + length {
                     self.buf.advance(4);
-                    return M::decode(self.buf.split_to(length).freeze()).map_err(bad);
+                    return M::decode(self.buf.split_to(length).freeze()).map_err(invalid);
                 }
             }
-            self.buf.reserve(READ);
+            self.buf.reserve(READ_BYTES);
             if self.io.read_buf(&mut self.buf).await? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
@@ -95,7 +95,7 @@
     }
 }
 
-/// The bytes of a message, its length before it.
+/// Encodes a message as a frame: its length in 4 bytes, little-endian, then its payload.
 pub fn framed(message: &impl Message) -> Vec<u8> {
     let length = message.encoded_len();
     let mut bytes = Vec::with_capacity(4 + length);
@@ -104,47 +104,47 @@
     bytes
 }
 
-/// Messages up to this many bytes go out together with those that wait behind them: a whole state is longer.
-const TOGETHER_MOST: usize = 16 << 10;
+/// Messages up to this size are copied into one write with those queued behind them; snapshots are larger.
+const MAX_BATCHED_BYTES: usize = 16 << 10;
 
-/// Where messages go out. What is sent when too many wait, or after the end, is lost, and the connection with it.
+/// The send queue of a connection. A message sent when the queue is full or the connection closed is lost.
 #[derive(Clone)]
 pub struct Outgoing(Sender<Bytes>);
 
 impl Outgoing {
-    /// A way out, and what comes of it.
+    /// A send queue and its receiving end, for [`write`].
     pub fn new() -> (Self, Receiver<Bytes>) {
-        let (to, from) = channel(WAITING);
-        (Outgoing(to), from)
+        let (sender, receiver) = channel(MAX_QUEUED_MESSAGES);
+        (Outgoing(sender), receiver)
     }
 
-    /// Sends a message; false if it is lost.
+    /// Queues a message; false if it is lost.
     pub fn send(&self, message: &impl Message) -> bool {
         self.send_framed(framed(message).into())
     }
 
-    /// Sends a message that was framed before, for many; false if it is lost.
-    pub fn send_framed(&self, message: Bytes) -> bool {
-        self.0.try_send(message).is_ok()
+    /// Queues a frame that was encoded once for many connections; false if it is lost.
+    pub fn send_framed(&self, frame: Bytes) -> bool {
+        self.0.try_send(frame).is_ok()
     }
 }
 
-/// Writes what is sent until either end closes. Messages that wait together go out together.
-pub async fn write(mut io: OwnedWriteHalf, mut from: Receiver<Bytes>) {
-    let mut together = Vec::new();
-    while let Some(first) = from.recv().await {
-        let mut last = Some(first);
-        // A long one is shared with other links, and is not copied.
-        while let Some(next) = last.take_if(|next| next.len() <= TOGETHER_MOST) {
-            together.extend_from_slice(&next);
-            last = from.try_recv().ok();
+/// Writes queued frames until the queue or the connection closes. Small frames are batched into one write.
+pub async fn write(mut io: OwnedWriteHalf, mut queue: Receiver<Bytes>) {
+    let mut batch = Vec::new();
+    while let Some(first) = queue.recv().await {
+        let mut pending = Some(first);
+        // A large frame may be shared with other links, and is not copied.
+        while let Some(next) = pending.take_if(|next| next.len() <= MAX_BATCHED_BYTES) {
+            batch.extend_from_slice(&next);
+            pending = queue.try_recv().ok();
         }
-        if !together.is_empty() && io.write_all(&together).await.is_err() {
+        if !batch.is_empty() && io.write_all(&batch).await.is_err() {
             return;
         }
-        together.clear();
-        if let Some(long) = last {
-            if io.write_all(&long).await.is_err() {
+        batch.clear();
+        if let Some(large) = pending {
+            if io.write_all(&large).await.is_err() {
                 return;
             }
         }
--- a/overland/tests/link.rs
+++ b/overland/tests/link.rs
@@ -1,6 +1,6 @@
 //! What comes in on the inner ports against a plain model: messages in any pieces, garbage, and lengths beyond all bounds.
 
-use overland::link::{framed, Incoming, AGENT_MOST, CHARGES_MOST, HELLO_MOST};
+use overland::link::{framed, Incoming, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES, MAX_HELLO_BYTES};
 use overland::news::{FromAgent, Gateway, Hello, Purpose};
 use std::io::ErrorKind;
 use tokio::io::AsyncWriteExt;
@@ -25,13 +25,13 @@
         match round % 4 {
             // A length of 4 GiB, one byte too much, and one that the buffer holds in full.
             0 => bytes[..4].copy_from_slice(&u32::MAX.to_le_bytes()),
-            1 => bytes[..4].copy_from_slice(&(HELLO_MOST as u32 + 1).to_le_bytes()),
+            1 => bytes[..4].copy_from_slice(&(MAX_HELLO_BYTES as u32 + 1).to_le_bytes()),
             2 => bytes[..4].copy_from_slice(&40_000u32.to_le_bytes()),
             _ => bytes[3] |= 1,
         }
         both_ends(|mut near, far| async move {
             near.write_all(&bytes).await.expect("room for 64 KiB");
-            let ended = Incoming::<Hello>::within(far.into_split().0, HELLO_MOST).next().await;
+            let ended = Incoming::<Hello>::within(far.into_split().0, MAX_HELLO_BYTES).next().await;
             assert_eq!(ended.expect_err("garbage").kind(), ErrorKind::InvalidData);
         });
     }
@@ -39,14 +39,14 @@
 
 #[test]
 fn each_purpose_has_its_bound() {
-    for most in [AGENT_MOST, CHARGES_MOST] {
+    for most in [MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES] {
         let mut bytes = framed(&Hello { purpose: Purpose::Agent as i32 });
         bytes.extend_from_slice(&(most as u32 + 1).to_le_bytes());
         both_ends(|mut near, far| async move {
             near.write_all(&bytes).await.expect("room");
-            let mut hello = Incoming::<Hello>::within(far.into_split().0, HELLO_MOST);
+            let mut hello = Incoming::<Hello>::within(far.into_split().0, MAX_HELLO_BYTES);
             assert_eq!(hello.next().await.expect("a hello").purpose(), Purpose::Agent);
-            let ended = hello.other::<FromAgent>(most).next().await;
+            let ended = hello.decoding::<FromAgent>(most).next().await;
             assert_eq!(ended.expect_err("too long").kind(), ErrorKind::InvalidData);
         });
     }
@@ -64,7 +64,7 @@
         .collect();
     let bytes: Vec<u8> = words.iter().flat_map(framed).collect();
     both_ends(|mut near, far| async move {
-        let mut incoming = Incoming::<FromAgent>::within(far.into_split().0, AGENT_MOST);
+        let mut incoming = Incoming::<FromAgent>::within(far.into_split().0, MAX_AGENT_MESSAGE_BYTES);
         let writing = async {
             let mut rest = &bytes[..];
             while !rest.is_empty() {
