--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -1,5 +1,5 @@
-//! The table of `docs/system/exchange.md`: what each place of an end says, what may go on on a connection, and what the
-//! client is told.
+//! Exchanges with backends: how a failure is classified by the stage it occurs in, when a connection may be
+//! reused, and which response the client receives.
 
 use bytes::Bytes;
 use cherrytally::plane::driver::{Answer, Course, Speech};
@@ -11,69 +11,72 @@
 use overland::told::{told, Told, PROMISES};
 use std::time::Duration;
 
-const BEGUN: Happened = Happened::Wrote { head: false, all: false };
-const HEAD: Happened = Happened::Wrote { head: true, all: false };
-const ALL: Happened = Happened::Wrote { head: true, all: true };
-const OWN: Happened = Happened::Own { stays: true };
-const WHOLE: Happened = Happened::Whole { more: false };
+const HEAD_STARTED: Happened = Happened::Wrote { head: false, all: false };
+const HEAD_WRITTEN: Happened = Happened::Wrote { head: true, all: false };
+const ALL_WRITTEN: Happened = Happened::Wrote { head: true, all: true };
+const OWN_RESPONSE: Happened = Happened::Own { stays: true };
+const RESPONSE_COMPLETE: Happened = Happened::Whole { more: false };
 
-fn after(happened: &[Happened]) -> Exchange {
+fn after(events: &[Happened]) -> Exchange {
     let mut exchange = Exchange::new(true);
-    happened.iter().for_each(|happened| exchange.step(*happened));
+    events.iter().for_each(|event| exchange.step(*event));
     exchange
 }
 
 #[test]
-fn an_end_says_never_ran_only_before_the_head_is_written() {
+fn a_failure_counts_as_unsent_only_before_the_head_is_written() {
     use Ended::{ConnectFailed, Reset, Timeout};
-    for (happened, stage, broken, silent) in [
+    for (events, stage, if_broken, if_silent) in [
         (&[][..], Stage::Unwritten, ConnectFailed, ConnectFailed),
-        (&[BEGUN], Stage::Head, ConnectFailed, ConnectFailed),
-        (&[BEGUN, HEAD], Stage::Body, Reset, Timeout),
-        (&[HEAD, ALL], Stage::Written, Reset, Timeout),
-        (&[ALL, Happened::Surplus], Stage::Written, Reset, Timeout),
-        (&[ALL, OWN], Stage::Answering, Reset, Timeout),
-        (&[HEAD, OWN], Stage::Answering, Reset, Timeout),
-        (&[ALL, OWN, WHOLE], Stage::Answered, Reset, Timeout),
+        (&[HEAD_STARTED], Stage::Head, ConnectFailed, ConnectFailed),
+        (&[HEAD_STARTED, HEAD_WRITTEN], Stage::Body, Reset, Timeout),
+        (&[HEAD_WRITTEN, ALL_WRITTEN], Stage::Written, Reset, Timeout),
+        (&[ALL_WRITTEN, Happened::Surplus], Stage::Written, Reset, Timeout),
+        (&[ALL_WRITTEN, OWN_RESPONSE], Stage::Answering, Reset, Timeout),
+        (&[HEAD_WRITTEN, OWN_RESPONSE], Stage::Answering, Reset, Timeout),
+        (&[ALL_WRITTEN, OWN_RESPONSE, RESPONSE_COMPLETE], Stage::Answered, Reset, Timeout),
     ] {
-        let exchange = after(happened);
-        assert_eq!(exchange.stage(), stage, "{happened:?}");
-        assert_eq!(exchange.says(End::Broken, true), broken, "{happened:?}");
-        assert_eq!(exchange.says(End::Silent, true), silent, "{happened:?}");
-        // Where servers wait for the whole body, a part of it is as good as nothing.
-        let waits = exchange.says(End::Broken, false);
-        assert_eq!(waits, if stage == Stage::Body { ConnectFailed } else { broken }, "{happened:?}");
+        let exchange = after(events);
+        assert_eq!(exchange.stage(), stage, "{events:?}");
+        assert_eq!(exchange.says(End::Broken, true), if_broken, "{events:?}");
+        assert_eq!(exchange.says(End::Silent, true), if_silent, "{events:?}");
+        // Servers that wait for the whole body do not run a request whose body is incomplete.
+        let whole_body = exchange.says(End::Broken, false);
+        assert_eq!(whole_body, if stage == Stage::Body { ConnectFailed } else { if_broken }, "{events:?}");
     }
 }
 
 #[test]
-fn a_connection_goes_on_after_its_own_whole_answer_and_nothing_besides() {
-    assert!(after(&[ALL, OWN, WHOLE]).sound() && after(&[BEGUN, HEAD, ALL, OWN, WHOLE]).sound());
-    for poisoned in [
+fn a_connection_is_reused_only_after_its_own_complete_response() {
+    assert!(
+        after(&[ALL_WRITTEN, OWN_RESPONSE, RESPONSE_COMPLETE]).sound()
+            && after(&[HEAD_STARTED, HEAD_WRITTEN, ALL_WRITTEN, OWN_RESPONSE, RESPONSE_COMPLETE]).sound()
+    );
+    for events in [
         &[][..],
-        &[ALL],
-        &[ALL, OWN],
-        &[ALL, Happened::Own { stays: false }, WHOLE],
-        &[ALL, OWN, Happened::Whole { more: true }],
-        &[ALL, Happened::Surplus, OWN, WHOLE],
-        &[HEAD, OWN, WHOLE],
-        &[ALL, OWN, WHOLE, OWN],
-        &[ALL, OWN, ALL, WHOLE],
-        &[ALL, OWN, WHOLE, Happened::End],
+        &[ALL_WRITTEN],
+        &[ALL_WRITTEN, OWN_RESPONSE],
+        &[ALL_WRITTEN, Happened::Own { stays: false }, RESPONSE_COMPLETE],
+        &[ALL_WRITTEN, OWN_RESPONSE, Happened::Whole { more: true }],
+        &[ALL_WRITTEN, Happened::Surplus, OWN_RESPONSE, RESPONSE_COMPLETE],
+        &[HEAD_WRITTEN, OWN_RESPONSE, RESPONSE_COMPLETE],
+        &[ALL_WRITTEN, OWN_RESPONSE, RESPONSE_COMPLETE, OWN_RESPONSE],
+        &[ALL_WRITTEN, OWN_RESPONSE, ALL_WRITTEN, RESPONSE_COMPLETE],
+        &[ALL_WRITTEN, OWN_RESPONSE, RESPONSE_COMPLETE, Happened::End],
     ] {
-        assert!(!after(poisoned).sound(), "{poisoned:?}");
+        assert!(!after(events).sound(), "{events:?}");
     }
-    assert_eq!(after(&[ALL, OWN, Happened::End]).line(), Line::Poisoned);
+    assert_eq!(after(&[ALL_WRITTEN, OWN_RESPONSE, Happened::End]).line(), Line::Poisoned);
     let rested = Duration::from_secs(1);
     let idle = Idle { stirred: false, rested, limit: 2 * rested, moved: false, twin: false };
     assert!(idle.sound());
-    for not in [
+    for unsound in [
         Idle { stirred: true, ..idle },
         Idle { limit: rested, ..idle },
         Idle { moved: true, ..idle },
         Idle { twin: true, ..idle },
     ] {
-        assert!(!not.sound(), "{not:?}");
+        assert!(!unsound.sound(), "{unsound:?}");
     }
 }
 
@@ -83,7 +86,7 @@
 }
 
 #[test]
-fn an_answer_is_taken_by_its_name_and_as_what_it_proves() {
+fn responses_are_matched_by_request_id_and_classified_by_their_head() {
     for (lines, name, own) in [
         ("Request-Id: 7\r\n", "7", true),
         ("request-id: 7\r\nRequest-Id: 7\r\n", "7", true),
@@ -96,9 +99,9 @@
     ] {
         assert_eq!(Wire.own(&head(503, lines), name.as_bytes()), own, "{lines:?} {name:?}");
     }
-    let sized = "Stamp: s\r\nContent-Length: 1\r\n";
-    for (status, lines, says) in [
-        (200, sized, Ended::Ok),
+    let complete = "Stamp: s\r\nContent-Length: 1\r\n";
+    for (status, lines, result) in [
+        (200, complete, Ended::Ok),
         (200, "Stamp: s\r\nTransfer-Encoding: chunked\r\n", Ended::Ok),
         (204, "Stamp: s\r\n", Ended::Ok),
         (200, "Stamp: s\r\n", Ended::Reset),
@@ -108,16 +111,16 @@
         (503, "Not-Run: 1\r\n", Ended::Rejected),
         (429, "Not-Run: 1\r\n", Ended::Rejected),
         (400, "Not-Run: 1\r\n", Ended::Rejected),
-        (503, sized, Ended::Error),
-        (408, sized, Ended::Error),
+        (503, complete, Ended::Error),
+        (408, complete, Ended::Error),
         (500, "Not-Run: 1\r\n", Ended::Error),
     ] {
-        assert_eq!(Wire.judge(&head(status, lines)), says, "{status} {lines:?}");
+        assert_eq!(Wire.judge(&head(status, lines)), result, "{status} {lines:?}");
     }
 }
 
 #[test]
-fn a_promise_goes_to_nobody_whose_request_may_run() {
+fn a_not_run_status_reaches_the_client_only_if_the_request_cannot_have_run() {
     let course = |attempts, ran| Course { attempts, ran, ..Course::default() };
     let served = |status| Answer::Served { head: head(status, ""), content: Content::whole("") };
     let refused = || Answer::Refused { retry_after_ms: 5.0, reason: Reason::Unsent };
@@ -125,7 +128,7 @@
         assert_eq!(told(true, &served(status), &course(1, true)), Told::MayHaveRun, "{status}");
         assert_eq!(told(false, &served(status), &course(1, true)), Told::Served, "{status}");
     }
-    for (answer, attempts, ran, once, wanted) in [
+    for (answer, attempts, ran, once, expected) in [
         (served(500), 1, true, true, Told::Served),
         (served(200), 1, true, true, Told::Served),
         (refused(), 2, false, true, Told::NotRun(Some(5.0))),
@@ -139,6 +142,6 @@
         (Answer::Short(Short::Broken), 1, true, true, Told::Broken),
         (Answer::Short(Short::TooLarge), 1, true, true, Told::TooLarge),
     ] {
-        assert_eq!(told(once, &answer, &course(attempts, ran)), wanted, "{attempts} {ran} {once}");
+        assert_eq!(told(once, &answer, &course(attempts, ran)), expected, "{attempts} {ran} {once}");
     }
 }
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! The hollow gateway of the lab and the real agent and proxy tell a core process the same, for the same history.
+//! The lab's simulated gateway sends a core process the same messages as the real agent and proxy, for the
+//! same history.
 
 use granite_lab::scale::draw::{Drawn, Machine, Size};
 use granite_lab::scale::hollow::{Holds, Hollow, Out};
@@ -16,9 +17,9 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-/// A word that does not come within this will not.
-const PATIENCE: Duration = Duration::from_secs(40);
-const CORE: &str = "127.0.0.77";
+/// Timeout of the wait for a message from the real agent.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(40);
+const CORE_IP: &str = "127.0.0.77";
 
 struct Process(Child);
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// The links of a core process that follows a script.
+/// A scripted core process: its end of the agent's link.
 struct Core(TcpStream);
 
 impl Core {
@@ -38,29 +39,29 @@
         self.0.read_exact(&mut length).expect("a message");
         let mut bytes = vec![0; u32::from_le_bytes(length) as usize];
         self.0.read_exact(&mut bytes).expect("the rest of it");
-        M::decode(&bytes[..]).expect("it can be read")
+        M::decode(&bytes[..]).expect("a valid message")
     }
 
-    /// The next word. It is answered by one who does not lead, which changes nothing: a silent link would be ended.
-    fn word(&mut self) -> FromAgent {
-        let word: FromAgent = self.next();
-        let pulse = HeartbeatReply { request_sent_at: word.sent_at, ..HeartbeatReply::default() };
-        self.say(&ToAgent { heartbeat_reply: Some(pulse), ..ToAgent::default() });
-        word
+    /// Receives a message, and acknowledges it as a follower, so that the agent does not time out the link.
+    fn receive(&mut self) -> FromAgent {
+        let message: FromAgent = self.next();
+        let reply = HeartbeatReply { request_sent_at: message.sent_at, ..HeartbeatReply::default() };
+        self.send(&ToAgent { heartbeat_reply: Some(reply), ..ToAgent::default() });
+        message
     }
 
-    fn say(&mut self, news: &ToAgent) {
-        self.0.write_all(&framed(news)).expect("it is written");
+    fn send(&mut self, message: &ToAgent) {
+        self.0.write_all(&framed(message)).expect("it is written");
     }
 }
 
-/// What a word says, whenever it was said.
-fn said(word: &FromAgent) -> FromAgent {
-    FromAgent { sent_at: 0.0, gateway: None, ..word.clone() }
+/// The message without its timestamp and registration.
+fn comparable(message: &FromAgent) -> FromAgent {
+    FromAgent { sent_at: 0.0, gateway: None, ..message.clone() }
 }
 
-fn pulse(index: u64, digest: u64) -> ToAgent {
-    let pulse = HeartbeatReply {
+fn heartbeat_reply(index: u64, digest: u64) -> ToAgent {
+    let reply = HeartbeatReply {
         request_sent_at: 1.0,
         leads: true,
         term: 3,
@@ -69,22 +70,22 @@
         digest,
         unsettled: false,
     };
-    ToAgent { heartbeat_reply: Some(pulse), ..ToAgent::default() }
+    ToAgent { heartbeat_reply: Some(reply), ..ToAgent::default() }
 }
 
-fn changes(from: u64, kinds: Vec<Kind>) -> ToAgent {
-    let numbered = |(at, kind)| IndexedChange {
-        index: from + at as u64,
+fn changes(first_index: u64, kinds: Vec<Kind>) -> ToAgent {
+    let indexed = |(offset, kind)| IndexedChange {
+        index: first_index + offset as u64,
         change: Some(Change { kind: Some(kind), ..Change::default() }),
     };
-    ToAgent { changes: kinds.into_iter().enumerate().map(numbered).collect(), ..ToAgent::default() }
+    ToAgent { changes: kinds.into_iter().enumerate().map(indexed).collect(), ..ToAgent::default() }
 }
 
-/// What the core says, and the word that shows that it was taken in.
+/// A message of the core process, and the condition on the gateway's messages that shows that it was applied.
 type Step = (ToAgent, fn(&FromAgent) -> bool);
 
 fn history(drawn: &Drawn) -> Vec<Step> {
-    let configured = |edition| {
+    let config = |edition| {
         let text =
             Envelope::read(drawn.put(edition).as_bytes()).and_then(Envelope::whole).expect("it is valid").1;
         ConfigRevision { edition, text, call_digest: edition, ..ConfigRevision::default() }
@@ -97,36 +98,38 @@
     };
     let gateway =
         Gateway { node: "other".into(), zone: "zone-hall-1".into(), client_addr: "10.0.0.2:80".into() };
-    // Without a backend a proxy wants no clients.
-    let known = Backend { id: "i-0".into(), address: "10.0.0.9:80".into(), ..backend.clone() };
-    let whole = StateSnapshot {
+    // A proxy without a backend never becomes ready.
+    let first_backend = Backend { id: "i-0".into(), address: "10.0.0.9:80".into(), ..backend.clone() };
+    let snapshot = StateSnapshot {
         index: 5,
-        config: Some(configured(1)),
-        backends: vec![known],
+        config: Some(config(1)),
+        backends: vec![first_backend],
         ..StateSnapshot::default()
     };
     vec![
-        (pulse(5, 0), |word| word.subscribes),
-        (ToAgent { snapshot: Some(whole), ..ToAgent::default() }, |word| word.proxy_applied_index == 5),
-        (pulse(5, 0), |word| word.ready),
-        (changes(6, vec![Kind::Config(configured(2))]), |word| word.proxy_applied_index == 6),
-        (changes(7, vec![Kind::Backend(backend), Kind::Gateway(gateway)]), |word| {
-            word.proxy_applied_index == 8
+        (heartbeat_reply(5, 0), |message| message.subscribes),
+        (ToAgent { snapshot: Some(snapshot), ..ToAgent::default() }, |message| {
+            message.proxy_applied_index == 5
         }),
-        // Numbers that are held already change nothing, and those behind them do.
-        (changes(8, vec![Kind::GatewayGone("other".into()), Kind::BackendGone("i-1".into())]), |word| {
-            word.proxy_applied_index == 9
+        (heartbeat_reply(5, 0), |message| message.ready),
+        (changes(6, vec![Kind::Config(config(2))]), |message| message.proxy_applied_index == 6),
+        (changes(7, vec![Kind::Backend(backend), Kind::Gateway(gateway)]), |message| {
+            message.proxy_applied_index == 8
         }),
-        // A digest that is not that of the copy: its ranges are told.
-        (pulse(9, 1), |word| word.ranges.is_some()),
+        // Changes at indexes already applied are skipped, and the later ones are applied.
+        (changes(8, vec![Kind::GatewayGone("other".into()), Kind::BackendGone("i-1".into())]), |message| {
+            message.proxy_applied_index == 9
+        }),
+        // A digest that differs from the replica's: the agent reports its range digests.
+        (heartbeat_reply(9, 1), |message| message.ranges.is_some()),
     ]
 }
 
-/// The words of the real agent and proxy. What comes again in a row counts once.
-fn real(settings: &str, inner: u16, history: &[Step]) -> Vec<FromAgent> {
-    let listener = TcpListener::bind((CORE, inner)).expect("the core's port");
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("gateway.yaml");
+/// The messages of the real agent and proxy.
+fn real_messages(settings: &str, inner_port: u16, history: &[Step]) -> Vec<FromAgent> {
+    let listener = TcpListener::bind((CORE_IP, inner_port)).expect("the core's port");
+    let directory = tempfile::tempdir().expect("a folder");
+    let file = directory.path().join("gateway.yaml");
     std::fs::write(&file, settings).expect("a file");
     let start = |program: &str| {
         let mut command = Command::new(program);
@@ -135,56 +138,61 @@
     };
     let _proxy = start(env!("CARGO_BIN_EXE_pelion"));
     let _agent = start(env!("CARGO_BIN_EXE_windermere"));
-    let (stream, _) = listener.accept().expect("the agent comes");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    let (stream, _) = listener.accept().expect("the agent connects");
+    stream.set_read_timeout(Some(MESSAGE_TIMEOUT)).expect("a socket");
     let mut core = Core(stream);
     core.next::<Hello>();
-    // The proxy has come, too, and the agent tells of it.
+    // Wait until the agent reports that its proxy is connected.
     let start = Instant::now();
-    while core.word().gateway.is_none_or(|gateway| gateway.client_addr.is_empty()) {}
-    let mut words = Vec::new();
-    for (news, shown) in history {
-        core.say(news);
+    while core.receive().gateway.is_none_or(|gateway| gateway.client_addr.is_empty()) {}
+    let mut messages = Vec::new();
+    for (message, is_applied) in history {
+        core.send(message);
         loop {
             assert!(
-                start.elapsed() < PATIENCE,
-                "never shown; the last words: {:?}",
-                words.iter().rev().take(3).collect::<Vec<_>>()
+                start.elapsed() < MESSAGE_TIMEOUT,
+                "the agent never applied the message; the last messages: {:?}",
+                messages.iter().rev().take(3).collect::<Vec<_>>()
             );
-            let word = core.word();
-            words.push(said(&word));
-            if shown(&word) {
+            let message = core.receive();
+            messages.push(comparable(&message));
+            if is_applied(&message) {
                 break;
             }
         }
     }
-    told(words)
+    normalized(messages)
 }
 
-/// The same of a hollow one.
-fn hollow(settings: &str, core: &str, holds: Holds, history: &[Step]) -> Vec<FromAgent> {
-    let settings = Settings::read(settings).expect("they are sound");
+/// The messages of a simulated gateway.
+fn simulated_messages(settings: &str, core: &str, holds: Holds, history: &[Step]) -> Vec<FromAgent> {
+    let settings = Settings::read(settings).expect("valid settings");
     let (mut now, mut out) = (0.0, Vec::new());
     let mut hollow = Hollow::new(&settings, holds, now, &mut out);
     hollow.event(now, Event::LinkOpened(core.to_owned()), &mut out);
-    let met = out.iter().any(|out| matches!(out, Out::Say(_, word) if word.gateway.as_ref().is_some_and(|g| g.client_addr == "127.0.0.78:8099")));
-    assert!(met, "the first word on a link tells who it is");
-    let mut words = Vec::new();
-    for (news, shown) in history {
+    let registered = out.iter().any(|out| match out {
+        Out::Say(_, message) => {
+            message.gateway.as_ref().is_some_and(|gateway| gateway.client_addr == "127.0.0.78:8099")
+        }
+        _ => false,
+    });
+    assert!(registered, "the first message on a link has the registration");
+    let mut messages = Vec::new();
+    for (message, is_applied) in history {
         now += 10.0;
         out.clear();
-        hollow.said(now, core.to_owned(), Box::new(news.clone()), &mut out);
+        hollow.said(now, core.to_owned(), Box::new(message.clone()), &mut out);
         let mut done = false;
-        // What nobody waits for is told with a word at its time, the second one at the latest.
+        // What is not sent at once goes with one of the next two periodic messages.
         for _ in 0..3 {
-            let told = out.iter().filter_map(|out| match out {
-                Out::Say(_, word) => Some(&**word),
+            let sent = out.iter().filter_map(|out| match out {
+                Out::Say(_, message) => Some(&**message),
                 _ => None,
             });
-            // The real one's words that come after this are those of the next step.
-            for word in told {
-                words.push(said(word));
-                done = shown(word);
+            // Later messages belong to the next step, as with the real agent.
+            for message in sent {
+                messages.push(comparable(message));
+                done = is_applied(message);
                 if done {
                     break;
                 }
@@ -196,28 +204,30 @@
             out.clear();
             hollow.event(now, Event::Tick, &mut out);
         }
-        assert!(done, "never shown; the last words: {words:?}");
+        assert!(done, "the gateway never applied the message; its messages: {messages:?}");
     }
-    told(words)
+    normalized(messages)
 }
 
-/// Words as they are compared: what comes again in a row counts once, and so does one whose time fell between the agent's
-/// taking a change in and its proxy's, which is one number apart.
-fn told(mut words: Vec<FromAgent>) -> Vec<FromAgent> {
-    words.retain(|word| word.proxy_applied_index == 0 || word.proxy_applied_index == word.applied_index);
-    words.dedup();
-    words
+/// Removes what depends on timing: consecutive duplicates, and messages sent after the agent and before its
+/// proxy applied a change.
+fn normalized(mut messages: Vec<FromAgent>) -> Vec<FromAgent> {
+    messages.retain(|message| {
+        message.proxy_applied_index == 0 || message.proxy_applied_index == message.applied_index
+    });
+    messages.dedup();
+    messages
 }
 
 #[test]
-fn a_hollow_gateway_tells_what_the_real_one_tells() {
-    let inner = (0..100)
+fn a_simulated_gateway_sends_the_same_messages_as_a_real_one() {
+    let inner_port = (0..100)
         .find_map(|_| {
-            let first = TcpListener::bind((CORE, 0)).ok()?.local_addr().ok()?.port();
+            let first = TcpListener::bind((CORE_IP, 0)).ok()?.local_addr().ok()?.port();
             TcpListener::bind(("127.0.0.1", first.checked_add(1)?)).ok().map(|_| first)
         })
         .expect("two free ports");
-    let core = format!("{CORE}:8383");
+    let core = format!("{CORE_IP}:8383");
     let docks = [("front", "127.0.0.78:8099".to_owned())];
     let machine = Machine {
         node: "counter-1",
@@ -226,14 +236,14 @@
         zone: ("zone-hall-0".into(), "region-0".into()),
         docks: &docks,
         data: "/nowhere",
-        inner,
+        inner: inner_port,
         seeds: std::slice::from_ref(&core),
     };
     let settings = machine.text();
     let history = history(&Drawn::new(Size::of(2, 0.1), 1));
-    let words = real(&settings, inner, &history);
-    assert!(words.len() >= history.len(), "{words:?}");
-    assert_eq!(hollow(&settings, &core, Holds::All, &history), words);
-    // One that holds the number alone can't tell that its copy differs from its agent's; all else is the same.
-    assert_eq!(hollow(&settings, &core, Holds::Number, &history), words);
+    let messages = real_messages(&settings, inner_port, &history);
+    assert!(messages.len() >= history.len(), "{messages:?}");
+    assert_eq!(simulated_messages(&settings, &core, Holds::All, &history), messages);
+    // A proxy that holds only the index cannot detect that it differs from its agent; all else is the same.
+    assert_eq!(simulated_messages(&settings, &core, Holds::Number, &history), messages);
 }
--- a/overland/tests/processes/mod.rs
+++ b/overland/tests/processes/mod.rs
@@ -1,5 +1,5 @@
-//! Real processes of the system on loopback, and the backends, operators and clients round them.
-#![allow(dead_code)] // Each test program takes what it needs of it.
+//! Helpers that run the real processes on loopback, with their backends, operators and clients.
+#![allow(dead_code)] // Each test program uses a part of this module.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,10 +11,10 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
-/// Longest wait for a condition, far beyond what any takes.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// Timeout of a wait for a condition, far above what any condition takes.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Processes that end with the test, however it ends.
+/// A child process that is killed when dropped.
 pub struct Process(pub Child);
 
 impl Drop for Process {
@@ -29,28 +29,28 @@
     assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
 }
 
-/// Two free ports in a row, out of the range from which connections are given theirs: a process that starts again finds
-/// them free again.
+/// Two consecutive free ports, outside the ephemeral range so that they are still free when a process
+/// restarts.
 pub fn inner_ports() -> u16 {
     let free = |port: u16| TcpListener::bind(("127.0.0.1", port)).is_ok();
     (0..100)
         .map(|_| fastrand::u16(10_000..30_000))
-        .find(|first| free(*first) && free(*first + 1))
+        .find(|port| free(*port) && free(*port + 1))
         .expect("two free ports")
 }
 
 pub fn port(ip: &str) -> u16 {
-    TcpListener::bind((ip, 0)).and_then(|l| l.local_addr()).expect("a free port").port()
+    TcpListener::bind((ip, 0)).and_then(|listener| listener.local_addr()).expect("a free port").port()
 }
 
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
-/// One call on a connection of its own. None if nobody answers.
-pub fn call(addr: &str, method: &str, path: &str, headers: &str, body: &str) -> Option<Answer> {
+/// Sends one request on a connection of its own. None without a response.
+pub fn call(addr: &str, method: &str, path: &str, headers: &str, body: &str) -> Option<Response> {
     let mut stream =
         TcpStream::connect_timeout(&addr.parse::<SocketAddr>().ok()?, Duration::from_secs(2)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
@@ -63,34 +63,34 @@
     stream.read_to_string(&mut text).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    Some(Answer { status, head: head.to_ascii_lowercase(), body: body.to_owned() })
+    Some(Response { status, head: head.to_ascii_lowercase(), body: body.to_owned() })
 }
 
-/// Asks until the answer is as wanted.
-pub fn until<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
+/// Polls until there is a result, and fails after [`WAIT_TIMEOUT`].
+pub fn until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(answer) = ask() {
-            return answer;
+        if let Some(result) = poll() {
+            return result;
         }
-        assert!(start.elapsed() < PATIENCE, "{what} did not come");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         std::thread::yield_now();
     }
 }
 
-/// Bytes of a large answer: more than sockets hold on their way.
-pub const LARGE: usize = 48 << 20;
+/// Size of a large response: more than the socket buffers hold.
+pub const LARGE_RESPONSE_BYTES: usize = 48 << 20;
 
-/// A backend: answers each request with its stamp, and tells what came. Of those that name a pair it answers none before
-/// two are there; one that names a large answer gets one, and one that names silence none.
+/// Starts a backend. Returns its address and the requests that it receives. Requests whose head contains
+/// `/pair` are answered once two have arrived, `/large` gets a large response, and `/silent` none.
 pub fn backend() -> (String, Receiver<String>) {
     let pairs = Arc::new(Barrier::new(2));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound").to_string();
-    let (to, from) = channel();
+    let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (to, pairs) = (to.clone(), pairs.clone());
+            let (sender, pairs) = (sender.clone(), pairs.clone());
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream);
                 loop {
@@ -102,11 +102,11 @@
                             return;
                         }
                         let lower = line.to_ascii_lowercase();
-                        if let Some(of) = lower.strip_prefix("request-id: ") {
-                            id = of.trim().to_owned();
+                        if let Some(value) = lower.strip_prefix("request-id: ") {
+                            id = value.trim().to_owned();
                         }
-                        if let Some(of) = lower.strip_prefix("content-length: ") {
-                            length = of.trim().parse().unwrap_or(0);
+                        if let Some(value) = lower.strip_prefix("content-length: ") {
+                            length = value.trim().parse().unwrap_or(0);
                         }
                         if line == "\r\n" {
                             break;
@@ -121,38 +121,40 @@
                         pairs.wait();
                     }
                     let (large, silent) = (head.contains("/large"), head.contains("/silent"));
-                    let _ = to.send(head + "\r\n" + &String::from_utf8_lossy(&body));
+                    let _ = sender.send(head + "\r\n" + &String::from_utf8_lossy(&body));
                     if silent {
                         continue;
                     }
-                    let body = if large { vec![b'x'; LARGE] } else { b"hello".to_vec() };
+                    let body = if large { vec![b'x'; LARGE_RESPONSE_BYTES] } else { b"hello".to_vec() };
                     let length = body.len();
-                    let answer = format!(
+                    let response = format!(
                         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nStamp: s.1\r\nX-Own: 7\r\nContent-Length: {length}\r\n\r\n"
                     );
                     let stream = reader.get_mut();
-                    if stream.write_all(answer.as_bytes()).and_then(|()| stream.write_all(&body)).is_err() {
+                    if stream.write_all(response.as_bytes()).and_then(|()| stream.write_all(&body)).is_err() {
                         return;
                     }
                 }
             });
         }
     });
-    (addr, from)
+    (addr, receiver)
 }
 
+/// The processes of one system, with their settings and data in a temporary directory.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
+    /// The first inner port of every node without an entry in `inners`.
     pub inner: u16,
     pub seeds: Vec<String>,
-    /// Inner addresses that a node reaches through relays, by its name.
+    /// By node: inner addresses that it reaches through relays, each with the relay's address.
     pub relays: BTreeMap<String, Vec<(SocketAddr, SocketAddr)>>,
-    /// First inner ports of nodes that have another one than the rest, by their names: two gateways share an address for
-    /// what an agent tells its proxy.
+    /// By node: its first inner port, if different. Gateways on one machine need this, as agents accept their
+    /// proxies on loopback.
     pub inners: BTreeMap<String, u16>,
 }
 
-/// A gateway's agent and proxy, and where clients arrive and readiness is told.
+/// A gateway: its agent and proxy, and the addresses for clients and for readiness and metrics.
 pub struct Gateway {
     pub agent: Process,
     pub proxy: Process,
@@ -160,7 +162,7 @@
     pub ready: String,
 }
 
-/// One beat of a backend, as its body.
+/// The body of a backend's heartbeat.
 pub fn beat(server: &str, postmark: u64) -> String {
     format!(
         r#"{{"service":"s1","address":"{server}","zone":"a","edition":"v1","berths":2,"state":"open","cold_time":"0ms","postmark":{postmark}}}"#
@@ -168,7 +170,7 @@
 }
 
 impl Fleet {
-    /// Nothing runs yet; so many core processes found it.
+    /// A system bootstrapped by this many core processes, none of which is started yet.
     pub fn new(cores: usize) -> Self {
         let ips = (2..2 + cores).map(|n| format!("127.0.0.{n}"));
         let seeds = ips.map(|ip| format!("{ip}:{}", port(&ip))).collect();
@@ -181,18 +183,19 @@
         }
     }
 
-    /// A gateway at this address, once it is ready.
+    /// Starts a gateway at this address and waits until it is ready.
     pub fn gateway(&self, name: &str, ip: &str) -> Gateway {
         let (front, ready) = (format!("{ip}:{}", port(ip)), format!("{ip}:{}", port(ip)));
         let docks = format!("    front: \"{front}\"\n    ready: \"{ready}\"\n");
         let settings = self.settings(name, ip, "counter", &docks, true);
         let agent = start(env!("CARGO_BIN_EXE_windermere"), &settings);
         let proxy = start(env!("CARGO_BIN_EXE_pelion"), &settings);
-        until("a ready gateway", || call(&ready, "GET", "/api/ready", "", "").filter(|a| a.status == 200));
+        until("a ready gateway", || call(&ready, "GET", "/api/ready", "", "").filter(|r| r.status == 200));
         Gateway { agent, proxy, front, ready }
     }
 
-    pub fn settings(&self, name: &str, ip: &str, class: &str, docks: &str, first: bool) -> PathBuf {
+    /// Writes the settings of a node and returns their file. `docks` are the lines of `network.docks_at`.
+    pub fn settings(&self, name: &str, ip: &str, class: &str, docks: &str, first_start: bool) -> PathBuf {
         let data = self.folder.path().join(name);
         std::fs::create_dir_all(&data).expect("a folder");
         let mut seeds = String::new();
@@ -203,13 +206,13 @@
         let mut relays = String::new();
         if let Some(pairs) = self.relays.get(name) {
             relays.push_str("  relays:\n");
-            for (of, to) in pairs {
-                let _ = writeln!(relays, "    \"{of}\": \"{to}\"");
+            for (address, relay) in pairs {
+                let _ = writeln!(relays, "    \"{address}\": \"{relay}\"");
             }
         }
         let text = format!(
             "sender:\n  node: \"{name}\"\n  role: \"any\"\n  machine_class: \"{class}\"\n  ip: \"{ip}\"\n  zone: \"a\"\n  \
-             region: \"r\"\n  first_start: {first}\n  data_dir: \"{}\"\n  limits:\n    memory_mb: 256\n    fds: 1000\n\
+             region: \"r\"\n  first_start: {first_start}\n  data_dir: \"{}\"\n  limits:\n    memory_mb: 256\n    fds: 1000\n\
              network:\n  docks_at:\n{docks}  inner_ports:\n    - {}\n    - {}\n  seeds:\n{seeds}{relays}  zones:\n    a: \"r\"\n\
              carrier:\n  beat: \"1500ms\"\ntariffs:\n  bounds:\n    ack: \"8000ms\"\n    grace: \"6s\"\n    closed: true\n    \
              revoke: \"5000ms\"\n    quota_slack: 20\n    ttl_max: \"5s\"\n",
@@ -222,14 +225,14 @@
         file
     }
 
-    pub fn core(&self, number: usize, first: bool) -> Process {
-        start(env!("CARGO_BIN_EXE_narcissus"), &self.core_settings(number, first))
+    pub fn core(&self, number: usize, first_start: bool) -> Process {
+        start(env!("CARGO_BIN_EXE_narcissus"), &self.core_settings(number, first_start))
     }
 
-    pub fn core_settings(&self, number: usize, first: bool) -> PathBuf {
+    pub fn core_settings(&self, number: usize, first_start: bool) -> PathBuf {
         let (ip, seed) = (format!("127.0.0.{}", number + 2), &self.seeds[number]);
         let docks = format!("    control: \"{seed}\"\n");
-        self.settings(&format!("core{number}"), &ip, "sorting", &docks, first)
+        self.settings(&format!("core{number}"), &ip, "sorting", &docks, first_start)
     }
 }
 
@@ -239,6 +242,7 @@
     Process(command.spawn().expect("it starts"))
 }
 
+/// The body of a configuration call, in which the tenant has these keys.
 pub fn config(edition: u64, based_on: &str, keys: &str) -> String {
     format!(
         r#"{{"edition":"r{edition}","based_on":"{based_on}","limits":{{"label_bytes":16384,"body_bytes":1048576,"label_time":"3000ms","idle":"15000ms"}},
