--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -83,7 +83,7 @@
     started: Instant,
     disk: Box<dyn Disk>,
     participation: RefCell<Participation>,
-    /// Links from agents and proxies, by number.
+    /// Links opened by other processes, by number.
     links: RefCell<BTreeMap<u64, Outgoing>>,
     /// API calls in flight, by number.
     calls: RefCell<BTreeMap<u64, oneshot::Sender<(Millis, Reply)>>>,
@@ -348,7 +348,7 @@
         }
     }
 
-    // ---- Links to other core processes -----------------------------------------------------------------------
+    // ---- Links to other core processes -----------------------------------------------------------------
 
     /// The address of a core process's inner port, from its name.
     fn inner_address(&self, name: &str) -> Option<SocketAddr> {
@@ -461,7 +461,7 @@
         }
     }
 
-    // ---- API calls --------------------------------------------------------------------------------------------
+    // ---- API calls -------------------------------------------------------------------------------------
 
     async fn accept_calls(self: Rc<Self>, listener: TcpListener) {
         loop {
--- a/overland/tests/ending.rs
+++ b/overland/tests/ending.rs
@@ -35,9 +35,9 @@
 }
 
 fn send_request(gateway: &Gateway, path: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(&gateway.front).expect("it listens");
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time");
-    stream.write_all(request(path).as_bytes()).expect("it reads");
+    let mut stream = TcpStream::connect(&gateway.front).expect("a connection");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
+    stream.write_all(request(path).as_bytes()).expect("the request is sent");
     stream
 }
 
@@ -48,13 +48,13 @@
     let mut stream = send_request(&gateway, "/s/large");
     let mut received = vec![0; 1024];
     stream.read_exact(&mut received).expect("the start of the response");
-    let head = received.windows(4).position(|bytes| bytes == b"\r\n\r\n").expect("a whole head") + 4;
+    let head = received.windows(4).position(|bytes| bytes == b"\r\n\r\n").expect("a complete head") + 4;
 
     signal(&gateway.proxy, "-TERM");
     // By the end of the pause it accepts no clients and has no other requests.
     let signalled = Instant::now();
     while signalled.elapsed() < CLIENT_PAUSE {
-        let exited = gateway.proxy.0.try_wait().expect("it is known");
+        let exited = gateway.proxy.0.try_wait().expect("the status of the process");
         assert!(
             exited.is_none(),
             "it exited {:?} after SIGTERM, with a response in progress",
@@ -69,7 +69,7 @@
         assert!(read > 0, "the response was truncated, with {remaining} bytes missing");
         remaining -= read;
     }
-    assert!(gateway.proxy.0.wait().expect("it ends").success());
+    assert!(gateway.proxy.0.wait().expect("an exit status").success());
 }
 
 /// Guards against a gateway that exits without a response to requests, also pipelined ones, that its backend
@@ -78,7 +78,7 @@
 fn shutdown_answers_502_to_unanswered_requests() {
     let (_fleet, _core, mut gateway) = start_gateway();
     let mut stream = send_request(&gateway, "/s/silent");
-    stream.write_all(request("/s/silent").as_bytes()).expect("it reads");
+    stream.write_all(request("/s/silent").as_bytes()).expect("the request is sent");
     let metrics = || call(&gateway.ready, "GET", "/metrics", "", "");
     until("both requests in flight", || metrics().filter(|response| response.body.contains("pelion_open 2")));
 
@@ -86,5 +86,5 @@
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
     assert_eq!(text.matches("HTTP/1.1 502").count(), 2, "not both requests were answered: {text:?}");
-    assert!(gateway.proxy.0.wait().expect("it ends").success());
+    assert!(gateway.proxy.0.wait().expect("an exit status").success());
 }
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -51,7 +51,7 @@
     }
 
     fn send(&mut self, message: &ToAgent) {
-        self.0.write_all(&framed(message)).expect("it is written");
+        self.0.write_all(&framed(message)).expect("the message is sent");
     }
 }
 
@@ -128,13 +128,13 @@
 /// The messages of the real agent and proxy.
 fn real_messages(settings: &str, inner_port: u16, history: &[Step]) -> Vec<FromAgent> {
     let listener = TcpListener::bind((CORE_IP, inner_port)).expect("the core's port");
-    let directory = tempfile::tempdir().expect("a folder");
+    let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("gateway.yaml");
     std::fs::write(&file, settings).expect("a file");
     let start = |program: &str| {
         let mut command = Command::new(program);
         command.arg("run").arg("--settings").arg(&file).args(["--log", "error"]);
-        Process(command.spawn().expect("it starts"))
+        Process(command.spawn().expect("the program starts"))
     };
     let _proxy = start(env!("CARGO_BIN_EXE_pelion"));
     let _agent = start(env!("CARGO_BIN_EXE_windermere"));
--- a/overland/tests/processes/mod.rs
+++ b/overland/tests/processes/mod.rs
@@ -175,7 +175,7 @@
         let ips = (2..2 + cores).map(|n| format!("127.0.0.{n}"));
         let seeds = ips.map(|ip| format!("{ip}:{}", port(&ip))).collect();
         Fleet {
-            folder: tempfile::tempdir().expect("a folder"),
+            folder: tempfile::tempdir().expect("a directory"),
             inner: inner_ports(),
             seeds,
             relays: BTreeMap::new(),
@@ -197,7 +197,7 @@
     /// Writes the settings of a node and returns their file. `docks` are the lines of `network.docks_at`.
     pub fn settings(&self, name: &str, ip: &str, class: &str, docks: &str, first_start: bool) -> PathBuf {
         let data = self.folder.path().join(name);
-        std::fs::create_dir_all(&data).expect("a folder");
+        std::fs::create_dir_all(&data).expect("a directory");
         let mut seeds = String::new();
         for seed in &self.seeds {
             let _ = writeln!(seeds, "    - \"{seed}\"");
@@ -239,7 +239,7 @@
 pub fn start(program: &str, settings: &Path) -> Process {
     let mut command = Command::new(program);
     command.arg("run").arg("--settings").arg(settings).args(["--log", "warn"]);
-    Process(command.spawn().expect("it starts"))
+    Process(command.spawn().expect("the program starts"))
 }
 
 /// The body of a configuration call, in which the tenant has these keys.
--- a/overland/tests/system.rs
+++ b/overland/tests/system.rs
@@ -57,7 +57,7 @@
             .args(["status", "--core", control(1)])
             .args(args)
             .output()
-            .expect("it runs");
+            .expect("the program runs");
         (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
     };
     until("a status with a leader, three equal replicas, a ready gateway and a backend", || {
@@ -73,7 +73,7 @@
     // Invalid bytes at every port do no harm.
     let inner = format!("127.0.0.2:{}", fleet.inner);
     for addr in [control(0), inner.as_str(), front.as_str(), ready.as_str()] {
-        let mut stream = TcpStream::connect(addr).expect("it listens");
+        let mut stream = TcpStream::connect(addr).expect("a connection");
         // The peer may close the connection early.
         let _ = stream.write_all(&(0..65_536u32).map(|n| ((n * 7919) >> 3) as u8).collect::<Vec<_>>());
     }
@@ -95,17 +95,17 @@
     assert_eq!(request("/y/1", "k1").map(|response| response.status), Some(404));
 
     // Two pipelined requests are at the backend concurrently, and are answered in order.
-    let mut stream = TcpStream::connect(&front).expect("it listens");
+    let mut stream = TcpStream::connect(&front).expect("a connection");
     let pair_request = |id: u32| {
         format!("GET /s/pair HTTP/1.1\r\nHost: a.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 30000\r\n\r\n")
     };
-    stream.write_all((pair_request(1) + &pair_request(2)).as_bytes()).expect("it reads");
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time");
+    stream.write_all((pair_request(1) + &pair_request(2)).as_bytes()).expect("the request is sent");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     let mut text = String::new();
     until("both responses", || {
         let mut buffer = [0; 1024];
         let read = stream.read(&mut buffer).expect("a response");
-        assert!(read > 0, "it closed after {text}");
+        assert!(read > 0, "the connection was closed after {text}");
         text += &String::from_utf8_lossy(&buffer[..read]);
         (text.matches("hello").count() == 2).then_some(())
     });
@@ -132,7 +132,7 @@
 
     // All core processes are killed at once and one loses its disk; acknowledged updates survive.
     drop(cores);
-    std::fs::remove_dir_all(fleet.folder.path().join("core2")).expect("its folder");
+    std::fs::remove_dir_all(fleet.folder.path().join("core2")).expect("its data directory");
     let cores: Vec<_> = (0..3).map(|number| fleet.core(number, false)).collect();
     let get =
         |number: usize| call(control(number), "GET", "/api/Config.Get", "", "").filter(|r| r.status == 200);
@@ -148,5 +148,5 @@
     signal(&proxy, "-TERM");
     until("an unready gateway", || call(&ready, "GET", "/api/ready", "", "").filter(|r| r.status == 503));
     until("the gateway's delisting", || call(control(0), "GET", resolve, "", "").filter(|r| r.status == 503));
-    assert!(proxy.0.wait().expect("it ends").success());
+    assert!(proxy.0.wait().expect("an exit status").success());
 }
