--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -3,7 +3,7 @@
 use super::draw::{zone_of, Drawn, Machine};
 use super::hollow::{Counts, Holds, Hollow, Out};
 use overland::follow::Event;
-use overland::link::{self, Incoming, Outgoing};
+use overland::link::{self, MessageReader, MessageSender};
 use overland::news::{Hello, Purpose, ToAgent};
 use overland::settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -69,7 +69,7 @@
     inner: u16,
     started: Instant,
     hollow: RefCell<Hollow>,
-    links: RefCell<BTreeMap<String, (Outgoing, Rc<Notify>)>>,
+    links: RefCell<BTreeMap<String, (MessageSender, Rc<Notify>)>>,
     due: Notify,
     notes: Sender<Note>,
 }
@@ -231,13 +231,13 @@
 
     async fn link(self: &Rc<Self>, core: &str, stream: TcpStream) -> std::io::Result<()> {
         let (read, write) = stream.into_split();
-        let (out, from) = Outgoing::new();
+        let (out, from) = MessageSender::new();
         let writing = spawn_local(link::write(write, from));
         out.send(&Hello { purpose: Purpose::Agent as i32 });
         let end = Rc::new(Notify::new());
         self.links.borrow_mut().insert(core.to_owned(), (out, end.clone()));
         self.step(Event::LinkOpened(core.to_owned()));
-        let mut incoming = Incoming::<ToAgent>::new(read);
+        let mut incoming = MessageReader::<ToAgent>::new(read);
         let ended = loop {
             let news = tokio::select! {
                 news = incoming.next() => news,
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/weigh.rs
@@ -187,7 +187,7 @@
 
     /// As the sockets do it: a message is made bytes.
     fn note(&mut self, message: &impl Message) {
-        self.note_framed(&overland::link::framed(message));
+        self.note_framed(&overland::link::encode_frame(message));
     }
 
     fn note_framed(&mut self, bytes: &[u8]) {
@@ -397,7 +397,7 @@
         gateways as f64,
         bytes as f64 / said.max(1) as f64,
     );
-    let word = overland::link::framed(&alone.word(true)).len() as f64;
+    let word = overland::link::encode_frame(&alone.word(true)).len() as f64;
     slopes.note("an agent's word", "bytes", "gateways", gateways as f64, word);
     // Charges: as many in a message as a gateway has at the peak in the time of a message to the counter.
     let names: Vec<String> = (0..tenants).map(|at| format!("abcd{at}")).collect();
@@ -415,7 +415,7 @@
     let kinds = [(1, "leader: a message of one charge"), (10, "leader: a message of ten charges")];
     for (of, what) in kinds {
         if gateways == GATEWAYS[0] {
-            let bytes = overland::link::framed(&charges(of)).len() as f64;
+            let bytes = overland::link::encode_frame(&charges(of)).len() as f64;
             slopes.note("charges of one message", "bytes", "charges", of as f64, bytes);
         }
         let took = cost(|| {
--- a/overland/src/agent.rs
+++ b/overland/src/agent.rs
@@ -1,7 +1,7 @@
 //! The sockets and the clock of the agent beside a proxy. All decisions are made by [`AgentStateMachine`].
 
 use crate::follow::{Action, AgentStateMachine, Event};
-use crate::link::{self, Incoming, Outgoing};
+use crate::link::{self, MessageReader, MessageSender};
 use crate::news::{FromProxy, Hello, Purpose, ToAgent};
 use crate::settings::{Settings, Watch};
 use cherrytally::Millis;
@@ -22,13 +22,13 @@
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The address at which an agent accepts its proxy: loopback, on the second inner port.
-pub fn feed(settings: &Settings) -> SocketAddr {
+pub fn proxy_listen_address(settings: &Settings) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), settings.inner_ports.0 + 1)
 }
 
 /// A link to a core process.
 struct Link {
-    out: Outgoing,
+    out: MessageSender,
     /// Closes the link.
     close: Rc<Notify>,
 }
@@ -40,7 +40,7 @@
     state_machine: RefCell<AgentStateMachine>,
     links: RefCell<BTreeMap<String, Link>>,
     /// The link to the proxy, with its number.
-    proxy: RefCell<Option<(u64, Outgoing)>>,
+    proxy: RefCell<Option<(u64, MessageSender)>>,
     /// The number of the last link from a proxy.
     last_proxy_link: Cell<u64>,
     /// The next deadline has become earlier.
@@ -48,13 +48,15 @@
 }
 
 /// Fraction of `grace` by which an agent and its proxy have stopped.
-pub const ENDED: f64 = 0.95;
+pub const STOP_GRACE_FRACTION: f64 = 0.95;
 
 impl Agent {
     /// Runs an agent until it receives SIGTERM and its proxy has stopped.
     pub async fn run(settings: Settings, mut watch: Watch) -> Result<()> {
         let mut sigterm = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
-        let listener = TcpListener::bind(feed(&settings)).await.wrap_err("cannot listen for the proxy")?;
+        let listener = TcpListener::bind(proxy_listen_address(&settings))
+            .await
+            .wrap_err("cannot listen for the proxy")?;
         let grace = settings.bounds.grace;
         let mut actions = Vec::new();
         let agent = Rc::new(Agent {
@@ -78,7 +80,7 @@
         sigterm.recv().await;
         log::info!("agent: received SIGTERM; shutting down");
         // The proxy needs updates until it has drained.
-        let deadline = Instant::now() + grace.mul_f64(ENDED);
+        let deadline = Instant::now() + grace.mul_f64(STOP_GRACE_FRACTION);
         while agent.state_machine.borrow().has_proxy() && Instant::now() < deadline {
             sleep(Duration::from_millis(50)).await;
         }
@@ -155,13 +157,13 @@
 
     async fn run_link(self: &Rc<Self>, core: &str, stream: TcpStream) -> std::io::Result<()> {
         let (read, write) = stream.into_split();
-        let (out, queue) = Outgoing::new();
+        let (out, queue) = MessageSender::new();
         let writer = tokio::task::spawn_local(link::write(write, queue));
         out.send(&Hello { purpose: Purpose::Agent as i32 });
         let close = Rc::new(Notify::new());
         self.links.borrow_mut().insert(core.to_owned(), Link { out, close: close.clone() });
         self.step(Event::LinkOpened(core.to_owned()));
-        let mut incoming = Incoming::<ToAgent>::new(read);
+        let mut incoming = MessageReader::<ToAgent>::new(read);
         let result = loop {
             let received = tokio::select! {
                 received = incoming.next() => received,
@@ -189,15 +191,15 @@
     }
 
     async fn serve_proxy(self: Rc<Self>, stream: TcpStream) {
-        link::prepare(&stream);
+        link::set_socket_options(&stream);
         let (read, write) = stream.into_split();
-        let (out, queue) = Outgoing::new();
+        let (out, queue) = MessageSender::new();
         let writer = tokio::task::spawn_local(link::write(write, queue));
         let link = self.last_proxy_link.get() + 1;
         self.last_proxy_link.set(link);
         *self.proxy.borrow_mut() = Some((link, out));
         self.step(Event::ProxyConnected(link));
-        let mut incoming = Incoming::<FromProxy>::new(read);
+        let mut incoming = MessageReader::<FromProxy>::new(read);
         while let Ok(message) = incoming.next().await {
             self.step(Event::ProxyMessage { link, message });
         }
--- a/overland/src/calls.rs
+++ b/overland/src/calls.rs
@@ -9,7 +9,7 @@
 use miniserde::{Deserialize, Serialize};
 
 /// An API request.
-pub struct Called<'a> {
+pub struct CallRequest<'a> {
     /// The method.
     pub method: &'a str,
     /// The path and query.
@@ -26,29 +26,29 @@
     /// The body, as JSON.
     pub body: String,
     /// The delay before a retry, in ms (`retry-after`).
-    pub after_ms: Option<u64>,
+    pub retry_after_ms: Option<u64>,
 }
 
 /// The reason why a call is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The request is invalid; a retry would fail, too.
-    Bad(String),
+    BadRequest(String),
     /// The update builds on another edition than the one in force.
     Conflict(String),
     /// No call has this name.
-    Unknown,
+    NotFound,
     /// The call takes another HTTP method.
-    Method,
+    MethodNotAllowed,
     /// The service is unavailable, or the outcome is not known yet; a retry finds out.
-    Later,
+    Unavailable,
     /// The outcome is no longer recorded, so it cannot be reported.
-    Unclear(String),
+    OutcomeUnknown(String),
 }
 
 impl From<Invalid> for Refusal {
     fn from(invalid: Invalid) -> Self {
-        Refusal::Bad(invalid.0)
+        Refusal::BadRequest(invalid.0)
     }
 }
 
@@ -64,15 +64,15 @@
     /// The response that reports this refusal.
     pub fn reply(&self) -> Reply {
         let (status, reason) = match self {
-            Refusal::Bad(reason) => (400, reason.as_str()),
+            Refusal::BadRequest(reason) => (400, reason.as_str()),
             Refusal::Conflict(reason) => (412, reason.as_str()),
-            Refusal::Unknown => (404, "no such call"),
-            Refusal::Method => (405, "another method is needed"),
-            Refusal::Later => (503, "not now"),
-            Refusal::Unclear(reason) => (503, reason.as_str()),
+            Refusal::NotFound => (404, "no such call"),
+            Refusal::MethodNotAllowed => (405, "another method is needed"),
+            Refusal::Unavailable => (503, "not now"),
+            Refusal::OutcomeUnknown(reason) => (503, reason.as_str()),
         };
-        let after_ms = (status == 503).then_some(RETRY_AFTER_MS);
-        Reply { status, body: miniserde::json::to_string(&ErrorBody { error: reason }), after_ms }
+        let retry_after_ms = (status == 503).then_some(RETRY_AFTER_MS);
+        Reply { status, body: miniserde::json::to_string(&ErrorBody { error: reason }), retry_after_ms }
     }
 }
 
@@ -83,97 +83,109 @@
     /// Its HTTP method.
     const METHOD: &'static str;
     /// Whether only the leader may answer it.
-    const LEADER: bool;
+    const LEADER_ONLY: bool;
     /// The body of a successful response.
-    type Answer: Serialize;
+    type Response: Serialize;
 
     /// Parses a request; `arg` is the part of the path after the name.
-    fn read(arg: &str, query: &str, called: &Called) -> Result<Self, Refusal>;
+    fn parse(arg: &str, query: &str, request: &CallRequest) -> Result<Self, Refusal>;
 }
 
 /// The outcome of a call that is not refused.
 pub enum Outcome<A, W> {
     /// The response.
-    Now(A),
+    Ready(A),
     /// The response to give once the wait has succeeded.
-    Waits(A, W),
+    Pending(A, W),
 }
 
 /// A handler of API calls.
-pub trait Serves {
+pub trait CallHandler {
     /// A condition that a response may wait for.
     type Wait;
 
     /// Whether this process is the leader.
-    fn leads(&self) -> bool;
+    fn is_leader(&self) -> bool;
 
     /// Whether it holds the leader's lease, so that its state is authoritative.
-    fn vouches(&self, now: Millis) -> bool;
+    fn holds_lease(&self, now: Millis) -> bool;
 }
 
 /// A handler of one kind of call.
-pub trait Answers<C: Call>: Serves {
+pub trait Answers<C: Call>: CallHandler {
     /// Handles one call.
-    fn answer(&mut self, now: Millis, call: C) -> Result<Outcome<C::Answer, Self::Wait>, Refusal>;
+    fn answer(&mut self, now: Millis, call: C) -> Result<Outcome<C::Response, Self::Wait>, Refusal>;
 }
 
 /// How a request is to be completed.
-pub enum Served<W> {
+pub enum Dispatched<W> {
     /// With this reply, now.
-    Now(Reply),
+    Replied(Reply),
     /// With this reply, once the wait has succeeded.
-    Waits(Reply, W),
+    Pending(Reply, W),
     /// By the leader, to which it must be forwarded.
-    Elsewhere,
+    NotLeader,
 }
 
 /// Checks the method and the leadership, then parses and handles a call.
-fn serve<C: Call, S: Answers<C>>(to: &mut S, now: Millis, arg: &str, called: &Called<'_>) -> Served<S::Wait> {
-    if called.method != C::METHOD {
-        return Served::Now(Refusal::Method.reply());
+fn serve<C: Call, S: Answers<C>>(
+    to: &mut S, now: Millis, arg: &str, request: &CallRequest<'_>,
+) -> Dispatched<S::Wait> {
+    if request.method != C::METHOD {
+        return Dispatched::Replied(Refusal::MethodNotAllowed.reply());
     }
-    if C::LEADER && !to.leads() {
-        return Served::Elsewhere;
+    if C::LEADER_ONLY && !to.is_leader() {
+        return Dispatched::NotLeader;
     }
-    if C::LEADER && !to.vouches(now) {
+    if C::LEADER_ONLY && !to.holds_lease(now) {
         // Another process may lead by now and hold later changes.
-        return Served::Now(Refusal::Later.reply());
+        return Dispatched::Replied(Refusal::Unavailable.reply());
     }
-    let query = called.path.split_once('?').map_or("", |(_, query)| query);
-    let success =
-        |answer: &C::Answer| Reply { status: 200, body: miniserde::json::to_string(answer), after_ms: None };
-    match C::read(arg, query, called).and_then(|call| to.answer(now, call)) {
-        Ok(Outcome::Now(answer)) => Served::Now(success(&answer)),
-        Ok(Outcome::Waits(answer, wait)) => Served::Waits(success(&answer), wait),
-        Err(refusal) => Served::Now(refusal.reply()),
+    let query = request.path.split_once('?').map_or("", |(_, query)| query);
+    let success = |answer: &C::Response| Reply {
+        status: 200,
+        body: miniserde::json::to_string(answer),
+        retry_after_ms: None,
+    };
+    match C::parse(arg, query, request).and_then(|call| to.answer(now, call)) {
+        Ok(Outcome::Ready(answer)) => Dispatched::Replied(success(&answer)),
+        Ok(Outcome::Pending(answer, wait)) => Dispatched::Pending(success(&answer), wait),
+        Err(refusal) => Dispatched::Replied(refusal.reply()),
     }
 }
 
 /// Dispatches a request to the call that its path names.
-pub fn answer<S>(to: &mut S, now: Millis, called: &Called<'_>) -> Served<S::Wait>
+pub fn answer<S>(to: &mut S, now: Millis, request: &CallRequest<'_>) -> Dispatched<S::Wait>
 where
-    S: Answers<Beat> + Answers<Leave> + Answers<Put> + Answers<Patch> + Answers<Get> + Answers<Evacuate>,
-    S: Answers<TakeBack> + Answers<Resolve> + Answers<Look>,
+    S: Answers<Heartbeat>
+        + Answers<Deregister>
+        + Answers<Put>
+        + Answers<Patch>
+        + Answers<Get>
+        + Answers<StartEvacuation>,
+    S: Answers<EndEvacuation> + Answers<Resolve> + Answers<GetStatus>,
 {
-    let path = called.path.split_once('?').map_or(called.path, |(path, _)| path);
-    let Some(path) = path.strip_prefix("/api/") else { return Served::Now(Refusal::Unknown.reply()) };
+    let path = request.path.split_once('?').map_or(request.path, |(path, _)| path);
+    let Some(path) = path.strip_prefix("/api/") else {
+        return Dispatched::Replied(Refusal::NotFound.reply());
+    };
     let (name, arg) = path.split_once('/').unwrap_or((path, ""));
     match name {
-        Beat::NAME => serve::<Beat, S>(to, now, arg, called),
-        Leave::NAME => serve::<Leave, S>(to, now, arg, called),
-        Put::NAME => serve::<Put, S>(to, now, arg, called),
-        Patch::NAME => serve::<Patch, S>(to, now, arg, called),
-        Get::NAME => serve::<Get, S>(to, now, arg, called),
-        Evacuate::NAME => serve::<Evacuate, S>(to, now, arg, called),
-        TakeBack::NAME => serve::<TakeBack, S>(to, now, arg, called),
-        Resolve::NAME => serve::<Resolve, S>(to, now, arg, called),
-        Look::NAME => serve::<Look, S>(to, now, arg, called),
-        _ => Served::Now(Refusal::Unknown.reply()),
+        Heartbeat::NAME => serve::<Heartbeat, S>(to, now, arg, request),
+        Deregister::NAME => serve::<Deregister, S>(to, now, arg, request),
+        Put::NAME => serve::<Put, S>(to, now, arg, request),
+        Patch::NAME => serve::<Patch, S>(to, now, arg, request),
+        Get::NAME => serve::<Get, S>(to, now, arg, request),
+        StartEvacuation::NAME => serve::<StartEvacuation, S>(to, now, arg, request),
+        EndEvacuation::NAME => serve::<EndEvacuation, S>(to, now, arg, request),
+        Resolve::NAME => serve::<Resolve, S>(to, now, arg, request),
+        GetStatus::NAME => serve::<GetStatus, S>(to, now, arg, request),
+        _ => Dispatched::Replied(Refusal::NotFound.reply()),
     }
 }
 
 fn body_text(body: &[u8]) -> Result<&str, Refusal> {
-    std::str::from_utf8(body).map_err(|_| Refusal::Bad("the body is no text".into()))
+    std::str::from_utf8(body).map_err(|_| Refusal::BadRequest("the body is no text".into()))
 }
 
 /// An empty response.
@@ -183,13 +195,13 @@
 // ---- Backends -------------------------------------------------------------------------------------------
 
 /// A heartbeat of a backend, which also registers it.
-pub struct Beat {
+pub struct Heartbeat {
     /// Its registration.
     pub backend: Backend,
 }
 
 #[derive(Deserialize)]
-struct BeatBody {
+struct HeartbeatBody {
     service: String,
     address: String,
     zone: String,
@@ -201,20 +213,20 @@
 
 /// The response to a heartbeat.
 #[derive(Serialize)]
-pub struct BeatAnswer {
+pub struct HeartbeatResponse {
     /// The address of the leader, which takes further heartbeats directly.
     pub beat_address: String,
 }
 
-impl Call for Beat {
+impl Call for Heartbeat {
     const NAME: &'static str = "Instances.Beat";
     const METHOD: &'static str = "POST";
-    const LEADER: bool = true;
-    type Answer = BeatAnswer;
+    const LEADER_ONLY: bool = true;
+    type Response = HeartbeatResponse;
 
-    fn read(arg: &str, _: &str, called: &Called) -> Result<Self, Refusal> {
-        let bad = |reason: &str| Refusal::Bad(reason.to_owned());
-        let body: BeatBody = miniserde::json::from_str(body_text(called.body)?)
+    fn parse(arg: &str, _: &str, request: &CallRequest) -> Result<Self, Refusal> {
+        let bad = |reason: &str| Refusal::BadRequest(reason.to_owned());
+        let body: HeartbeatBody = miniserde::json::from_str(body_text(request.body)?)
             .map_err(|_| bad("a field is missing or of another type"))?;
         if arg.is_empty() || arg.len() > 256 {
             return Err(bad("the path names no id"));
@@ -239,26 +251,26 @@
             cold_ms: cold.as_millis() as u64,
             heartbeat_seq: body.postmark.unwrap_or(u64::MAX),
         };
-        Ok(Beat { backend })
+        Ok(Heartbeat { backend })
     }
 }
 
 /// The deregistration of a backend.
-pub struct Leave {
+pub struct Deregister {
     /// The backend's id.
     pub id: String,
 }
 
-impl Call for Leave {
+impl Call for Deregister {
     const NAME: &'static str = "Instances.Leave";
     const METHOD: &'static str = "POST";
-    const LEADER: bool = true;
-    type Answer = Done;
+    const LEADER_ONLY: bool = true;
+    type Response = Done;
 
-    fn read(arg: &str, _: &str, _: &Called) -> Result<Self, Refusal> {
+    fn parse(arg: &str, _: &str, _: &CallRequest) -> Result<Self, Refusal> {
         match arg {
-            "" => Err(Refusal::Bad("the path names no id".into())),
-            id => Ok(Leave { id: id.to_owned() }),
+            "" => Err(Refusal::BadRequest("the path names no id".into())),
+            id => Ok(Deregister { id: id.to_owned() }),
         }
     }
 }
@@ -266,62 +278,62 @@
 // ---- Operators ------------------------------------------------------------------------------------------
 
 /// A digest of a request's path and body.
-fn call_digest(called: &Called) -> u64 {
+fn call_digest(request: &CallRequest) -> u64 {
     use std::hash::Hasher;
     let mut hasher = crate::state::hasher();
-    hasher.write(called.path.as_bytes());
-    hasher.write(called.body);
+    hasher.write(request.path.as_bytes());
+    hasher.write(request.body);
     hasher.finish()
 }
 
 /// A configuration update.
-pub struct Order {
+pub struct ConfigUpdate {
     /// Its content, or why that is invalid.
     pub envelope: Result<Envelope, Invalid>,
     /// It changes single items; otherwise it replaces the whole configuration.
     pub patch: bool,
     /// Identifies it, so that retries are recognised; none if the content is invalid.
-    pub mark: Option<UpdateId>,
+    pub id: Option<UpdateId>,
 }
 
-impl Order {
-    fn read(called: &Called, patch: bool) -> Order {
-        let envelope = Envelope::read(called.body);
-        let mark = envelope.as_ref().ok().map(|envelope| UpdateId {
+impl ConfigUpdate {
+    fn read(request: &CallRequest, patch: bool) -> ConfigUpdate {
+        let envelope = Envelope::read(request.body);
+        let id = envelope.as_ref().ok().map(|envelope| UpdateId {
             edition: envelope.edition,
             based_on: envelope.based_on,
             content_digest: envelope.digest(patch),
-            call_digest: call_digest(called),
+            call_digest: call_digest(request),
         });
-        Order { envelope, patch, mark }
+        ConfigUpdate { envelope, patch, id }
     }
 }
 
 /// Replaces the whole configuration.
-pub struct Put(pub Order);
+pub struct Put(pub ConfigUpdate);
 
 impl Call for Put {
     const NAME: &'static str = "Config.Put";
     const METHOD: &'static str = "POST";
-    const LEADER: bool = true;
-    type Answer = Done;
+    const LEADER_ONLY: bool = true;
+    type Response = Done;
 
-    fn read(_: &str, _: &str, called: &Called) -> Result<Self, Refusal> {
-        Ok(Put(Order::read(called, false)))
+    fn parse(_: &str, _: &str, request: &CallRequest) -> Result<Self, Refusal> {
+        Ok(Put(ConfigUpdate::read(request, false)))
     }
 }
 
 /// Changes single items of the configuration.
-pub struct Patch(pub Order);
+pub struct Patch(pub ConfigUpdate);
 
 impl Call for Patch {
     const NAME: &'static str = "Config.Patch";
     const METHOD: &'static str = "POST";
-    const LEADER: bool = true;
-    type Answer = Done;
+    const LEADER_ONLY: bool = true;
+    type Response = Done;
 
-    fn read(_: &str, _: &str, called: &Called) -> Result<Self, Refusal> {
-        Ok(Patch(Order::read(called, true)))
+    fn parse(_: &str, _: &str, request: &CallRequest) -> Result<Self, Refusal> {
+        Ok(Patch(ConfigUpdate::read(request, true)))
     }
 }
 
@@ -331,60 +343,60 @@
 impl Call for Get {
     const NAME: &'static str = "Config.Get";
     const METHOD: &'static str = "GET";
-    const LEADER: bool = true;
-    type Answer = miniserde::json::Value;
+    const LEADER_ONLY: bool = true;
+    type Response = miniserde::json::Value;
 
-    fn read(_: &str, _: &str, _: &Called) -> Result<Self, Refusal> {
+    fn parse(_: &str, _: &str, _: &CallRequest) -> Result<Self, Refusal> {
         Ok(Get)
     }
 }
 
 /// Starts the evacuation of a zone.
-pub struct Evacuate(pub Evacuated);
+pub struct StartEvacuation(pub Evacuated);
 
 /// Ends the evacuation of a zone.
-pub struct TakeBack(pub Evacuated);
+pub struct EndEvacuation(pub Evacuated);
 
 fn parse_evacuation(arg: &str, on: bool) -> Result<Evacuated, Refusal> {
     match arg {
-        "" => Err(Refusal::Bad("the path names no zone".into())),
+        "" => Err(Refusal::BadRequest("the path names no zone".into())),
         zone => Ok(Evacuated { zone: zone.to_owned(), on }),
     }
 }
 
-impl Call for Evacuate {
+impl Call for StartEvacuation {
     const NAME: &'static str = "Evacuate.Start";
     const METHOD: &'static str = "POST";
-    const LEADER: bool = true;
-    type Answer = Done;
+    const LEADER_ONLY: bool = true;
+    type Response = Done;
 
-    fn read(arg: &str, _: &str, _: &Called) -> Result<Self, Refusal> {
-        parse_evacuation(arg, true).map(Evacuate)
+    fn parse(arg: &str, _: &str, _: &CallRequest) -> Result<Self, Refusal> {
+        parse_evacuation(arg, true).map(StartEvacuation)
     }
 }
 
-impl Call for TakeBack {
+impl Call for EndEvacuation {
     const NAME: &'static str = "Evacuate.End";
     const METHOD: &'static str = "POST";
-    const LEADER: bool = true;
-    type Answer = Done;
+    const LEADER_ONLY: bool = true;
+    type Response = Done;
 
-    fn read(arg: &str, _: &str, _: &Called) -> Result<Self, Refusal> {
-        parse_evacuation(arg, false).map(TakeBack)
+    fn parse(arg: &str, _: &str, _: &CallRequest) -> Result<Self, Refusal> {
+        parse_evacuation(arg, false).map(EndEvacuation)
     }
 }
 
 /// Reads the status of the system as this process sees it.
-pub struct Look;
+pub struct GetStatus;
 
-impl Call for Look {
+impl Call for GetStatus {
     const NAME: &'static str = "Status";
     const METHOD: &'static str = "GET";
-    const LEADER: bool = false;
-    type Answer = Status;
+    const LEADER_ONLY: bool = false;
+    type Response = Status;
 
-    fn read(_: &str, _: &str, _: &Called) -> Result<Self, Refusal> {
-        Ok(Look)
+    fn parse(_: &str, _: &str, _: &CallRequest) -> Result<Self, Refusal> {
+        Ok(GetStatus)
     }
 }
 
@@ -410,10 +422,10 @@
 impl Call for Resolve {
     const NAME: &'static str = "resolve";
     const METHOD: &'static str = "GET";
-    const LEADER: bool = false;
-    type Answer = Resolved;
+    const LEADER_ONLY: bool = false;
+    type Response = Resolved;
 
-    fn read(_: &str, query: &str, _: &Called) -> Result<Self, Refusal> {
+    fn parse(_: &str, query: &str, _: &CallRequest) -> Result<Self, Refusal> {
         let parameter = |name: &str| {
             let mut parts = query.split('&').filter_map(|part| part.split_once('='));
             parts.find(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).unwrap_or_default()
--- a/overland/src/charging.rs
+++ b/overland/src/charging.rs
@@ -8,20 +8,20 @@
 const MAX_IN_FLIGHT: usize = 4096;
 
 /// The unanswered charges of one connection, in the order sent, each with its waiter.
-pub struct Pending<T> {
+pub struct PendingCharges<T> {
     last_number: u64,
     in_flight: VecDeque<(u64, T)>,
 }
 
-impl<T> Default for Pending<T> {
+impl<T> Default for PendingCharges<T> {
     fn default() -> Self {
-        Pending { last_number: 0, in_flight: VecDeque::new() }
+        PendingCharges { last_number: 0, in_flight: VecDeque::new() }
     }
 }
 
-impl<T> Pending<T> {
+impl<T> PendingCharges<T> {
     /// Records a charge about to be sent. Returns its number, or none if too many are in flight.
-    pub fn sent(&mut self, waiter: T) -> Option<u64> {
+    pub fn register(&mut self, waiter: T) -> Option<u64> {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
         }
@@ -32,7 +32,7 @@
 
     /// Handles the response to the charge with this number. Returns its waiter, and drops all earlier
     /// charges.
-    pub fn answered(&mut self, number: u64) -> Option<T> {
+    pub fn complete(&mut self, number: u64) -> Option<T> {
         while self.in_flight.front().is_some_and(|(sent, _)| *sent < number) {
             self.in_flight.pop_front();
         }
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -3,8 +3,8 @@
 use crate::agreement::{Name, Save};
 use crate::calls::{Refusal, Reply};
 use crate::link::{
-    self, framed, Incoming, Outgoing, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES, MAX_HELLO_BYTES,
-    MAX_MESSAGE_BYTES,
+    self, encode_frame, MessageReader, MessageSender, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES,
+    MAX_HELLO_BYTES, MAX_MESSAGE_BYTES,
 };
 use crate::member::{Action, Event, Member, MAX_RESPONSE_DELAY_MS, TICK_MS};
 use crate::news::{Charges, CoreMessage, FromAgent, Hello, Purpose, Word};
@@ -56,7 +56,7 @@
 
 /// A link to another core process.
 struct Peer {
-    out: Outgoing,
+    out: MessageSender,
     /// When a message was last sent to it.
     last_sent: Instant,
 }
@@ -84,7 +84,7 @@
     disk: Box<dyn Disk>,
     participation: RefCell<Participation>,
     /// Links opened by other processes, by number.
-    links: RefCell<BTreeMap<u64, Outgoing>>,
+    links: RefCell<BTreeMap<u64, MessageSender>>,
     /// API calls in flight, by number.
     calls: RefCell<BTreeMap<u64, oneshot::Sender<(Millis, Reply)>>>,
     peers: RefCell<BTreeMap<Name, Peer>>,
@@ -221,7 +221,7 @@
         let now = self.now();
         for (_, caller) in std::mem::take(&mut *self.calls.borrow_mut()) {
             // The client may have disconnected.
-            let _ = caller.send((now, Refusal::Later.reply()));
+            let _ = caller.send((now, Refusal::Unavailable.reply()));
         }
         let control = self.clone();
         tokio::task::spawn_local(async move {
@@ -256,7 +256,7 @@
     fn reply_without_disk(&self, path: &str) -> Option<Reply> {
         let Participation::WaitsForDisk(reason) = &*self.participation.borrow() else { return None };
         if path != "/api/Status" {
-            return Some(Refusal::Later.reply());
+            return Some(Refusal::Unavailable.reply());
         }
         let status = Status {
             address: self.name.clone(),
@@ -264,7 +264,7 @@
             leaderless: Some(reason.clone()),
             ..Status::default()
         };
-        Some(Reply { status: 200, body: json::to_string(&status), after_ms: None })
+        Some(Reply { status: 200, body: json::to_string(&status), retry_after_ms: None })
     }
 
     fn now(&self) -> Millis {
@@ -338,12 +338,12 @@
 
     /// Closes the link if its queue is full; the peer reconnects.
     fn send(&self, link: u64, message: &impl Message) {
-        self.send_frame(link, framed(message).into());
+        self.send_frame(link, encode_frame(message).into());
     }
 
     fn send_frame(&self, link: u64, frame: Bytes) {
         let mut links = self.links.borrow_mut();
-        if links.get(&link).is_some_and(|out| !out.send_framed(frame)) {
+        if links.get(&link).is_some_and(|out| !out.send_frame(frame)) {
             links.remove(&link);
         }
     }
@@ -376,7 +376,7 @@
                 if peers.len() >= MAX_PEERS {
                     return;
                 }
-                let (out, queue) = Outgoing::new();
+                let (out, queue) = MessageSender::new();
                 out.send(&Hello { purpose: Purpose::Core as i32 });
                 out.send(&message);
                 peers.insert(to.clone(), Peer { out, last_sent });
@@ -399,7 +399,7 @@
                 return;
             }
             // Queued messages are outdated by now; their senders repeat what is still needed.
-            let (out, new_queue) = Outgoing::new();
+            let (out, new_queue) = MessageSender::new();
             out.send(&Hello { purpose: Purpose::Core as i32 });
             (peer.out, queue) = (out, new_queue);
         }
@@ -419,11 +419,11 @@
         if matches!(&*self.participation.borrow(), Participation::WaitsForDisk(_)) {
             return;
         }
-        link::prepare(&stream);
+        link::set_socket_options(&stream);
         let (read, write) = stream.into_split();
-        let (out, queue) = Outgoing::new();
+        let (out, queue) = MessageSender::new();
         let _counted = InnerConnection::new(&self);
-        let mut hello = Incoming::<Hello>::within(read, MAX_HELLO_BYTES);
+        let mut hello = MessageReader::<Hello>::within(read, MAX_HELLO_BYTES);
         let first = match timeout(HEAD_TIMEOUT, hello.next()).await {
             Ok(Ok(first)) if first.purpose() != Purpose::None => first,
             _ => return self.count_rejected(),
@@ -474,7 +474,7 @@
             };
             let control = self.clone();
             tokio::task::spawn_local(async move {
-                link::prepare(&stream);
+                link::set_socket_options(&stream);
                 let service = service_fn(|request| control.serve_call(request));
                 let connection = http1::Builder::new()
                     .timer(TokioTimer::new())
@@ -493,13 +493,13 @@
         let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
         let reply = match Limited::new(body, MAX_BODY_BYTES).collect().await {
             Ok(body) => self.answer(parts.method.as_str(), path, body.to_bytes().into()).await,
-            Err(_) => Reply { status: 413, body: "{}".into(), after_ms: None },
+            Err(_) => Reply { status: 413, body: "{}".into(), retry_after_ms: None },
         };
         let mut response = Response::new(Full::new(Bytes::from(reply.body)));
         *response.status_mut() =
             StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(retry_after_ms) = reply.after_ms {
+        if let Some(retry_after_ms) = reply.retry_after_ms {
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1000.0);
             response
                 .headers_mut()
@@ -527,7 +527,7 @@
             {
                 reply
             }
-            _ => Refusal::Later.reply(),
+            _ => Refusal::Unavailable.reply(),
         }
     }
 }
@@ -571,7 +571,7 @@
 
 impl LinkGuard {
     async fn receive<M: Message + Default>(
-        &self, mut incoming: Incoming<M>, event: impl Fn(M) -> Event,
+        &self, mut incoming: MessageReader<M>, event: impl Fn(M) -> Event,
     ) -> std::io::Result<()> {
         while self.control.links.borrow().contains_key(&self.link) {
             let message = incoming.next().await?;
@@ -580,7 +580,7 @@
         Ok(())
     }
 
-    async fn receive_from_core(&self, mut incoming: Incoming<CoreMessage>) -> std::io::Result<()> {
+    async fn receive_from_core(&self, mut incoming: MessageReader<CoreMessage>) -> std::io::Result<()> {
         loop {
             if let CoreMessage { from, payload: Some(message) } = incoming.next().await? {
                 self.control.step(Event::PeerMessage { from, message });
--- a/overland/src/link.rs
+++ b/overland/src/link.rs
@@ -36,39 +36,39 @@
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
         .await
         .map_err(|_| io::Error::from(ErrorKind::TimedOut))??;
-    prepare(&stream);
+    set_socket_options(&stream);
     Ok(stream)
 }
 
 /// Sets the socket options of an outgoing or accepted connection.
-pub fn prepare(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     // Errors are ignored: without these options the connection is only slower.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
 
 /// Reads and decodes messages from a connection.
-pub struct Incoming<M> {
+pub struct MessageReader<M> {
     io: OwnedReadHalf,
     buf: BytesMut,
     max_bytes: usize,
     message_type: PhantomData<M>,
 }
 
-impl<M: Message + Default> Incoming<M> {
+impl<M: Message + Default> MessageReader<M> {
     /// Reads messages of up to [`MAX_MESSAGE_BYTES`].
     pub fn new(io: OwnedReadHalf) -> Self {
-        Incoming::within(io, MAX_MESSAGE_BYTES)
+        MessageReader::within(io, MAX_MESSAGE_BYTES)
     }
 
     /// Reads messages of up to `max_bytes`.
     pub fn within(io: OwnedReadHalf, max_bytes: usize) -> Self {
-        Incoming { io, buf: BytesMut::new(), max_bytes, message_type: PhantomData }
+        MessageReader { io, buf: BytesMut::new(), max_bytes, message_type: PhantomData }
     }
 
     /// Continues with messages of another type, of up to `max_bytes`.
-    pub fn decoding<N: Message + Default>(self, max_bytes: usize) -> Incoming<N> {
-        Incoming { io: self.io, buf: self.buf, max_bytes, message_type: PhantomData }
+    pub fn decoding<N: Message + Default>(self, max_bytes: usize) -> MessageReader<N> {
+        MessageReader { io: self.io, buf: self.buf, max_bytes, message_type: PhantomData }
     }
 
     /// The next message. One that is too long or cannot be decoded is an [`ErrorKind::InvalidData`] error; a
@@ -96,7 +96,7 @@
 }
 
 /// Encodes a message as a frame: its length in 4 bytes, little-endian, then its payload.
-pub fn framed(message: &impl Message) -> Vec<u8> {
+pub fn encode_frame(message: &impl Message) -> Vec<u8> {
     let length = message.encoded_len();
     let mut bytes = Vec::with_capacity(4 + length);
     bytes.extend_from_slice(&(length as u32).to_le_bytes());
@@ -109,22 +109,22 @@
 
 /// The send queue of a connection. A message sent when the queue is full or the connection closed is lost.
 #[derive(Clone)]
-pub struct Outgoing(Sender<Bytes>);
+pub struct MessageSender(Sender<Bytes>);
 
-impl Outgoing {
+impl MessageSender {
     /// A send queue and its receiving end, for [`write`].
     pub fn new() -> (Self, Receiver<Bytes>) {
         let (sender, receiver) = channel(MAX_QUEUED_MESSAGES);
-        (Outgoing(sender), receiver)
+        (MessageSender(sender), receiver)
     }
 
     /// Queues a message; false if it is lost.
     pub fn send(&self, message: &impl Message) -> bool {
-        self.send_framed(framed(message).into())
+        self.send_frame(encode_frame(message).into())
     }
 
     /// Queues a frame that was encoded once for many connections; false if it is lost.
-    pub fn send_framed(&self, frame: Bytes) -> bool {
+    pub fn send_frame(&self, frame: Bytes) -> bool {
         self.0.try_send(frame).is_ok()
     }
 }
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -3,7 +3,7 @@
 
 use super::{Action, AgreementInput, Caller, Member, PendingCall, Stage, CALL_TIMEOUT_MS};
 use crate::agreement::{Event, Name, RaftMessage};
-use crate::calls::{Called, Refusal, Reply};
+use crate::calls::{CallRequest, Refusal, Reply};
 use crate::news::{ForwardedCall, RangeDigest, RangeDigests, Word};
 use cherrytally::Millis;
 use std::net::SocketAddr;
@@ -107,11 +107,11 @@
 
     /// Forwards a client's call to the leader. A call that was itself forwarded is refused.
     pub(super) fn forward_call(
-        &mut self, now: Millis, caller: Caller, called: &Called, out: &mut Vec<Action>,
+        &mut self, now: Millis, caller: Caller, called: &CallRequest, out: &mut Vec<Action>,
     ) {
         let leader = self.agreement.leader().filter(|leader| self.is_leader_reachable(now, leader));
         let leader = leader.cloned().filter(|_| matches!(caller, Caller::Client(_)));
-        let Some(to) = leader else { return self.refuse(&caller, &Refusal::Later, out) };
+        let Some(to) = leader else { return self.refuse(&caller, &Refusal::Unavailable, out) };
         let number = self.next_forward;
         self.next_forward = number.wrapping_add(1);
         let path = format!("{} {}", called.method, called.path);
@@ -125,7 +125,7 @@
             leader_sent_at: said,
         };
         self.send_peer(&to, Word::Call(call), out);
-        let (granted, deadline) = (Refusal::Later.reply(), now + CALL_TIMEOUT_MS);
+        let (granted, deadline) = (Refusal::Unavailable.reply(), now + CALL_TIMEOUT_MS);
         let stage = Stage::Forwarded(PendingForward { to, number });
         self.calls.insert(caller, PendingCall { granted, deadline, stage });
     }
@@ -148,14 +148,14 @@
         // A call that its caller has given up and retried must not take effect again, after newer calls.
         let late = call.term != self.agreement.term() || now - call.leader_sent_at > MAX_FORWARD_AGE_MS;
         if call.term > 0 && late {
-            return self.refuse(&caller, &Refusal::Later, out);
+            return self.refuse(&caller, &Refusal::Unavailable, out);
         }
         // A duplicate has no effect: the opposite call may have been acknowledged since.
         let Caller::Peer(from, number) = &caller else { return };
         if self.received_forwards.insert((from.clone(), *number), now).is_some() {
             return;
         }
-        self.handle_call(now, caller, &Called { method, path, body: &call.body }, out);
+        self.handle_call(now, caller, &CallRequest { method, path, body: &call.body }, out);
     }
 
     /// Handles the reply to a call that this process forwarded.
@@ -168,7 +168,7 @@
         let (Some(caller), Ok(status)) = (caller, u16::try_from(status)) else { return };
         let body = String::from_utf8(body).unwrap_or_default();
         let after_ms = (status == 503).then_some(RETRY_AFTER_MS);
-        self.reply(&caller, Reply { status, body, after_ms }, out);
+        self.reply(&caller, Reply { status, body, retry_after_ms: after_ms }, out);
     }
 
     // ---- State digests ------------------------------------------------------------------------------------
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -12,7 +12,7 @@
 mod push;
 
 use crate::agreement::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
-use crate::calls::{self, Called, Outcome, Refusal, Reply, Served, Serves};
+use crate::calls::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
 use crate::invariants::{self, Invariant};
 use crate::ledger::UpdateId;
 use crate::news::{Change, Charges, ForwardedCall, FromAgent, Kind, StateSnapshot, ToAgent, Totals, Word};
@@ -173,12 +173,12 @@
         let late = now - decided > MAX_RESPONSE_DELAY_MS;
         match self {
             Action::Answer { call, reply } if late && reply.status < 500 => {
-                Action::Answer { call, reply: Refusal::Later.reply() }
+                Action::Answer { call, reply: Refusal::Unavailable.reply() }
             }
             Action::SendPeer { to, mut message } => {
                 if let Word::Answer(answer) = &mut *message {
                     if late && answer.status < 500 {
-                        let Reply { status, body, .. } = Refusal::Later.reply();
+                        let Reply { status, body, .. } = Refusal::Unavailable.reply();
                         (answer.status, answer.body) = (u32::from(status), body.into_bytes());
                     }
                 }
@@ -203,7 +203,7 @@
     /// This change is committed.
     Committed(Kind),
     /// This configuration update is accepted and enforced.
-    Order(calls::Order),
+    Order(calls::ConfigUpdate),
 }
 
 /// A call that is not answered yet.
@@ -219,7 +219,7 @@
     /// Forwarded to the leader.
     Forwarded(PendingForward),
     /// A configuration update that is not proposed yet.
-    Queued(calls::Order),
+    Queued(calls::ConfigUpdate),
     /// The change is about to be proposed; with a mark if it is a configuration update.
     Proposing(Option<UpdateId>),
     /// The change is proposed as this entry.
@@ -415,7 +415,7 @@
             Event::Saved { took_ms } => self.save_completed(now, took_ms),
             Event::PeerMessage { from, message } => self.handle_peer_message(now, from, message, out),
             Event::ClientCall { call, method, path, body } => {
-                let called = Called { method: &method, path: &path, body: &body };
+                let called = CallRequest { method: &method, path: &path, body: &body };
                 self.handle_call(now, Caller::Client(call), &called, out);
             }
             Event::ClientGone(call) => self.remove_call(&Caller::Client(call)),
@@ -468,7 +468,7 @@
         };
         let stuck = self.calls.iter().filter(|(_, call)| now > call.deadline || is_stuck(call));
         for caller in stuck.map(|(caller, _)| caller.clone()).collect::<Vec<_>>() {
-            self.refuse(&caller, &Refusal::Later, out);
+            self.refuse(&caller, &Refusal::Unavailable, out);
         }
     }
 
@@ -557,7 +557,7 @@
     ) -> Option<agreement::Event> {
         if !self.agreement.accepts_proposals() {
             if let Some(caller) = caller {
-                self.refuse(&caller, &Refusal::Later, out);
+                self.refuse(&caller, &Refusal::Unavailable, out);
             }
             return None;
         }
@@ -636,7 +636,7 @@
         for (caller, (term, mark)) in waiting.collect::<Vec<_>>() {
             match mark {
                 // An entry of another term took its place: the change was not committed.
-                _ if term != entry.term => self.refuse(&caller, &Refusal::Later, out),
+                _ if term != entry.term => self.refuse(&caller, &Refusal::Unavailable, out),
                 Some(mark) => self.update_applied(now, &caller, &mark, out),
                 None => self.grant(&caller, out),
             }
@@ -660,7 +660,7 @@
             let own = self.calls.iter().filter(|(_, call)| !matches!(call.stage, Stage::Forwarded(_)));
             let callers: Vec<_> = own.map(|(caller, _)| caller.clone()).collect();
             for caller in callers {
-                self.refuse(&caller, &Refusal::Later, out);
+                self.refuse(&caller, &Refusal::Unavailable, out);
             }
         }
     }
@@ -684,14 +684,14 @@
         now - self.last_tick > STALL_MS
     }
 
-    fn handle_call(&mut self, now: Millis, caller: Caller, called: &Called, out: &mut Vec<Action>) {
+    fn handle_call(&mut self, now: Millis, caller: Caller, called: &CallRequest, out: &mut Vec<Action>) {
         if self.is_stalled(now) || now < self.stale_input_until {
             // It may have waited in its socket while its caller gave up and made newer calls elsewhere.
-            return self.refuse(&caller, &Refusal::Later, out);
+            return self.refuse(&caller, &Refusal::Unavailable, out);
         }
         match calls::answer(self, now, called) {
-            Served::Now(reply) => self.reply(&caller, reply, out),
-            Served::Waits(granted, wait) => {
+            Dispatched::Replied(reply) => self.reply(&caller, reply, out),
+            Dispatched::Pending(granted, wait) => {
                 let deadline = now + CALL_TIMEOUT_MS;
                 match wait {
                     Wait::Committed(kind) => {
@@ -706,7 +706,7 @@
                     }
                 }
             }
-            Served::Elsewhere => self.forward_call(now, caller, called, out),
+            Dispatched::NotLeader => self.forward_call(now, caller, called, out),
         }
     }
 
@@ -747,14 +747,14 @@
     }
 }
 
-impl Serves for Member {
+impl CallHandler for Member {
     type Wait = Wait;
 
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.agreement.is_leader()
     }
 
-    fn vouches(&self, now: Millis) -> bool {
+    fn holds_lease(&self, now: Millis) -> bool {
         self.agreement.holds_lease(now)
     }
 }
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -13,7 +13,9 @@
 //! result.
 
 use super::{Action, AgreementInput, CallResult, Caller, Member, Stage, Wait};
-use crate::calls::{Answers, Done, Evacuate, Get, Order, Outcome, Patch, Put, Refusal, TakeBack};
+use crate::calls::{
+    Answers, ConfigUpdate, Done, EndEvacuation, Get, Outcome, Patch, Put, Refusal, StartEvacuation,
+};
 use crate::config::{digest_of_whole, Envelope};
 use crate::difference::Difference;
 use crate::ledger::UpdateId;
@@ -73,34 +75,34 @@
 
 impl Answers<Put> for Member {
     fn answer(&mut self, _: Millis, Put(order): Put) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Order(order)))
+        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
     }
 }
 
 impl Answers<Patch> for Member {
     fn answer(&mut self, _: Millis, Patch(order): Patch) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Order(order)))
+        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
     }
 }
 
 impl Answers<Get> for Member {
     fn answer(&mut self, now: Millis, _: Get) -> CallResult<miniserde::json::Value> {
         let authoritative = self.is_authoritative(now);
-        let config = self.state.config.as_ref().filter(|_| authoritative).ok_or(Refusal::Later)?;
-        let value = miniserde::json::from_str(&config.text).map_err(|_| Refusal::Later)?;
-        Ok(Outcome::Now(value))
+        let config = self.state.config.as_ref().filter(|_| authoritative).ok_or(Refusal::Unavailable)?;
+        let value = miniserde::json::from_str(&config.text).map_err(|_| Refusal::Unavailable)?;
+        Ok(Outcome::Ready(value))
     }
 }
 
-impl Answers<Evacuate> for Member {
-    fn answer(&mut self, _: Millis, Evacuate(zone): Evacuate) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+impl Answers<StartEvacuation> for Member {
+    fn answer(&mut self, _: Millis, StartEvacuation(zone): StartEvacuation) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
     }
 }
 
-impl Answers<TakeBack> for Member {
-    fn answer(&mut self, _: Millis, TakeBack(zone): TakeBack) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+impl Answers<EndEvacuation> for Member {
+    fn answer(&mut self, _: Millis, EndEvacuation(zone): EndEvacuation) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
     }
 }
 
@@ -121,7 +123,7 @@
 impl Member {
     pub(super) fn queue_update(&mut self, caller: Caller, out: &mut Vec<Action>) {
         if self.updates.queued.len() >= MAX_QUEUED {
-            return self.refuse(&caller, &Refusal::Later, out);
+            return self.refuse(&caller, &Refusal::Unavailable, out);
         }
         self.updates.queued.push_back(caller);
     }
@@ -131,7 +133,7 @@
         for caller in self.updates.queued.clone() {
             let step = match self.calls.get(&caller).map(|call| &call.stage) {
                 Some(Stage::Queued(order)) => self.next_step(now, order),
-                _ => Step::Refuse(Refusal::Later),
+                _ => Step::Refuse(Refusal::Unavailable),
             };
             let mark = self.queued_mark(&caller);
             if !matches!(step, Step::Wait) {
@@ -158,19 +160,19 @@
 
     fn queued_mark(&self, caller: &Caller) -> Option<UpdateId> {
         match &self.calls.get(caller)?.stage {
-            Stage::Queued(order) => order.mark,
+            Stage::Queued(order) => order.id,
             _ => None,
         }
     }
 
-    fn next_step(&self, now: Millis, order: &Order) -> Step {
+    fn next_step(&self, now: Millis, order: &ConfigUpdate) -> Step {
         if !self.is_authoritative(now) {
-            return Step::Refuse(Refusal::Later);
+            return Step::Refuse(Refusal::Unavailable);
         }
-        let (envelope, mark) = match (&order.envelope, &order.mark) {
+        let (envelope, mark) = match (&order.envelope, &order.id) {
             (Ok(envelope), Some(mark)) => (envelope, mark),
             (Err(invalid), _) => return Step::Refuse(invalid.clone().into()),
-            (Ok(_), None) => return Step::Refuse(Refusal::Later),
+            (Ok(_), None) => return Step::Refuse(Refusal::Unavailable),
         };
         let proposed = &self.updates.proposed;
         if let Some(same) = proposed.iter().find(|proposed| proposed.digest == mark.content_digest) {
@@ -235,13 +237,13 @@
         match fit {
             UpdateCheck::Stale => Refusal::Conflict(format!("r{current} is in place")),
             UpdateCheck::NotIncreasing => {
-                Refusal::Bad(format!("edition r{} is not above r{}", mark.edition, mark.based_on))
+                Refusal::BadRequest(format!("edition r{} is not above r{}", mark.edition, mark.based_on))
             }
             UpdateCheck::Unrecorded => {
-                Refusal::Unclear(format!("r{} lies too far back to tell", mark.edition))
+                Refusal::OutcomeUnknown(format!("r{} lies too far back to tell", mark.edition))
             }
             // Neither accepted nor refused: the applied entry was another update's.
-            UpdateCheck::Accepted(_) | UpdateCheck::Applicable | UpdateCheck::Ahead => Refusal::Later,
+            UpdateCheck::Accepted(_) | UpdateCheck::Applicable | UpdateCheck::Ahead => Refusal::Unavailable,
         }
     }
 
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -2,7 +2,9 @@
 //! known to the leader alone; changes that must outlive it are replicated.
 
 use super::{CallResult, Member, Wait};
-use crate::calls::{Answers, Beat, BeatAnswer, Done, Leave, Look, Outcome, Refusal, Resolve, Resolved};
+use crate::calls::{
+    Answers, Deregister, Done, GetStatus, Heartbeat, HeartbeatResponse, Outcome, Refusal, Resolve, Resolved,
+};
 use crate::invariants;
 use crate::news::{Backend, Gateway, Kind};
 use crate::status::{CountLine, GatewayLine, ServiceLine, Status, ViolationLine};
@@ -68,12 +70,12 @@
     }
 }
 
-impl Answers<Beat> for Member {
-    fn answer(&mut self, now: Millis, Beat { backend }: Beat) -> CallResult<BeatAnswer> {
-        let answer = BeatAnswer { beat_address: self.me.clone() };
+impl Answers<Heartbeat> for Member {
+    fn answer(&mut self, now: Millis, Heartbeat { backend }: Heartbeat) -> CallResult<HeartbeatResponse> {
+        let answer = HeartbeatResponse { beat_address: self.me.clone() };
         let replicated = self.state.backends.get(&backend.id).map(|known| known.backend.heartbeat_seq);
         if self.departed_recently(now, &backend.id) {
-            return Ok(Outcome::Now(answer));
+            return Ok(Outcome::Ready(answer));
         }
         let presence = &mut self.presence;
         let last = presence.heartbeats.entry(backend.id.clone()).or_insert((now, 0));
@@ -81,7 +83,7 @@
         let postmark = backend.heartbeat_seq;
         if postmark < last.1.max(replicated.unwrap_or(0)) {
             // A delayed heartbeat brings no new information.
-            return Ok(Outcome::Now(answer));
+            return Ok(Outcome::Ready(answer));
         }
         last.1 = postmark;
         let unchanged = self.state.backends.get(&backend.id).is_some_and(|known| {
@@ -91,19 +93,19 @@
             same && (backend.cold_ms == 0 || cold_until < known.cold_until + COLD_TOLERANCE_MS)
         });
         if unchanged {
-            return Ok(Outcome::Now(answer));
+            return Ok(Outcome::Ready(answer));
         }
-        Ok(Outcome::Waits(answer, Wait::Committed(Kind::Backend(backend))))
+        Ok(Outcome::Pending(answer, Wait::Committed(Kind::Backend(backend))))
     }
 }
 
-impl Answers<Leave> for Member {
-    fn answer(&mut self, now: Millis, Leave { id }: Leave) -> CallResult<Done> {
+impl Answers<Deregister> for Member {
+    fn answer(&mut self, now: Millis, Deregister { id }: Deregister) -> CallResult<Done> {
         self.presence.departed.insert(id.clone(), now);
         if !self.state.backends.contains_key(&id) {
-            return Ok(Outcome::Now(Done {}));
+            return Ok(Outcome::Ready(Done {}));
         }
-        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::BackendGone(id))))
+        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::BackendGone(id))))
     }
 }
 
@@ -127,16 +129,16 @@
         self.rng.shuffle(&mut addresses);
         addresses.truncate(MAX_ADDRESSES);
         if addresses.is_empty() {
-            return Err(Refusal::Later);
+            return Err(Refusal::Unavailable);
         }
         let ttl = MAX_TTL.min(self.settings.bounds.ttl_max);
-        Ok(Outcome::Now(Resolved { addresses, ttl: format!("{}ms", ttl.as_millis()) }))
+        Ok(Outcome::Ready(Resolved { addresses, ttl: format!("{}ms", ttl.as_millis()) }))
     }
 }
 
-impl Answers<Look> for Member {
-    fn answer(&mut self, now: Millis, _: Look) -> CallResult<Status> {
-        Ok(Outcome::Now(self.status(now)))
+impl Answers<GetStatus> for Member {
+    fn answer(&mut self, now: Millis, _: GetStatus) -> CallResult<Status> {
+        Ok(Outcome::Ready(self.status(now)))
     }
 }
 
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -2,7 +2,7 @@
 
 use super::{change_in, Action, AgreementInput, Member};
 use crate::agreement::{Entry, Name, MAX_ENTRY_VERSION};
-use crate::link::framed;
+use crate::link::encode_frame;
 use crate::news::{Change, FromAgent, Gateway, HeartbeatReply, IndexedChange, Kind, ToAgent};
 use bytes::Bytes;
 use cherrytally::Millis;
@@ -166,7 +166,7 @@
         });
         reusable.unwrap_or_else(|| {
             let whole = Some(self.state.snapshot(now, false));
-            let frame = Bytes::from(framed(&ToAgent { snapshot: whole, ..ToAgent::default() }));
+            let frame = Bytes::from(encode_frame(&ToAgent { snapshot: whole, ..ToAgent::default() }));
             let index = self.state.index;
             self.encoded_state = Some(EncodedState { encoded_at: now, index, frame: frame.clone() });
             (frame, Vec::new())
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -1,12 +1,12 @@
 //! The proxy: takes clients' requests, charges their tenants, and has the decision module send them.
 
-use crate::agent::{self, feed};
+use crate::agent::{self, proxy_listen_address};
 use crate::ahead::{Ahead, Begun, Front};
-use crate::charging::Pending;
+use crate::charging::PendingCharges;
 use crate::copy::{Effects, StateReplica};
 use crate::figures::{Figures, Present};
 use crate::invariants::{self, Invariant};
-use crate::link::{self, Incoming, Outgoing};
+use crate::link::{self, MessageReader, MessageSender};
 use crate::news::{Charge, Charges, Hello, Purpose, ToProxy, Totals};
 use crate::routes::{Numbers, Route, Stamped, Table, Tenant, Zones};
 use crate::settings::{Settings, Watch};
@@ -291,7 +291,7 @@
         if !proxy.ended(now + grace.mul_f64(ANSWERED)).await {
             log::warn!("proxy: answers {} requests that are in hand at its end", proxy.busy.get());
             proxy.answers_all();
-            if !proxy.ended(now + grace.mul_f64(agent::ENDED)).await {
+            if !proxy.ended(now + grace.mul_f64(agent::STOP_GRACE_FRACTION)).await {
                 log::warn!("proxy: ends with {} connections open", proxy.open_connections());
                 invariants::check(Invariant::RequestsAreAnswered, proxy.busy.get() == 0, || {
                     format!("{} requests are in hand at the end", proxy.busy.get())
@@ -328,7 +328,7 @@
 
     async fn be_fed(self: Rc<Self>) {
         loop {
-            if let Ok(stream) = link::connect(feed(&self.settings)).await {
+            if let Ok(stream) = link::connect(proxy_listen_address(&self.settings)).await {
                 // However it ends: the agent is asked again, and until then what it told holds.
                 let _ = self.fed(stream).await;
             }
@@ -338,9 +338,9 @@
 
     async fn fed(self: &Rc<Self>, stream: TcpStream) -> std::io::Result<()> {
         let (read, write) = stream.into_split();
-        let (out, from) = Outgoing::new();
+        let (out, from) = MessageSender::new();
         let writing = tokio::task::spawn_local(link::write(write, from));
-        let mut incoming = Incoming::<ToProxy>::new(read);
+        let mut incoming = MessageReader::<ToProxy>::new(read);
         let ended = loop {
             let ready = self.ready();
             out.send(&self.copy.borrow_mut().message(self.now(), self.front.to_string(), ready));
@@ -567,18 +567,19 @@
         counter: &mut watch::Receiver<Option<SocketAddr>>,
     ) {
         let (read, write) = stream.into_split();
-        let (out, from) = Outgoing::new();
+        let (out, from) = MessageSender::new();
         let writing = tokio::task::spawn_local(link::write(write, from));
         out.send(&Hello { purpose: Purpose::Counter as i32 });
         self.tally.borrow_mut().counter_connected();
-        let mut incoming = Incoming::<Totals>::new(read);
-        let mut waiting: Pending<Vec<oneshot::Sender<Option<ChargeTotal>>>> = Pending::default();
+        let mut incoming = MessageReader::<Totals>::new(read);
+        let mut waiting: PendingCharges<Vec<oneshot::Sender<Option<ChargeTotal>>>> =
+            PendingCharges::default();
         loop {
             tokio::select! {
                 _ = counter.changed() => break,
                 totals = incoming.next() => {
                     let Ok(Totals { sequence: number, authoritative: sure, totals }) = totals else { break };
-                    let Some(answers) = waiting.answered(number) else { continue };
+                    let Some(answers) = waiting.complete(number) else { continue };
                     for (at, answer) in answers.into_iter().enumerate() {
                         let total = totals.get(at).filter(|_| sure);
                         let counted = total.map(|total| ChargeTotal {
@@ -600,7 +601,7 @@
                         answers.push(answer);
                         next = charging.try_recv().ok();
                     }
-                    let Some(number) = waiting.sent(answers) else { break };
+                    let Some(number) = waiting.register(answers) else { break };
                     if !out.send(&Charges { sequence: number, charges }) {
                         break;
                     }
--- a/overland/tests/ending.rs
+++ b/overland/tests/ending.rs
@@ -3,7 +3,8 @@
 mod processes;
 
 use processes::{
-    backend, beat, call, config, signal, until, Fleet, Gateway, Process, LARGE_RESPONSE_BYTES, WAIT_TIMEOUT,
+    backend, call, config, heartbeat_body, signal, until, Fleet, Gateway, Process, LARGE_RESPONSE_BYTES,
+    WAIT_TIMEOUT,
 };
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -24,7 +25,7 @@
     };
     until("an acknowledgement", put);
     let (server, _received) = backend();
-    let heartbeat = || call(control, "POST", "/api/Instances.Beat/i-1", "", &beat(&server, 1));
+    let heartbeat = || call(control, "POST", "/api/Instances.Beat/i-1", "", &heartbeat_body(&server, 1));
     until("the backend's acknowledgement", || heartbeat().filter(|response| response.status == 200));
     let gateway = fleet.gateway("gateway", "127.0.0.5");
     (fleet, core, gateway)
--- a/overland/tests/full_disk.rs
+++ b/overland/tests/full_disk.rs
@@ -9,7 +9,7 @@
 use overland::control::Control;
 use overland::settings::Settings;
 use overland::store::{disk_unavailable, Disk, DurableStore};
-use processes::{call, inner_ports, port, until};
+use processes::{call, free_inner_ports, free_port, until};
 use std::io::{Error, ErrorKind};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -49,7 +49,7 @@
 
 /// Starts a core process that bootstraps a cluster of one. Returns its control address.
 fn start_single_core(disk: MemoryDisk) -> String {
-    let (control, inner) = (port("127.0.0.1"), inner_ports());
+    let (control, inner) = (free_port("127.0.0.1"), free_inner_ports());
     let settings = format!(
         "sender:\n  node: \"core-1\"\n  role: \"core\"\n  machine_class: \"sorting\"\n  ip: \"127.0.0.1\"\n  zone: \"a\"\n  \
          region: \"r\"\n  first_start: true\n  data_dir: \"/nowhere\"\n  limits:\n    memory_mb: 256\n    fds: 4096\n\
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -5,7 +5,7 @@
 use granite_lab::scale::hollow::{Holds, Hollow, Out};
 use overland::config::Envelope;
 use overland::follow::Event;
-use overland::link::framed;
+use overland::link::encode_frame;
 use overland::news::{
     Backend, Change, ConfigRevision, FromAgent, Gateway, HeartbeatReply, Hello, IndexedChange, Kind,
     StateSnapshot, ToAgent,
@@ -51,7 +51,7 @@
     }
 
     fn send(&mut self, message: &ToAgent) {
-        self.0.write_all(&framed(message)).expect("the message is sent");
+        self.0.write_all(&encode_frame(message)).expect("the message is sent");
     }
 }
 
--- a/overland/tests/ledger.rs
+++ b/overland/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! The outcomes of configuration updates, checked against a model: a list of all accepted updates.
 
-use overland::calls::{Call, Called, Patch, Put};
+use overland::calls::{Call, CallRequest, Patch, Put};
 use overland::config::{digest_of_whole, Envelope};
 use overland::ledger::{UpdateId, MAX_ACCEPTED};
 use overland::news::{Change, ConfigRevision, Kind, StateSnapshot};
@@ -129,13 +129,13 @@
 }
 
 fn put(body: &str) -> UpdateId {
-    let called = Called { method: "POST", path: "/api/Config.Put", body: body.as_bytes() };
-    Put::read("", "", &called).ok().and_then(|put| put.0.mark).expect("a valid update")
+    let called = CallRequest { method: "POST", path: "/api/Config.Put", body: body.as_bytes() };
+    Put::parse("", "", &called).ok().and_then(|put| put.0.id).expect("a valid update")
 }
 
 fn patch(body: &str) -> UpdateId {
-    let called = Called { method: "POST", path: "/api/Config.Patch", body: body.as_bytes() };
-    Patch::read("", "", &called).ok().and_then(|patch| patch.0.mark).expect("a valid update")
+    let called = CallRequest { method: "POST", path: "/api/Config.Patch", body: body.as_bytes() };
+    Patch::parse("", "", &called).ok().and_then(|patch| patch.0.id).expect("a valid update")
 }
 
 #[test]
--- a/overland/tests/link.rs
+++ b/overland/tests/link.rs
@@ -1,6 +1,8 @@
 //! Length-prefixed messages between processes: fragmentation, invalid bytes and lengths above the maximum.
 
-use overland::link::{framed, Incoming, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES, MAX_HELLO_BYTES};
+use overland::link::{
+    encode_frame, MessageReader, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES, MAX_HELLO_BYTES,
+};
 use overland::news::{FromAgent, Gateway, Hello, Purpose};
 use std::io::ErrorKind;
 use tokio::io::AsyncWriteExt;
@@ -31,7 +33,8 @@
         }
         with_connection(|mut client, server| async move {
             client.write_all(&bytes).await.expect("room for 64 KiB");
-            let received = Incoming::<Hello>::within(server.into_split().0, MAX_HELLO_BYTES).next().await;
+            let received =
+                MessageReader::<Hello>::within(server.into_split().0, MAX_HELLO_BYTES).next().await;
             assert_eq!(received.expect_err("invalid bytes").kind(), ErrorKind::InvalidData);
         });
     }
@@ -40,11 +43,11 @@
 #[test]
 fn messages_above_the_maximum_of_their_type_are_errors() {
     for max_bytes in [MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES] {
-        let mut bytes = framed(&Hello { purpose: Purpose::Agent as i32 });
+        let mut bytes = encode_frame(&Hello { purpose: Purpose::Agent as i32 });
         bytes.extend_from_slice(&(max_bytes as u32 + 1).to_le_bytes());
         with_connection(|mut client, server| async move {
             client.write_all(&bytes).await.expect("room");
-            let mut hello = Incoming::<Hello>::within(server.into_split().0, MAX_HELLO_BYTES);
+            let mut hello = MessageReader::<Hello>::within(server.into_split().0, MAX_HELLO_BYTES);
             assert_eq!(hello.next().await.expect("a hello").purpose(), Purpose::Agent);
             let received = hello.decoding::<FromAgent>(max_bytes).next().await;
             assert_eq!(received.expect_err("too long").kind(), ErrorKind::InvalidData);
@@ -62,9 +65,9 @@
             ..FromAgent::default()
         })
         .collect();
-    let bytes: Vec<u8> = messages.iter().flat_map(framed).collect();
+    let bytes: Vec<u8> = messages.iter().flat_map(encode_frame).collect();
     with_connection(|mut client, server| async move {
-        let mut incoming = Incoming::<FromAgent>::within(server.into_split().0, MAX_AGENT_MESSAGE_BYTES);
+        let mut incoming = MessageReader::<FromAgent>::within(server.into_split().0, MAX_AGENT_MESSAGE_BYTES);
         let writing = async {
             let mut rest = &bytes[..];
             while !rest.is_empty() {
--- a/overland/tests/processes/mod.rs
+++ b/overland/tests/processes/mod.rs
@@ -31,7 +31,7 @@
 
 /// Two consecutive free ports, outside the ephemeral range so that they are still free when a process
 /// restarts.
-pub fn inner_ports() -> u16 {
+pub fn free_inner_ports() -> u16 {
     let free = |port: u16| TcpListener::bind(("127.0.0.1", port)).is_ok();
     (0..100)
         .map(|_| fastrand::u16(10_000..30_000))
@@ -39,7 +39,7 @@
         .expect("two free ports")
 }
 
-pub fn port(ip: &str) -> u16 {
+pub fn free_port(ip: &str) -> u16 {
     TcpListener::bind((ip, 0)).and_then(|listener| listener.local_addr()).expect("a free port").port()
 }
 
@@ -144,14 +144,14 @@
 /// The processes of one system, with their settings and data in a temporary directory.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
-    /// The first inner port of every node without an entry in `inners`.
-    pub inner: u16,
+    /// The first inner port of every node without an entry in `inner_ports`.
+    pub inner_port: u16,
     pub seeds: Vec<String>,
     /// By node: inner addresses that it reaches through relays, each with the relay's address.
     pub relays: BTreeMap<String, Vec<(SocketAddr, SocketAddr)>>,
     /// By node: its first inner port, if different. Gateways on one machine need this, as agents accept their
     /// proxies on loopback.
-    pub inners: BTreeMap<String, u16>,
+    pub inner_ports: BTreeMap<String, u16>,
 }
 
 /// A gateway: its agent and proxy, and the addresses for clients and for readiness and metrics.
@@ -163,7 +163,7 @@
 }
 
 /// The body of a backend's heartbeat.
-pub fn beat(server: &str, postmark: u64) -> String {
+pub fn heartbeat_body(server: &str, postmark: u64) -> String {
     format!(
         r#"{{"service":"s1","address":"{server}","zone":"a","edition":"v1","berths":2,"state":"open","cold_time":"0ms","postmark":{postmark}}}"#
     )
@@ -173,19 +173,19 @@
     /// A system bootstrapped by this many core processes, none of which is started yet.
     pub fn new(cores: usize) -> Self {
         let ips = (2..2 + cores).map(|n| format!("127.0.0.{n}"));
-        let seeds = ips.map(|ip| format!("{ip}:{}", port(&ip))).collect();
+        let seeds = ips.map(|ip| format!("{ip}:{}", free_port(&ip))).collect();
         Fleet {
             folder: tempfile::tempdir().expect("a directory"),
-            inner: inner_ports(),
+            inner_port: free_inner_ports(),
             seeds,
             relays: BTreeMap::new(),
-            inners: BTreeMap::new(),
+            inner_ports: BTreeMap::new(),
         }
     }
 
     /// Starts a gateway at this address and waits until it is ready.
     pub fn gateway(&self, name: &str, ip: &str) -> Gateway {
-        let (front, ready) = (format!("{ip}:{}", port(ip)), format!("{ip}:{}", port(ip)));
+        let (front, ready) = (format!("{ip}:{}", free_port(ip)), format!("{ip}:{}", free_port(ip)));
         let docks = format!("    front: \"{front}\"\n    ready: \"{ready}\"\n");
         let settings = self.settings(name, ip, "counter", &docks, true);
         let agent = start(env!("CARGO_BIN_EXE_windermere"), &settings);
@@ -202,7 +202,7 @@
         for seed in &self.seeds {
             let _ = writeln!(seeds, "    - \"{seed}\"");
         }
-        let inner = self.inners.get(name).copied().unwrap_or(self.inner);
+        let inner = self.inner_ports.get(name).copied().unwrap_or(self.inner_port);
         let mut relays = String::new();
         if let Some(pairs) = self.relays.get(name) {
             relays.push_str("  relays:\n");
--- a/overland/tests/readers.rs
+++ b/overland/tests/readers.rs
@@ -4,7 +4,7 @@
 
 use cherrytally::plane::http::Reader;
 use overland::ahead::Splitter;
-use overland::charging::Pending;
+use overland::charging::PendingCharges;
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
@@ -393,13 +393,13 @@
 
 fn check_pending(generated: &[u8]) {
     let mut choices = Choices(generated, 0);
-    let (mut pending, mut connection) = (Pending::<(u32, u64)>::default(), 0);
+    let (mut pending, mut connection) = (PendingCharges::<(u32, u64)>::default(), 0);
     // The model: the waiters of the current connection, by number.
     let (mut waiters, mut last_number) = (std::collections::BTreeMap::new(), 0);
     while choices.has_more() {
         match choices.next() {
             0..=119 => {
-                let number = pending.sent((connection, last_number + 1)).expect("room");
+                let number = pending.register((connection, last_number + 1)).expect("room");
                 last_number += 1;
                 assert_eq!(number, last_number, "numbers are consecutive on each connection");
                 waiters.insert(number, (connection, number));
@@ -408,11 +408,11 @@
                 let number = u64::from(choices.next()) % (last_number + 3);
                 let expected = waiters.remove(&number);
                 waiters.retain(|sent, _| *sent > number);
-                assert_eq!(pending.answered(number), expected, "matched by the number alone");
+                assert_eq!(pending.complete(number), expected, "matched by the number alone");
             }
             _ => {
                 (pending, waiters, last_number, connection) =
-                    (Pending::default(), Default::default(), 0, connection + 1);
+                    (PendingCharges::default(), Default::default(), 0, connection + 1);
             }
         }
     }
@@ -422,6 +422,6 @@
 fn responses_to_charges_are_matched_by_connection_and_number() {
     run_generated(check_pending);
     // The number of charges in flight is bounded.
-    let mut pending = Pending::default();
-    assert!((0..100_000).any(|n| pending.sent(n).is_none()));
+    let mut pending = PendingCharges::default();
+    assert!((0..100_000).any(|n| pending.register(n).is_none()));
 }
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -743,7 +743,7 @@
                     Input::Call(call, _, path, _)
                         if self.mutant == Some(Mutant::LeaveUnasked) && path.contains("Leave") && unasked =>
                     {
-                        let reply = Reply { status: 200, body: "{}".into(), after_ms: None };
+                        let reply = Reply { status: 200, body: "{}".into(), retry_after_ms: None };
                         core.doing.push_back((self.now, Action::Answer { call, reply }));
                         continue;
                     }
--- a/overland/tests/simulated/racers.rs
+++ b/overland/tests/simulated/racers.rs
@@ -252,7 +252,7 @@
     if let (true, Some(Mutant::ReadAnywhere)) = (reads, world.racers.mutant) {
         let member = world.cores[core].running.as_ref();
         if let Some(config) = member.and_then(|member| member.state().config.clone()) {
-            let reply = Reply { status: 200, body: config.text, after_ms: None };
+            let reply = Reply { status: 200, body: config.text, retry_after_ms: None };
             world.answer_later(token, reply);
         }
     }
@@ -316,7 +316,7 @@
         let slots: Vec<_> = under_way.filter(|(_, task)| wants(task)).map(|(slot, _)| slot).collect();
         for slot in slots {
             if let Some(token) = world.callers.token(Who::Racer(slot)) {
-                world.answer_later(token, Reply { status: 200, body: "{}".into(), after_ms: None });
+                world.answer_later(token, Reply { status: 200, body: "{}".into(), retry_after_ms: None });
             }
         }
     }
--- a/overland/tests/soak.rs
+++ b/overland/tests/soak.rs
@@ -9,7 +9,9 @@
 mod relay;
 
 use callers::{edition_at, Ledger};
-use processes::{backend, beat, call, config, inner_ports, port, signal, start, until, Fleet, Process};
+use processes::{
+    backend, call, config, free_inner_ports, free_port, heartbeat_body, signal, start, until, Fleet, Process,
+};
 use relay::{relay, Cut};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -137,12 +139,12 @@
         for from in 0..CORES + GATEWAYS {
             let name = if from < CORES { format!("core{from}") } else { format!("gateway{}", from - CORES) };
             if from >= CORES {
-                fleet.inners.insert(name.clone(), inner_ports());
+                fleet.inner_ports.insert(name.clone(), free_inner_ports());
             }
-            let first = fleet.inners.get(&name).copied().unwrap_or(fleet.inner);
+            let first = fleet.inner_ports.get(&name).copied().unwrap_or(fleet.inner_port);
             for to in (0..CORES).filter(|to| *to != from) {
                 let address = |port: u16| SocketAddr::new(ip(to).parse().expect("an address"), port);
-                let (at, cut) = relay(address(fleet.inner));
+                let (at, cut) = relay(address(fleet.inner_port));
                 fleet.relays.entry(name.clone()).or_default().push((address(first), at));
                 links.push((from, to, cut));
             }
@@ -153,7 +155,7 @@
         let (mut agents, mut proxies) = (Vec::new(), Vec::new());
         for gateway in 0..GATEWAYS {
             let ip = ip(CORES + gateway);
-            let (front, ready) = (format!("{ip}:{}", port(&ip)), format!("{ip}:{}", port(&ip)));
+            let (front, ready) = (format!("{ip}:{}", free_port(&ip)), format!("{ip}:{}", free_port(&ip)));
             let docks = format!("    front: \"{front}\"\n    ready: \"{ready}\"\n");
             let name = format!("gateway{gateway}");
             let settings = fleet.settings(&name, &ip, "counter", &docks, true);
@@ -314,7 +316,7 @@
                 return;
             }
             let core = &cores[postmark as usize % cores.len()];
-            drop(call(core, "POST", "/api/Instances.Beat/i-1", "", &beat(&server, postmark)));
+            drop(call(core, "POST", "/api/Instances.Beat/i-1", "", &heartbeat_body(&server, postmark)));
             thread::park_timeout(Duration::from_millis(300));
         }
     });
--- a/overland/tests/system.rs
+++ b/overland/tests/system.rs
@@ -2,7 +2,7 @@
 
 mod processes;
 
-use processes::{backend, beat, call, config, signal, until, Fleet, Gateway, WAIT_TIMEOUT};
+use processes::{backend, call, config, heartbeat_body, signal, until, Fleet, Gateway, WAIT_TIMEOUT};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Command;
@@ -34,7 +34,7 @@
     });
 
     let (server, received) = backend();
-    let body = beat(&server, 1);
+    let body = heartbeat_body(&server, 1);
     let heartbeat = || {
         call(control(1), "POST", "/api/Instances.Beat/i-1", "", &body)
             .filter(|response| response.status == 200)
@@ -71,7 +71,7 @@
     assert!(status(&["--json"]).1.starts_with("[{\"address\":"));
 
     // Invalid bytes at every port do no harm.
-    let inner = format!("127.0.0.2:{}", fleet.inner);
+    let inner = format!("127.0.0.2:{}", fleet.inner_port);
     for addr in [control(0), inner.as_str(), front.as_str(), ready.as_str()] {
         let mut stream = TcpStream::connect(addr).expect("a connection");
         // The peer may close the connection early.
