--- a/overland/src/agreement/letter.rs
+++ b/overland/src/agreement/letter.rs
@@ -2,8 +2,8 @@
 
 use prost::{Message, Oneof};
 
-/// The newest entry format that this build reads. Version 1 adds configurations stored as a difference from
-/// the previous one. Builds without the field report 0.
+/// The newest entry format that this release reads. Version 1 adds configurations stored as a difference from
+/// the previous one. Earlier releases report 0.
 pub const MAX_ENTRY_VERSION: u32 = 1;
 
 /// A log entry. At most one of `data`, `final_members` and `incoming_members` is set; a leader's first entry
@@ -61,7 +61,7 @@
 /// A Raft message as it is sent between members.
 #[derive(Clone, PartialEq, Message)]
 pub struct RaftMessage {
-    /// Unset if a newer build sent a kind of message that this one does not know.
+    /// Unset if a newer release sent a kind of message that this one does not know.
     #[prost(oneof = "RaftPayload", tags = "1, 2, 3, 4, 5, 6, 11, 12")]
     pub payload: Option<RaftPayload>,
 }
@@ -157,7 +157,7 @@
     /// A receiver that is shutting down may stop: the members do not need it any more.
     #[prost(bool, tag = "8")]
     pub released: bool,
-    /// Time since the leader last heard from the receiver, in ms; 0 from builds without the field.
+    /// Time since the leader last heard from the receiver, in ms; 0 from earlier releases.
     #[prost(double, tag = "9")]
     pub since_heard_ms: f64,
 }
@@ -184,7 +184,7 @@
     /// The follower is shutting down and asks whether it may stop.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
-    /// Number of gateway agents that the follower hears; 0 from builds without the field.
+    /// Number of gateway agents that the follower hears; 0 from earlier releases.
     #[prost(uint32, tag = "7")]
     pub reachable_agents: u32,
     /// The newest entry format that the follower reads: [`MAX_ENTRY_VERSION`].
@@ -213,7 +213,7 @@
     /// When it was sent, by the leader's clock, in ms.
     #[prost(double, tag = "6")]
     pub sent_at: f64,
-    /// Digest of index, term, members and state; unset by builds without the field.
+    /// Digest of index, term, members and state; unset by earlier releases.
     #[prost(fixed64, optional, tag = "7")]
     pub digest: Option<u64>,
 }
--- a/overland/src/agreement/mod.rs
+++ b/overland/src/agreement/mod.rs
@@ -528,11 +528,11 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let successors = leader.peers.iter().filter(|(_, peer)| peer.can_take_over(last_index, now));
         // Prefers the member that hears most agents, then the one heard last.
-        let best = successors.max_by(|(_, a), (_, b)| {
+        let successor = successors.max_by(|(_, a), (_, b)| {
             a.reachable_agents.cmp(&b.reachable_agents).then(a.last_heard.total_cmp(&b.last_heard))
         });
-        let best = best.map(|(name, _)| name.clone());
-        if let Some(to) = best {
+        let successor = successor.map(|(name, _)| name.clone());
+        if let Some(to) = successor {
             leader.transfer_started_at = Some(now);
             actions.push(Action::Send { to, payload: RaftPayload::TimeoutNow(self.hard_state.term) });
         }
--- a/overland/src/agreement/snapshot.rs
+++ b/overland/src/agreement/snapshot.rs
@@ -286,10 +286,9 @@
     pub(super) fn handle_install(
         &mut self, now: Millis, from: Name, install: InstallSnapshot, actions: &mut Vec<Action>,
     ) {
-        let InstallSnapshot { term, index, last_term, members, state, sent_at, digest } = install;
-        let digest = digest.unwrap_or_else(|| self::digest(index, last_term, &members, &state));
-        let total_bytes = state.len() as u64;
-        let bytes = state;
+        let InstallSnapshot { term, index, last_term, members, state: bytes, sent_at, digest } = install;
+        let digest = digest.unwrap_or_else(|| self::digest(index, last_term, &members, &bytes));
+        let total_bytes = bytes.len() as u64;
         let chunk =
             SnapshotChunk { term, index, last_term, members, total_bytes, digest, offset: 0, bytes, sent_at };
         self.handle_chunk(now, from, chunk, actions);
--- a/overland/src/config.rs
+++ b/overland/src/config.rs
@@ -16,7 +16,7 @@
 /// A full configuration.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Config {
-    /// Version: `r` and a number.
+    /// Edition: `r` and a number.
     pub edition: String,
     /// Limits on client connections.
     pub limits: Limits,
@@ -163,7 +163,7 @@
 }
 
 impl Config {
-    /// Parses and validates a configuration, except for its order among the versions.
+    /// Parses and validates a configuration, except for its order among the editions.
     pub fn read(text: &str) -> Result<Config, InvalidConfig> {
         let config: Config =
             miniserde::json::from_str(text).map_err(|_| InvalidConfig("it can't be read whole".into()))?;
@@ -171,7 +171,7 @@
         Ok(config)
     }
 
-    /// The number of its version.
+    /// The number in its edition.
     pub fn number(&self) -> Result<u64, InvalidConfig> {
         units::parse_edition(&self.edition)
             .ok_or_else(|| InvalidConfig(format!("edition {} is no r and a number", self.edition)))
@@ -278,9 +278,9 @@
 /// A request to replace or to patch the configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigUpdate {
-    /// The new version.
+    /// The edition that it sets.
     pub edition: u64,
-    /// The version that it replaces; 0 for the first configuration.
+    /// The edition that it builds on; 0 for the first configuration.
     pub based_on: u64,
     /// The JSON object of the request, without `based_on`.
     pub object: Object,
@@ -354,7 +354,7 @@
     }
 }
 
-/// A digest of a full configuration's JSON text and of the version that it replaces.
+/// A digest of a full configuration's JSON text and of the edition that it builds on.
 pub fn full_config_digest(based_on: u64, text: &str) -> u64 {
     digest_of("whole", based_on, text)
 }
--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -1,7 +1,7 @@
-//! The agent's state machine, without sockets or clock: which core processes it connects to and follows, its
-//! copy of the replicated state, what it reports to the core, and what it sends to its proxy. Inputs are
-//! [`Event`]s with the current time, outputs are [`Action`]s; [`AgentStateMachine::next_deadline`] is the
-//! time at which it needs the next tick.
+//! The agent's state machine, without sockets or clock: which core processes it connects to and which one it
+//! subscribes to, its replica of the state, what it reports to the core, and what it sends to its proxy.
+//! Inputs are [`Event`]s with the current time, outputs are [`Action`]s; [`AgentStateMachine::next_deadline`]
+//! is the time at which it needs the next tick.
 
 use crate::agreement::MAX_ENTRY_VERSION;
 use crate::news::{FromAgent, FromProxy, Gateway, HeartbeatReply, IndexedChange, Repair, ToAgent, ToProxy};
@@ -19,7 +19,7 @@
 const LINK_TIMEOUT_MS: Millis = 2000.0;
 /// A core process that has not been listed as a member for this long is dropped.
 const FORMER_MEMBER_TIMEOUT_MS: Millis = 30_000.0;
-/// Core processes that an agent connects to at most: members and their replacements.
+/// Maximum number of core processes that an agent connects to: members and their replacements.
 const MAX_CORES: usize = 16;
 
 /// An input to the agent.
@@ -55,7 +55,7 @@
 /// An output of the agent; outputs are executed in order.
 #[derive(Debug)]
 pub enum Action {
-    /// Connect to this core process, and reconnect for as long as [`AgentStateMachine::wants_link`] it.
+    /// Connect to this core process, and reconnect for as long as [`AgentStateMachine::wants_link`] is true.
     Connect(String),
     /// Close the link to this core process, so that it is reopened.
     Reset(String),
@@ -87,8 +87,8 @@
     seeds: Vec<String>,
     state: Option<State>,
     digest: DigestCache,
-    /// The copy differs from the leader's: its ranges are sent with the next report.
-    copy_differs: bool,
+    /// The replica differs from the leader's: its ranges are sent with the next report.
+    replica_differs: bool,
     /// Number of the proxy's link, and the last message received on it.
     proxy: Option<(u64, FromProxy)>,
     /// Core processes by control address, and when each was last listed as a member or seed.
@@ -103,7 +103,7 @@
     /// Index of the last change that brought a configuration. The leader acknowledges the update once the
     /// proxy holds it, so reaching this index is reported at once.
     awaited_index: u64,
-    /// Send time of the latest report that the leader answered while the copy was up to date.
+    /// Send time of the latest report that the leader answered while the replica was up to date.
     up_to_date_at: Option<Millis>,
     /// In that answer the leader had not heard from every backend yet.
     unsettled: bool,
@@ -119,7 +119,7 @@
             seeds: Vec::new(),
             state: None,
             digest: DigestCache::default(),
-            copy_differs: false,
+            replica_differs: false,
             proxy: None,
             cores: BTreeMap::new(),
             members: Vec::new(),
@@ -134,7 +134,7 @@
         agent
     }
 
-    /// The copy of the replicated state, once received.
+    /// The replica of the state, once received.
     pub fn state(&self) -> Option<&State> {
         self.state.as_ref()
     }
@@ -177,8 +177,8 @@
             Event::CoreMessage { core, message } => self.handle_core_message(now, &core, *message, out),
             Event::ProxyConnected(link) => {
                 self.proxy = Some((link, FromProxy::default()));
-                let whole = self.state.as_ref().map(|state| state.snapshot(now, false));
-                self.send_proxy(now, ToProxy { snapshot: whole, ..ToProxy::default() }, out);
+                let snapshot = self.state.as_ref().map(|state| state.snapshot(now, false));
+                self.send_proxy(now, ToProxy { snapshot, ..ToProxy::default() }, out);
             }
             Event::ProxyDisconnected(link) => {
                 if self.proxy.as_ref().is_some_and(|(number, _)| *number == link) {
@@ -221,7 +221,7 @@
         let due = self.links.iter().filter(|(_, link)| link.next_report <= now);
         for core in due.map(|(core, _)| core.clone()).collect::<Vec<_>>() {
             let gateway = self.gateway();
-            let follows = self.leader.as_ref().is_some_and(|(name, _)| *name == core);
+            let subscribes = self.leader.as_ref().is_some_and(|(name, _)| *name == core);
             let Some(link) = self.links.get_mut(&core) else { continue };
             if now - link.last_received > LINK_TIMEOUT_MS {
                 // `Event::LinkOpened` schedules reports again.
@@ -229,18 +229,18 @@
                 out.push(Action::Reset(core));
                 continue;
             }
-            let interval = if follows { LEADER_REPORT_INTERVAL_MS } else { FOLLOWER_REPORT_INTERVAL_MS };
+            let interval = if subscribes { LEADER_REPORT_INTERVAL_MS } else { FOLLOWER_REPORT_INTERVAL_MS };
             link.next_report = now + interval;
             let gateway = Some(gateway).filter(|gateway| Some(gateway) != link.reported.as_ref());
             link.reported = gateway.clone().or(link.reported.take());
-            let send_ranges = follows && std::mem::take(&mut self.copy_differs);
+            let send_ranges = subscribes && std::mem::take(&mut self.replica_differs);
             let proxy = self.proxy.as_ref().map(|(_, message)| message);
             let message = FromAgent {
                 gateway,
                 ready: proxy.is_some_and(|proxy| proxy.ready),
                 applied_index: self.index(),
                 sent_at: now,
-                subscribes: follows,
+                subscribes,
                 proxy_applied_index: proxy.map_or(0, |proxy| proxy.applied_index),
                 ranges: self.state.as_ref().filter(|_| send_ranges).map(State::range_digests),
                 readable_format: MAX_ENTRY_VERSION,
@@ -266,20 +266,20 @@
     }
 
     fn gateway(&self) -> Gateway {
-        let front = self.proxy.as_ref().map_or(String::new(), |(_, proxy)| proxy.client_addr.clone());
-        Gateway { node: self.node.clone(), zone: self.zone.clone(), client_addr: front }
+        let client_addr = self.proxy.as_ref().map_or(String::new(), |(_, proxy)| proxy.client_addr.clone());
+        Gateway { node: self.node.clone(), zone: self.zone.clone(), client_addr }
     }
 
     fn handle_core_message(&mut self, now: Millis, core: &str, message: ToAgent, out: &mut Vec<Action>) {
-        let ToAgent { snapshot: whole, changes, heartbeat_reply: pulse, repair: mend } = message;
+        let ToAgent { snapshot, changes, heartbeat_reply, repair } = message;
         let Some(link) = self.links.get_mut(core) else { return };
         link.last_received = now;
         let previous_index = self.index();
         let mut report = false;
-        if let Some(whole) = whole.filter(|whole| whole.index > previous_index) {
-            self.awaited_index = whole.index;
-            self.state = Some(State::from_snapshot(now, whole.clone()));
-            self.send_proxy(now, ToProxy { snapshot: Some(whole), ..ToProxy::default() }, out);
+        if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.index > previous_index) {
+            self.awaited_index = snapshot.index;
+            self.state = Some(State::from_snapshot(now, snapshot.clone()));
+            self.send_proxy(now, ToProxy { snapshot: Some(snapshot), ..ToProxy::default() }, out);
             report = true;
         }
         if let Some(state) = &mut self.state {
@@ -295,27 +295,27 @@
             {
                 self.send_proxy(now, ToProxy { changes, ..ToProxy::default() }, out);
             } else if !changes.is_empty() {
-                // A proxy of an earlier version can't read differences.
-                let whole = self.state.as_ref().map(|state| state.snapshot(now, false));
-                self.send_proxy(now, ToProxy { snapshot: whole, ..ToProxy::default() }, out);
+                // A proxy of an earlier release can't read differences.
+                let snapshot = self.state.as_ref().map(|state| state.snapshot(now, false));
+                self.send_proxy(now, ToProxy { snapshot, ..ToProxy::default() }, out);
             }
         }
-        if let Some(mend) = mend {
-            self.repair(now, mend);
+        if let Some(repair) = repair {
+            self.repair(now, repair);
         }
-        if let Some(pulse) = pulse {
-            report |= self.handle_report_answer(now, core, pulse, out);
+        if let Some(heartbeat_reply) = heartbeat_reply {
+            report |= self.handle_heartbeat_reply(now, core, heartbeat_reply, out);
         }
         if report {
             self.report_to_all(now, out);
         }
     }
 
-    /// Handles a core process's answer to a report. Returns whether a new report is needed at once.
-    fn handle_report_answer(
-        &mut self, now: Millis, core: &str, pulse: HeartbeatReply, out: &mut Vec<Action>,
+    /// Handles a core process's reply to a report. Returns whether a new report is needed at once.
+    fn handle_heartbeat_reply(
+        &mut self, now: Millis, core: &str, reply: HeartbeatReply, out: &mut Vec<Action>,
     ) -> bool {
-        let HeartbeatReply { request_sent_at: at, leads, term, index, members, digest, unsettled } = pulse;
+        let HeartbeatReply { request_sent_at, leads, term, index, members, digest, unsettled } = reply;
         for member in &members {
             self.add_core(now, member.clone(), out);
         }
@@ -343,22 +343,23 @@
             .state
             .as_ref()
             .is_some_and(|state| digest != 0 && state.index == index && self.digest.of(state) != digest);
-        if differs && !std::mem::replace(&mut self.copy_differs, true) {
+        if differs && !std::mem::replace(&mut self.replica_differs, true) {
             log::warn!("agent: state at index {index} differs from the leader's; requesting repair");
             report = true;
         }
         if self.index() >= index {
-            self.up_to_date_at = Some(self.up_to_date_at.map_or(at, |latest| latest.max(at)));
+            self.up_to_date_at =
+                Some(self.up_to_date_at.map_or(request_sent_at, |latest| latest.max(request_sent_at)));
             self.unsettled = unsettled;
         }
         self.send_proxy(now, ToProxy::default(), out);
         report
     }
 
-    /// Replaces differing ranges of the copy by the leader's.
-    fn repair(&mut self, now: Millis, mend: Repair) {
-        let names = mend.names.join(", ");
-        if self.state.as_mut().is_some_and(|state| state.repair(now, mend)) {
+    /// Replaces differing ranges of the replica by the leader's.
+    fn repair(&mut self, now: Millis, repair: Repair) {
+        let names = repair.names.join(", ");
+        if self.state.as_mut().is_some_and(|state| state.repair(now, repair)) {
             log::warn!("agent: state repaired from the leader: {names}");
             self.digest.invalidate();
         }
@@ -366,7 +367,7 @@
 
     // ---- Proxy --------------------------------------------------------------------------------------------
 
-    /// Sends a message to the proxy, completed with the counter's address and the age of the copy.
+    /// Sends a message to the proxy, completed with the counter's address and the age of the replica.
     fn send_proxy(&self, now: Millis, message: ToProxy, out: &mut Vec<Action>) {
         if self.proxy.is_none() {
             return;
@@ -400,9 +401,9 @@
         // Other progress is reported on schedule: nothing waits for backend changes to reach every gateway.
         let awaited =
             previous.applied_index < self.awaited_index && current.applied_index >= self.awaited_index;
-        let mend = self.state.as_ref().and_then(|state| state.repair_for(now, ranges.as_ref()?));
-        if mend.is_some() {
-            self.send_proxy(now, ToProxy { repair: mend, ..ToProxy::default() }, out);
+        let repair = self.state.as_ref().and_then(|state| state.repair_for(now, ranges.as_ref()?));
+        if repair.is_some() {
+            self.send_proxy(now, ToProxy { repair, ..ToProxy::default() }, out);
         }
         if previous.sent_at.is_none() {
             // From its first timestamp on, the proxy can tell the age of what it receives.
--- a/overland/src/ledger.rs
+++ b/overland/src/ledger.rs
@@ -5,10 +5,10 @@
 use crate::news::{ConfigRevision, RejectedUpdate, StateSnapshot, UpdateOutcome, UpdateOutcomes};
 use std::collections::VecDeque;
 
-/// Most accepted updates that are recorded, at about a hundred bytes each. Retries end within seconds and a
-/// busy day brings some hundreds of updates; the outcome of an older one is unknown.
+/// Maximum number of recorded accepted updates, at about a hundred bytes each. Retries end within seconds and
+/// a busy day brings some hundreds of updates; the outcome of an older one is unknown.
 pub const MAX_ACCEPTED: usize = 4096;
-/// Most rejected updates that are recorded; only copies still in flight ask for them, within seconds.
+/// Maximum number of recorded rejected updates; only copies still in flight ask for them, within seconds.
 pub const MAX_REJECTED: usize = 256;
 
 /// Identifies a configuration update.
--- a/overland/src/member/count.rs
+++ b/overland/src/member/count.rs
@@ -46,30 +46,30 @@
         self.quota_counters.limits = tenants.map(|tenant| (tenant.name.clone(), tenant.limit())).collect();
     }
 
-    /// Adds a proxy's charges and replies with the totals. The reply is marked unsure if a charge was not
-    /// counted.
+    /// Adds a proxy's charges and replies with the totals. The reply is not authoritative if a charge
+    /// was not counted.
     pub(super) fn handle_charges(
         &mut self, now: Millis, link: u64, charges: &Charges, out: &mut Vec<Action>,
     ) {
         let authoritative = self.is_authoritative(now);
         let unused = self.unused_share_fraction(now);
-        let Charges { sequence: number, charges } = charges;
+        let Charges { sequence, charges } = charges;
         let mut totals = Vec::with_capacity(charges.len());
         let QuotaCounters { counter, limits } = &mut self.quota_counters;
         for charge in charges {
             let Some(counter) = counter.as_mut().filter(|_| authoritative) else { break };
             let limit = limits.get(&charge.tenant).copied().unwrap_or_default();
-            let Charge { units, refund: back, window, .. } = *charge;
-            let units = tally::Charge { units, refund: back, window };
-            let total = counter.charge(now, &charge.tenant, limit, units, unused);
-            let left_ms = total.left_ms.ceil().max(0.0) as u32;
+            let Charge { units, refund, window, .. } = *charge;
+            let counted = tally::Charge { units, refund, window };
+            let total = counter.charge(now, &charge.tenant, limit, counted, unused);
+            let remaining_ms = total.left_ms.ceil().max(0.0) as u32;
             let (units, limit, window) = (total.units, total.limit, total.window);
-            totals.push(Total { units, limit, remaining_ms: left_ms, window });
+            totals.push(Total { units, limit, remaining_ms, window });
         }
-        let sure = totals.len() == charges.len();
+        let all_counted = totals.len() == charges.len();
         out.push(Action::SendTotals {
             link,
-            totals: Totals { sequence: *number, authoritative: sure, totals },
+            totals: Totals { sequence: *sequence, authoritative: all_counted, totals },
         });
     }
 
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -8,10 +8,10 @@
 use cherrytally::Millis;
 use std::net::SocketAddr;
 
-/// A call that was forwarded to `to` under `number`.
+/// A call that was forwarded to `to` under `call_id`.
 pub(super) struct PendingForward {
     to: Name,
-    number: u64,
+    call_id: u64,
 }
 
 impl PendingForward {
@@ -29,7 +29,7 @@
 /// Nor is one forwarded to a leader that has not heard from this process for this long, as the link to it may
 /// be down.
 const UNHEARD_BY_LEADER_MS: Millis = 500.0;
-/// Processes that may receive the log at once in order to join.
+/// A process with this many learners rejects further requests to join from unknown processes.
 const MAX_JOINING: usize = 9;
 /// Retry-after time of a call that the leader refused.
 const RETRY_AFTER_MS: u64 = 200;
@@ -55,23 +55,23 @@
             return;
         }
         match message {
-            Word::Agreement(RaftMessage { payload: Some(say) }) => {
-                self.inputs.push_back(AgreementInput::Event(Event::Received { from, payload: say }));
+            Word::Agreement(RaftMessage { payload: Some(payload) }) => {
+                self.inputs.push_back(AgreementInput::Event(Event::Received { from, payload }));
             }
             Word::Agreement(_) => {}
             Word::Call(call) => self.handle_forwarded_call(now, from, &call, out),
             Word::Answer(answer) => self.handle_forwarded_reply(&from, answer, out),
             Word::Compare(theirs) => self.compare_digest(&from, &theirs, out),
             Word::Differs(theirs) => {
-                let mend = self.state.repair_for(now, &theirs);
-                if let Some(mend) = mend.filter(|_| self.is_leader()) {
-                    self.send_peer(&from, Word::Repair(mend), out);
+                let repair = self.state.repair_for(now, &theirs);
+                if let Some(repair) = repair.filter(|_| self.is_leader()) {
+                    self.send_peer(&from, Word::Repair(repair), out);
                 }
             }
             Word::Repair(_) if self.agreement.leader() != Some(&from) => {}
-            Word::Repair(mend) => {
-                let names = mend.names.join(", ");
-                if !self.is_leader() && self.state.repair(now, mend) {
+            Word::Repair(repair) => {
+                let names = repair.names.join(", ");
+                if !self.is_leader() && self.state.repair(now, repair) {
                     log::warn!("core: state repaired from the leader: {names}");
                     self.digest.invalidate();
                     self.encoded_state = None;
@@ -112,21 +112,15 @@
         let leader = self.agreement.leader().filter(|leader| self.is_leader_reachable(now, leader));
         let leader = leader.cloned().filter(|_| matches!(caller, Caller::Client(_)));
         let Some(to) = leader else { return self.refuse(&caller, &Refusal::Later, out) };
-        let number = self.next_forward;
-        self.next_forward = number.wrapping_add(1);
+        let call_id = self.next_call_id;
+        self.next_call_id = call_id.wrapping_add(1);
         let path = format!("{} {}", called.method, called.path);
-        let (term, said) = (self.agreement.term(), self.agreement.leader_sent_at());
-        let call = ForwardedCall {
-            call_id: number,
-            path,
-            body: called.body.to_vec(),
-            status: 0,
-            term,
-            leader_sent_at: said,
-        };
+        let (term, leader_sent_at) = (self.agreement.term(), self.agreement.leader_sent_at());
+        let call =
+            ForwardedCall { call_id, path, body: called.body.to_vec(), status: 0, term, leader_sent_at };
         self.send_peer(&to, Word::Call(call), out);
         let (granted, deadline) = (Refusal::Later.reply(), now + CALL_TIMEOUT_MS);
-        let stage = Stage::Forwarded(PendingForward { to, number });
+        let stage = Stage::Forwarded(PendingForward { to, call_id });
         self.calls.insert(caller, PendingCall { granted, deadline, stage });
     }
 
@@ -151,8 +145,8 @@
             return self.refuse(&caller, &Refusal::Later, out);
         }
         // A duplicate has no effect: the opposite call may have been acknowledged since.
-        let Caller::Peer(from, number) = &caller else { return };
-        if self.received_forwards.insert((from.clone(), *number), now).is_some() {
+        let Caller::Peer(from, call_id) = &caller else { return };
+        if self.received_forwards.insert((from.clone(), *call_id), now).is_some() {
             return;
         }
         self.handle_call(now, caller, &Called { method, path, body: &call.body }, out);
@@ -160,9 +154,9 @@
 
     /// Handles the reply to a call that this process forwarded.
     fn handle_forwarded_reply(&mut self, from: &Name, answer: ForwardedCall, out: &mut Vec<Action>) {
-        let ForwardedCall { call_id: number, body, status, .. } = answer;
+        let ForwardedCall { call_id, body, status, .. } = answer;
         let matches =
-            |stage: &Stage| matches!(stage, Stage::Forwarded(f) if f.number == number && f.to == *from);
+            |stage: &Stage| matches!(stage, Stage::Forwarded(f) if f.call_id == call_id && f.to == *from);
         let call = self.calls.iter().find(|(_, call)| matches(&call.stage));
         let caller = call.map(|(caller, _)| caller.clone());
         let (Some(caller), Ok(status)) = (caller, u16::try_from(status)) else { return };
@@ -173,10 +167,10 @@
 
     // ---- State digests ------------------------------------------------------------------------------------
 
-    /// Compares the leader's state digest with this copy's; a difference is answered with the digests of the
-    /// ranges.
+    /// Compares the leader's state digest with this replica's; a difference is answered with the range
+    /// digests.
     fn compare_digest(&self, leader: &Name, theirs: &RangeDigests, out: &mut Vec<Action>) {
-        let digest = theirs.ranges.first().map(|whole| whole.digest);
+        let digest = theirs.ranges.first().map(|range| range.digest);
         let same = theirs.index != self.state.index || digest == Some(self.digest.of(&self.state));
         if !same && self.agreement.leader() == Some(leader) {
             let index = self.state.index;
@@ -185,10 +179,10 @@
         }
     }
 
-    /// Sends this copy's digest to the other members.
+    /// Sends this replica's digest to the other members.
     pub(super) fn broadcast_digest(&self, out: &mut Vec<Action>) {
-        let whole = RangeDigest { name: String::new(), digest: self.digest.of(&self.state) };
-        let ranges = RangeDigests { index: self.state.index, ranges: vec![whole] };
+        let digest = RangeDigest { name: String::new(), digest: self.digest.of(&self.state) };
+        let ranges = RangeDigests { index: self.state.index, ranges: vec![digest] };
         for member in self.agreement.members() {
             self.send_peer(member, Word::Compare(ranges.clone()), out);
         }
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -194,7 +194,7 @@
 enum Caller {
     /// A client, by call number.
     Client(u64),
-    /// A core process that forwarded the call, and its number there.
+    /// A core process that forwarded the call, and its call id there.
     Peer(Name, u64),
 }
 
@@ -220,10 +220,10 @@
     Forwarded(PendingForward),
     /// A configuration update that is not proposed yet.
     Queued(calls::Order),
-    /// The change is about to be proposed; with a mark if it is a configuration update.
+    /// The change is about to be proposed; with its id if it is a configuration update.
     Proposing(Option<UpdateId>),
     /// The change is proposed as this entry.
-    Proposed { index: u64, term: u64, mark: Option<UpdateId> },
+    Proposed { index: u64, term: u64, update_id: Option<UpdateId> },
     /// The configuration update is accepted, and waits until every gateway uses it.
     Enforcing { index: u64 },
 }
@@ -256,12 +256,12 @@
     state_changed: bool,
     /// This process's leadership was announced to the agents.
     leadership_announced: bool,
-    disk_pace: SaveLatency,
+    save_latency: SaveLatency,
     last_handover: Option<Millis>,
     /// Consecutive maintenance rounds in which agents reached other members better than this leader.
     poor_reach_rounds: u32,
     calls: BTreeMap<Caller, PendingCall>,
-    /// Calls that other core processes forwarded, by sender and number, with their arrival times; used to
+    /// Calls that other core processes forwarded, by sender and call id, with their arrival times; used to
     /// drop duplicates.
     received_forwards: BTreeMap<(Name, u64), Millis>,
     updates: Updates,
@@ -273,8 +273,8 @@
     /// The whole state as last encoded for agents.
     encoded_state: Option<EncodedState>,
     quota_counters: QuotaCounters,
-    /// Number of the next forwarded call.
-    next_forward: u64,
+    /// Id of the next forwarded call.
+    next_call_id: u64,
     ticks: u32,
     rejected_messages: u64,
     last_tick: Millis,
@@ -291,33 +291,33 @@
     ) -> Result<(Member, Option<Save>)> {
         let address = settings.control_addr.ok_or_else(|| eyre!("network.docks_at.control is missing"))?;
         let me = address.to_string();
-        let mut whole = StateSnapshot::default();
+        let mut state_snapshot = StateSnapshot::default();
         let mut damaged = false;
         if let Some(saved) = &disk {
             match StateSnapshot::decode(&saved.snapshot.state[..]) {
-                Ok(decoded) => whole = decoded,
+                Ok(decoded) => state_snapshot = decoded,
                 Err(_) => damaged = true,
             }
         }
         // An unreadable disk counts as an empty one that may have lost a vote: the process bootstraps
         // nothing, votes for nobody at first, and counts towards a quorum only after a leader has sent it the
         // state.
-        let lost = damaged.then(|| {
+        let emptied = damaged.then(|| {
             log::error!("core: can't read the state on disk; waiting for a copy from the leader");
             PersistentState::default()
         });
-        let disk = lost.or(disk);
-        let founds = disk.is_none() && settings.first_start && settings.seeds.contains(&address);
-        let (saved, first) = match disk {
+        let disk = emptied.or(disk);
+        let bootstraps = disk.is_none() && settings.first_start && settings.seeds.contains(&address);
+        let (saved, first_save) = match disk {
             Some(saved) if damaged => {
-                let (vow, base) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
-                (saved, Some(Save { hard_state: vow, entries: Some((0, Vec::new())), snapshot: base }))
+                let (hard_state, snapshot) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
+                (saved, Some(Save { hard_state, entries: Some((0, Vec::new())), snapshot }))
             }
             Some(saved) => (saved, None),
-            None if founds => {
+            None if bootstraps => {
                 let saved = RaftNode::bootstrap(settings.seeds.iter().map(SocketAddr::to_string).collect());
-                let (vow, base) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
-                (saved, Some(Save { hard_state: vow, entries: None, snapshot: base }))
+                let (hard_state, snapshot) = (saved.hard_state.clone(), Some(saved.snapshot.clone()));
+                (saved, Some(Save { hard_state, entries: None, snapshot }))
             }
             None => Default::default(),
         };
@@ -325,12 +325,12 @@
             "core: starting as {me} with {} log entries after snapshot index {} ({})",
             saved.entries.len(),
             saved.snapshot.index,
-            if founds { "founds" } else { "known" }
+            if bootstraps { "founds" } else { "known" }
         );
-        let state = State { index: saved.snapshot.index, ..State::from_snapshot(now, whole) };
+        let state = State { index: saved.snapshot.index, ..State::from_snapshot(now, state_snapshot) };
         let member = Member {
             seeds: settings.seeds.clone(),
-            agreement: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(is_readable),
+            agreement: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(can_decode_snapshot),
             settings,
             me,
             state,
@@ -341,7 +341,7 @@
             state_incomplete: false,
             state_changed: false,
             leadership_announced: false,
-            disk_pace: SaveLatency::default(),
+            save_latency: SaveLatency::default(),
             last_handover: None,
             poor_reach_rounds: 0,
             calls: BTreeMap::new(),
@@ -353,14 +353,14 @@
             push_pending: false,
             encoded_state: None,
             quota_counters: QuotaCounters::default(),
-            next_forward: seed >> 16,
+            next_call_id: seed >> 16,
             ticks: 0,
             rejected_messages: 0,
             last_tick: now,
             stale_input_until: now,
             rng: fastrand::Rng::with_seed(seed),
         };
-        Ok((member, first))
+        Ok((member, first_save))
     }
 
     /// Its name: its control address.
@@ -373,7 +373,7 @@
         self.agreement.is_leader()
     }
 
-    /// Its copy of the replicated state.
+    /// Its replica of the state.
     pub fn state(&self) -> &State {
         &self.state
     }
@@ -394,7 +394,7 @@
         &self.agreement
     }
 
-    /// Whether a process that is shutting down may exit: see [`Agreement::left`].
+    /// Whether a process that is shutting down may exit: see [`RaftNode::leave_outcome`].
     pub fn leave_outcome(&self) -> Option<bool> {
         self.agreement.leave_outcome()
     }
@@ -493,7 +493,7 @@
 
     fn save_completed(&mut self, now: Millis, took_ms: f64) {
         self.saving = false;
-        if self.disk_pace.record(took_ms) {
+        if self.save_latency.record(took_ms) {
             self.hand_over(now, "the disk is slow");
         }
     }
@@ -570,14 +570,14 @@
             kind => kind,
         };
         if let Some(caller) = caller {
-            let mark = match self.calls.get(&caller).map(|call| &call.stage) {
-                Some(Stage::Proposing(mark)) => *mark,
+            let update_id = match self.calls.get(&caller).map(|call| &call.stage) {
+                Some(Stage::Proposing(update_id)) => *update_id,
                 _ => None,
             };
-            self.set_stage(&caller, Stage::Proposed { index, term, mark });
+            self.set_stage(&caller, Stage::Proposed { index, term, update_id });
         }
-        let left = matches!(&kind, Kind::BackendGone(id) if self.presence.has_departed(id));
-        Some(agreement::Event::Propose(Change { kind: Some(kind), deregistered: left }.encode_to_vec()))
+        let deregistered = matches!(&kind, Kind::BackendGone(id) if self.presence.has_deregistered(id));
+        Some(agreement::Event::Propose(Change { kind: Some(kind), deregistered }.encode_to_vec()))
     }
 
     fn execute(&mut self, now: Millis, action: agreement::Action, out: &mut Vec<Action>) {
@@ -586,17 +586,17 @@
                 self.saving = true;
                 out.push(Action::Save(Box::new(save)));
             }
-            agreement::Action::Send { to, payload: say } => {
-                self.send_peer(&to, Word::Agreement(RaftMessage { payload: Some(say) }), out);
+            agreement::Action::Send { to, payload } => {
+                self.send_peer(&to, Word::Agreement(RaftMessage { payload: Some(payload) }), out);
             }
             agreement::Action::Apply(entry) => self.apply(now, &entry, out),
             agreement::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
-                Ok(whole) => {
+                Ok(snapshot) => {
                     let previous = self.state.index;
                     invariants::check(Invariant::StateIndexIsMonotonic, index >= previous, || {
                         format!("snapshot of index {index} replaces the state of index {previous}")
                     });
-                    self.state = State { index, ..State::from_snapshot(now, whole) };
+                    self.state = State { index, ..State::from_snapshot(now, snapshot) };
                     (self.state_changed, self.state_incomplete, self.encoded_state) = (true, false, None);
                 }
                 Err(_) => {
@@ -627,17 +627,17 @@
         }
         self.updates.remove_applied(entry.index);
         let proposed_as_entry = |stage: &Stage| match stage {
-            Stage::Proposed { index, term, mark } if *index == entry.index => Some((*term, *mark)),
+            Stage::Proposed { index, term, update_id } if *index == entry.index => Some((*term, *update_id)),
             _ => None,
         };
         let calls = &self.calls;
         let waiting =
             calls.iter().filter_map(|(caller, call)| Some((caller.clone(), proposed_as_entry(&call.stage)?)));
-        for (caller, (term, mark)) in waiting.collect::<Vec<_>>() {
-            match mark {
+        for (caller, (term, update_id)) in waiting.collect::<Vec<_>>() {
+            match update_id {
                 // An entry of another term took its place: the change was not committed.
                 _ if term != entry.term => self.refuse(&caller, &Refusal::Later, out),
-                Some(mark) => self.update_applied(now, &caller, &mark, out),
+                Some(update_id) => self.update_applied(now, &caller, &update_id, out),
                 None => self.grant(&caller, out),
             }
         }
@@ -733,9 +733,9 @@
         self.remove_call(caller);
         match caller {
             Caller::Client(call) => out.push(Action::Answer { call: *call, reply }),
-            Caller::Peer(name, number) => {
+            Caller::Peer(name, call_id) => {
                 let (body, status) = (reply.body.into_bytes(), u32::from(reply.status));
-                let answer = ForwardedCall { call_id: *number, body, status, ..ForwardedCall::default() };
+                let answer = ForwardedCall { call_id: *call_id, body, status, ..ForwardedCall::default() };
                 self.send_peer(name, Word::Answer(answer), out);
             }
         }
@@ -763,7 +763,7 @@
 type CallResult<A> = Result<Outcome<A, Wait>, Refusal>;
 
 /// Whether a snapshot can be decoded.
-fn is_readable(state: &[u8]) -> bool {
+fn can_decode_snapshot(state: &[u8]) -> bool {
     StateSnapshot::decode(state).is_ok()
 }
 
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -2,9 +2,9 @@
 //! configuration.
 //!
 //! A configuration update passes through five stages:
-//! 1. queued, until the version it is based on is applied, or until fewer proposals are pending;
+//! 1. queued, until the edition it is based on is applied, or until fewer proposals are pending;
 //! 2. proposed as a log entry, which an identical update joins;
-//! 3. committed: applying the entry accepts or refuses the update, with the same result at every member, and
+//! 3. committed: applying the entry accepts or rejects the update, with the same result at every member, and
 //!    the replicated state records that result;
 //! 4. enforced, once no gateway uses an older state;
 //! 5. answered.
@@ -23,10 +23,10 @@
 use prost::Message;
 use std::collections::VecDeque;
 
-/// Concurrent proposals: twice the supported number of concurrent updates, as callers may have given up on
-/// some.
+/// Maximum number of concurrent proposals: twice the supported number of concurrent updates, as callers may
+/// have given up on some.
 const MAX_PROPOSED: usize = 16;
-/// Queued updates at most; each may hold a whole configuration of several megabytes.
+/// Maximum number of queued updates; each may hold a whole configuration of several megabytes.
 const MAX_QUEUED: usize = 32;
 
 /// Configuration updates in progress.
@@ -42,7 +42,7 @@
 struct Proposed {
     /// Digest of the update's content.
     digest: u64,
-    /// Version that the update creates.
+    /// Edition that the update sets.
     edition: u64,
     index: u64,
     term: u64,
@@ -133,17 +133,17 @@
                 Some(Stage::Queued(order)) => self.next_step(now, order),
                 _ => Step::Refuse(Refusal::Later),
             };
-            let mark = self.queued_mark(&caller);
+            let update_id = self.queued_update_id(&caller);
             if !matches!(step, Step::Wait) {
                 self.updates.dequeue(&caller);
             }
             match step {
                 Step::Wait => {}
                 Step::Join { index, term } => {
-                    self.set_stage(&caller, Stage::Proposed { index, term, mark });
+                    self.set_stage(&caller, Stage::Proposed { index, term, update_id });
                 }
                 Step::Propose(kind) => {
-                    self.set_stage(&caller, Stage::Proposing(mark));
+                    self.set_stage(&caller, Stage::Proposing(update_id));
                     self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
                     return;
                 }
@@ -156,7 +156,7 @@
         }
     }
 
-    fn queued_mark(&self, caller: &Caller) -> Option<UpdateId> {
+    fn queued_update_id(&self, caller: &Caller) -> Option<UpdateId> {
         match &self.calls.get(caller)?.stage {
             Stage::Queued(order) => order.mark,
             _ => None,
@@ -167,57 +167,50 @@
         if !self.is_authoritative(now) {
             return Step::Refuse(Refusal::Later);
         }
-        let (envelope, mark) = match (&order.envelope, &order.mark) {
-            (Ok(envelope), Some(mark)) => (envelope, mark),
+        let (update, update_id) = match (&order.envelope, &order.mark) {
+            (Ok(update), Some(update_id)) => (update, update_id),
             (Err(invalid), _) => return Step::Refuse(invalid.clone().into()),
             (Ok(_), None) => return Step::Refuse(Refusal::Later),
         };
         let proposed = &self.updates.proposed;
-        if let Some(same) = proposed.iter().find(|proposed| proposed.digest == mark.content_digest) {
+        if let Some(same) = proposed.iter().find(|proposed| proposed.digest == update_id.content_digest) {
             return Step::Join { index: same.index, term: same.term };
         }
-        match self.state.check_update(mark) {
+        match self.state.check_update(update_id) {
             UpdateCheck::Accepted(index) => Step::Accepted(index),
             // Pending proposals are applied shortly.
             UpdateCheck::Applicable | UpdateCheck::Ahead if proposed.len() >= MAX_PROPOSED => Step::Wait,
-            UpdateCheck::Ahead if proposed.iter().any(|proposed| proposed.edition == mark.based_on) => {
+            UpdateCheck::Ahead if proposed.iter().any(|proposed| proposed.edition == update_id.based_on) => {
                 Step::Wait
             }
-            // The refusal is replicated, so that a delayed duplicate of the update is not accepted later.
+            // The rejection is replicated, so that a delayed duplicate of the update is not accepted later.
             UpdateCheck::Ahead => {
-                let UpdateId { edition, based_on, content_digest: order, .. } = *mark;
-                Step::Propose(Kind::Rejected(RejectedUpdate { edition, based_on, content_digest: order }))
+                let UpdateId { edition, based_on, content_digest, .. } = *update_id;
+                Step::Propose(Kind::Rejected(RejectedUpdate { edition, based_on, content_digest }))
             }
-            UpdateCheck::Applicable => match self.change_for(envelope, mark, order.patch) {
+            UpdateCheck::Applicable => match self.change_for(update, update_id, order.patch) {
                 Ok(kind) => Step::Propose(kind),
                 Err(refusal) => Step::Refuse(refusal),
             },
-            fit => Step::Refuse(self.refusal_for(fit, mark)),
+            check => Step::Refuse(self.refusal_for(check, update_id)),
         }
     }
 
     /// The change that an update based on the current configuration proposes.
-    fn change_for(&self, envelope: &ConfigUpdate, mark: &UpdateId, patch: bool) -> Result<Kind, Refusal> {
+    fn change_for(&self, update: &ConfigUpdate, update_id: &UpdateId, patch: bool) -> Result<Kind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
-        let envelope = envelope.clone();
-        let (_, text) = if patch { envelope.apply_to(current) } else { envelope.into_full_config() }?;
-        let UpdateId { edition, based_on, content_digest: order, call_digest: call } = *mark;
+        let update = update.clone();
+        let (_, text) = if patch { update.apply_to(current) } else { update.into_full_config() }?;
+        let UpdateId { edition, based_on, content_digest, call_digest } = *update_id;
         log::info!("core: proposing configuration r{edition} based on r{based_on}");
-        let digests = vec![order, full_config_digest(based_on, &text)];
+        let digests = vec![content_digest, full_config_digest(based_on, &text)];
         let based_on = Some(based_on);
-        Ok(Kind::Config(ConfigRevision {
-            edition,
-            text,
-            call_digest: call,
-            based_on,
-            digests,
-            difference: None,
-        }))
+        Ok(Kind::Config(ConfigRevision { edition, text, call_digest, based_on, digests, difference: None }))
     }
 
     /// Replaces the text of a proposed configuration by its difference from the current one, if that is much
     /// shorter and every receiver of the log can read differences. The entry is only accepted on top of that
-    /// version.
+    /// edition.
     pub(super) fn with_difference(&self, config: ConfigRevision) -> ConfigRevision {
         let current = self.state.config.as_ref().filter(|current| config.based_on == Some(current.edition));
         let Some(current) = current.filter(|_| self.agreement.all_read_entry_version()) else {
@@ -230,15 +223,15 @@
         ConfigRevision { text: String::new(), difference: Some(difference), ..config }
     }
 
-    fn refusal_for(&self, fit: UpdateCheck, mark: &UpdateId) -> Refusal {
+    fn refusal_for(&self, check: UpdateCheck, update_id: &UpdateId) -> Refusal {
         let current = self.state.edition();
-        match fit {
+        match check {
             UpdateCheck::Stale => Refusal::Conflict(format!("r{current} is in place")),
             UpdateCheck::NotIncreasing => {
-                Refusal::Bad(format!("edition r{} is not above r{}", mark.edition, mark.based_on))
+                Refusal::Bad(format!("edition r{} is not above r{}", update_id.edition, update_id.based_on))
             }
             UpdateCheck::Unrecorded => {
-                Refusal::Unclear(format!("r{} lies too far back to tell", mark.edition))
+                Refusal::Unclear(format!("r{} lies too far back to tell", update_id.edition))
             }
             // Neither accepted nor refused: the applied entry was another update's.
             UpdateCheck::Accepted(_) | UpdateCheck::Applicable | UpdateCheck::Ahead => Refusal::Later,
@@ -260,14 +253,14 @@
 
     /// Continues with an update whose entry is applied.
     pub(super) fn update_applied(
-        &mut self, now: Millis, caller: &Caller, mark: &UpdateId, out: &mut Vec<Action>,
+        &mut self, now: Millis, caller: &Caller, update_id: &UpdateId, out: &mut Vec<Action>,
     ) {
-        match self.state.check_update(mark) {
+        match self.state.check_update(update_id) {
             UpdateCheck::Accepted(index) => {
                 self.set_stage(caller, Stage::Enforcing { index });
                 self.answer_enforced(now, out);
             }
-            fit => self.refuse(caller, &self.refusal_for(fit, mark), out),
+            check => self.refuse(caller, &self.refusal_for(check, update_id), out),
         }
     }
 
@@ -292,10 +285,10 @@
         if !self.settings.bounds.fail_closed {
             return true;
         }
-        let settle_ms = self.settings.bounds.ack_wait().as_secs_f64() * 1000.0;
+        let ack_wait_ms = self.settings.bounds.ack_wait().as_secs_f64() * 1000.0;
         self.state.gateways.keys().all(|node| {
-            let (at, held) = self.presence.gateway_contact(node);
-            held >= index || now - at > settle_ms
+            let (at, applied_index) = self.presence.gateway_contact(node);
+            applied_index >= index || now - at > ack_wait_ms
         })
     }
 }
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -16,11 +16,11 @@
 const GATEWAY_TIMEOUT_MS: Millis = 60_000.0;
 /// A backend that misses this many heartbeats is removed.
 const MAX_MISSED_HEARTBEATS: f64 = 4.0;
-/// How long a departed backend is remembered, so that a delayed heartbeat does not bring it back.
-const DEPARTED_RETENTION_MS: Millis = 30_000.0;
+/// How long a deregistered backend is remembered, so that a delayed heartbeat does not bring it back.
+const DEREGISTERED_RETENTION_MS: Millis = 30_000.0;
 /// A cold time that ends less than this after the known end is not a new one.
 const COLD_TOLERANCE_MS: Millis = 400.0;
-/// Addresses in one resolve response at most.
+/// Maximum number of addresses in one resolve response.
 const MAX_ADDRESSES: usize = 64;
 /// With fewer ready gateways in the client's region, gateways of all regions are returned.
 const MIN_ADDRESSES: usize = 2;
@@ -31,11 +31,11 @@
 #[derive(Default)]
 pub(super) struct Presence {
     started: Millis,
-    /// When each backend was last heard from, and the highest postmark of its heartbeats.
+    /// When each backend was last heard from, and the highest sequence number of its heartbeats.
     heartbeats: BTreeMap<String, (Millis, u64)>,
-    /// Departed backends, and when they left.
-    departed: BTreeMap<String, Millis>,
-    /// When each gateway was last told the current index, and the index that its proxy held.
+    /// Backends that deregistered themselves, and when.
+    deregistered: BTreeMap<String, Millis>,
+    /// When each gateway was last sent the current index, and the index that its proxy had applied.
     gateway_contacts: BTreeMap<String, (Millis, u64)>,
     /// Every replicated backend was heard from, and the changes from their heartbeats are applied.
     settled: bool,
@@ -47,14 +47,14 @@
         Presence { started: now, ..Presence::default() }
     }
 
-    /// When a gateway was last told the current index, and the index that its proxy held.
+    /// When a gateway was last sent the current index, and the index that its proxy had applied.
     pub(super) fn gateway_contact(&self, node: &str) -> (Millis, u64) {
         self.gateway_contacts.get(node).copied().unwrap_or((self.started, 0))
     }
 
-    /// Whether this backend announced to this leader that it leaves.
-    pub(super) fn has_departed(&self, id: &str) -> bool {
-        self.departed.contains_key(id)
+    /// Whether this backend deregistered itself at this leader.
+    pub(super) fn has_deregistered(&self, id: &str) -> bool {
+        self.deregistered.contains_key(id)
     }
 
     /// Whether this leader has heard from every backend, so that it knows every cold one.
@@ -62,9 +62,9 @@
         self.settled
     }
 
-    /// Records that a gateway is told the current index while its proxy holds `held`.
-    pub(super) fn record_gateway_contact(&mut self, now: Millis, node: &str, held: u64) {
-        self.gateway_contacts.insert(node.to_owned(), (now, held));
+    /// Records that a gateway is sent the current index while its proxy has applied `applied_index`.
+    pub(super) fn record_gateway_contact(&mut self, now: Millis, node: &str, applied_index: u64) {
+        self.gateway_contacts.insert(node.to_owned(), (now, applied_index));
     }
 }
 
@@ -72,21 +72,21 @@
     fn answer(&mut self, now: Millis, Beat { backend }: Beat) -> CallResult<BeatAnswer> {
         let answer = BeatAnswer { beat_address: self.me.clone() };
         let replicated = self.state.backends.get(&backend.id).map(|known| known.backend.heartbeat_seq);
-        if self.departed_recently(now, &backend.id) {
+        if self.deregistered_recently(now, &backend.id) {
             return Ok(Outcome::Now(answer));
         }
         let presence = &mut self.presence;
         let last = presence.heartbeats.entry(backend.id.clone()).or_insert((now, 0));
         last.0 = now;
-        let postmark = backend.heartbeat_seq;
-        if postmark < last.1.max(replicated.unwrap_or(0)) {
+        let heartbeat_seq = backend.heartbeat_seq;
+        if heartbeat_seq < last.1.max(replicated.unwrap_or(0)) {
             // A delayed heartbeat brings no new information.
             return Ok(Outcome::Now(answer));
         }
-        last.1 = postmark;
+        last.1 = heartbeat_seq;
         let unchanged = self.state.backends.get(&backend.id).is_some_and(|known| {
             let cold_until = now + backend.cold_ms as f64;
-            let same = Backend { cold_ms: 0, heartbeat_seq: postmark, ..known.backend.clone() }
+            let same = Backend { cold_ms: 0, heartbeat_seq, ..known.backend.clone() }
                 == Backend { cold_ms: 0, ..backend.clone() };
             same && (backend.cold_ms == 0 || cold_until < known.cold_until + COLD_TOLERANCE_MS)
         });
@@ -99,7 +99,7 @@
 
 impl Answers<Leave> for Member {
     fn answer(&mut self, now: Millis, Leave { id }: Leave) -> CallResult<Done> {
-        self.presence.departed.insert(id.clone(), now);
+        self.presence.deregistered.insert(id.clone(), now);
         if !self.state.backends.contains_key(&id) {
             return Ok(Outcome::Now(Done {}));
         }
@@ -141,14 +141,13 @@
 }
 
 impl Member {
-    /// Whether a backend recently announced that it leaves. Departures announced to an earlier leader are
-    /// replicated without a time and count from the start of this term.
-    fn departed_recently(&self, now: Millis, id: &str) -> bool {
-        let announced = self.presence.has_departed(id);
-        announced
-            || (now - self.presence.started < DEPARTED_RETENTION_MS
-                && !self.state.backends.contains_key(id)
-                && self.state.deregistered.iter().any(|departed| departed == id))
+    /// Whether a backend recently deregistered itself. Deregistrations at an earlier leader are replicated
+    /// without a time and count from the start of this term.
+    fn deregistered_recently(&self, now: Millis, id: &str) -> bool {
+        let here = self.presence.has_deregistered(id);
+        here || (now - self.presence.started < DEREGISTERED_RETENTION_MS
+            && !self.state.backends.contains_key(id)
+            && self.state.deregistered.iter().any(|other| other == id))
     }
 
     /// Marks presence as settled once every backend was heard from and the log is fully applied.
@@ -179,7 +178,7 @@
             }
         }
         presence.heartbeats.retain(|id, _| state.backends.contains_key(id));
-        presence.departed.retain(|_, at| now - *at < DEPARTED_RETENTION_MS);
+        presence.deregistered.retain(|_, at| now - *at < DEREGISTERED_RETENTION_MS);
         let present = self.agents.values().filter(|agent| now - agent.last_report < AGENT_TIMEOUT_MS);
         let described = present.map(|agent| &agent.gateway).filter(|gateway| !gateway.client_addr.is_empty());
         let changed = described.filter(|gateway| state.gateways.get(&gateway.node) != Some(gateway));
@@ -190,7 +189,7 @@
     /// The system's status as this process sees it.
     fn status(&self, now: Millis) -> Status {
         let (agreement, state) = (&self.agreement, &self.state);
-        let gateway_line = |gateway: &Gateway| {
+        let gateway_status = |gateway: &Gateway| {
             let agents = self.agents.values().filter(|agent| agent.gateway.node == gateway.node);
             let agent = agents.max_by(|a, b| a.last_report.total_cmp(&b.last_report));
             GatewayStatus {
@@ -205,23 +204,23 @@
         };
         let mut services = BTreeMap::new();
         for known in state.backends.values() {
-            let Backend { service, zone, draining: closing, max_concurrency: berths, .. } = &known.backend;
-            let line: &mut ServiceStatus = services.entry((service, zone)).or_default();
-            if *closing {
-                line.closing += 1;
+            let Backend { service, zone, draining, max_concurrency, .. } = &known.backend;
+            let status: &mut ServiceStatus = services.entry((service, zone)).or_default();
+            if *draining {
+                status.closing += 1;
             } else {
-                line.open += 1;
-                line.cold += u64::from(known.cold_until > now);
-                line.max_concurrency += u64::from(*berths);
+                status.open += 1;
+                status.cold += u64::from(known.cold_until > now);
+                status.max_concurrency += u64::from(*max_concurrency);
             }
         }
-        let services = services.into_iter().map(|((service, zone), line)| ServiceStatus {
+        let services = services.into_iter().map(|((service, zone), status)| ServiceStatus {
             service: service.clone(),
             zone: zone.clone(),
-            ..line
+            ..status
         });
-        let roll = agreement.membership_status(now).unwrap_or_default();
-        let count_line = |(tenant, per_s, units): (&str, f64, i64)| TenantUsage {
+        let membership = agreement.membership_status(now).unwrap_or_default();
+        let tenant_usage = |(tenant, per_s, units): (&str, f64, i64)| TenantUsage {
             tenant: tenant.to_owned(),
             per_s,
             units,
@@ -235,29 +234,29 @@
             index: state.index,
             digest: format!("{:016x}", self.digest.of(state)),
             log_entries: agreement.log_length() as u64,
-            snapshot_progress: agreement.snapshot_progress().map(|(index, received, total, unreadable)| {
-                match unreadable {
+            snapshot_progress: agreement.snapshot_progress().map(|(index, received, total, rejected)| {
+                match rejected {
                     true => format!("CAN'T READ the state of {index}"),
                     false => format!("has {received} of {total} bytes of the state of {index}"),
                 }
             }),
             members: agreement.members().to_vec(),
-            missing: roll.missing,
-            catching_up: roll.catching_up,
-            learners: roll.learners,
-            tolerable_losses: roll.tolerable_losses as u64,
+            missing: membership.missing,
+            catching_up: membership.catching_up,
+            learners: membership.learners,
+            tolerable_losses: membership.tolerable_losses as u64,
             leaderless_reason: agreement.no_leader_reason(),
             violations: Some(violations()),
             edition: state.config.as_ref().map_or(String::new(), |config| format!("r{}", config.edition)),
             evacuated: state.evacuated.iter().cloned().collect(),
-            gateways: state.gateways.values().map(gateway_line).collect(),
+            gateways: state.gateways.values().map(gateway_status).collect(),
             services: services.collect(),
-            tenant_usage: self.quota_counters.usage(now).map(count_line).collect(),
+            tenant_usage: self.quota_counters.usage(now).map(tenant_usage).collect(),
         }
     }
 }
 
 fn violations() -> Vec<ViolationCount> {
-    let line = |(name, times): (&str, u64)| ViolationCount { invariant: name.to_owned(), times };
-    invariants::violations_by_name().into_iter().map(line).collect()
+    let count = |(name, times): (&str, u64)| ViolationCount { invariant: name.to_owned(), times };
+    invariants::violations_by_name().into_iter().map(count).collect()
 }
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -30,7 +30,7 @@
     members: Vec<Name>,
     pub(super) last_report: Millis,
     /// Index up to which changes were sent to it.
-    sent: u64,
+    sent_index: u64,
 }
 
 impl Member {
@@ -40,39 +40,42 @@
     ) {
         let authoritative = self.is_authoritative(now);
         let members = self.agreement.members().to_vec();
-        let (follows, held, applied) = (report.subscribes, report.applied_index, report.proxy_applied_index);
+        let (subscribes, applied_index) = (report.subscribes, report.applied_index);
+        let proxy_applied_index = report.proxy_applied_index;
         let ranges = report.ranges.take().filter(|_| authoritative);
-        let mend = ranges.and_then(|theirs| self.state.repair_for(now, &theirs));
+        let repair = ranges.and_then(|theirs| self.state.repair_for(now, &theirs));
         let agent = self.agents.entry(link).or_insert_with(|| Agent {
             gateway: Gateway::default(),
             report: FromAgent::default(),
             members: Vec::new(),
             last_report: now,
-            sent: held,
+            sent_index: applied_index,
         });
         if let Some(gateway) = report.gateway.take() {
             agent.gateway = gateway;
         }
         (agent.report, agent.last_report) = (report, now);
-        if !follows {
-            agent.sent = held;
+        if !subscribes {
+            agent.sent_index = applied_index;
         }
         let new_members = if agent.members == members { Vec::new() } else { members.clone() };
         agent.members = members;
-        let (gateway, at) = (agent.gateway.clone(), agent.report.sent_at);
-        let pulse =
-            HeartbeatReply { members: new_members, ..self.report_answer(now, at, authoritative, &gateway) };
+        let (gateway, sent_at) = (agent.gateway.clone(), agent.report.sent_at);
+        let heartbeat_reply = HeartbeatReply {
+            members: new_members,
+            ..self.new_heartbeat_reply(now, sent_at, authoritative, &gateway)
+        };
         if authoritative {
-            self.presence.record_gateway_contact(now, &gateway.node, applied);
+            self.presence.record_gateway_contact(now, &gateway.node, proxy_applied_index);
         }
         if authoritative && !self.is_registered(&gateway) && !gateway.client_addr.is_empty() {
             self.inputs.push_back(AgreementInput::Propose(Kind::Gateway(gateway), None));
         }
-        if follows {
+        if subscribes {
             self.push_changes_to(now, link, out);
         }
-        let message = ToAgent { heartbeat_reply: Some(pulse), repair: mend, ..ToAgent::default() };
-        // Configuration updates that are now in force everywhere are answered at the next tick: checking all
+        let message = ToAgent { heartbeat_reply: Some(heartbeat_reply), repair, ..ToAgent::default() };
+        // Configuration updates that are now enforced are answered at the next tick: checking all
         // gateways on each report would take quadratic time per update.
         out.push(Action::Send { link, message: Box::new(message) });
     }
@@ -81,8 +84,9 @@
     pub(super) fn announce_leadership(&self, now: Millis, out: &mut Vec<Action>) {
         let authoritative = self.is_authoritative(now);
         for (link, agent) in &self.agents {
-            let pulse = Some(self.report_answer(now, agent.report.sent_at, authoritative, &agent.gateway));
-            let message = Box::new(ToAgent { heartbeat_reply: pulse, ..ToAgent::default() });
+            let heartbeat_reply =
+                Some(self.new_heartbeat_reply(now, agent.report.sent_at, authoritative, &agent.gateway));
+            let message = Box::new(ToAgent { heartbeat_reply, ..ToAgent::default() });
             out.push(Action::Send { link: *link, message });
         }
     }
@@ -93,45 +97,46 @@
         !self.settings.bounds.fail_closed || self.state.gateways.contains_key(&gateway.node)
     }
 
-    /// The answer to a report sent at `at`. Its index keeps a gateway that is not registered yet from being
-    /// up to date.
-    fn report_answer(
-        &self, now: Millis, at: Millis, authoritative: bool, gateway: &Gateway,
+    /// The reply to a report sent at `request_sent_at`. Its index keeps a gateway that is not registered yet
+    /// from being up to date.
+    fn new_heartbeat_reply(
+        &self, now: Millis, request_sent_at: Millis, authoritative: bool, gateway: &Gateway,
     ) -> HeartbeatReply {
         let digest = if authoritative { self.digest.rate_limited(now, &self.state) } else { 0 };
         let (term, members) = (self.agreement.term(), Vec::new());
         let index = if self.is_registered(gateway) { self.state.index } else { u64::MAX };
         let unsettled = !self.presence.is_settled();
-        HeartbeatReply { request_sent_at: at, leads: authoritative, term, index, members, digest, unsettled }
+        HeartbeatReply { request_sent_at, leads: authoritative, term, index, members, digest, unsettled }
     }
 
-    /// Sends new changes to all agents that follow this process, or leaves them for the next tick that is
-    /// late enough after the last push.
+    /// Sends new changes to all subscribed agents, or leaves them for the next tick that is late enough after
+    /// the last push.
     pub(super) fn push_changes(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.push_pending = now - self.last_push < MIN_PUSH_INTERVAL_MS;
         if self.push_pending {
             return;
         }
         self.last_push = now;
-        let followers = self.agents.iter().filter(|(_, agent)| agent.report.subscribes);
-        let links: Vec<_> = followers.map(|(link, _)| *link).collect();
+        let subscribers = self.agents.iter().filter(|(_, agent)| agent.report.subscribes);
+        let links: Vec<_> = subscribers.map(|(link, _)| *link).collect();
         links.into_iter().for_each(|link| self.push_changes_to(now, link, out));
     }
 
     fn push_changes_to(&mut self, now: Millis, link: u64, out: &mut Vec<Action>) {
         let Some(agent) = self.agents.get(&link) else { return };
-        let (sent, reads_differences) = (agent.sent, agent.report.readable_format >= MAX_ENTRY_VERSION);
-        if sent >= self.state.index {
+        let (sent_index, reads_differences) =
+            (agent.sent_index, agent.report.readable_format >= MAX_ENTRY_VERSION);
+        if sent_index >= self.state.index {
             return;
         }
-        let changes = self.changes_since(sent, reads_differences).filter(|_| sent > 0);
+        let changes = self.changes_since(sent_index, reads_differences).filter(|_| sent_index > 0);
         let changes = changes.unwrap_or_else(|| {
             let (frame, changes) = self.encoded_state(now, reads_differences);
             out.push(Action::SendState { link, frame });
             changes
         });
         if let Some(agent) = self.agents.get_mut(&link) {
-            agent.sent = self.state.index;
+            agent.sent_index = self.state.index;
         }
         if !changes.is_empty() {
             let message = Box::new(ToAgent { changes, ..ToAgent::default() });
@@ -140,7 +145,7 @@
     }
 
     /// The changes after `index`, as sent to agents. `None` if the log no longer holds them, or if one is a
-    /// difference and the agent, of an earlier version, reads only whole configurations.
+    /// difference and the agent, of an earlier release, reads only whole configurations.
     fn changes_since(&self, index: u64, reads_differences: bool) -> Option<Vec<IndexedChange>> {
         // Agents see a refused configuration update as an index without a change.
         let took_effect = |entry: &&Entry, change: &Change| match &change.kind {
@@ -165,8 +170,8 @@
             Some((encoded.frame.clone(), self.changes_since(encoded.index, reads_differences)?))
         });
         reusable.unwrap_or_else(|| {
-            let whole = Some(self.state.snapshot(now, false));
-            let frame = Bytes::from(framed(&ToAgent { snapshot: whole, ..ToAgent::default() }));
+            let snapshot = Some(self.state.snapshot(now, false));
+            let frame = Bytes::from(framed(&ToAgent { snapshot, ..ToAgent::default() }));
             let index = self.state.index;
             self.encoded_state = Some(EncodedState { encoded_at: now, index, frame: frame.clone() });
             (frame, Vec::new())
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -118,7 +118,7 @@
     /// Its zone.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// Most requests that it processes concurrently.
+    /// Maximum number of requests that it processes concurrently.
     #[prost(uint32, tag = "5")]
     pub max_concurrency: u32,
     /// It is draining: it accepts no new requests.
@@ -282,7 +282,7 @@
     /// The range digests of the agent's replica, if it differs from the leader's at the same index.
     #[prost(message, optional, tag = "9")]
     pub ranges: Option<RangeDigests>,
-    /// The format of changes that the sender can read: [`crate::agreement::READS`].
+    /// The format of changes that the sender can read: [`crate::agreement::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "10")]
     pub readable_format: u32,
 }
@@ -384,7 +384,7 @@
     /// When it was sent, on the proxy's clock, in ms.
     #[prost(double, optional, tag = "5")]
     pub sent_at: Option<f64>,
-    /// The format of changes that the sender can read: [`crate::agreement::READS`].
+    /// The format of changes that the sender can read: [`crate::agreement::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "6")]
     pub readable_format: u32,
 }
@@ -423,7 +423,7 @@
     /// The sequence number of the batch.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// False if the counter can't vouch for its counts.
+    /// False if some charge was not counted, as the counter is not the authoritative leader.
     #[prost(bool, tag = "2")]
     pub authoritative: bool,
     /// One total for each charge, in order.
--- a/overland/src/state.rs
+++ b/overland/src/state.rs
@@ -14,8 +14,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
 
-/// Most backend ids kept in [`State::deregistered`]. Enough for twice a site's backends to leave within the
-/// 30 s in which a late heartbeat may arrive; at most 256 bytes each.
+/// Maximum number of backend ids in [`State::deregistered`]. Enough for twice a site's backends to leave
+/// within the 30 s in which a late heartbeat may arrive; at most 256 bytes each.
 const MAX_DEREGISTERED: usize = 2048;
 
 /// How long the end of a zone's evacuation is remembered; its backends warm up for some seconds after it.
@@ -91,8 +91,8 @@
     hasher.finish()
 }
 
-/// Shortest time between two digests computed for a message: each hashes the configuration and all backends,
-/// which takes milliseconds with thousands of backends.
+/// Minimum interval between two digests computed for a message: each hashes the configuration and all
+/// backends, which takes milliseconds with thousands of backends.
 const MIN_DIGEST_INTERVAL_MS: Millis = 1000.0;
 
 /// Caches the digest of a replica at its current index.
@@ -181,7 +181,7 @@
             Some(Kind::Backend(backend)) => {
                 let applied = self.backends.get(&backend.id).map_or(0, |known| known.backend.heartbeat_seq);
                 if backend.heartbeat_seq < applied {
-                    // An old heartbeat, proposed by a leader that had not applied its snapshot log yet.
+                    // An old heartbeat, proposed by a leader that had not applied its whole log yet.
                     return Touched::Nothing;
                 }
                 self.deregistered.retain(|id| *id != backend.id);
@@ -266,8 +266,8 @@
 
     /// Applies changes in order; skips those that are applied already.
     pub fn apply_all(&mut self, now: Millis, changes: &[IndexedChange]) -> Vec<Touched> {
-        let new = changes.iter().filter(|numbered| numbered.index > self.index).collect::<Vec<_>>();
-        new.into_iter().map(|numbered| self.apply(now, numbered.index, numbered.change.as_ref())).collect()
+        let new = changes.iter().filter(|indexed| indexed.index > self.index).collect::<Vec<_>>();
+        new.into_iter().map(|indexed| self.apply(now, indexed.index, indexed.change.as_ref())).collect()
     }
 
     /// A snapshot of the replica. `for_core` adds what only core processes need: the ledger and the
--- a/overland/src/status.rs
+++ b/overland/src/status.rs
@@ -63,12 +63,12 @@
     /// Why it has no leader, as text.
     #[serde(rename = "leaderless")]
     pub leaderless_reason: Option<String>,
-    /// Invariants that were violated in this process. `None` from versions that do not report them.
+    /// Invariants that were violated in this process. `None` from releases that do not report them.
     pub violations: Option<Vec<ViolationCount>>,
     /// Leader only: members that may fail at once without the loss of the quorum.
     #[serde(rename = "borne")]
     pub tolerable_losses: u64,
-    /// Version of the current configuration; empty if there is none.
+    /// Edition of the current configuration; empty if there is none.
     pub edition: String,
     /// Evacuated zones.
     pub evacuated: Vec<String>,
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -1,9 +1,9 @@
 //! The durable store of a core process, on fjall. Corruption is detected at start-up; the process then starts
 //! with an empty store, does not bootstrap a cluster, and is caught up by the other members.
 //!
-//! Each record ends in a digest of the bytes before it. Each save also writes the hard state ([`Vow`]) with
-//! the format version, the last log index and the number of the save. The watermark file beside the store
-//! holds the number of the last durable save: a store behind its watermark has lost data.
+//! Each record ends in a digest of the bytes before it. Each save also writes the [`HardState`] with the
+//! format version, the last log index and the number of the save. The watermark file beside the store holds
+//! the number of the last durable save: a store behind its watermark has lost data.
 //!
 //! A power loss may tear the save in progress. No save is acknowledged before it is durable, so a torn last
 //! save is dropped and everything before it is kept. [`Store::open`] reports corruption only if a durable
@@ -43,19 +43,19 @@
 /// The encoded digest field: one byte of tag and eight of value.
 const DIGEST_FIELD_BYTES: usize = 9;
 
-const VOW_KEY: &[u8] = b"vow";
-const BASE_KEY: &[u8] = b"base";
+const HARD_STATE_KEY: &[u8] = b"vow";
+const SNAPSHOT_KEY: &[u8] = b"base";
 const ENTRY_KEY_PREFIX: u8 = b'e';
 
-/// [`Vow`] as stored.
+/// [`HardState`] as stored.
 #[derive(Clone, PartialEq, Message)]
-struct StoredVow {
+struct StoredHardState {
     #[prost(uint64, tag = "1")]
     term: u64,
     #[prost(string, optional, tag = "2")]
     vote: Option<String>,
     #[prost(bool, tag = "3")]
-    counts: bool,
+    voting: bool,
     /// Zero if written by the first release, which had none of the fields below.
     #[prost(uint32, tag = "4")]
     format_version: u32,
@@ -72,9 +72,9 @@
     digest: Option<u64>,
 }
 
-/// [`Base`] as stored.
+/// [`Snapshot`] as stored.
 #[derive(Clone, PartialEq, Message)]
-struct StoredBase {
+struct StoredSnapshot {
     #[prost(uint64, tag = "1")]
     index: u64,
     #[prost(uint64, tag = "2")]
@@ -230,9 +230,9 @@
                 store.save_number.set(save_number.max(watermark.unwrap_or(0)));
                 store.last_index.set(last_index);
                 // Find out that the disk is not writable before the process takes part.
-                let vow = saved.hard_state.clone();
+                let hard_state = saved.hard_state.clone();
                 store
-                    .save(&Save { hard_state: vow, entries: None, snapshot: None })
+                    .save(&Save { hard_state, entries: None, snapshot: None })
                     .wrap_err("failed to write to the store")?;
                 return Ok((store, Some(saved)));
             }
@@ -343,28 +343,32 @@
     }
 
     fn format_version(&self) -> Result<u32> {
-        let vow = self.keyspace.get(VOW_KEY)?.map(|vow| decode_verified::<StoredVow>(&vow)).transpose()?;
-        Ok(vow.map_or(0, |vow| vow.format_version))
+        let hard_state = self
+            .keyspace
+            .get(HARD_STATE_KEY)?
+            .map(|hard_state| decode_verified::<StoredHardState>(&hard_state))
+            .transpose()?;
+        Ok(hard_state.map_or(0, |hard_state| hard_state.format_version))
     }
 
     fn read(&self) -> Result<Contents> {
-        let Some(vow) = self.keyspace.get(VOW_KEY)? else {
-            let any = self.keyspace.iter().next().is_some();
-            return Ok(if any {
+        let Some(hard_state) = self.keyspace.get(HARD_STATE_KEY)? else {
+            let has_records = self.keyspace.iter().next().is_some();
+            return Ok(if has_records {
                 Contents::Corrupt("the hard state is missing".into())
             } else {
                 Contents::Empty
             });
         };
-        let StoredVow { term, vote, counts, format_version, last_index, save_number } =
-            decode_verified(&vow)?;
-        let base = match self.keyspace.get(BASE_KEY)? {
-            Some(base) => decode_verified(&base)?,
+        let StoredHardState { term, vote, voting, format_version, last_index, save_number } =
+            decode_verified(&hard_state)?;
+        let snapshot = match self.keyspace.get(SNAPSHOT_KEY)? {
+            Some(snapshot) => decode_verified(&snapshot)?,
             // A member with an empty disk saves the terms it sees before it is sent a snapshot.
-            None if !counts => StoredBase::default(),
+            None if !voting => StoredSnapshot::default(),
             None => bail!("the snapshot is missing"),
         };
-        let StoredBase { index, term: base_term, members, state } = base;
+        let StoredSnapshot { index, term: snapshot_term, members, state } = snapshot;
         let mut entries = Vec::new();
         for pair in self.keyspace.range(entry_key(index + 1)..=entry_key(u64::MAX)) {
             let (key, value) = pair.into_inner()?;
@@ -379,10 +383,10 @@
         if format_version > 0 && log_end != last_index {
             bail!("the log ends at index {log_end} instead of {last_index}");
         }
-        let vow = HardState { term, vote, voting: counts };
+        let hard_state = HardState { term, vote, voting };
         let saved = PersistentState {
-            hard_state: vow,
-            snapshot: Snapshot { index, term: base_term, members, state },
+            hard_state,
+            snapshot: Snapshot { index, term: snapshot_term, members, state },
             entries,
         };
         Ok(Contents::Valid { saved, save_number, last_index: log_end })
@@ -393,18 +397,18 @@
     fn save(&self, save: &Save) -> Result<()> {
         let mut batch = self.database.batch();
         let (mut last_index, save_number) = (self.last_index.get(), self.save_number.get() + 1);
-        if let Some(base) = &save.snapshot {
-            let Snapshot { index, term, members, state } = base.clone();
+        if let Some(snapshot) = &save.snapshot {
+            let Snapshot { index, term, members, state } = snapshot.clone();
             for pair in self.keyspace.range(entry_key(0)..=entry_key(index)) {
                 batch.remove(&self.keyspace, pair.key()?);
             }
-            let stored = StoredBase { index, term, members, state };
-            batch.insert(&self.keyspace, BASE_KEY, encode_with_digest(&stored));
+            let stored = StoredSnapshot { index, term, members, state };
+            batch.insert(&self.keyspace, SNAPSHOT_KEY, encode_with_digest(&stored));
             last_index = last_index.max(index);
         }
         if let Some((first, entries)) = &save.entries {
-            let behind_entries = entry_key(first + entries.len() as u64)..=entry_key(u64::MAX);
-            for pair in self.keyspace.range(behind_entries) {
+            let after_entries = entry_key(first + entries.len() as u64)..=entry_key(u64::MAX);
+            for pair in self.keyspace.range(after_entries) {
                 batch.remove(&self.keyspace, pair.key()?);
             }
             for entry in entries {
@@ -412,10 +416,10 @@
             }
             last_index = (first + entries.len() as u64).saturating_sub(1);
         }
-        let HardState { term, vote, voting: counts } = save.hard_state.clone();
+        let HardState { term, vote, voting } = save.hard_state.clone();
         let stored =
-            StoredVow { term, vote, counts, format_version: FORMAT_VERSION, last_index, save_number };
-        batch.insert(&self.keyspace, VOW_KEY, encode_with_digest(&stored));
+            StoredHardState { term, vote, voting, format_version: FORMAT_VERSION, last_index, save_number };
+        batch.insert(&self.keyspace, HARD_STATE_KEY, encode_with_digest(&stored));
         batch.commit()?;
         self.database.persist(PersistMode::SyncAll)?;
         self.last_index.set(last_index);
--- a/overland/tests/histories/mod.rs
+++ b/overland/tests/histories/mod.rs
@@ -14,7 +14,7 @@
 #[derive(Default)]
 pub struct Model {
     pub committed: BTreeMap<u64, Vec<u8>>,
-    /// The highest index that a proposer was told is committed.
+    /// The highest index whose commit was acknowledged to a proposer.
     acked_index: u64,
     /// By term.
     leaders: BTreeMap<u64, String>,
@@ -478,9 +478,9 @@
     assert_eq!(world.running_count(), founders + extra_nodes);
     assert!(world.model.acked_index > acked_index, "nothing is committed any more");
     for (number, node) in world.nodes.iter().enumerate() {
-        let held = node.state.range(..=acked_index);
+        let applied = node.state.range(..=acked_index);
         assert!(
-            held.eq(world.model.committed.range(..=acked_index)),
+            applied.eq(world.model.committed.range(..=acked_index)),
             "core{number} lacks acknowledged entries"
         );
     }
@@ -567,9 +567,9 @@
     let members = world.nodes[leader].running.as_ref().expect("the node runs").members().to_vec();
     assert!(members.len() % 2 == 1, "an even number of members without faults: {members:?}");
     for (number, node) in world.nodes.iter().enumerate() {
-        let held = node.state.range(..=acked_index);
+        let applied = node.state.range(..=acked_index);
         assert!(
-            held.eq(world.model.committed.range(..=acked_index)),
+            applied.eq(world.model.committed.range(..=acked_index)),
             "core{number} lacks acknowledged entries"
         );
     }
--- a/overland/tests/kept/mod.rs
+++ b/overland/tests/kept/mod.rs
@@ -8,10 +8,10 @@
 pub fn apply_save(contents: &mut Option<PersistentState>, save: Save) {
     let contents = contents.get_or_insert_with(PersistentState::default);
     contents.hard_state = save.hard_state;
-    if let Some(base) = save.snapshot {
-        let first_kept = contents.entries.iter().position(|entry| entry.index > base.index);
+    if let Some(snapshot) = save.snapshot {
+        let first_kept = contents.entries.iter().position(|entry| entry.index > snapshot.index);
         contents.entries.drain(..first_kept.unwrap_or(contents.entries.len()));
-        contents.snapshot = base;
+        contents.snapshot = snapshot;
     }
     if let Some((first, entries)) = save.entries {
         contents.entries.retain(|entry| entry.index < first);
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -16,23 +16,29 @@
     let mut save = |store: &Store, save: Save| {
         store.save(&save).expect("saves");
         saved.hard_state = save.hard_state;
-        if let Some(base) = save.snapshot {
-            saved.entries.retain(|entry| entry.index > base.index);
-            saved.snapshot = base;
+        if let Some(snapshot) = save.snapshot {
+            saved.entries.retain(|entry| entry.index > snapshot.index);
+            saved.snapshot = snapshot;
         }
         if let Some((first, entries)) = save.entries {
             saved.entries.retain(|entry| entry.index < first);
             saved.entries.extend(entries);
         }
     };
-    let vow = |term| HardState { term, vote: Some("a".into()), voting: true };
-    let base = |index| Snapshot { index, term: 1, members: members.clone(), state: vec![7; 300] };
-    save(&store, Save { hard_state: vow(1), entries: None, snapshot: Some(base(1)) });
+    let hard_state = |term| HardState { term, vote: Some("a".into()), voting: true };
+    let snapshot = |index| Snapshot { index, term: 1, members: members.clone(), state: vec![7; 300] };
+    save(&store, Save { hard_state: hard_state(1), entries: None, snapshot: Some(snapshot(1)) });
     for index in 2..saves {
         let entry = Entry { index, term: 1, data: vec![index as u8; 40], ..Entry::default() };
-        save(&store, Save { hard_state: vow(index), entries: Some((index, vec![entry])), snapshot: None });
+        save(
+            &store,
+            Save { hard_state: hard_state(index), entries: Some((index, vec![entry])), snapshot: None },
+        );
         if index == saves / 2 {
-            save(&store, Save { hard_state: vow(index), entries: None, snapshot: Some(base(index - 3)) });
+            save(
+                &store,
+                Save { hard_state: hard_state(index), entries: None, snapshot: Some(snapshot(index - 3)) },
+            );
         }
     }
     saved
@@ -135,21 +141,23 @@
     let entries = if std::env::var("HISTORIES").is_ok() { 100_000 } else { 3000 };
     let dir = tempfile::tempdir().expect("a directory");
     let (store, _) = Store::open(dir.path()).expect("opens an empty directory");
-    let vow = HardState { term: 1, vote: None, voting: true };
-    let base = |index| Snapshot { index, term: 1, members: vec!["a".into()], state: vec![3; 300_000] };
-    store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: Some(base(1)) }).expect("saves");
+    let hard_state = HardState { term: 1, vote: None, voting: true };
+    let snapshot = |index| Snapshot { index, term: 1, members: vec!["a".into()], state: vec![3; 300_000] };
+    store
+        .save(&Save { hard_state: hard_state.clone(), entries: None, snapshot: Some(snapshot(1)) })
+        .expect("saves");
     let mut first = 2;
     while first < entries {
         let entry = |index: u64| Entry { index, term: 1, data: vec![index as u8; 120], ..Entry::default() };
         // About as many entries as arrive during one save.
         let entries = (first..first + 64).map(entry).collect::<Vec<_>>();
         store
-            .save(&Save { hard_state: vow.clone(), entries: Some((first, entries)), snapshot: None })
+            .save(&Save { hard_state: hard_state.clone(), entries: Some((first, entries)), snapshot: None })
             .expect("saves");
         first += 64;
         if first % 512 < 64 {
-            let base = Some(base(first - 1));
-            store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: base }).expect("saves");
+            let snapshot = Some(snapshot(first - 1));
+            store.save(&Save { hard_state: hard_state.clone(), entries: None, snapshot }).expect("saves");
         }
     }
     drop(store);
@@ -164,11 +172,11 @@
 
 /// The stored hard state of the first release, plus fields of later ones.
 #[derive(Clone, PartialEq, Message)]
-struct StoredVow {
+struct StoredHardState {
     #[prost(uint64, tag = "1")]
     term: u64,
     #[prost(bool, tag = "3")]
-    counts: bool,
+    voting: bool,
     #[prost(uint32, tag = "4")]
     format_version: u32,
     #[prost(uint64, tag = "5")]
@@ -181,13 +189,13 @@
 
 /// Opens a store that another release wrote, without digests: this hard state, a snapshot at index 4, and one
 /// entry.
-fn open_written_by_other_release(vow: StoredVow) -> eyre::Result<Option<PersistentState>> {
+fn open_written_by_other_release(hard_state: StoredHardState) -> eyre::Result<Option<PersistentState>> {
     let dir = tempfile::tempdir().expect("a directory");
     let database = fjall::Database::builder(dir.path().join("core")).open().expect("creates a store");
     let keyspace =
         database.keyspace("agreement", fjall::KeyspaceCreateOptions::default).expect("creates a keyspace");
     let entry = Entry { index: 5, term: 1, data: vec![1], ..Entry::default() };
-    keyspace.insert("vow", vow.encode_to_vec()).expect("writes");
+    keyspace.insert("vow", hard_state.encode_to_vec()).expect("writes");
     // Index 4, term 1, one member, no state.
     keyspace.insert("base", [8, 4, 16, 1, 26, 1, b'a']).expect("writes");
     keyspace.insert([b"e", &5u64.to_be_bytes()[..]].concat(), entry.encode_to_vec()).expect("writes");
@@ -198,11 +206,16 @@
 
 #[test]
 fn formats_of_the_previous_and_next_release_are_read_and_later_ones_rejected() {
-    let first = StoredVow { term: 7, counts: true, ..StoredVow::default() };
-    let next =
-        StoredVow { format_version: 2, last_index: 5, save_number: 9, unknown_field: 3, ..first.clone() };
-    for vow in [first, next.clone()] {
-        let contents = open_written_by_other_release(vow).expect("opens").expect("not empty");
+    let first = StoredHardState { term: 7, voting: true, ..StoredHardState::default() };
+    let next = StoredHardState {
+        format_version: 2,
+        last_index: 5,
+        save_number: 9,
+        unknown_field: 3,
+        ..first.clone()
+    };
+    for hard_state in [first, next.clone()] {
+        let contents = open_written_by_other_release(hard_state).expect("opens").expect("not empty");
         let read = (
             contents.hard_state.term,
             contents.hard_state.voting,
@@ -212,7 +225,7 @@
         assert_eq!(read, (7, true, 4, 1));
     }
     // An error, and not corruption: the store is left as it is for the release that wrote it.
-    assert!(open_written_by_other_release(StoredVow { format_version: 3, ..next }).is_err());
+    assert!(open_written_by_other_release(StoredHardState { format_version: 3, ..next }).is_err());
 }
 
 /// The range of bytes that differ; the new part of a file that grew counts as zeros before.
@@ -287,11 +300,13 @@
             let contents = contents.expect("not empty");
             let kept = contents == saved || contents == previous;
             assert!(kept, "seed {seed}: a completed save is lost: {:?}", contents.hard_state);
-            let vow = HardState { term: 99, ..contents.hard_state.clone() };
-            store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: None }).expect("saves");
+            let hard_state = HardState { term: 99, ..contents.hard_state.clone() };
+            store
+                .save(&Save { hard_state: hard_state.clone(), entries: None, snapshot: None })
+                .expect("saves");
             drop(store);
             let (_, reopened) = Store::open(copy.path()).expect("opens again");
-            assert_eq!(reopened, Some(PersistentState { hard_state: vow, ..contents }), "seed {seed}");
+            assert_eq!(reopened, Some(PersistentState { hard_state, ..contents }), "seed {seed}");
         }
     }
 }
@@ -302,12 +317,12 @@
     let dir = tempfile::tempdir().expect("a directory");
     let (store, contents) = Store::open(dir.path()).expect("opens an empty directory");
     assert_eq!(contents, None);
-    let vow = HardState { term: 7, vote: None, voting: false };
-    store.save(&Save { hard_state: vow.clone(), entries: None, snapshot: None }).expect("saves");
+    let hard_state = HardState { term: 7, vote: None, voting: false };
+    store.save(&Save { hard_state: hard_state.clone(), entries: None, snapshot: None }).expect("saves");
     drop(store);
     let violations_before = violations_on_this_thread();
     let (_, contents) = Store::open(dir.path()).expect("opens");
-    assert_eq!(contents, Some(PersistentState { hard_state: vow, ..PersistentState::default() }));
+    assert_eq!(contents, Some(PersistentState { hard_state, ..PersistentState::default() }));
     assert_eq!(violations_on_this_thread(), violations_before);
     assert!(!dir.path().join("core.damaged").exists(), "it was reported as corrupt");
 }
