--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! Who of a cluster's processes is present: SWIM (Das, Gupta and Motivala, 2002) with suspicion, refutation by
-//! incarnation, news carried by the probes, and Lifeguard's local health (Dadgar, Phillips and Currey, 2017).
+//! Cluster membership and failure detection: SWIM (Das, Gupta and Motivala, 2002) with suspicion, refutation
+//! by incarnation, piggybacked gossip, and Lifeguard's local health (Dadgar, Phillips and Currey, 2017).
 //!
-//! No socket, clock or random source but what it is given: datagrams and time come in as [`Event`]s, datagrams
-//! and news go out as [`Action`]s. `docs/membership.md` states what it promises.
+//! The protocol does no I/O and reads no clock: datagrams and time come in as [`Event`]s, datagrams and
+//! membership changes go out as [`Action`]s. `docs/membership.md` states its guarantees.
 
 mod exchange;
 mod news;
@@ -10,11 +10,11 @@
 mod table;
 mod wire;
 
-pub use wire::{Dropped, DATAGRAM_MOST, DROPPED, NAME_MOST, START_MOST};
+pub use wire::{DropReason, DATAGRAM_MOST, DROPPED, MAX_START_UNIX_MS, NAME_MOST};
 
 use crate::interface::Millis;
-use exchange::{Bucket, Sync};
-use news::News;
+use exchange::{Sync, TokenBucket};
+use news::UpdateQueue;
 use probe::{Probe, Relay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -25,364 +25,375 @@
 /// A member's name.
 pub type Name = Arc<str>;
 
-/// Members at most, this one left out; further ones are not taken in.
+/// Upper limit on other members in the table; records of further ones are dropped.
 pub const MEMBERS_MOST: usize = 1024;
-/// A suspected member has so many periods to refute, times the decimal logarithm of the members: news reaches
-/// all in some multiple of that.
-const SUSPECT_PERIODS: f64 = 4.0;
-/// And so many times that while one member alone suspects it: that one may be at fault.
-const SUSPECT_ALONE: f64 = 3.0;
-/// Further members that have to suspect it, too, until the shorter time holds.
-const CONFIRM: usize = 3;
-/// When that time has run out it is asked so many times more, a probe's time-out apart.
-const LAST_WORD: u32 = 2;
-/// Names no question: nothing waits for its answer.
+/// Minimum suspicion timeout in periods, scaled by the decimal logarithm of the member count, as gossip takes
+/// that long to reach all members.
+const MIN_SUSPICION_PERIODS: f64 = 4.0;
+/// Maximum suspicion timeout, as a multiple of the minimum; it applies while only one member suspects.
+const MAX_SUSPICION_FACTOR: f64 = 3.0;
+/// Independent confirmations that bring the suspicion timeout down to its minimum.
+const MAX_CONFIRMATIONS: usize = 3;
+/// Pings sent to a suspected member after its suspicion timeout, one probe timeout apart, before it is
+/// declared down.
+const FINAL_PINGS: u32 = 2;
+/// Sequence number of datagrams that expect no answer.
 const NO_SEQ: u32 = 0;
-/// News is told so many times, times the decimal logarithm of the members, rounded up.
-const TELL_TIMES: f64 = 4.0;
-/// Members to which news is sent beside probes, and how often in a period.
-const GOSSIP: (usize, f64) = (3, 5.0);
-/// Members asked to probe one that does not answer.
-const HELPERS: usize = 3;
-/// Worst local health: this process's own time-outs and periods are then one and so many times as long.
-const HEALTH_MOST: u32 = 8;
-/// What is down or has left is kept for so many periods, so that old news does not bring it back.
-const KEPT_PERIODS: f64 = 60.0;
-/// A period's length differs by chance by this share up or down: members do not probe in step.
+/// Transmissions of each update, scaled by the decimal logarithm of the member count and rounded up.
+const RETRANSMIT_FACTOR: f64 = 4.0;
+/// Random members that receive each round of gossip.
+const GOSSIP_FANOUT: usize = 3;
+/// Gossip rounds in a period.
+const GOSSIP_PER_PERIOD: f64 = 5.0;
+/// Members asked to probe a target that does not answer.
+const INDIRECT_PROBES: usize = 3;
+/// Upper limit of the local health score; timeouts and periods are multiplied by the score plus one.
+const MAX_HEALTH: u32 = 8;
+/// Records of members that are down or have left are kept for this many periods, so that stale gossip does
+/// not revive them.
+const TOMBSTONE_PERIODS: f64 = 60.0;
+/// Random share added to or subtracted from each period, so that members do not probe in step.
 const PERIOD_JITTER: f64 = 0.1;
-/// Whole views are exchanged with one member after so many periods, then after twice as many each time, up to so
-/// many: where many join at once the first views are far from whole.
-const SYNC_PERIODS: (f64, f64) = (2.0, 30.0);
-/// Who is missed, and seeds that are not present, are tried every so many periods, in a larger cluster the less
-/// often: so many members for each time.
-const SEEK: (f64, f64) = (10.0, 32.0);
-/// Alone, seeds are tried after one period, then after twice as long each time, up to so many periods.
-const JOIN_PERIODS_MOST: f64 = 32.0;
-/// Addresses tried at once by a process that is alone.
-const JOIN_AT_ONCE: usize = 3;
-/// Members that are told of a leave by the one that leaves; they tell the others.
-const LEAVE_TO: usize = 16;
-/// Datagrams taken in a period: in all, of one member, and of those that are none. As many may be saved up.
-const INTAKE: (f64, f64, f64) = (2000.0, 20.0, 100.0);
-/// Pages of the view given out in a period.
-const PAGES: f64 = 100.0;
-
-/// What a member is told when it starts, or anew by a reload.
+/// Periods before the first full-state sync. The interval doubles with each sync, as views are least complete
+/// while many members join at once.
+const MIN_SYNC_PERIODS: f64 = 2.0;
+/// Upper limit of the interval between full-state syncs, in periods.
+const MAX_SYNC_PERIODS: f64 = 30.0;
+/// Periods between attempts to reach members that are down and seeds that are not present.
+const RECONNECT_PERIODS: f64 = 10.0;
+/// Above this many members the interval between such attempts grows in proportion to the cluster.
+const RECONNECT_SCALE_MEMBERS: f64 = 32.0;
+/// Upper limit of the interval between join attempts, which starts at one period and doubles each time.
+const MAX_JOIN_PERIODS: f64 = 32.0;
+/// Addresses contacted in each join attempt.
+const JOIN_FANOUT: usize = 3;
+/// Members to which a leaving process announces its departure.
+const LEAVE_FANOUT: usize = 16;
+/// Rate limit and burst of all received datagrams, per period.
+const INTAKE_PER_PERIOD: f64 = 2000.0;
+/// Rate limit and burst of datagrams from one member, per period.
+const MEMBER_INTAKE_PER_PERIOD: f64 = 20.0;
+/// Rate limit and burst of datagrams from all unknown senders, per period.
+const UNKNOWN_INTAKE_PER_PERIOD: f64 = 100.0;
+/// Rate limit and burst of full-state pages sent, per period.
+const PAGES_PER_PERIOD: f64 = 100.0;
+
+/// Settings of a member, given at startup and replaced by a reload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The cluster's name: datagrams of others are dropped.
+    /// The cluster's name; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// This member's name, the same after a restart.
+    /// This member's name, stable across restarts.
     pub name: String,
-    /// Where the others reach it.
+    /// Address at which other members reach this one.
     pub advertise: SocketAddrV4,
-    /// When it started, as Unix time in ms: of two processes of one name the later start holds.
+    /// Start time as Unix time in ms; of two processes with one name, the later start wins.
     pub start: u64,
-    /// Where others may be found at first.
+    /// Addresses contacted in order to join.
     pub seeds: Vec<SocketAddrV4>,
-    /// Each member probes another one once in this time, in ms.
+    /// Protocol period, in ms: each member sends one probe in it.
     pub period_ms: f64,
-    /// A probe unanswered for so long goes by way of others, in ms.
+    /// Time without an ack after which a probe becomes indirect, in ms.
     pub timeout_ms: f64,
-    /// How many members there should be, this one included.
+    /// Expected cluster size, this member included.
     pub expected: Option<u32>,
 }
 
-/// What a member is, as another one sees it.
+/// State of a member as seen by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// Present.
     Alive,
-    /// Present, but somebody got no answer.
+    /// Present, but at least one member's probe failed.
     Suspect,
-    /// Gone without a word.
+    /// Declared failed.
     Down,
-    /// Gone of its own accord.
+    /// Left the cluster in order.
     Left,
 }
 
 impl State {
-    /// True while it counts as a member.
+    /// True while the member counts towards the cluster size.
     pub fn present(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// Which process a member is.
+/// Identifies one process of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Its name.
+    /// The member's name.
     pub name: Name,
-    /// Where it is reached.
+    /// The member's address.
     pub addr: SocketAddrV4,
-    /// When it started.
+    /// Start time, as Unix time in ms.
     pub start: u64,
 }
 
-/// What is told of a member.
+/// A membership update, as carried by gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Which process.
-    pub who: Identity,
-    /// Raised by itself alone, to refute what is told of it.
+    /// The process that it describes.
+    pub identity: Identity,
+    /// Incarnation number, which only the member itself increments.
     pub incarnation: u32,
-    /// What it is.
+    /// The member's state.
     pub state: State,
-    /// It serves, but is drained.
+    /// True while the member is drained.
     pub draining: bool,
-    /// Who suspects it, as a digest of the name; 0 unless it is suspected.
+    /// Digest of the name of the member that suspects it; 0 unless it is suspected.
     pub accuser: u32,
 }
 
-/// What happens to a member.
+/// Input to the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A datagram came in.
+    /// A datagram was received.
     Datagram(Vec<u8>),
-    /// The moment that [`Membership::due`] named has come.
+    /// The time returned by [`Membership::due`] has been reached.
     Due,
-    /// The process is drained, or takes clients again.
+    /// The process starts (true) or stops (false) draining.
     Drain(bool),
-    /// Other settings hold. Name, address, start and cluster stay: a change of these is a new member.
+    /// New settings. Cluster, name, address and start time keep their values, as they identify the member.
     Settings(Settings),
-    /// The process ends.
+    /// The process leaves the cluster.
     Leave,
 }
 
-/// What a member does.
+/// Output of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination.
         to: SocketAddrV4,
-        /// What.
+        /// Payload.
         bytes: Vec<u8>,
     },
-    /// A member is no longer what it was.
+    /// A member's process, state or drain flag changed.
     Changed {
-        /// Which one.
+        /// The member's process.
         who: Identity,
-        /// What it was, if it was known.
+        /// The previous state, if the member was known.
         was: Option<State>,
-        /// What it is.
+        /// The member's state.
         state: State,
-        /// Whether it is drained.
+        /// Whether the member is drained.
         draining: bool,
     },
-    /// So many members are present, this one included; and whether that is a majority, if it is known how many
-    /// there should be.
+    /// The cluster size, or whether it is a majority, changed.
     Present {
-        /// How many.
+        /// Members present, this one included.
         count: u32,
-        /// Whether they are a majority.
+        /// Whether these are a majority of the expected size, if one is set.
         majority: Option<bool>,
     },
-    /// This process is no member any more: what it knew of the others counts no longer.
+    /// This process is no longer a member, and its view is no longer valid.
     Out,
-    /// A line for whoever is on call.
+    /// A message to log as a warning.
     Warn(String),
 }
 
-/// Whether this process is a member.
+/// This process's own membership.
 #[derive(Clone, Debug, PartialEq)]
-enum Standing {
+enum LocalStatus {
     Member,
-    /// A process that started later bears its name elsewhere, or did until lately. It has to show itself by then.
+    /// Another process with this name and a later start was reported. Unless it sends a datagram before the
+    /// given time, this process takes the name over.
     Contested(Identity, Millis),
-    /// It is, and this one is out for good.
+    /// That process exists; this one stays out of the cluster.
     Displaced(Identity),
     Left,
 }
 
-/// How this process heard of a member.
+/// How this process received a record.
 #[derive(Clone, Copy)]
-enum Source {
-    /// By its own word, or as news.
-    Word,
-    /// As a part of somebody's whole view, asked for by a process that joined or by one that was a member.
+enum UpdateSource {
+    /// From the member itself or by gossip.
+    Gossip,
+    /// In a full-state sync with the member `accuser`; `joins` if this process had no members when it asked.
     Page { accuser: u32, joins: bool },
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
-    /// Times that a member became suspected in this one's view.
+    /// Transitions of members to `Suspect` in this member's view.
     pub suspicions: u64,
-    /// Of these, those that were refuted.
+    /// Suspicions that were refuted.
     pub cleared: u64,
-    /// Times that this member refuted what was told of it.
+    /// Updates about this member that it refuted.
     pub refutations: u64,
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of these.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams that came in.
+    /// Datagrams received.
     pub received: u64,
-    /// Bytes of these.
+    /// Bytes received.
     pub received_bytes: u64,
-    /// Datagrams dropped, by reason as in [`DROPPED`].
+    /// Datagrams dropped, indexed by reason in the order of [`DROPPED`].
     pub dropped: [u64; DROPPED.len()],
 }
 
-/// A member as it is shown to operators.
+/// A member as shown to operators.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
-pub struct Shown {
-    /// Its name.
+pub struct MemberView {
+    /// The member's name.
     pub name: Name,
-    /// Where it is reached.
+    /// The member's address.
     pub addr: SocketAddrV4,
-    /// When it started, as Unix time in ms.
+    /// Start time, as Unix time in ms.
     pub start: u64,
-    /// Its incarnation.
+    /// Incarnation number.
     pub incarnation: u32,
-    /// What it is.
+    /// The member's state.
     pub state: State,
-    /// Whether it is drained.
+    /// Whether the member is drained.
     pub draining: bool,
-    /// For how long it has been so, in ms.
+    /// Time since the state last changed, in ms.
     pub for_ms: u64,
 }
 
-/// The view at one moment.
+/// Snapshot of this member's view of the cluster.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct View {
     /// The cluster's name.
     pub cluster: String,
     /// This member's name.
     pub name: Name,
-    /// Where it is reached.
+    /// The member's address.
     pub addr: SocketAddrV4,
-    /// Its start.
+    /// Start time, as Unix time in ms.
     pub start: u64,
-    /// Its incarnation.
+    /// Incarnation number.
     pub incarnation: u32,
     /// `member`, `contested`, `displaced` or `left`.
     pub standing: &'static str,
-    /// Who bears the same name elsewhere, where that is so.
+    /// Address of another process with the same name, if there is one.
     pub rival: Option<SocketAddrV4>,
-    /// Whether it is drained.
+    /// Whether the member is drained.
     pub draining: bool,
     /// Members present, this one included.
     pub present: u32,
-    /// How many there should be.
+    /// Expected cluster size.
     pub expected: Option<u32>,
-    /// Whether those present are a majority of them.
+    /// Whether those present are a majority of the expected size.
     pub majority: Option<bool>,
-    /// 0 while this process keeps time; more where it is slow itself.
+    /// Local health score: 0 is healthy, a higher score means that this process itself is slow.
     pub health: u32,
-    /// Names of those that went without a word and are not back.
+    /// Names of members that failed and have not returned.
     pub missing: Vec<Name>,
-    /// All others that are known.
-    pub members: Vec<Shown>,
+    /// All other members known.
+    pub members: Vec<MemberView>,
 }
 
-/// One member of a cluster.
+/// The protocol state of one member.
 pub struct Membership {
     settings: Settings,
     cluster: u64,
     rng: fastrand::Rng,
-    me: Identity,
+    local: Identity,
     incarnation: u32,
     draining: bool,
-    /// The last incarnation of this process that others held to be down.
-    downed: Option<u32>,
-    standing: Standing,
+    /// The highest incarnation of this process that others declared down.
+    last_down_incarnation: Option<u32>,
+    status: LocalStatus,
     members: BTreeMap<Name, Member>,
-    /// Those that are suspected.
     suspects: BTreeSet<Name>,
-    /// Those present, in the order in which they are probed, and whose turn is next.
-    order: Vec<Name>,
-    turn: usize,
-    /// Those that went down and are forgotten but for where and when.
-    lost: BTreeMap<Name, (SocketAddrV4, Millis)>,
+    /// Members present, in the order in which they are probed.
+    probe_order: Vec<Name>,
+    /// Index in `probe_order` of the next member to probe.
+    next_probe: usize,
+    /// Addresses of members pruned after they went down, and when they did.
+    pruned_down: BTreeMap<Name, (SocketAddrV4, Millis)>,
     probe: Option<Probe>,
     probe_at: Millis,
     relays: VecDeque<Relay>,
-    news: News,
+    updates: UpdateQueue,
     gossip_at: Millis,
     sync: Option<Sync>,
     sync_at: Millis,
-    /// Periods from one exchange to the next.
-    sync_wait: f64,
-    /// Whom to ask next for its view.
-    ask_back: Option<SocketAddrV4>,
-    seek_at: Millis,
-    /// Tries in a row to find anybody.
-    tries: u32,
-    sweep_at: Millis,
+    /// Periods from one full-state sync to the next.
+    sync_interval_periods: f64,
+    /// Member to pull from in the next sync.
+    next_sync_with: Option<SocketAddrV4>,
+    reconnect_at: Millis,
+    /// Consecutive join attempts.
+    join_attempts: u32,
+    prune_at: Millis,
     health: u32,
     seq: u32,
-    intake: Bucket,
-    strangers: Bucket,
-    pages: Bucket,
+    intake: TokenBucket,
+    unknown_intake: TokenBucket,
+    page_limit: TokenBucket,
     counts: Counts,
-    told: Option<(u32, Option<bool>)>,
+    reported: Option<(u32, Option<bool>)>,
 }
 
 impl Membership {
-    /// A member that starts now and knows its seeds alone.
+    /// Creates a member that starts now and knows only its seeds.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let me = Identity {
+        let local = Identity {
             name: settings.name.as_str().into(),
             addr: settings.advertise,
-            start: settings.start.min(START_MOST),
+            start: settings.start.min(MAX_START_UNIX_MS),
         };
         let period = settings.period_ms;
         Membership {
             cluster: wire::digest(&settings.cluster),
-            me,
+            local,
             incarnation: 0,
             draining: false,
-            downed: None,
-            standing: Standing::Member,
+            last_down_incarnation: None,
+            status: LocalStatus::Member,
             members: BTreeMap::new(),
             suspects: BTreeSet::new(),
-            order: Vec::new(),
-            turn: 0,
-            lost: BTreeMap::new(),
+            probe_order: Vec::new(),
+            next_probe: 0,
+            pruned_down: BTreeMap::new(),
             probe: None,
-            // Processes that start together do not call together.
+            // Spreads out processes that start together.
             probe_at: now + rng.f64() * period,
             relays: VecDeque::new(),
-            news: News::default(),
+            updates: UpdateQueue::default(),
             gossip_at: now,
             sync: None,
-            sync_at: now + (0.5 + rng.f64()) * SYNC_PERIODS.0 * period,
-            sync_wait: SYNC_PERIODS.0,
-            ask_back: None,
-            seek_at: now + rng.f64() * period,
-            tries: 0,
-            sweep_at: now + KEPT_PERIODS / 6.0 * period,
+            sync_at: now + (0.5 + rng.f64()) * MIN_SYNC_PERIODS * period,
+            sync_interval_periods: MIN_SYNC_PERIODS,
+            next_sync_with: None,
+            reconnect_at: now + rng.f64() * period,
+            join_attempts: 0,
+            prune_at: now + TOMBSTONE_PERIODS / 6.0 * period,
             health: 0,
             seq: rng.u32(..),
-            intake: Bucket::new(INTAKE.0, now),
-            strangers: Bucket::new(INTAKE.2, now),
-            pages: Bucket::new(PAGES, now),
+            intake: TokenBucket::new(INTAKE_PER_PERIOD, now),
+            unknown_intake: TokenBucket::new(UNKNOWN_INTAKE_PER_PERIOD, now),
+            page_limit: TokenBucket::new(PAGES_PER_PERIOD, now),
             counts: Counts::default(),
-            told: None,
+            reported: None,
             settings,
             rng,
         }
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Datagram(bytes) => {
                 self.counts.received += 1;
                 self.counts.received_bytes += bytes.len() as u64;
-                if let Err(why) = self.datagram(now, &bytes, actions) {
-                    self.counts.dropped[why as usize] += 1;
+                if let Err(reason) = self.on_datagram(now, &bytes, actions) {
+                    self.counts.dropped[reason as usize] += 1;
                 }
             }
-            Event::Due => self.due_now(now, actions),
+            Event::Due => self.on_due(now, actions),
             Event::Drain(draining) => {
                 if std::mem::replace(&mut self.draining, draining) != draining {
-                    // Told as news of this member: that takes an incarnation of its own.
-                    self.rise(self.incarnation + 1);
+                    // Others accept the changed flag only with a higher incarnation.
+                    self.set_incarnation(self.incarnation + 1);
                 }
             }
             Event::Settings(settings) => {
@@ -393,20 +404,20 @@
                     std::mem::take(&mut self.settings.cluster),
                 );
                 self.settings = Settings { name, advertise, start, cluster, ..settings };
-                // What was set by the former period comes by the new one at the latest.
+                // Timers set with the former period must not outlast the new one.
                 let period = self.settings.period_ms;
                 self.probe_at = self.probe_at.min(now + period);
-                self.seek_at = self.seek_at.min(now + self.rng.f64() * period);
-                self.sync_at = self.sync_at.min(now + SYNC_PERIODS.1 * period);
-                self.sweep_at = self.sweep_at.min(now + KEPT_PERIODS / 6.0 * period);
+                self.reconnect_at = self.reconnect_at.min(now + self.rng.f64() * period);
+                self.sync_at = self.sync_at.min(now + MAX_SYNC_PERIODS * period);
+                self.prune_at = self.prune_at.min(now + TOMBSTONE_PERIODS / 6.0 * period);
             }
             Event::Leave => self.leave(actions),
         }
-        // What comes up later is told at once, and is not late.
+        // Updates queued later are sent at once, and that timer does not count as late.
         self.gossip_at = self.gossip_at.max(now);
-        let present = (matches!(self.standing, Standing::Member)).then(|| (self.present(), self.majority()));
-        if self.told != present {
-            self.told = present;
+        let present = (matches!(self.status, LocalStatus::Member)).then(|| (self.present(), self.majority()));
+        if self.reported != present {
+            self.reported = present;
             actions.push(match present {
                 Some((count, majority)) => Action::Present { count, majority },
                 None => Action::Out,
@@ -414,28 +425,29 @@
         }
     }
 
-    /// When [`Event::Due`] is to be given next.
+    /// Time at which the next [`Event::Due`] must be given.
     pub fn due(&self) -> Millis {
-        let mut due = match self.standing {
-            Standing::Member => self.probe_at.min(self.seek_at).min(self.sync_at).min(self.sweep_at),
-            Standing::Contested(..) => return self.probe_at,
-            Standing::Displaced(_) | Standing::Left => return Millis::INFINITY,
+        let mut due = match self.status {
+            LocalStatus::Member => self.probe_at.min(self.reconnect_at).min(self.sync_at).min(self.prune_at),
+            LocalStatus::Contested(..) => return self.probe_at,
+            LocalStatus::Displaced(_) | LocalStatus::Left => return Millis::INFINITY,
         };
         if let Some(probe) = &self.probe {
             due = due.min(probe.due());
         }
-        if self.news.len() > 0 && !self.order.is_empty() {
+        if self.updates.len() > 0 && !self.probe_order.is_empty() {
             due = due.min(self.gossip_at);
         }
         let relays = self.relays.iter().map(Relay::due);
-        let suspects = self.suspects.iter().filter_map(|name| self.members.get(name)).map(Member::expires);
-        let sync = self.sync.iter().map(|sync| sync.ends);
+        let suspects =
+            self.suspects.iter().filter_map(|name| self.members.get(name)).map(Member::suspicion_deadline);
+        let sync = self.sync.iter().map(|sync| sync.deadline);
         relays.chain(suspects).chain(sync).fold(due, f64::min)
     }
 
-    /// How many members are present, this one included.
+    /// Number of members present, this one included.
     pub fn present(&self) -> u32 {
-        self.order.len() as u32 + 1
+        self.probe_order.len() as u32 + 1
     }
 
     /// Whether those present are a majority of those expected.
@@ -443,26 +455,26 @@
         self.settings.expected.map(|expected| u64::from(self.present()) * 2 > u64::from(expected))
     }
 
-    /// What was counted.
+    /// Counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// The view as it stands.
+    /// Snapshot of the current view.
     pub fn view(&self, now: Millis) -> View {
-        let (standing, rival) = match &self.standing {
-            Standing::Member => ("member", None),
-            Standing::Contested(rival, _) => ("contested", Some(rival.addr)),
-            Standing::Displaced(rival) => ("displaced", Some(rival.addr)),
-            Standing::Left => ("left", None),
+        let (standing, rival) = match &self.status {
+            LocalStatus::Member => ("member", None),
+            LocalStatus::Contested(rival, _) => ("contested", Some(rival.addr)),
+            LocalStatus::Displaced(rival) => ("displaced", Some(rival.addr)),
+            LocalStatus::Left => ("left", None),
         };
         let down = self.members.iter().filter(|(_, m)| m.record.state == State::Down).map(|(name, _)| name);
-        let missing: BTreeSet<_> = down.chain(self.lost.keys()).cloned().collect();
+        let missing: BTreeSet<_> = down.chain(self.pruned_down.keys()).cloned().collect();
         View {
             cluster: self.settings.cluster.clone(),
-            name: self.me.name.clone(),
-            addr: self.me.addr,
-            start: self.me.start,
+            name: self.local.name.clone(),
+            addr: self.local.addr,
+            start: self.local.start,
             incarnation: self.incarnation,
             standing,
             rival,
@@ -472,24 +484,24 @@
             majority: self.majority(),
             health: self.health,
             missing: missing.into_iter().collect(),
-            members: self.members.values().map(|member| member.shown(now)).collect(),
+            members: self.members.values().map(|member| member.snapshot(now)).collect(),
         }
     }
 
-    /// What this member tells of itself.
-    fn record(&self) -> Record {
-        let state = if self.standing == Standing::Left { State::Left } else { State::Alive };
-        let (who, incarnation, draining) = (self.me.clone(), self.incarnation, self.draining);
-        Record { who, incarnation, state, draining, accuser: 0 }
+    /// This member's record of itself.
+    fn local_record(&self) -> Record {
+        let state = if self.status == LocalStatus::Left { State::Left } else { State::Alive };
+        let (identity, incarnation, draining) = (self.local.clone(), self.incarnation, self.draining);
+        Record { identity, incarnation, state, draining, accuser: 0 }
     }
 
-    /// Periods and time-outs are the longer the less this process keeps time itself.
-    fn slowness(&self) -> f64 {
+    /// Multiplier of this process's own periods and timeouts, by its local health.
+    fn health_factor(&self) -> f64 {
         f64::from(self.health + 1)
     }
 
-    /// Decimal logarithm of the members, at least 1: news reaches all in some multiple of it.
-    fn scale(&self) -> f64 {
+    /// Decimal logarithm of the member count, at least 1; dissemination time is proportional to it.
+    fn log_scale(&self) -> f64 {
         f64::from(self.present()).log10().max(1.0)
     }
 
@@ -498,107 +510,110 @@
         self.seq
     }
 
-    fn sends(&mut self, to: SocketAddrV4, bytes: Vec<u8>, actions: &mut Vec<Action>) {
+    fn send_bytes(&mut self, to: SocketAddrV4, bytes: Vec<u8>, actions: &mut Vec<Action>) {
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
         actions.push(Action::Send { to, bytes });
     }
 
-    /// Sends a datagram, what is told of `about` first, then as much news as there is room for.
-    fn tells(
+    /// Sends a datagram with the record of `about`, if given, then as many queued updates as fit.
+    fn send(
         &mut self, to: SocketAddrV4, seq: u32, body: Body, about: Option<&Name>, actions: &mut Vec<Action>,
     ) {
-        let datagram = Datagram { cluster: self.cluster, seq, sender: self.record(), body, news: Vec::new() };
-        let mut bytes = datagram.head();
-        // Where members are still joining there are more than are known.
-        let all = self.present().max(self.settings.expected.unwrap_or(0).min(MEMBERS_MOST as u32));
-        let times = (TELL_TIMES * f64::from(all).log10().max(1.0)).ceil() as u32;
-        let (members, mut one) = (&self.members, Vec::with_capacity(128));
+        let datagram =
+            Datagram { cluster: self.cluster, seq, sender: self.local_record(), body, updates: Vec::new() };
+        let mut bytes = datagram.encode_header();
+        // While members are joining, the cluster is larger than the view.
+        let cluster_size = self.present().max(self.settings.expected.unwrap_or(0).min(MEMBERS_MOST as u32));
+        let transmissions = (RETRANSMIT_FACTOR * f64::from(cluster_size).log10().max(1.0)).ceil() as u32;
+        let (members, mut encoded) = (&self.members, Vec::with_capacity(128));
         if let Some(member) = about.and_then(|name| members.get(name)) {
-            wire::put(&mut bytes, &member.record);
+            wire::encode_record(&mut bytes, &member.record);
         }
-        self.news.tell(times, |name| {
-            // What is told of this member stands in the head.
+        self.updates.transmit(transmissions, |name| {
+            // This member's own record is in the header, and that of `about` has been added.
             let Some(member) = members.get(name).filter(|_| Some(name) != about) else { return true };
-            one.clear();
-            wire::put(&mut one, &member.record);
-            let fits = bytes.len() + one.len() <= DATAGRAM_MOST;
+            encoded.clear();
+            wire::encode_record(&mut encoded, &member.record);
+            let fits = bytes.len() + encoded.len() <= DATAGRAM_MOST;
             if fits {
-                bytes.extend_from_slice(&one);
+                bytes.extend_from_slice(&encoded);
             }
             fits
         });
-        self.sends(to, bytes, actions);
+        self.send_bytes(to, bytes, actions);
     }
 
-    /// So many of those present, by chance, but for this one.
-    fn some(&mut self, count: usize, but: Option<&Name>) -> Vec<Name> {
-        let mut some: Vec<Name> = Vec::with_capacity(count);
-        // Few tries suffice where there are many; where there are few all are gone through.
-        if self.order.len() <= count + 1 {
-            some.extend(self.order.iter().filter(|name| Some(*name) != but).take(count).cloned());
+    /// Up to `count` random members present, except `excluded`.
+    fn random_members(&mut self, count: usize, excluded: Option<&Name>) -> Vec<Name> {
+        let mut chosen: Vec<Name> = Vec::with_capacity(count);
+        // A small cluster is scanned; in a larger one a few random draws suffice.
+        if self.probe_order.len() <= count + 1 {
+            chosen
+                .extend(self.probe_order.iter().filter(|name| Some(*name) != excluded).take(count).cloned());
         } else {
             for _ in 0..4 * count {
-                let name = &self.order[self.rng.usize(..self.order.len())];
-                if Some(name) != but && !some.contains(name) {
-                    some.push(name.clone());
-                    if some.len() == count {
+                let name = &self.probe_order[self.rng.usize(..self.probe_order.len())];
+                if Some(name) != excluded && !chosen.contains(name) {
+                    chosen.push(name.clone());
+                    if chosen.len() == count {
                         break;
                     }
                 }
             }
         }
-        some
+        chosen
     }
 
-    fn due_now(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    fn on_due(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let late = now - self.due();
         if late < 0.0 {
             return;
         }
-        match self.standing {
-            Standing::Member => {}
-            Standing::Contested(..) => return self.contest(now, actions),
-            Standing::Displaced(_) | Standing::Left => return,
+        match self.status {
+            LocalStatus::Member => {}
+            LocalStatus::Contested(..) => return self.contest_name(now, actions),
+            LocalStatus::Displaced(_) | LocalStatus::Left => return,
         }
         if late > self.settings.timeout_ms.max(self.settings.period_ms / 2.0) {
-            self.stalled(now, late, actions);
+            self.on_stall(now, late, actions);
         }
         self.relay_due(now, actions);
         self.probe_due(now, actions);
-        self.suspicions_due(now, actions);
-        self.exchange_due(now, actions);
-        if self.news.len() > 0 && now >= self.gossip_at {
-            self.gossip_at = now + self.settings.period_ms / GOSSIP.1;
-            for name in self.some(GOSSIP.0, None) {
-                let Some(to) = self.members.get(&name).map(|m| m.record.who.addr) else { continue };
-                self.tells(
+        self.expire_suspicions(now, actions);
+        self.sync_due(now, actions);
+        if self.updates.len() > 0 && now >= self.gossip_at {
+            self.gossip_at = now + self.settings.period_ms / GOSSIP_PER_PERIOD;
+            for name in self.random_members(GOSSIP_FANOUT, None) {
+                let Some(to) = self.members.get(&name).map(|m| m.record.identity.addr) else { continue };
+                self.send(
                     to,
-                    0,
-                    Body::News,
+                    NO_SEQ,
+                    Body::Gossip,
                     Some(&name).filter(|name| self.suspects.contains(*name)),
                     actions,
                 );
             }
         }
-        if now >= self.sweep_at {
-            self.sweep_at = now + KEPT_PERIODS / 6.0 * self.settings.period_ms;
-            self.forget(now);
+        if now >= self.prune_at {
+            self.prune_at = now + TOMBSTONE_PERIODS / 6.0 * self.settings.period_ms;
+            self.prune(now);
         }
     }
 
-    /// This process itself stood still: it judges nobody by what it missed meanwhile.
-    fn stalled(&mut self, now: Millis, late: Millis, actions: &mut Vec<Action>) {
-        self.worse();
-        if late > SUSPECT_PERIODS * self.settings.period_ms {
+    /// Handles a pause of this process: extends suspicion timeouts and discards probes, since answers may
+    /// have been missed.
+    fn on_stall(&mut self, now: Millis, late: Millis, actions: &mut Vec<Action>) {
+        self.degrade_health();
+        if late > MIN_SUSPICION_PERIODS * self.settings.period_ms {
             let seconds = late / 1000.0;
             actions.push(Action::Warn(format!(
-                "this process stood still for {seconds:.1} s: the others may have held it to be down meanwhile"
+                "this process was paused for {seconds:.1} s: other members may have declared it down"
             )));
         }
         for name in &self.suspects {
             if let Some(member) = self.members.get_mut(name) {
-                member.spare(late);
+                member.extend_suspicion(late);
             }
         }
         (self.probe, self.sync) = (None, None);
@@ -606,81 +621,84 @@
         self.sync_at = now;
     }
 
-    /// Sends what it has to the others and is heard no more.
+    /// Announces the departure to some members and stops taking part.
     fn leave(&mut self, actions: &mut Vec<Action>) {
-        if self.standing == Standing::Member {
-            self.standing = Standing::Left;
-            for name in self.some(LEAVE_TO, None) {
-                let Some(to) = self.members.get(&name).map(|m| m.record.who.addr) else { continue };
-                self.tells(to, NO_SEQ, Body::News, None, actions);
+        if self.status == LocalStatus::Member {
+            self.status = LocalStatus::Left;
+            for name in self.random_members(LEAVE_FANOUT, None) {
+                let Some(to) = self.members.get(&name).map(|m| m.record.identity.addr) else { continue };
+                self.send(to, NO_SEQ, Body::Gossip, None, actions);
             }
         }
-        self.standing = Standing::Left;
+        self.status = LocalStatus::Left;
     }
 
-    /// Takes in a datagram, in bounded work.
-    fn datagram(&mut self, now: Millis, bytes: &[u8], actions: &mut Vec<Action>) -> Result<(), Dropped> {
+    /// Handles a datagram, with a bounded amount of work.
+    fn on_datagram(
+        &mut self, now: Millis, bytes: &[u8], actions: &mut Vec<Action>,
+    ) -> Result<(), DropReason> {
         let period = self.settings.period_ms;
-        if !self.intake.take(now, INTAKE.0, period) {
-            return Err(Dropped::Flood);
+        if !self.intake.take(now, INTAKE_PER_PERIOD, period) {
+            return Err(DropReason::Flood);
         }
-        let Datagram { seq, sender, body, news, .. } = Datagram::read(bytes, self.cluster)?;
-        if matches!(self.standing, Standing::Displaced(_) | Standing::Left) {
-            return Err(Dropped::Unsolicited);
+        let Datagram { seq, sender, body, updates, .. } = Datagram::decode(bytes, self.cluster)?;
+        if matches!(self.status, LocalStatus::Displaced(_) | LocalStatus::Left) {
+            return Err(DropReason::Unsolicited);
         }
-        if sender.who == self.me {
-            return Err(Dropped::Echo);
+        if sender.identity == self.local {
+            return Err(DropReason::Echo);
         }
-        let known = match self.members.get_mut(&sender.who.name) {
-            Some(member) => member.intake.take(now, INTAKE.1, period),
-            None => self.strangers.take(now, INTAKE.2, period),
+        let within_limit = match self.members.get_mut(&sender.identity.name) {
+            Some(member) => member.intake.take(now, MEMBER_INTAKE_PER_PERIOD, period),
+            None => self.unknown_intake.take(now, UNKNOWN_INTAKE_PER_PERIOD, period),
         };
-        if !known {
-            return Err(Dropped::Flood);
+        if !within_limit {
+            return Err(DropReason::Flood);
         }
-        if sender.who.name == self.me.name {
-            self.namesake(now, &sender, actions);
-            return Err(Dropped::Namesake);
+        if sender.identity.name == self.local.name {
+            self.on_conflicting_sender(now, &sender, actions);
+            return Err(DropReason::Namesake);
         }
-        let page = matches!(body, Body::Page { .. });
-        if page && self.sync.as_ref().is_none_or(|sync| sync.seq != seq) {
-            return Err(Dropped::Unsolicited);
+        let is_page = matches!(body, Body::Page { .. });
+        if is_page && self.sync.as_ref().is_none_or(|sync| sync.seq != seq) {
+            return Err(DropReason::Unsolicited);
         }
-        let was = self.members.get(&sender.who.name).is_some_and(|m| m.record.state.present());
-        let mut taken = self.learn(now, sender.clone(), Source::Word, actions);
+        let was_present = self.members.get(&sender.identity.name).is_some_and(|m| m.record.state.present());
+        let mut result = self.apply_update(now, sender.clone(), UpdateSource::Gossip, actions);
         let source = match &self.sync {
-            Some(sync) if page => {
-                Source::Page { accuser: wire::accuser(&sender.who.name), joins: sync.joins }
+            Some(sync) if is_page => {
+                UpdateSource::Page { accuser: wire::accuser_digest(&sender.identity.name), joins: sync.joins }
             }
-            _ => Source::Word,
+            _ => UpdateSource::Gossip,
         };
-        for record in news {
-            taken = taken.and(self.learn(now, record, source, actions));
+        for record in updates {
+            result = result.and(self.apply_update(now, record, source, actions));
         }
-        let (from, to) = (&sender.who.name, sender.who.addr);
-        if self.standing != Standing::Member && !page {
-            return taken;
+        let (sender_name, sender_addr) = (&sender.identity.name, sender.identity.addr);
+        if self.status != LocalStatus::Member && !is_page {
+            return result;
         }
-        // It is told what else is said of it, so that it can refute that or know of another of its name.
-        let about = self.members.get(from).filter(|m| m.record != sender).map(|_| from);
+        // If the known record differs from the sender's own, the sender gets it: it may refute it, or detect
+        // a conflict over its name.
+        let about = self.members.get(sender_name).filter(|m| m.record != sender).map(|_| sender_name);
         match body {
-            Body::Ping => self.tells(to, seq, Body::Ack, about, actions),
-            Body::PingReq { target } => self.relay(now, seq, &sender.who, &target, actions),
+            Body::Ping => self.send(sender_addr, seq, Body::Ack, about, actions),
+            Body::PingReq { target } => self.relay_probe(now, seq, &sender.identity, &target, actions),
             Body::Pull { after, known } => {
-                if !self.pages.take(now, PAGES, period) {
-                    return Err(Dropped::Flood);
+                if !self.page_limit.take(now, PAGES_PER_PERIOD, period) {
+                    return Err(DropReason::Flood);
                 }
-                self.page(to, seq, &after, about, actions);
-                // Whoever was not known may come from another part of the cluster, with others in its view.
-                if !was && known > 0 {
-                    self.ask_back(now, to);
+                self.send_page(sender_addr, seq, &after, about, actions);
+                // A sender that was not present may know members of another partition.
+                if !was_present && known > 0 {
+                    self.schedule_sync(now, sender_addr);
                 }
             }
-            Body::Ack => return self.acked(now, seq, &sender.who, actions),
-            Body::Nack => return self.nacked(seq, from),
-            Body::Page { last, more } => self.paged(now, to, last, more, actions),
-            Body::News => {}
+            Body::Ack => return self.on_ack(now, seq, &sender.identity, actions),
+            Body::Nack => return self.on_nack(seq, sender_name),
+            Body::Page { last, more } => self.on_page(now, sender_addr, last, more, actions),
+            Body::Gossip => {}
         }
-        taken
+        result
     }
 }
--- a/src/membership/news.rs
+++ b/src/membership/news.rs
@@ -1,66 +1,66 @@
-//! News that is still to be passed on: for each member the latest alone, the least told first.
+//! Queue of updates to gossip: at most one for each member, least transmitted first.
 
 use super::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members at most of which news is held. What does not fit is learned by the exchange of whole views.
-const NEWS_MOST: usize = 512;
+/// Maximum queued updates. Others spread by full-state syncs.
+const MAX_QUEUED_UPDATES: usize = 512;
 
-/// The queue of news. It holds names; what is told of them is read when it is sent.
+/// The queue. It holds names only; the sender looks up the current records.
 #[derive(Default)]
-pub struct News {
-    /// By how often it was told, then by age.
+pub struct UpdateQueue {
+    /// Number of transmissions, insertion number, name.
     queue: BTreeSet<(u32, u64, Name)>,
-    places: BTreeMap<Name, (u32, u64)>,
-    next: u64,
+    positions: BTreeMap<Name, (u32, u64)>,
+    last_insertion: u64,
 }
 
-impl News {
-    /// Something new of this member.
+impl UpdateQueue {
+    /// Queues an update of this member, which replaces an earlier one.
     pub fn push(&mut self, name: &Name) {
         self.remove(name);
-        if self.places.len() >= NEWS_MOST {
-            if let Some((.., told)) = self.queue.pop_last() {
-                self.places.remove(&told);
+        if self.positions.len() >= MAX_QUEUED_UPDATES {
+            if let Some((.., evicted)) = self.queue.pop_last() {
+                self.positions.remove(&evicted);
             }
         }
-        self.put(name.clone(), 0);
+        self.insert(name.clone(), 0);
     }
 
-    /// Nothing more is told of it.
+    /// Removes the update of this member.
     pub fn remove(&mut self, name: &Name) {
-        if let Some((told, age)) = self.places.remove(name) {
-            self.queue.remove(&(told, age, name.clone()));
+        if let Some((transmissions, insertion)) = self.positions.remove(name) {
+            self.queue.remove(&(transmissions, insertion, name.clone()));
         }
     }
 
-    /// Offers names, the least told first, until one is declined; those taken are told once more, and are
-    /// done with after so many times.
-    pub fn tell(&mut self, times: u32, mut take: impl FnMut(&Name) -> bool) {
-        let mut taken = Vec::new();
+    /// Offers names, least transmitted first, until `accept` returns false. Accepted ones count as
+    /// transmitted once more, and leave the queue after `limit` transmissions.
+    pub fn transmit(&mut self, limit: u32, mut accept: impl FnMut(&Name) -> bool) {
+        let mut accepted = Vec::new();
         while let Some(first) = self.queue.pop_first() {
-            if !take(&first.2) {
+            if !accept(&first.2) {
                 self.queue.insert(first);
                 break;
             }
-            self.places.remove(&first.2);
-            taken.push(first);
+            self.positions.remove(&first.2);
+            accepted.push(first);
         }
-        for (told, _, name) in taken {
-            if told + 1 < times {
-                self.put(name, told + 1);
+        for (transmissions, _, name) in accepted {
+            if transmissions + 1 < limit {
+                self.insert(name, transmissions + 1);
             }
         }
     }
 
-    /// How many there are.
+    /// Number of queued updates.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    fn put(&mut self, name: Name, told: u32) {
-        self.next += 1;
-        self.queue.insert((told, self.next, name.clone()));
-        self.places.insert(name, (told, self.next));
+    fn insert(&mut self, name: Name, transmissions: u32) {
+        self.last_insertion += 1;
+        self.queue.insert((transmissions, self.last_insertion, name.clone()));
+        self.positions.insert(name, (transmissions, self.last_insertion));
     }
 }
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -1,28 +1,27 @@
-//! Probes: one member after the other is asked whether it is there, by way of others if it does not answer.
+//! Failure detection: direct probes in round-robin order, and indirect probes through other members.
 
-use super::wire::{Body, Dropped};
+use super::wire::{Body, DropReason};
 use super::*;
 
-/// Probes on behalf of others at once.
-const RELAYS_MOST: usize = 64;
-/// Whoever probes on behalf of another says so long before that one's time is up that there is no answer yet,
-/// as a share of it.
-const NACK: f64 = 0.8;
+/// Maximum probes under way on behalf of others.
+const MAX_RELAYS: usize = 64;
+/// Share of the probe timeout after which an indirect probe without an ack is answered by a nack.
+const NACK_TIMEOUT_SHARE: f64 = 0.8;
 
-/// The probe that is out.
+/// The probe under way.
 pub(super) struct Probe {
     target: Name,
     seq: u32,
-    /// When others are asked to probe; infinite once they were.
+    /// When the indirect probe starts; infinite once it has.
     indirect_at: Millis,
-    ends: Millis,
+    deadline: Millis,
     helpers: Vec<Name>,
     nacks: usize,
 }
 
 impl Probe {
     pub(super) fn due(&self) -> Millis {
-        self.indirect_at.min(self.ends)
+        self.indirect_at.min(self.deadline)
     }
 }
 
@@ -32,84 +31,83 @@
     target: Name,
     origin: SocketAddrV4,
     origin_seq: u32,
-    /// When that one is told that there is no answer yet; infinite once it was.
+    /// When the nack is sent; infinite once it was.
     nack_at: Millis,
-    ends: Millis,
+    deadline: Millis,
 }
 
 impl Relay {
     pub(super) fn due(&self) -> Millis {
-        self.nack_at.min(self.ends)
+        self.nack_at.min(self.deadline)
     }
 }
 
 impl Membership {
     pub(super) fn probe_due(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if let Some(probe) = self.probe.take_if(|probe| probe.ends <= now) {
-            // With helpers that are silent, too, this process is the likelier to be at fault.
+        if let Some(probe) = self.probe.take_if(|probe| probe.deadline <= now) {
+            // Without an answer from any helper either, this process itself may be at fault.
             if probe.helpers.is_empty() || probe.nacks == 0 {
-                self.worse();
+                self.degrade_health();
             }
             self.suspect(now, &probe.target, actions);
         }
-        self.indirect(now, actions);
+        self.start_indirect_probe(now, actions);
         if now < self.probe_at {
             return;
         }
-        let period = self.settings.period_ms * self.slowness();
+        let period = self.settings.period_ms * self.health_factor();
         self.probe_at = now + period * (1.0 + PERIOD_JITTER * (2.0 * self.rng.f64() - 1.0));
-        if self.order.is_empty() {
+        if self.probe_order.is_empty() {
             return;
         }
-        if self.turn >= self.order.len() {
-            // Each is probed once in a round, in an order of its own each time.
-            self.turn = 0;
-            self.rng.shuffle(&mut self.order);
+        if self.next_probe >= self.probe_order.len() {
+            // Each round probes every member once, in a new random order.
+            self.next_probe = 0;
+            self.rng.shuffle(&mut self.probe_order);
         }
-        let target = self.order[self.turn].clone();
-        self.turn += 1;
+        let target = self.probe_order[self.next_probe].clone();
+        self.next_probe += 1;
         let seq = self.next_seq();
-        let indirect_at = now + (self.settings.timeout_ms * self.slowness()).min(period * 0.5);
-        let (ends, helpers) = (self.probe_at, Vec::new());
+        let indirect_at = now + (self.settings.timeout_ms * self.health_factor()).min(period * 0.5);
+        let (deadline, helpers) = (self.probe_at, Vec::new());
         self.ping(&target, seq, actions);
-        self.probe = Some(Probe { target, seq, indirect_at, ends, helpers, nacks: 0 });
+        self.probe = Some(Probe { target, seq, indirect_at, deadline, helpers, nacks: 0 });
     }
 
-    /// Asks others to probe the target, and asks it once more: the first time may just have been lost.
-    fn indirect(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    /// Asks helpers to probe the target, and pings it once more in case the first ping was lost.
+    fn start_indirect_probe(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.indirect_at <= now) else { return };
         probe.indirect_at = Millis::INFINITY;
         let (target, seq) = (probe.target.clone(), probe.seq);
         self.ping(&target, seq, actions);
-        let helpers = self.some(HELPERS, Some(&target));
+        let helpers = self.random_members(INDIRECT_PROBES, Some(&target));
         for name in &helpers {
-            let Some(to) = self.members.get(name).map(|m| m.record.who.addr) else { continue };
-            self.tells(to, seq, Body::PingReq { target: target.clone() }, None, actions);
+            let Some(to) = self.members.get(name).map(|m| m.record.identity.addr) else { continue };
+            self.send(to, seq, Body::PingReq { target: target.clone() }, None, actions);
         }
         if let Some(probe) = &mut self.probe {
             probe.helpers = helpers;
         }
     }
 
-    /// A suspected member hears with the question that it is suspected.
+    /// Pings a member, with its own record if it is suspected, so that it can refute that.
     fn ping(&mut self, target: &Name, seq: u32, actions: &mut Vec<Action>) {
-        let Some(to) = self.members.get(target).map(|m| m.record.who.addr) else { return };
+        let Some(to) = self.members.get(target).map(|m| m.record.identity.addr) else { return };
         let about = Some(target).filter(|name| self.suspects.contains(*name));
-        self.tells(to, seq, Body::Ping, about, actions);
+        self.send(to, seq, Body::Ping, about, actions);
     }
 
-    /// Probes a member on behalf of another.
-    pub(super) fn relay(
+    /// Probes a member on behalf of another one.
+    pub(super) fn relay_probe(
         &mut self, now: Millis, origin_seq: u32, from: &Identity, target: &Name, actions: &mut Vec<Action>,
     ) {
-        // It may be this very one, or one that is not known here.
-        if *target == self.me.name {
-            return self.tells(from.addr, origin_seq, Body::Ack, None, actions);
+        if *target == self.local.name {
+            return self.send(from.addr, origin_seq, Body::Ack, None, actions);
         }
         if !self.members.contains_key(target) {
             return;
         }
-        if self.relays.len() >= RELAYS_MOST {
+        if self.relays.len() >= MAX_RELAYS {
             self.relays.pop_front();
         }
         let seq = self.next_seq();
@@ -119,55 +117,56 @@
             target: target.clone(),
             origin: from.addr,
             origin_seq,
-            nack_at: now + timeout * NACK,
-            ends: now + self.settings.period_ms,
+            nack_at: now + timeout * NACK_TIMEOUT_SHARE,
+            deadline: now + self.settings.period_ms,
         });
         self.ping(target, seq, actions);
     }
 
     pub(super) fn relay_due(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.relays.retain(|relay| relay.ends > now);
-        let mut late = Vec::new();
+        self.relays.retain(|relay| relay.deadline > now);
+        let mut unanswered = Vec::new();
         for relay in self.relays.iter_mut().filter(|relay| relay.nack_at <= now) {
             relay.nack_at = Millis::INFINITY;
-            late.push((relay.origin, relay.origin_seq));
+            unanswered.push((relay.origin, relay.origin_seq));
         }
-        for (to, seq) in late {
-            self.tells(to, seq, Body::Nack, None, actions);
+        for (to, seq) in unanswered {
+            self.send(to, seq, Body::Nack, None, actions);
         }
     }
 
-    /// A member is there: the one probed, by itself or by way of a helper, or one probed for another.
-    pub(super) fn acked(
+    /// Handles an ack: from the probed member or a helper, or from a member probed on behalf of another.
+    pub(super) fn on_ack(
         &mut self, now: Millis, seq: u32, from: &Identity, actions: &mut Vec<Action>,
-    ) -> Result<(), Dropped> {
-        let ours = |probe: &mut Probe| {
+    ) -> Result<(), DropReason> {
+        let matches = |probe: &mut Probe| {
             probe.seq == seq && (probe.target == from.name || probe.helpers.contains(&from.name))
         };
-        if self.probe.take_if(ours).is_some() {
+        if self.probe.take_if(matches).is_some() {
             self.health = self.health.saturating_sub(1);
             return Ok(());
         }
         if seq == NO_SEQ {
-            // A last word: what it says of itself was heard already.
+            // Answers a ping sent after a suspicion timed out; the sender's record has already been applied.
             return Ok(());
         }
         let relayed = self.relays.iter().position(|relay| relay.seq == seq && relay.target == from.name);
-        let Some(relay) = relayed.and_then(|place| self.relays.remove(place)).filter(|r| r.ends > now) else {
-            return Err(Dropped::Unsolicited);
+        let Some(relay) = relayed.and_then(|index| self.relays.remove(index)).filter(|r| r.deadline > now)
+        else {
+            return Err(DropReason::Unsolicited);
         };
-        self.tells(relay.origin, relay.origin_seq, Body::Ack, Some(&relay.target), actions);
+        self.send(relay.origin, relay.origin_seq, Body::Ack, Some(&relay.target), actions);
         Ok(())
     }
 
-    /// A helper is there, though the probed member has not answered it as yet.
-    pub(super) fn nacked(&mut self, seq: u32, from: &Name) -> Result<(), Dropped> {
+    /// Handles a nack: the helper is reachable, but has no ack from the probed member yet.
+    pub(super) fn on_nack(&mut self, seq: u32, from: &Name) -> Result<(), DropReason> {
         match self.probe.as_mut().filter(|probe| probe.seq == seq && probe.helpers.contains(from)) {
             Some(probe) => {
                 probe.nacks += 1;
                 Ok(())
             }
-            None => Err(Dropped::Unsolicited),
+            None => Err(DropReason::Unsolicited),
         }
     }
 }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,221 +1,223 @@
-//! The form of datagrams between members. What can't be read is named by its reason.
+//! Encoding and decoding of datagrams between members.
 
 use super::{Identity, Name, Record, State};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Longest datagram: below the least MTU in common use (1,280), headers and a tunnel's included.
+/// Maximum datagram length: fits the IPv6 minimum MTU of 1,280 bytes with headers and a tunnel's overhead.
 pub const DATAGRAM_MOST: usize = 1_200;
-/// Longest name of a member, in bytes.
+/// Maximum length of a member's name.
 pub const NAME_MOST: usize = 64;
-/// A start beyond this is absurd: it leaves room to go on from any that is taken, and lies in the year 10889.
-pub const START_MOST: u64 = 1 << 48;
-/// And so is an incarnation beyond this.
-pub const INCARNATION_MOST: u32 = 1 << 31;
+/// Maximum start time accepted (in the year 10889), so that a later one can always be represented.
+pub const MAX_START_UNIX_MS: u64 = 1 << 48;
+/// Maximum incarnation accepted, so that a higher one can always be represented.
+pub const MAX_INCARNATION: u32 = 1 << 31;
 
 const MAGIC: [u8; 3] = *b"cty";
-/// The form below. Members of another one are not understood.
+/// Version of the encoding; datagrams of other versions are dropped.
 const VERSION: u8 = 1;
-/// Longest record of a member: name, address, start, incarnation, state and accuser.
-const RECORD_MOST: usize = 1 + NAME_MOST + 6 + 8 + 4 + 1 + 4;
-/// Everything of a datagram but its news at the most: magic to sequence, the sender and the longest body.
-const HEAD_MOST: usize = 4 + 8 + 1 + 4 + RECORD_MOST + (1 + NAME_MOST) + 2;
-const _: () = assert!(HEAD_MOST + RECORD_MOST <= DATAGRAM_MOST);
+/// Maximum length of a record: name, address, start, incarnation, state and accuser.
+const MAX_RECORD_BYTES: usize = 1 + NAME_MOST + 6 + 8 + 4 + 1 + 4;
+/// Maximum length without updates: magic to sequence number, the sender and the longest body.
+const MAX_HEADER_BYTES: usize = 4 + 8 + 1 + 4 + MAX_RECORD_BYTES + (1 + NAME_MOST) + 2;
+const _: () = assert!(MAX_HEADER_BYTES + MAX_RECORD_BYTES <= DATAGRAM_MOST);
 const DRAINING: u8 = 0x80;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
-    /// Longer than any that members send.
+pub enum DropReason {
+    /// Longer than the maximum length.
     Oversized,
-    /// It ends before it is whole.
+    /// Ends before the last field.
     Truncated,
-    /// Not of this protocol at all.
+    /// Not of this protocol.
     Foreign,
-    /// Of another version of it.
+    /// Of another protocol version.
     Version,
     /// Of another cluster.
     Cluster,
-    /// Bytes that no member writes, or absurd figures.
+    /// Invalid encoding, or a value out of range.
     Malformed,
-    /// Sent by this very process.
+    /// Sent by this process itself.
     Echo,
-    /// From a process that bears this one's name.
+    /// From another process with this one's name.
     Namesake,
-    /// More than one sender, or all together, may send.
+    /// Over the rate limit of its sender or of all senders.
     Flood,
-    /// An answer to nothing that was asked.
+    /// An answer that matches no request, or any datagram after this process left the cluster.
     Unsolicited,
-    /// A member beyond the most that are held.
+    /// Describes a new member while the table is full.
     Full,
 }
 
-/// The reasons and their names for operators.
-pub const DROPPED: [(Dropped, &str); 11] = [
-    (Dropped::Oversized, "oversized"),
-    (Dropped::Truncated, "truncated"),
-    (Dropped::Foreign, "foreign"),
-    (Dropped::Version, "version"),
-    (Dropped::Cluster, "cluster"),
-    (Dropped::Malformed, "malformed"),
-    (Dropped::Echo, "echo"),
-    (Dropped::Namesake, "namesake"),
-    (Dropped::Flood, "flood"),
-    (Dropped::Unsolicited, "unsolicited"),
-    (Dropped::Full, "full"),
+/// The reasons and their names in metrics.
+pub const DROPPED: [(DropReason, &str); 11] = [
+    (DropReason::Oversized, "oversized"),
+    (DropReason::Truncated, "truncated"),
+    (DropReason::Foreign, "foreign"),
+    (DropReason::Version, "version"),
+    (DropReason::Cluster, "cluster"),
+    (DropReason::Malformed, "malformed"),
+    (DropReason::Echo, "echo"),
+    (DropReason::Namesake, "namesake"),
+    (DropReason::Flood, "flood"),
+    (DropReason::Unsolicited, "unsolicited"),
+    (DropReason::Full, "full"),
 ];
 
-/// What a datagram asks or answers.
+/// Type of a datagram, with its fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// Are you there?
+    /// Direct probe.
     Ping,
-    /// Yes. It answers the ping or the indirect one of the same sequence number.
+    /// Answers the ping or indirect ping with the same sequence number.
     Ack,
-    /// Ask this member for me, whom I do not hear.
+    /// Asks the receiver to probe the target for the sender.
     PingReq { target: Name },
-    /// It has not answered me as yet; but I am here.
+    /// Tells the sender of an indirect ping that the target has not answered yet.
     Nack,
-    /// Which members do you know whose names come after this one? I know so many others that are present.
+    /// Requests records of members with names after `after`; `known` counts the other members that the sender
+    /// lists as present.
     Pull { after: Name, known: u16 },
-    /// These, the last of which is so named; and whether there are more.
+    /// Answers a pull: the records end at the name `last`; `more` if others follow.
     Page { last: Name, more: bool },
-    /// Nothing but news.
-    News,
+    /// Only updates.
+    Gossip,
 }
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// The cluster's number: a digest of its name.
+    /// Digest of the cluster's name.
     pub cluster: u64,
-    /// Names the question that an answer belongs to.
+    /// Sequence number that matches an answer to its request.
     pub seq: u32,
-    /// Who sent it, as it stands.
+    /// The sender's record of itself.
     pub sender: Record,
-    /// What it asks or answers.
+    /// Type and fields.
     pub body: Body,
-    /// What else the sender knows.
-    pub news: Vec<Record>,
+    /// Records of other members.
+    pub updates: Vec<Record>,
 }
 
-/// FNV-1a: the same on all machines and in all versions of the program.
+/// 64-bit FNV-1a, which is stable across machines and versions.
 pub fn digest(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
 
-/// A digest that names who suspects a member.
-pub fn accuser(name: &str) -> u32 {
+/// Digest that identifies the member that suspects another.
+pub fn accuser_digest(name: &str) -> u32 {
     digest(name) as u32
 }
 
 impl Datagram {
-    /// The datagram without its news; `put` adds them, as far as there is room.
-    pub fn head(&self) -> Vec<u8> {
-        let mut to = Vec::with_capacity(256);
-        to.extend(MAGIC);
-        to.push(VERSION);
-        to.extend(self.cluster.to_be_bytes());
-        to.push(match self.body {
+    /// Encodes the datagram without its updates, which the caller appends by [`encode_record`] as far as they
+    /// fit.
+    pub fn encode_header(&self) -> Vec<u8> {
+        let mut buf = Vec::with_capacity(256);
+        buf.extend(MAGIC);
+        buf.push(VERSION);
+        buf.extend(self.cluster.to_be_bytes());
+        buf.push(match self.body {
             Body::Ping => 1,
             Body::Ack => 2,
             Body::PingReq { .. } => 3,
             Body::Nack => 4,
             Body::Pull { .. } => 5,
             Body::Page { .. } => 6,
-            Body::News => 7,
+            Body::Gossip => 7,
         });
-        to.extend(self.seq.to_be_bytes());
-        put(&mut to, &self.sender);
+        buf.extend(self.seq.to_be_bytes());
+        encode_record(&mut buf, &self.sender);
         match &self.body {
-            Body::PingReq { target } => put_name(&mut to, target),
+            Body::PingReq { target } => encode_name(&mut buf, target),
             Body::Pull { after, known } => {
-                put_name(&mut to, after);
-                to.extend(known.to_be_bytes());
+                encode_name(&mut buf, after);
+                buf.extend(known.to_be_bytes());
             }
             Body::Page { last, more } => {
-                put_name(&mut to, last);
-                to.push(u8::from(*more));
+                encode_name(&mut buf, last);
+                buf.push(u8::from(*more));
             }
-            Body::Ping | Body::Ack | Body::Nack | Body::News => {}
+            Body::Ping | Body::Ack | Body::Nack | Body::Gossip => {}
         }
-        to
+        buf
     }
 
-    /// Reads a datagram of the cluster.
-    pub fn read(bytes: &[u8], cluster: u64) -> Result<Datagram, Dropped> {
+    /// Decodes a datagram of the given cluster.
+    pub fn decode(bytes: &[u8], cluster: u64) -> Result<Datagram, DropReason> {
         if bytes.len() > DATAGRAM_MOST {
-            return Err(Dropped::Oversized);
+            return Err(DropReason::Oversized);
         }
-        let mut from = From(bytes);
-        if from.array::<3>().ok_or(Dropped::Truncated)? != MAGIC {
-            return Err(Dropped::Foreign);
+        let mut reader = Reader(bytes);
+        if reader.array::<3>().ok_or(DropReason::Truncated)? != MAGIC {
+            return Err(DropReason::Foreign);
         }
-        if from.byte().ok_or(Dropped::Truncated)? != VERSION {
-            return Err(Dropped::Version);
+        if reader.byte().ok_or(DropReason::Truncated)? != VERSION {
+            return Err(DropReason::Version);
         }
-        if from.array().map(u64::from_be_bytes).ok_or(Dropped::Truncated)? != cluster {
-            return Err(Dropped::Cluster);
+        if reader.array().map(u64::from_be_bytes).ok_or(DropReason::Truncated)? != cluster {
+            return Err(DropReason::Cluster);
         }
-        let kind = from.byte().ok_or(Dropped::Truncated)?;
-        let seq = from.array().map(u32::from_be_bytes).ok_or(Dropped::Truncated)?;
-        let sender = from.record()?;
-        // Nobody sends after it has left but to say so, and nobody calls itself suspect or down.
+        let kind = reader.byte().ok_or(DropReason::Truncated)?;
+        let seq = reader.array().map(u32::from_be_bytes).ok_or(DropReason::Truncated)?;
+        let sender = reader.record()?;
+        // A member reports itself only as alive or as having left.
         if !matches!(sender.state, State::Alive | State::Left) {
-            return Err(Dropped::Malformed);
+            return Err(DropReason::Malformed);
         }
         let body = match kind {
             1 => Body::Ping,
             2 => Body::Ack,
-            3 => Body::PingReq { target: from.name()? },
+            3 => Body::PingReq { target: reader.name()? },
             4 => Body::Nack,
             5 => Body::Pull {
-                after: from.any_name()?,
-                known: from.array().map(u16::from_be_bytes).ok_or(Dropped::Truncated)?,
+                after: reader.possibly_empty_name()?,
+                known: reader.array().map(u16::from_be_bytes).ok_or(DropReason::Truncated)?,
             },
             6 => Body::Page {
-                last: from.any_name()?,
-                more: match from.byte().ok_or(Dropped::Truncated)? {
+                last: reader.possibly_empty_name()?,
+                more: match reader.byte().ok_or(DropReason::Truncated)? {
                     0 => false,
                     1 => true,
-                    _ => return Err(Dropped::Malformed),
+                    _ => return Err(DropReason::Malformed),
                 },
             },
-            7 => Body::News,
-            _ => return Err(Dropped::Malformed),
+            7 => Body::Gossip,
+            _ => return Err(DropReason::Malformed),
         };
-        let mut news = Vec::new();
-        while !from.0.is_empty() {
-            news.push(from.record()?);
+        let mut updates = Vec::new();
+        while !reader.0.is_empty() {
+            updates.push(reader.record()?);
         }
-        Ok(Datagram { cluster, seq, sender, body, news })
+        Ok(Datagram { cluster, seq, sender, body, updates })
     }
 }
 
-fn put_name(to: &mut Vec<u8>, name: &str) {
-    // Names are checked when they come in: none is longer than a byte tells.
-    to.push(name.len().min(NAME_MOST) as u8);
-    to.extend(&name.as_bytes()[..name.len().min(NAME_MOST)]);
+fn encode_name(buf: &mut Vec<u8>, name: &str) {
+    // Names are validated on input; the limit keeps the length within its byte.
+    buf.push(name.len().min(NAME_MOST) as u8);
+    buf.extend(&name.as_bytes()[..name.len().min(NAME_MOST)]);
 }
 
-/// Appends a record.
-pub fn put(to: &mut Vec<u8>, record: &Record) {
-    let Identity { name, addr, start } = &record.who;
-    put_name(to, name);
-    to.extend(addr.ip().octets());
-    to.extend(addr.port().to_be_bytes());
-    to.extend(start.to_be_bytes());
-    to.extend(record.incarnation.to_be_bytes());
-    to.push(record.state as u8 | if record.draining { DRAINING } else { 0 });
+/// Appends an encoded record.
+pub fn encode_record(buf: &mut Vec<u8>, record: &Record) {
+    let Identity { name, addr, start } = &record.identity;
+    encode_name(buf, name);
+    buf.extend(addr.ip().octets());
+    buf.extend(addr.port().to_be_bytes());
+    buf.extend(start.to_be_bytes());
+    buf.extend(record.incarnation.to_be_bytes());
+    buf.push(record.state as u8 | if record.draining { DRAINING } else { 0 });
     if record.state == State::Suspect {
-        to.extend(record.accuser.to_be_bytes());
+        buf.extend(record.accuser.to_be_bytes());
     }
 }
 
-/// What is left to be read.
-struct From<'a>(&'a [u8]);
+/// The bytes not yet decoded.
+struct Reader<'a>(&'a [u8]);
 
-impl From<'_> {
+impl Reader<'_> {
     fn byte(&mut self) -> Option<u8> {
         self.array::<1>().map(|[byte]| byte)
     }
@@ -226,41 +228,47 @@
         Some(*array)
     }
 
-    /// A name, or nothing.
-    fn any_name(&mut self) -> Result<Name, Dropped> {
-        let length = usize::from(self.byte().ok_or(Dropped::Truncated)?);
+    /// Reads a name that may be empty.
+    fn possibly_empty_name(&mut self) -> Result<Name, DropReason> {
+        let length = usize::from(self.byte().ok_or(DropReason::Truncated)?);
         if length > NAME_MOST {
-            return Err(Dropped::Malformed);
+            return Err(DropReason::Malformed);
         }
-        let (name, rest) = self.0.split_at_checked(length).ok_or(Dropped::Truncated)?;
+        let (name, rest) = self.0.split_at_checked(length).ok_or(DropReason::Truncated)?;
         self.0 = rest;
-        let name = std::str::from_utf8(name).map_err(|_| Dropped::Malformed)?;
+        let name = std::str::from_utf8(name).map_err(|_| DropReason::Malformed)?;
         if name.chars().any(char::is_control) {
-            return Err(Dropped::Malformed);
+            return Err(DropReason::Malformed);
         }
         Ok(name.into())
     }
 
-    fn name(&mut self) -> Result<Name, Dropped> {
-        self.any_name().and_then(|name| if name.is_empty() { Err(Dropped::Malformed) } else { Ok(name) })
+    fn name(&mut self) -> Result<Name, DropReason> {
+        self.possibly_empty_name().and_then(|name| {
+            if name.is_empty() {
+                Err(DropReason::Malformed)
+            } else {
+                Ok(name)
+            }
+        })
     }
 
-    fn record(&mut self) -> Result<Record, Dropped> {
+    fn record(&mut self) -> Result<Record, DropReason> {
         let name = self.name()?;
-        let ip = self.array::<4>().ok_or(Dropped::Truncated)?;
-        let port = self.array().map(u16::from_be_bytes).ok_or(Dropped::Truncated)?;
-        let start = self.array().map(u64::from_be_bytes).ok_or(Dropped::Truncated)?;
-        let incarnation = self.array().map(u32::from_be_bytes).ok_or(Dropped::Truncated)?;
-        let flags = self.byte().ok_or(Dropped::Truncated)?;
+        let ip = self.array::<4>().ok_or(DropReason::Truncated)?;
+        let port = self.array().map(u16::from_be_bytes).ok_or(DropReason::Truncated)?;
+        let start = self.array().map(u64::from_be_bytes).ok_or(DropReason::Truncated)?;
+        let incarnation = self.array().map(u32::from_be_bytes).ok_or(DropReason::Truncated)?;
+        let flags = self.byte().ok_or(DropReason::Truncated)?;
         let state = match flags & !DRAINING {
             0 => State::Alive,
             1 => State::Suspect,
             2 => State::Down,
             3 => State::Left,
-            _ => return Err(Dropped::Malformed),
+            _ => return Err(DropReason::Malformed),
         };
         let accuser = match state {
-            State::Suspect => self.array().map(u32::from_be_bytes).ok_or(Dropped::Truncated)?,
+            State::Suspect => self.array().map(u32::from_be_bytes).ok_or(DropReason::Truncated)?,
             _ => 0,
         };
         let addr = SocketAddrV4::new(Ipv4Addr::from(ip), port);
@@ -268,12 +276,12 @@
             || addr.ip().is_unspecified()
             || addr.ip().is_multicast()
             || addr.ip().is_broadcast()
-            || start > START_MOST
-            || incarnation > INCARNATION_MOST
+            || start > MAX_START_UNIX_MS
+            || incarnation > MAX_INCARNATION
         {
-            return Err(Dropped::Malformed);
+            return Err(DropReason::Malformed);
         }
-        let who = Identity { name, addr, start };
-        Ok(Record { who, incarnation, state, draining: flags & DRAINING != 0, accuser })
+        let identity = Identity { name, addr, start };
+        Ok(Record { identity, incarnation, state, draining: flags & DRAINING != 0, accuser })
     }
 }
