--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -4,7 +4,7 @@
 use crate::figures::{count, gauge};
 use crate::server::Drains;
 use crate::status;
-use cherrytally::membership::{Action, Event, Membership, State, View, DATAGRAM_MOST, DROPPED};
+use cherrytally::membership::{Action, Event, Membership, State, View, DROP_REASONS, MAX_DATAGRAM_BYTES};
 use cherrytally::plane::driver::Driver;
 use cherrytally::plane::seldom::{seldom, Seldom};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -74,18 +74,18 @@
                         self.unsent.set(self.unsent.get() + 1);
                     }
                 }
-                Action::Changed { who, was, state, draining } => {
-                    let was = was.map_or("unknown", name);
+                Action::Changed { identity, previous, state, draining } => {
+                    let previous = previous.map_or("unknown", name);
                     let drained = if draining { ", draining" } else { "" };
                     tracing::info!(
-                        "member {} at {}: {was}, now {}{drained}",
-                        who.name,
-                        who.addr,
+                        "member {} at {}: {previous}, now {}{drained}",
+                        identity.name,
+                        identity.addr,
                         name(state)
                     );
                 }
                 Action::Present { count, majority } => self.driver.gateways(count, majority != Some(false)),
-                Action::Out => self.driver.gateways(0, false),
+                Action::NotMember => self.driver.gateways(0, false),
                 Action::Warn(line) => tracing::warn!("cluster: {line}"),
             }
         }
@@ -98,7 +98,7 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let (mut buf, seldom) = ([0; DATAGRAM_MOST + 1], Seldom::default());
+        let (mut buf, seldom) = ([0; MAX_DATAGRAM_BYTES + 1], Seldom::default());
         loop {
             let due = self.machine.borrow().due();
             let due = self.born + Duration::from_secs_f64((due / 1000.0).clamp(0.0, 1e9));
@@ -330,7 +330,7 @@
             count(into, &format!("members_{name}"), help, value);
         }
         let dropped = Family::<Dropped, Counter>::default();
-        for (why, reason) in DROPPED {
+        for (why, reason) in DROP_REASONS {
             dropped.get_or_create(&Dropped { reason }).inc_by(counts.dropped[why as usize]);
         }
         into.register("members_datagrams_dropped", "Datagrams dropped, by reason", dropped);
--- a/src/bin/heronstage/config/check.rs
+++ b/src/bin/heronstage/config/check.rs
@@ -3,7 +3,7 @@
 use super::form::{Class, Form, DESCRIPTORS_FROM};
 use super::guide::{self, Kind};
 use super::units::Millis;
-use cherrytally::membership::{MEMBERS_MOST, NAME_MOST};
+use cherrytally::membership::{MAX_MEMBERS, MAX_NAME_BYTES};
 use jsonschema::error::ValidationErrorKind;
 use jsonschema::ValidationError;
 use serde_json::Value;
@@ -218,7 +218,8 @@
 fn cluster(c: &super::form::Cluster, form: &Form) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut fault = |key: &str, what: &str| faults.push(Fault::new(format!("cluster.{key}"), what));
-    let bad = |name: &str| name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control);
+    let bad =
+        |name: &str| name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control);
     let at = |addr: &SocketAddrV4| {
         let ip = addr.ip();
         addr.port() != 0 && !ip.is_unspecified() && !ip.is_multicast() && !ip.is_broadcast()
@@ -243,7 +244,7 @@
         fault("timeout", "1 ms to half of the period are needed");
     }
     let expected = c.expected.unwrap_or(form.fleet.gateways);
-    if expected == 0 || expected as usize > MEMBERS_MOST + 1 {
+    if expected == 0 || expected as usize > MAX_MEMBERS + 1 {
         fault("expected", "1 to 1025 are needed, here or as the number of gateways");
     }
     faults
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -131,8 +131,8 @@
                 (self.cluster, local.clone(), Body::Page { last: last.clone(), more });
             wire::Datagram { cluster, seq, sender, body, updates: Vec::new() }.encode_header()
         };
-        let longest: Name = "x".repeat(NAME_MOST).into();
-        let room = DATAGRAM_MOST - header(&longest, false).len();
+        let longest: Name = "x".repeat(MAX_NAME_BYTES).into();
+        let room = MAX_DATAGRAM_BYTES - header(&longest, false).len();
         let (mut records, mut encoded) = (Vec::with_capacity(room), Vec::with_capacity(128));
         if let Some(member) = about.and_then(|name| self.members.get(name)) {
             wire::encode_record(&mut records, &member.record);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -10,7 +10,7 @@
 mod table;
 mod wire;
 
-pub use wire::{DropReason, DATAGRAM_MOST, DROPPED, MAX_START_UNIX_MS, NAME_MOST};
+pub use wire::{DropReason, DROP_REASONS, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_START_UNIX_MS};
 
 use crate::interface::Millis;
 use exchange::{Sync, TokenBucket};
@@ -26,7 +26,7 @@
 pub type Name = Arc<str>;
 
 /// Upper limit on other members in the table; records of further ones are dropped.
-pub const MEMBERS_MOST: usize = 1024;
+pub const MAX_MEMBERS: usize = 1024;
 /// Minimum suspicion timeout in periods, scaled by the decimal logarithm of the member count, as gossip takes
 /// that long to reach all members.
 const MIN_SUSPICION_PERIODS: f64 = 4.0;
@@ -174,9 +174,9 @@
     /// A member's process, state or drain flag changed.
     Changed {
         /// The member's process.
-        who: Identity,
+        identity: Identity,
         /// The previous state, if the member was known.
-        was: Option<State>,
+        previous: Option<State>,
         /// The member's state.
         state: State,
         /// Whether the member is drained.
@@ -190,7 +190,7 @@
         majority: Option<bool>,
     },
     /// This process is no longer a member, and its view is no longer valid.
-    Out,
+    NotMember,
     /// A message to log as a warning.
     Warn(String),
 }
@@ -233,8 +233,8 @@
     pub received: u64,
     /// Bytes received.
     pub received_bytes: u64,
-    /// Datagrams dropped, indexed by reason in the order of [`DROPPED`].
-    pub dropped: [u64; DROPPED.len()],
+    /// Datagrams dropped, indexed by reason in the order of [`DROP_REASONS`].
+    pub dropped: [u64; DROP_REASONS.len()],
 }
 
 /// A member as shown to operators.
@@ -420,7 +420,7 @@
             self.reported = present;
             actions.push(match present {
                 Some((count, majority)) => Action::Present { count, majority },
-                None => Action::Out,
+                None => Action::NotMember,
             });
         }
     }
@@ -524,7 +524,7 @@
             Datagram { cluster: self.cluster, seq, sender: self.local_record(), body, updates: Vec::new() };
         let mut bytes = datagram.encode_header();
         // While members are joining, the cluster is larger than the view.
-        let cluster_size = self.present().max(self.settings.expected.unwrap_or(0).min(MEMBERS_MOST as u32));
+        let cluster_size = self.present().max(self.settings.expected.unwrap_or(0).min(MAX_MEMBERS as u32));
         let transmissions = (RETRANSMIT_FACTOR * f64::from(cluster_size).log10().max(1.0)).ceil() as u32;
         let (members, mut encoded) = (&self.members, Vec::with_capacity(128));
         if let Some(member) = about.and_then(|name| members.get(name)) {
@@ -535,7 +535,7 @@
             let Some(member) = members.get(name).filter(|_| Some(name) != about) else { return true };
             encoded.clear();
             wire::encode_record(&mut encoded, &member.record);
-            let fits = bytes.len() + encoded.len() <= DATAGRAM_MOST;
+            let fits = bytes.len() + encoded.len() <= MAX_DATAGRAM_BYTES;
             if fits {
                 bytes.extend_from_slice(&encoded);
             }
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -80,7 +80,7 @@
             if !record.state.present() {
                 return Ok(());
             }
-            if self.members.len() >= MEMBERS_MOST && !self.evict_absent() {
+            if self.members.len() >= MAX_MEMBERS && !self.evict_absent() {
                 return Err(DropReason::Full);
             }
             let name = record.identity.name.clone();
@@ -150,8 +150,8 @@
             }
         }
         if previous.as_ref() != Some(&current) {
-            let was = previous.map(|(_, state, _)| state);
-            actions.push(Action::Changed { who: current.0, was, state, draining });
+            let previous = previous.map(|(_, state, _)| state);
+            actions.push(Action::Changed { identity: current.0, previous, state, draining });
         }
         self.updates.push(&name);
     }
@@ -236,7 +236,7 @@
             }
             keep
         });
-        while self.pruned_down.len() > MEMBERS_MOST {
+        while self.pruned_down.len() > MAX_MEMBERS {
             let oldest = self
                 .pruned_down
                 .iter()
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -4,9 +4,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// Maximum datagram length: fits the IPv6 minimum MTU of 1,280 bytes with headers and a tunnel's overhead.
-pub const DATAGRAM_MOST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Maximum length of a member's name.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Maximum start time accepted (in the year 10889), so that a later one can always be represented.
 pub const MAX_START_UNIX_MS: u64 = 1 << 48;
 /// Maximum incarnation accepted, so that a higher one can always be represented.
@@ -16,10 +16,10 @@
 /// Version of the encoding; datagrams of other versions are dropped.
 const VERSION: u8 = 1;
 /// Maximum length of a record: name, address, start, incarnation, state and accuser.
-const MAX_RECORD_BYTES: usize = 1 + NAME_MOST + 6 + 8 + 4 + 1 + 4;
+const MAX_RECORD_BYTES: usize = 1 + MAX_NAME_BYTES + 6 + 8 + 4 + 1 + 4;
 /// Maximum length without updates: magic to sequence number, the sender and the longest body.
-const MAX_HEADER_BYTES: usize = 4 + 8 + 1 + 4 + MAX_RECORD_BYTES + (1 + NAME_MOST) + 2;
-const _: () = assert!(MAX_HEADER_BYTES + MAX_RECORD_BYTES <= DATAGRAM_MOST);
+const MAX_HEADER_BYTES: usize = 4 + 8 + 1 + 4 + MAX_RECORD_BYTES + (1 + MAX_NAME_BYTES) + 2;
+const _: () = assert!(MAX_HEADER_BYTES + MAX_RECORD_BYTES <= MAX_DATAGRAM_BYTES);
 const DRAINING: u8 = 0x80;
 
 /// Why a datagram was dropped.
@@ -50,7 +50,7 @@
 }
 
 /// The reasons and their names in metrics.
-pub const DROPPED: [(DropReason, &str); 11] = [
+pub const DROP_REASONS: [(DropReason, &str); 11] = [
     (DropReason::Oversized, "oversized"),
     (DropReason::Truncated, "truncated"),
     (DropReason::Foreign, "foreign"),
@@ -146,7 +146,7 @@
 
     /// Decodes a datagram of the given cluster.
     pub fn decode(bytes: &[u8], cluster: u64) -> Result<Datagram, DropReason> {
-        if bytes.len() > DATAGRAM_MOST {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DropReason::Oversized);
         }
         let mut reader = Reader(bytes);
@@ -196,8 +196,8 @@
 
 fn encode_name(buf: &mut Vec<u8>, name: &str) {
     // Names are validated on input; the limit keeps the length within its byte.
-    buf.push(name.len().min(NAME_MOST) as u8);
-    buf.extend(&name.as_bytes()[..name.len().min(NAME_MOST)]);
+    buf.push(name.len().min(MAX_NAME_BYTES) as u8);
+    buf.extend(&name.as_bytes()[..name.len().min(MAX_NAME_BYTES)]);
 }
 
 /// Appends an encoded record.
@@ -231,7 +231,7 @@
     /// Reads a name that may be empty.
     fn possibly_empty_name(&mut self) -> Result<Name, DropReason> {
         let length = usize::from(self.byte().ok_or(DropReason::Truncated)?);
-        if length > NAME_MOST {
+        if length > MAX_NAME_BYTES {
             return Err(DropReason::Malformed);
         }
         let (name, rest) = self.0.split_at_checked(length).ok_or(DropReason::Truncated)?;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -471,7 +471,7 @@
         }
     }
     let mut member = fresh();
-    deliver(&mut member, &vec![0; DATAGRAM_MOST + 1]);
+    deliver(&mut member, &vec![0; MAX_DATAGRAM_BYTES + 1]);
     assert_eq!(dropped(&member, DropReason::Oversized), 1);
     // Unsolicited acks, nacks and pages.
     for kind in [2, 4, 6] {
@@ -521,7 +521,7 @@
         assert!(sends <= 20, "{sends} datagrams sent in response to one");
         assert!(member.due() > now - 1.0, "the next timer is not in the past");
     }
-    assert!(member.view(now).members.len() <= MEMBERS_MOST);
+    assert!(member.view(now).members.len() <= MAX_MEMBERS);
 }
 
 /// A gossip datagram, encoded independently of the implementation.
@@ -559,7 +559,7 @@
         world.run(1.0);
     }
     let view = world.view(0);
-    assert!(view.members.len() <= MEMBERS_MOST);
+    assert!(view.members.len() <= MAX_MEMBERS);
     assert!(dropped(&world.node(0).member, DropReason::Flood) > 200_000);
     // Members' datagrams are dropped during the flood as well; indirect probes keep the members present.
     for index in 0..3 {
@@ -595,13 +595,13 @@
 fn members_beyond_the_maximum_are_dropped_and_present_ones_stay() {
     let mut member = Membership::new(World::new(3, 0).settings("c", 2), 3, 0.0);
     let (mut now, mut number) = (0.0, 0);
-    while number < 3 * MEMBERS_MOST {
+    while number < 3 * MAX_MEMBERS {
         now += 100.0;
         let records: Vec<_> = (0..20).map(|i| (format!("m{}", number + i), 0, 0)).collect();
         number += 20;
         member.handle(now, Event::Datagram(gossip_datagram("m0", &records)), &mut Vec::new());
     }
-    assert_eq!(member.view(now).members.len(), MEMBERS_MOST);
+    assert_eq!(member.view(now).members.len(), MAX_MEMBERS);
     assert!(dropped(&member, DropReason::Full) > 0);
     assert!(member.view(now).members.iter().any(|m| &*m.name == "m0"));
 }
@@ -615,7 +615,7 @@
     assert!(world.run_until(60.0, |world| world.is_converged()).is_some());
     (0..20).for_each(|index| world.kill(index));
     world.run(60.0);
-    assert!(world.max_datagram_bytes <= DATAGRAM_MOST, "{}", world.max_datagram_bytes);
+    assert!(world.max_datagram_bytes <= MAX_DATAGRAM_BYTES, "{}", world.max_datagram_bytes);
 }
 
 // ---- Properties -------------------------------------------------------------------------------------------
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -209,13 +209,13 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => self.send(index, to, bytes),
-                Action::Changed { who, was, state, .. } => {
-                    self.node_mut(index).changes.push((now, who.name.to_string(), was, state));
+                Action::Changed { identity, previous, state, .. } => {
+                    self.node_mut(index).changes.push((now, identity.name.to_string(), previous, state));
                 }
                 Action::Present { count, majority } => {
                     self.node_mut(index).present.push((now, count, majority))
                 }
-                Action::Out => self.node_mut(index).removed = true,
+                Action::NotMember => self.node_mut(index).removed = true,
                 Action::Warn(line) => self.node_mut(index).warnings.push(line),
             }
         }
