--- a/overland/src/ahead.rs
+++ b/overland/src/ahead.rs
@@ -1,10 +1,11 @@
-//! Requests that a client sends behind another one before that one's answer is there: they are read ahead and begun at
-//! once, and the HTTP library reads them and writes their answers in order.
+//! HTTP/1.1 pipelining: starts requests that a client sends before the response to an earlier one is
+//! complete.
 //!
-//! The library reads a connection through [`Front`], which hands it one request at a time and keeps what follows. Of what
-//! it keeps, whole requests without a body are told to whoever serves the connection, in order. Where one request ends
-//! and the next begins is found in [`Splitter`], which knows no socket. What it can't tell for sure it hands on as it
-//! is, and tells nothing ahead from there on.
+//! The HTTP library reads a connection through [`PipelinedStream`], which passes one request at a time and
+//! buffers what follows. Complete requests without a body in the buffer are started in order; the library
+//! still reads each request and writes the responses in order. [`Splitter`] finds the request boundaries
+//! without doing I/O. Where it cannot determine a boundary, it passes all later bytes through unchanged and
+//! starts no more requests.
 
 use bytes::{Buf, BytesMut};
 use cherrytally::plane::http::lone_end;
@@ -20,191 +21,200 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// What is kept of a connection at most; its client waits with the rest.
-const KEPT_MOST: usize = 16 * 1024;
-/// Requests begun ahead at most, on one connection.
-const AHEAD_MOST: usize = 8;
-/// Header lines of one request at most, as the HTTP library has it.
-const HEADERS: usize = 100;
-/// Read at once.
-const READ: usize = 4 * 1024;
+/// Maximum bytes buffered per connection; reading pauses beyond it.
+const MAX_BUFFERED_BYTES: usize = 16 * 1024;
+/// Maximum requests of one connection that are found behind the current one.
+const MAX_PIPELINED: usize = 8;
+/// Maximum header fields per request; the same limit as in the HTTP library.
+const MAX_HEADERS: usize = 100;
+/// Size of one read from the socket.
+const READ_BYTES: usize = 4 * 1024;
 
-/// Where in the client's bytes the splitter stands.
+/// Position of the splitter relative to the current request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
-    /// In the head of the request whose turn it is.
+enum State {
+    /// The head of the current request is incomplete.
     Head,
-    /// So many bytes of it may be handed on, its body included.
-    Open(u64),
-    /// All of it is handed on; what follows waits until it is answered.
-    Answering,
-    /// Where requests end is not known: all is handed on as it comes.
-    Through,
+    /// This many bytes of the current request, including its body, may still be passed on.
+    Forwarding(u64),
+    /// The current request is passed on; later bytes wait until its response is complete.
+    AwaitingResponse,
+    /// Request boundaries are unknown: all bytes are passed on as they arrive.
+    PassThrough,
 }
 
-/// How a request's head ends and what follows it.
-enum Framed {
-    /// More is needed.
-    Partly,
-    /// The head's length, the whole request's, and the request if it has no body.
-    Whole(usize, u64, Option<Box<Parts>>),
-    /// Its end can't be told.
-    Unsure,
+/// Result of parsing a request head.
+enum HeadParse {
+    /// More bytes are needed.
+    Incomplete,
+    /// Length of the head, length of the whole request, and the request if it has no body.
+    Complete(usize, u64, Option<Box<Parts>>),
+    /// The end of the request cannot be determined.
+    Unknown,
 }
 
-/// Finds the requests in what a client sends.
+/// Splits a client's byte stream into requests.
 pub struct Splitter {
-    kept: BytesMut,
-    part: Part,
-    /// Lengths of the requests that were told ahead, in order.
-    told: VecDeque<usize>,
-    /// Nothing more is told ahead before the next turn.
-    blocked: bool,
+    buffer: BytesMut,
+    state: State,
+    /// Lengths of the requests found behind the current one, in order.
+    pipelined: VecDeque<usize>,
+    /// No more requests are looked for until the current response is complete.
+    lookahead_blocked: bool,
 }
 
 impl Default for Splitter {
     fn default() -> Self {
-        Splitter { kept: BytesMut::new(), part: Part::Head, told: VecDeque::new(), blocked: false }
+        Splitter {
+            buffer: BytesMut::new(),
+            state: State::Head,
+            pipelined: VecDeque::new(),
+            lookahead_blocked: false,
+        }
     }
 }
 
 impl Splitter {
-    /// More bytes came. Returns the requests behind the one whose turn it is that are whole now.
+    /// Adds received bytes; returns the pipelined requests that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Parts> {
-        self.kept.extend_from_slice(bytes);
-        self.look()
+        self.buffer.extend_from_slice(bytes);
+        self.find_pipelined()
     }
 
-    /// Bytes that may be handed on now are at the front; so many.
+    /// Number of buffered bytes that may be passed on now.
     pub fn open(&mut self) -> usize {
-        if self.part == Part::Head {
-            self.part = match framed(&self.kept) {
-                Framed::Whole(_, whole, _) => Part::Open(whole),
-                Framed::Partly if self.kept.len() < KEPT_MOST => Part::Head,
-                Framed::Partly | Framed::Unsure => Part::Through,
+        if self.state == State::Head {
+            self.state = match parse_head(&self.buffer) {
+                HeadParse::Complete(_, total, _) => State::Forwarding(total),
+                HeadParse::Incomplete if self.buffer.len() < MAX_BUFFERED_BYTES => State::Head,
+                HeadParse::Incomplete | HeadParse::Unknown => State::PassThrough,
             };
         }
-        match self.part {
-            Part::Head | Part::Answering => 0,
-            Part::Open(left) => left.min(self.kept.len() as u64) as usize,
-            Part::Through => self.kept.len(),
+        match self.state {
+            State::Head | State::AwaitingResponse => 0,
+            State::Forwarding(left) => left.min(self.buffer.len() as u64) as usize,
+            State::PassThrough => self.buffer.len(),
         }
     }
 
-    /// Takes bytes that were handed on, and returns the requests that are told ahead by that.
+    /// Moves readable bytes into `to`; returns the pipelined requests found afterwards.
     pub fn hand(&mut self, to: &mut ReadBuf) -> Vec<Parts> {
         let bytes = self.open().min(to.remaining());
-        to.put_slice(&self.kept[..bytes]);
-        self.kept.advance(bytes);
-        if let Part::Open(left) = self.part {
+        to.put_slice(&self.buffer[..bytes]);
+        self.buffer.advance(bytes);
+        if let State::Forwarding(left) = self.state {
             let left = left - bytes as u64;
-            self.part = if left == 0 { Part::Answering } else { Part::Open(left) };
+            self.state = if left == 0 { State::AwaitingResponse } else { State::Forwarding(left) };
         }
-        self.look()
+        self.find_pipelined()
     }
 
-    /// The request whose turn it was is answered. True if the next one was told ahead.
+    /// Advances to the next request after a response; true if that request was already found.
     pub fn turn(&mut self) -> bool {
-        if self.part != Part::Answering {
-            // Answered before all of it came: what follows is the rest of its body, not a request.
-            self.part = Part::Through;
+        if self.state != State::AwaitingResponse {
+            // The response came before the end of the request: what follows is the rest of its body.
+            self.state = State::PassThrough;
             return false;
         }
-        self.blocked = false;
-        match self.told.pop_front() {
+        self.lookahead_blocked = false;
+        match self.pipelined.pop_front() {
             Some(length) => {
-                self.part = Part::Open(length as u64);
+                self.state = State::Forwarding(length as u64);
                 true
             }
             None => {
-                self.part = Part::Head;
+                self.state = State::Head;
                 false
             }
         }
     }
 
-    /// Whether no more is to be read before some is handed on.
+    /// Whether reading must pause until buffered bytes are passed on.
     pub fn full(&self) -> bool {
-        self.kept.len() >= KEPT_MOST && self.part != Part::Through
+        self.buffer.len() >= MAX_BUFFERED_BYTES && self.state != State::PassThrough
     }
 
-    /// Whether something is kept until the request whose turn it is has its answer.
-    pub fn waits(&self) -> bool {
-        self.part == Part::Answering && !self.kept.is_empty()
+    /// Whether buffered bytes wait for the current response.
+    pub fn has_waiting_bytes(&self) -> bool {
+        self.state == State::AwaitingResponse && !self.buffer.is_empty()
     }
 
-    /// Looks for whole requests behind the one whose turn it is.
-    fn look(&mut self) -> Vec<Parts> {
+    /// Finds complete requests behind the current one.
+    fn find_pipelined(&mut self) -> Vec<Parts> {
         let mut found = Vec::new();
-        while self.part == Part::Answering && !self.blocked && self.told.len() < AHEAD_MOST {
-            let from = self.told.iter().sum::<usize>();
-            match framed(&self.kept[from..]) {
-                Framed::Whole(head, whole, Some(parts)) if whole == head as u64 => {
-                    self.told.push_back(head);
+        while self.state == State::AwaitingResponse
+            && !self.lookahead_blocked
+            && self.pipelined.len() < MAX_PIPELINED
+        {
+            let offset = self.pipelined.iter().sum::<usize>();
+            match parse_head(&self.buffer[offset..]) {
+                HeadParse::Complete(head, total, Some(parts)) if total == head as u64 => {
+                    self.pipelined.push_back(head);
                     found.push(*parts);
                 }
-                Framed::Partly => break,
-                // One with a body, or whose end is not sure, waits for its turn.
-                Framed::Whole(..) | Framed::Unsure => self.blocked = true,
+                HeadParse::Incomplete => break,
+                // Requests with a body or an unknown end wait until they are the current one.
+                HeadParse::Complete(..) | HeadParse::Unknown => self.lookahead_blocked = true,
             }
         }
         found
     }
 }
 
-/// Reads the head at the front of these bytes.
-fn framed(bytes: &[u8]) -> Framed {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+/// Parses the request head at the start of `bytes`.
+fn parse_head(bytes: &[u8]) -> HeadParse {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(bytes) {
         Ok(httparse::Status::Complete(head)) => head,
-        Ok(httparse::Status::Partial) => return Framed::Partly,
-        Err(_) => return Framed::Unsure,
+        Ok(httparse::Status::Partial) => return HeadParse::Incomplete,
+        Err(_) => return HeadParse::Unknown,
     };
-    // An empty line before a request is usual; a line's end that not everyone takes for one is not.
+    // An empty line before a request is allowed. A bare CR or LF is not: parsers disagree on it.
     if lone_end(bytes[..head].strip_prefix(b"\r\n").unwrap_or(&bytes[..head])) {
-        return Framed::Unsure;
+        return HeadParse::Unknown;
     }
-    // The library ends the connection after an old client's request, and makes a tunnel of what follows CONNECT.
+    // The library closes the connection after an HTTP/1.0 request and tunnels what follows CONNECT.
     if request.version != Some(1) || request.method == Some("CONNECT") {
-        return Framed::Unsure;
+        return HeadParse::Unknown;
     }
     let mut length = None;
     for header in request.headers.iter() {
-        let is = |name: &str| header.name.eq_ignore_ascii_case(name);
-        let closes = |value: &[u8]| String::from_utf8_lossy(value).to_ascii_lowercase().contains("close");
-        // What stands behind a last request is none.
-        if is("connection") && closes(header.value) {
-            return Framed::Unsure;
+        let is_field = |name: &str| header.name.eq_ignore_ascii_case(name);
+        let contains_close =
+            |value: &[u8]| String::from_utf8_lossy(value).to_ascii_lowercase().contains("close");
+        // Bytes after the last request of a connection are not a request.
+        if is_field("connection") && contains_close(header.value) {
+            return HeadParse::Unknown;
         }
-        // Chunks are the library's to read, and after a change of protocol there is no next request.
-        if is("transfer-encoding") || is("upgrade") || is("expect") {
-            return Framed::Unsure;
+        // The library decodes chunked bodies, and after a protocol upgrade no request follows.
+        if is_field("transfer-encoding") || is_field("upgrade") || is_field("expect") {
+            return HeadParse::Unknown;
         }
-        if is("content-length") {
+        if is_field("content-length") {
             let text =
                 std::str::from_utf8(header.value).ok().filter(|text| length.is_none() && !text.is_empty());
             let digits = text.filter(|text| text.bytes().all(|b| b.is_ascii_digit()));
             match digits.and_then(|text| text.parse::<u64>().ok()) {
                 Some(value) => length = Some(value),
-                None => return Framed::Unsure,
+                None => return HeadParse::Unknown,
             }
         }
     }
-    let Some(whole) = (head as u64).checked_add(length.unwrap_or(0)) else { return Framed::Unsure };
+    let Some(total) = (head as u64).checked_add(length.unwrap_or(0)) else { return HeadParse::Unknown };
     if length.is_some() {
-        return Framed::Whole(head, whole, None);
+        return HeadParse::Complete(head, total, None);
     }
     match parts(&request) {
-        Some(parts) => Framed::Whole(head, whole, Some(Box::new(parts))),
-        None => Framed::Unsure,
+        Some(parts) => HeadParse::Complete(head, total, Some(Box::new(parts))),
+        None => HeadParse::Unknown,
     }
 }
 
-/// The request as the library reads it.
+/// Converts a parsed request to the types of the HTTP library.
 fn parts(request: &httparse::Request) -> Option<Parts> {
     let method = Method::from_bytes(request.method?.as_bytes()).ok()?;
-    // What names more or less than a path goes to no route here.
+    // Only origin-form targets match a route.
     request.path.filter(|path| path.starts_with('/'))?;
     let mut parts = Request::new(()).into_parts().0;
     (parts.method, parts.uri) = (method, request.path?.parse::<Uri>().ok()?);
@@ -217,149 +227,150 @@
     Some(parts)
 }
 
-/// The answer to a request that was begun. Dropped, it ends the request.
-pub struct Begun<R>(JoinHandle<R>);
+/// Response of a started request. Dropping it cancels the request.
+pub struct PendingResponse<R>(JoinHandle<R>);
 
-impl<R> Begun<R> {
-    /// The answer comes of this task.
+impl<R> PendingResponse<R> {
+    /// Wraps the task that produces the response.
     pub fn new(task: JoinHandle<R>) -> Self {
-        Begun(task)
+        PendingResponse(task)
     }
 
-    /// Waits for the answer; none if its task ended without.
-    pub async fn answer(mut self) -> Option<R> {
+    /// Waits for the response; `None` if the task failed.
+    pub async fn response(mut self) -> Option<R> {
         (&mut self.0).await.ok()
     }
 }
 
-impl<R> Drop for Begun<R> {
+impl<R> Drop for PendingResponse<R> {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// A request that was told ahead, and its answer if it was begun.
-struct Early<R> {
+/// A request found behind the current one, with its response if it was started.
+struct PipelinedRequest<R> {
     parts: Parts,
-    begun: Option<Begun<R>>,
+    response: Option<PendingResponse<R>>,
 }
 
-/// What a connection's reading side and its service share.
-pub struct Ahead<R> {
+/// State shared by a connection's read side and its service.
+pub struct Pipeline<R> {
     splitter: RefCell<Splitter>,
-    early: RefCell<VecDeque<Early<R>>>,
-    /// The request whose turn it is was told ahead.
-    told: Cell<bool>,
-    reading: RefCell<Option<Waker>>,
-    emptied: Notify,
+    requests: RefCell<VecDeque<PipelinedRequest<R>>>,
+    /// The current request is the first in `requests`.
+    current_is_pipelined: Cell<bool>,
+    read_waker: RefCell<Option<Waker>>,
+    drained: Notify,
 }
 
-impl<R: 'static> Ahead<R> {
-    /// Nothing is read yet.
+impl<R: 'static> Pipeline<R> {
+    /// State of a new connection.
     pub fn new() -> Rc<Self> {
-        Rc::new(Ahead {
+        Rc::new(Pipeline {
             splitter: RefCell::default(),
-            early: RefCell::default(),
-            told: Cell::new(false),
-            reading: RefCell::default(),
-            emptied: Notify::new(),
+            requests: RefCell::default(),
+            current_is_pipelined: Cell::new(false),
+            read_waker: RefCell::default(),
+            drained: Notify::new(),
         })
     }
 
-    /// The library hands over a request: its answer, if it was begun ahead.
-    pub fn take(&self, parts: &Parts) -> Option<Begun<R>> {
-        if !self.told.replace(false) {
+    /// Returns the response of the request that the library has read, if it was started early.
+    pub fn take(&self, parts: &Parts) -> Option<PendingResponse<R>> {
+        if !self.current_is_pipelined.replace(false) {
             return None;
         }
-        let Early { parts: of, begun } = self.early.borrow_mut().pop_front()?;
-        // What was read ahead is what the library reads, or it is ended here.
-        let same = (&of.method, &of.uri, &of.headers) == (&parts.method, &parts.uri, &parts.headers);
-        begun.filter(|_| same)
+        let PipelinedRequest { parts: expected, response } = self.requests.borrow_mut().pop_front()?;
+        // If the library parsed a different request, the early one is cancelled.
+        let same = (&expected.method, &expected.uri, &expected.headers)
+            == (&parts.method, &parts.uri, &parts.headers);
+        response.filter(|_| same)
     }
 
-    /// Whether requests are begun that were not taken yet: their connection must not be closed.
-    pub fn begun(&self) -> bool {
-        self.early.borrow().iter().any(|early| early.begun.is_some())
+    /// Whether started requests are not taken yet; their connection must stay open.
+    pub fn has_started(&self) -> bool {
+        self.requests.borrow().iter().any(|request| request.response.is_some())
     }
 
-    /// Waits until none is.
-    pub async fn emptied(&self) {
-        while self.begun() {
-            self.emptied.notified().await;
+    /// Waits until all started requests are taken.
+    pub async fn drained(&self) {
+        while self.has_started() {
+            self.drained.notified().await;
         }
     }
 
-    /// The request whose turn it was is answered.
-    pub fn answered(&self) {
-        self.told.set(self.splitter.borrow_mut().turn());
-        if let Some(waker) = self.reading.take() {
+    /// Advances to the next request after a response.
+    pub fn response_done(&self) {
+        self.current_is_pipelined.set(self.splitter.borrow_mut().turn());
+        if let Some(waker) = self.read_waker.take() {
             waker.wake();
         }
-        if !self.begun() {
-            self.emptied.notify_waiters();
+        if !self.has_started() {
+            self.drained.notify_waiters();
         }
     }
 }
 
-/// A client's connection as the HTTP library reads and writes it.
-pub struct Front<I, R, B> {
+/// A client's connection that passes one request at a time to the HTTP library.
+pub struct PipelinedStream<I, R, B> {
     io: I,
-    ahead: Rc<Ahead<R>>,
-    /// Begins a request, or does not.
-    begin: B,
-    /// The client sends no more.
-    ended: bool,
+    pipeline: Rc<Pipeline<R>>,
+    /// Starts a pipelined request, or returns `None` to leave it for its turn.
+    start: B,
+    /// The client has closed its write side.
+    eof: bool,
 }
 
-impl<I, R: 'static, B: Fn(&Parts) -> Option<Begun<R>>> Front<I, R, B> {
-    /// A connection; `begin` is told of each request behind another one.
-    pub fn new(io: I, ahead: Rc<Ahead<R>>, begin: B) -> Self {
-        Front { io, ahead, begin, ended: false }
+impl<I, R: 'static, B: Fn(&Parts) -> Option<PendingResponse<R>>> PipelinedStream<I, R, B> {
+    /// Wraps a connection; `start` is called for each request found behind the current one.
+    pub fn new(io: I, pipeline: Rc<Pipeline<R>>, start: B) -> Self {
+        PipelinedStream { io, pipeline, start, eof: false }
     }
 
-    fn tell(&self, found: Vec<Parts>) {
+    fn start_requests(&self, found: Vec<Parts>) {
         for parts in found {
-            let begun = (self.begin)(&parts);
-            self.ahead.early.borrow_mut().push_back(Early { parts, begun });
+            let response = (self.start)(&parts);
+            self.pipeline.requests.borrow_mut().push_back(PipelinedRequest { parts, response });
         }
     }
 }
 
-impl<I: AsyncRead + Unpin, R: 'static, B: Fn(&Parts) -> Option<Begun<R>> + Unpin> AsyncRead
-    for Front<I, R, B>
+impl<I: AsyncRead + Unpin, R: 'static, B: Fn(&Parts) -> Option<PendingResponse<R>> + Unpin> AsyncRead
+    for PipelinedStream<I, R, B>
 {
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            if self.ahead.splitter.borrow_mut().open() > 0 {
-                let found = self.ahead.splitter.borrow_mut().hand(buf);
-                self.tell(found);
+            if self.pipeline.splitter.borrow_mut().open() > 0 {
+                let found = self.pipeline.splitter.borrow_mut().hand(buf);
+                self.start_requests(found);
                 return Poll::Ready(Ok(()));
             }
-            let (waits, full) = {
-                let splitter = self.ahead.splitter.borrow();
-                (splitter.waits(), splitter.full())
+            let (waiting, full) = {
+                let splitter = self.pipeline.splitter.borrow();
+                (splitter.has_waiting_bytes(), splitter.full())
             };
-            // What is kept has its turn before the end.
-            if self.ended && !waits {
+            // Buffered requests are passed on before the end of the stream.
+            if self.eof && !waiting {
                 return Poll::Ready(Ok(()));
             }
-            *self.ahead.reading.borrow_mut() = Some(cx.waker().clone());
-            if self.ended || full {
+            *self.pipeline.read_waker.borrow_mut() = Some(cx.waker().clone());
+            if self.eof || full {
                 return Poll::Pending;
             }
-            let mut room = [0; READ];
-            let mut read = ReadBuf::new(&mut room);
+            let mut chunk = [0; READ_BYTES];
+            let mut read = ReadBuf::new(&mut chunk);
             ready!(Pin::new(&mut self.io).poll_read(cx, &mut read))?;
-            self.ended = read.filled().is_empty();
-            let found = self.ahead.splitter.borrow_mut().feed(read.filled());
-            self.tell(found);
+            self.eof = read.filled().is_empty();
+            let found = self.pipeline.splitter.borrow_mut().feed(read.filled());
+            self.start_requests(found);
         }
     }
 }
 
-impl<I: AsyncWrite + Unpin, R, B: Unpin> AsyncWrite for Front<I, R, B> {
+impl<I: AsyncWrite + Unpin, R, B: Unpin> AsyncWrite for PipelinedStream<I, R, B> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.io).poll_write(cx, bytes)
     }
--- a/overland/src/figures.rs
+++ b/overland/src/figures.rs
@@ -1,9 +1,9 @@
-//! Figures of a proxy, as OpenMetrics. They are only counted here; nothing is decided by them.
+//! The proxy's metrics in OpenMetrics format. No decision depends on them.
 
 use crate::invariants;
 use crate::tally::Verdict;
 use cherrytally::plane::driver::Ears;
-use cherrytally::{CallResult as Ended, Reason};
+use cherrytally::{CallResult, Reason};
 use prometheus_client::encoding::text::{encode_eof, encode_registry};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -14,130 +14,142 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Where times are told apart, in seconds: from what a refusal takes to the longest deadlines.
-const BUCKETS: [f64; 10] = [0.005, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
+/// Histogram buckets of request times, in seconds, from refusals to the longest deadlines.
+const REQUEST_BUCKETS_S: [f64; 10] = [0.005, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByStatus {
+struct StatusLabel {
     status: u16,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByName {
+struct WhatLabel {
     what: &'static str,
 }
 
-/// What stands so at the moment.
+/// Current values of the gauges.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Present {
-    /// Requests that have no answer yet.
-    pub open: usize,
+pub struct Gauges {
+    /// Requests without a response.
+    pub in_flight_requests: usize,
     /// Connections to backends.
     pub backend_connections: usize,
-    /// Backends that are known, and how many of them requests are kept from.
+    /// Known backends, and how many of them get no requests.
     pub backends: (usize, usize),
-    /// The number of the last change that it goes by.
-    pub change: u64,
-    /// Time since the last word of who leads; none before the first.
-    pub word_age: Option<Duration>,
-    /// It takes clients.
+    /// Index of the last applied change.
+    pub applied_index: u64,
+    /// Time since the last contact with the leader; `None` before the first.
+    pub leader_contact_age: Option<Duration>,
+    /// Accepts clients.
     pub ready: bool,
 }
 
-/// What is counted from the start of the process.
-pub struct Figures {
+/// Counters and histograms since the start of the process.
+pub struct Metrics {
     registry: Registry,
-    answers: Family<ByStatus, Counter>,
-    times: Histogram,
-    attempts: Family<ByName, Counter>,
-    refusals: Family<ByName, Counter>,
-    charges: Family<ByName, Counter>,
+    responses: Family<StatusLabel, Counter>,
+    request_seconds: Histogram,
+    attempts: Family<WhatLabel, Counter>,
+    refusals: Family<WhatLabel, Counter>,
+    charges: Family<WhatLabel, Counter>,
     relayed: Counter,
-    ahead: Counter,
-    mended: Counter,
+    pipelined: Counter,
+    repairs: Counter,
 }
 
-impl Default for Figures {
+impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("pelion");
-        let answers = Family::default();
-        registry.register("answers", "Answers to clients by status", answers.clone());
-        let times = Histogram::new(BUCKETS);
-        registry.register_with_unit("request", "From head to answer", Unit::Seconds, times.clone());
+        let responses = Family::default();
+        registry.register("answers", "Answers to clients by status", responses.clone());
+        let request_seconds = Histogram::new(REQUEST_BUCKETS_S);
+        registry.register_with_unit("request", "From head to answer", Unit::Seconds, request_seconds.clone());
         let (attempts, refusals, charges) = <(Family<_, _>, Family<_, _>, Family<_, _>)>::default();
         registry.register("attempts", "Attempts at backends by how they ended", attempts.clone());
         registry.register("refusals", "Requests refused by the decisions, by reason", refusals.clone());
         registry.register("charges", "Requests charged to their tenant, by what came of it", charges.clone());
-        let (relayed, ahead, mended) = <(Counter, Counter, Counter)>::default();
+        let (relayed, pipelined, repairs) = <(Counter, Counter, Counter)>::default();
         registry.register("relayed", "Attempts written whole to backends", relayed.clone());
-        registry.register("ahead", "Requests begun behind another on their connection", ahead.clone());
-        registry.register("mended", "Times that the copy of the state was mended", mended.clone());
-        Figures { registry, answers, times, attempts, refusals, charges, relayed, ahead, mended }
+        registry.register("ahead", "Requests begun behind another on their connection", pipelined.clone());
+        registry.register("mended", "Times that the copy of the state was mended", repairs.clone());
+        Metrics {
+            registry,
+            responses,
+            request_seconds,
+            attempts,
+            refusals,
+            charges,
+            relayed,
+            pipelined,
+            repairs,
+        }
     }
 }
 
-impl Figures {
-    /// A client has its answer, so long after the request's head.
-    pub fn answered(&self, status: u16, took: Duration) {
-        self.answers.get_or_create(&ByStatus { status }).inc();
-        self.times.observe(took.as_secs_f64());
+impl Metrics {
+    /// Records a response to a client, and the time since the request's head was read.
+    pub fn response_sent(&self, status: u16, elapsed: Duration) {
+        self.responses.get_or_create(&StatusLabel { status }).inc();
+        self.request_seconds.observe(elapsed.as_secs_f64());
     }
 
-    /// A request was charged to its tenant.
+    /// Records the outcome of charging a request to its tenant.
     pub fn charged(&self, verdict: &Verdict) {
         let what = if matches!(verdict, Verdict::Refuse(_)) { "refused" } else { "sent" };
-        self.charges.get_or_create(&ByName { what }).inc();
+        self.charges.get_or_create(&WhatLabel { what }).inc();
     }
 
-    /// A request was begun behind another one.
-    pub fn begun_ahead(&self) {
-        self.ahead.inc();
+    /// Records a pipelined request that was started early.
+    pub fn request_pipelined(&self) {
+        self.pipelined.inc();
     }
 
-    /// The copy of the state was mended.
-    pub fn copy_mended(&self) {
-        self.mended.inc();
+    /// Records a repair of the state replica.
+    pub fn replica_repaired(&self) {
+        self.repairs.inc();
     }
 
-    /// All figures as OpenMetrics.
-    pub fn open_metrics(&self, present: &Present) -> String {
-        let mut now = Registry::with_prefix("pelion");
-        let violations = Family::<ByName, Counter>::default();
-        for (invariant, times) in invariants::violation_counts() {
-            violations.get_or_create(&ByName { what: invariant.name() }).inc_by(times);
+    /// Encodes all metrics as OpenMetrics text.
+    pub fn encode(&self, gauges: &Gauges) -> String {
+        let mut gauge_registry = Registry::with_prefix("pelion");
+        let violations = Family::<WhatLabel, Counter>::default();
+        for (invariant, count) in invariants::violation_counts() {
+            violations.get_or_create(&WhatLabel { what: invariant.name() }).inc_by(count);
         }
-        now.register("invariant_violations", "What must hold and did not", violations);
-        let mut gauge = |name: &str, help: &str, value: f64| {
+        gauge_registry.register("invariant_violations", "What must hold and did not", violations);
+        let mut register_gauge = |name: &str, help: &str, value: f64| {
             let gauge = Gauge::<f64, AtomicU64>::default();
             gauge.set(value);
-            now.register(name, help, gauge);
+            gauge_registry.register(name, help, gauge);
         };
-        gauge("open", "Requests without an answer", present.open as f64);
-        gauge("backend_connections", "Connections to backends", present.backend_connections as f64);
-        gauge("backends", "Backends that are known", present.backends.0 as f64);
-        gauge("backends_avoided", "Backends that requests are kept from", present.backends.1 as f64);
-        gauge("change", "The last change that it goes by", present.change as f64);
-        gauge("ready", "It takes clients", f64::from(u8::from(present.ready)));
-        if let Some(age) = present.word_age {
-            gauge("word_age_seconds", "Since the last word of who leads", age.as_secs_f64());
+        register_gauge("open", "Requests without an answer", gauges.in_flight_requests as f64);
+        register_gauge("backend_connections", "Connections to backends", gauges.backend_connections as f64);
+        register_gauge("backends", "Backends that are known", gauges.backends.0 as f64);
+        register_gauge("backends_avoided", "Backends that requests are kept from", gauges.backends.1 as f64);
+        register_gauge("change", "The last change that it goes by", gauges.applied_index as f64);
+        register_gauge("ready", "It takes clients", f64::from(u8::from(gauges.ready)));
+        if let Some(age) = gauges.leader_contact_age {
+            register_gauge("word_age_seconds", "Since the last word of who leads", age.as_secs_f64());
         }
         let mut text = String::new();
-        let written = [&self.registry, &now].into_iter().try_for_each(|of| encode_registry(&mut text, of));
-        // A String takes every write.
-        let _ = written.and_then(|()| encode_eof(&mut text));
+        let encoded = [&self.registry, &gauge_registry]
+            .into_iter()
+            .try_for_each(|registry| encode_registry(&mut text, registry));
+        // Writing to a `String` cannot fail.
+        let _ = encoded.and_then(|()| encode_eof(&mut text));
         text
     }
 }
 
-impl Ears for Figures {
-    fn attempted(&self, ended: Ended) {
-        self.attempts.get_or_create(&ByName { what: ended.name() }).inc();
+impl Ears for Metrics {
+    fn attempted(&self, result: CallResult) {
+        self.attempts.get_or_create(&WhatLabel { what: result.name() }).inc();
     }
 
-    fn called(&self, _: Ended) {}
+    fn called(&self, _: CallResult) {}
 
     fn refused(&self, reason: Reason) {
-        self.refusals.get_or_create(&ByName { what: reason.name() }).inc();
+        self.refusals.get_or_create(&WhatLabel { what: reason.name() }).inc();
     }
 
     fn relayed(&self) {
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -1,10 +1,10 @@
-//! The proxy: takes clients' requests, charges their tenants, and has the decision module send them.
+//! HTTP proxy: accepts client requests, charges them to tenants and forwards them to backends.
 
 use crate::agent::{self, feed};
-use crate::ahead::{Ahead, Begun, Front};
+use crate::ahead::{PendingResponse, Pipeline, PipelinedStream};
 use crate::charging::Pending;
 use crate::copy::{Effects, StateReplica};
-use crate::figures::{Figures, Present};
+use crate::figures::{Gauges, Metrics};
 use crate::invariants::{self, Invariant};
 use crate::link::{self, Incoming, Outgoing};
 use crate::news::{Charge, Charges, Hello, Purpose, ToProxy, Totals};
@@ -18,11 +18,11 @@
 use bytes::BytesMut;
 use cherrytally::plane::backends::{Backends, Dial, Stream};
 use cherrytally::plane::deadline::{Deadline, Stated};
-use cherrytally::plane::driver::{Answer, Asked, Driver, Reach, Speech, Told as Listing, Work};
+use cherrytally::plane::driver::{Answer, Asked, Driver, Reach, Speech, Told as DriverBackend, Work};
 use cherrytally::plane::http::Head;
 use cherrytally::plane::room::{Budget, Content, More, Short, Upload, HELD_MOST};
 use cherrytally::{
-    BackendEntry, BackendState as Stands, Limits, Millis, Plan, RetryBudget, Rules, Settings as Tuning,
+    BackendEntry, BackendState, Limits, Millis, Plan, RetryBudget, Rules, Settings as DriverSettings,
 };
 use eyre::{eyre, Result, WrapErr};
 use hyper::body::Incoming as Body;
@@ -46,137 +46,139 @@
 use tokio::sync::{oneshot, watch, Notify, Semaphore};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// Descriptors kept for all but clients and backends.
-const RESERVED: u64 = 264;
-/// A backend's connection comes up within this, in ms: the farthest region is some hundred away.
+/// File descriptors reserved for uses other than client and backend connections.
+const RESERVED_FDS: u64 = 264;
+/// Connect timeout to a backend, in ms; several round trips to the farthest region.
 const CONNECT_MS: f64 = 500.0;
-/// Backends close connections that are idle for so long, in ms; they are used for half of it.
+/// Idle time after which backends close a connection, in ms; the pool reuses it for half of that.
 const IDLE_MS: f64 = 8_000.0;
-/// Longest wait for the counter, as a share of the route's aim.
-const COUNT_OF_AIM: f64 = 0.35;
-/// A body has come, or comes at a fair pace, so long after its head.
-const WHOLE: Duration = Duration::from_secs(5);
-/// A body waits so long for room.
-const ROOM: Duration = Duration::from_secs(1);
-/// What is read from a client at once, and the longest head.
-const READ: usize = 16 * 1024;
-/// A request without a word on how long its client waits.
-const WAITS: Duration = Duration::from_secs(10);
-/// Clients that are refused for want of room come back after so long at least, in ms.
-const AFTER_MS: f64 = 50.0;
-/// And at most.
-const AFTER_MOST_MS: f64 = 2000.0;
-/// Cost of another region, and of another zone, in usual times of a request.
-const FAR: (f64, f64) = (6.0, 0.15);
-/// The part of a budget that all gateways share which is used: others may be unknown.
-const OF_BUDGET: f64 = 0.8;
-/// After SIGTERM clients are still taken in for so long: they go by what they were told before.
-const ACCEPT_ON: f64 = 0.45;
-/// And what is open may end within this share of the time that is granted; what is in hand then gets its final answer.
-const ANSWERED: f64 = 0.92;
-/// Bytes that are handed to the system are on their way so long after.
-const LAST_BYTES: Duration = Duration::from_millis(100);
-/// A request is refused early if it is expected to take more than this share of its aim: an answer that is a little late
-/// still earns something, and far places take longer without a queue.
-const EARLY_OF_AIM: f64 = 1.2;
-/// A request that comes while the process starts waits so long for it, as a share of its client's time.
-const START_OF_WAIT: f64 = 0.4;
-/// Between two looks whether a settled leader is heard again: shorter than its word then holds.
-const NO_FULL_RATE: Duration = Duration::from_millis(500);
-/// Between two tries to reach another process.
-const AGAIN: Duration = Duration::from_millis(100);
+/// Maximum wait for the quota counter, as a share of the route's target latency.
+const COUNTER_TIMEOUT_OF_TARGET: f64 = 0.35;
+/// Time limit for a body to be complete or at the minimum pace; also the default idle timeout.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum wait of a body for memory budget.
+const MEMORY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Read buffer of a client connection, which also limits the size of a request head.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Timeout of a request without a `deadline-ms` header.
+const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Minimum `retry-after` of refused requests, in ms.
+const MIN_RETRY_AFTER_MS: f64 = 50.0;
+/// Maximum `retry-after` of refused requests, in ms.
+const MAX_RETRY_AFTER_MS: f64 = 2000.0;
+/// Distance cost of a backend in another region, in multiples of a typical request time.
+const OTHER_REGION_COST: f64 = 6.0;
+/// Distance cost of a backend in another zone of the region, in the same unit.
+const OTHER_ZONE_COST: f64 = 0.15;
+/// Used share of the retry budget that all gateways share: some gateways may be unknown here.
+const RETRY_BUDGET_SHARE: f64 = 0.8;
+/// Share of the grace period in which clients are still accepted, as their discovery data may be stale.
+const ACCEPT_OF_GRACE: f64 = 0.45;
+/// Share of the grace period after which requests in flight get their final response.
+const RESPOND_OF_GRACE: f64 = 0.92;
+/// Wait before exit for the kernel to send the last bytes.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
+/// A request is refused early if its expected time exceeds this multiple of the target: a slightly late
+/// response is still useful, and remote zones take longer even without a queue.
+const EARLY_REFUSAL_OF_TARGET: f64 = 1.2;
+/// Maximum wait of a request for the initial state during startup, as a share of the client's timeout.
+const STARTUP_WAIT_OF_TIMEOUT: f64 = 0.4;
+/// Interval of leader contact checks without the full rate; shorter than a contact stays valid.
+const FULL_RATE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay before reconnecting to another process.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// A charge on its way.
-struct Charging {
+/// A charge to send to the quota counter.
+struct ChargeRequest {
     tenant: String,
     charge: tally::Charge,
-    answer: oneshot::Sender<Option<ChargeTotal>>,
+    response: oneshot::Sender<Option<ChargeTotal>>,
 }
 
-/// Whether clients are taken in.
+/// Shutdown phase.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    /// They are.
-    Serves,
-    /// Each answer asks its client to go.
-    Drains,
-    /// Idle connections are closed.
-    Closes,
-    /// What is in hand gets its final answer now.
-    Answers,
+    /// Accepts clients.
+    Serving,
+    /// Accepts clients, but responses carry `connection: close`.
+    Draining,
+    /// Closes idle connections.
+    ClosingIdle,
+    /// Requests in flight get their final response now.
+    Aborting,
 }
 
-/// A request that may be sent on.
+/// A request that passed routing, authentication and quota.
 struct Admitted {
     route: Rc<Route>,
     tenant: Option<Rc<Tenant>>,
     deadline: Deadline,
-    /// Its body, as far as it is held, and what is to come of it, with the length of the whole where that is known.
+    /// The buffered part of the body, and the unread rest with the length of the whole body where known.
     body: BytesMut,
     more: Option<(Rc<More>, Option<u64>)>,
 }
 
-/// A proxy.
+/// State of the proxy, shared by its tasks on one thread.
 pub struct Proxy {
     settings: Settings,
     zones: Zones,
     started: Instant,
-    front: SocketAddr,
-    figures: Rc<Figures>,
+    client_addr: SocketAddr,
+    metrics: Rc<Metrics>,
     driver: Rc<Driver>,
     budget: Rc<Budget>,
-    /// One for each client's connection.
-    places: Arc<Semaphore>,
-    places_most: usize,
+    /// One permit per client connection.
+    connection_slots: Arc<Semaphore>,
+    max_connections: usize,
     phase: watch::Sender<Phase>,
-    busy: Cell<usize>,
-    copy: RefCell<StateReplica>,
+    in_flight: Cell<usize>,
+    replica: RefCell<StateReplica>,
     table: RefCell<Option<Rc<RouteTable>>>,
     routes: RefCell<NameIds>,
     pools: RefCell<NameIds>,
-    /// Zones that are emptied, one bit each.
+    /// Evacuated zones, one bit each.
     evacuated: Cell<u64>,
-    /// Backends count as warm that are not known to be cold, as they were last listed.
+    /// In the last backend update, backends not known to be cold were allowed their full rate.
     full_rate: Cell<bool>,
     tally: RefCell<Tally>,
-    charges: UnboundedSender<Charging>,
-    counter: watch::Sender<Option<SocketAddr>>,
-    told: Notify,
-    /// It was up to date once.
-    has_been: Cell<bool>,
-    news: Notify,
+    charges: UnboundedSender<ChargeRequest>,
+    counter_addr: watch::Sender<Option<SocketAddr>>,
+    readiness_changed: Notify,
+    /// The state was complete and the lease valid at least once.
+    was_synced: Cell<bool>,
+    synced: Notify,
     rng: RefCell<fastrand::Rng>,
 }
 
-type Reply = Response<Content>;
+type HttpResponse = Response<Content>;
 
-fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(Content::whole(text));
-    *reply.status_mut() = status;
-    reply
+fn text_response(status: StatusCode, text: &'static str) -> HttpResponse {
+    let mut response = Response::new(Content::whole(text));
+    *response.status_mut() = status;
+    response
 }
 
-/// A refusal of a request that has not run and never will, with the time to come back.
-fn refused(status: StatusCode, after_ms: f64) -> Reply {
-    let mut reply = plain(status, "not run\n");
-    let seconds = format!("{:.3}", after_ms.clamp(AFTER_MS, AFTER_MOST_MS) / 1000.0);
-    reply.headers_mut().extend(HeaderValue::try_from(seconds).ok().map(|value| (RETRY_AFTER, value)));
-    reply
+/// Response for a request that has not run and never will, with `retry-after`.
+fn not_run_response(status: StatusCode, after_ms: f64) -> HttpResponse {
+    let mut response = text_response(status, "not run\n");
+    let seconds = format!("{:.3}", after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) / 1000.0);
+    response.headers_mut().extend(HeaderValue::try_from(seconds).ok().map(|value| (RETRY_AFTER, value)));
+    response
 }
 
-/// A request in hand.
-struct Busy(Rc<Proxy>, Option<cherrytally::RequestId>);
+/// Counts a request as in flight; on drop, cancels it in the driver if it has no response yet.
+struct InFlight(Rc<Proxy>, Option<cherrytally::RequestId>);
 
-impl Busy {
+impl InFlight {
     fn new(proxy: &Rc<Proxy>) -> Self {
-        proxy.busy.set(proxy.busy.get() + 1);
-        Busy(proxy.clone(), None)
+        proxy.in_flight.set(proxy.in_flight.get() + 1);
+        InFlight(proxy.clone(), None)
     }
 }
 
-impl Drop for Busy {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.busy.set(self.0.busy.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
         if let Some(id) = self.1.take() {
             self.0.driver.leave(id);
         }
@@ -184,37 +186,36 @@
 }
 
 impl Proxy {
-    /// A proxy that knows nothing yet, and has no sockets of its own: connections and news are handed to it. Its charges
-    /// come out at the other end.
+    /// Creates a proxy without state or sockets, and the receiver of its charges.
     fn new(
         settings: Settings, seed: u64, speech: Rc<dyn Speech>, backends: impl FnOnce(usize) -> Backends,
-    ) -> Result<(Rc<Self>, UnboundedReceiver<Charging>)> {
-        let front = settings.client_addr.ok_or_else(|| eyre!("network.docks_at.front is missing"))?;
-        let places = (settings.max_fds.saturating_sub(RESERVED) / 2).max(2) as usize;
+    ) -> Result<(Rc<Self>, UnboundedReceiver<ChargeRequest>)> {
+        let client_addr = settings.client_addr.ok_or_else(|| eyre!("network.docks_at.front is missing"))?;
+        let max_connections = (settings.max_fds.saturating_sub(RESERVED_FDS) / 2).max(2) as usize;
         let budget = Rc::new(Budget::new(settings.memory_mb << 20));
-        let figures = Rc::new(Figures::default());
+        let metrics = Rc::new(Metrics::default());
         let reach = Reach {
-            backends: backends(places),
+            backends: backends(max_connections),
             calls: None,
             tells: None,
             budget: budget.clone(),
             speech,
-            ears: figures.clone(),
+            ears: metrics.clone(),
         };
         let zones = Zones::new(&settings.zones);
-        let (charges, charging) = unbounded_channel();
+        let (charges, charge_requests) = unbounded_channel();
         let proxy = Rc::new(Proxy {
-            driver: Driver::new(tuning(&settings, &zones, Vec::new(), 1, 0), seed, reach),
+            driver: Driver::new(driver_settings(&settings, &zones, Vec::new(), 1, 0), seed, reach),
             zones,
             started: Instant::now(),
-            front,
-            figures,
+            client_addr,
+            metrics,
             budget,
-            places: Arc::new(Semaphore::new(places)),
-            places_most: places,
-            phase: watch::Sender::new(Phase::Serves),
-            busy: Cell::new(0),
-            copy: RefCell::new(StateReplica::new(&settings.bounds)),
+            connection_slots: Arc::new(Semaphore::new(max_connections)),
+            max_connections,
+            phase: watch::Sender::new(Phase::Serving),
+            in_flight: Cell::new(0),
+            replica: RefCell::new(StateReplica::new(&settings.bounds)),
             table: RefCell::default(),
             routes: RefCell::default(),
             pools: RefCell::default(),
@@ -222,101 +223,105 @@
             full_rate: Cell::new(false),
             tally: RefCell::new(Tally::new(settings.bounds.quota_slack)),
             charges,
-            counter: watch::Sender::new(None),
-            told: Notify::new(),
-            has_been: Cell::new(false),
-            news: Notify::new(),
+            counter_addr: watch::Sender::new(None),
+            readiness_changed: Notify::new(),
+            was_synced: Cell::new(false),
+            synced: Notify::new(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
             settings,
         });
-        Ok((proxy, charging))
+        Ok((proxy, charge_requests))
     }
 
-    /// A proxy by itself, without an agent or a counter: it goes by `news`, and speaks with backends over connections that
-    /// `dial` opens. Clients come by [`Proxy::connection`].
-    pub fn apart(
+    /// Creates a proxy without an agent or a counter, with its state from `news` and connections opened by
+    /// `dial`. Clients are served by [`Proxy::serve_connection`].
+    pub fn standalone(
         settings: Settings, seed: u64, speech: Rc<dyn Speech>, dial: Dial, news: ToProxy,
     ) -> Result<Rc<Self>> {
-        let (proxy, _) =
-            Self::new(settings, seed, speech, |places| Backends::over(dial, places, CONNECT_MS, IDLE_MS))?;
-        *proxy.copy.borrow_mut() = StateReplica::standalone(&proxy.settings.bounds);
-        proxy.heard(news);
+        let (proxy, _) = Self::new(settings, seed, speech, |max_connections| {
+            Backends::over(dial, max_connections, CONNECT_MS, IDLE_MS)
+        })?;
+        *proxy.replica.borrow_mut() = StateReplica::standalone(&proxy.settings.bounds);
+        proxy.apply_update(news);
         Ok(proxy)
     }
 
-    /// It is told to end: from the first word on clients are asked to go, from the second on idle ones are closed.
-    pub fn ends(&self) {
-        let closes = *self.phase.borrow() != Phase::Serves;
-        self.phase.send_replace(if closes { Phase::Closes } else { Phase::Drains });
+    /// Advances the shutdown: the first call drains clients, the second closes idle connections.
+    pub fn advance_shutdown(&self) {
+        let draining = *self.phase.borrow() != Phase::Serving;
+        self.phase.send_replace(if draining { Phase::ClosingIdle } else { Phase::Draining });
     }
 
-    /// Runs a proxy until it is told to end.
+    /// Runs a proxy until SIGTERM, then shuts it down within the grace period.
     pub async fn run(settings: Settings, mut watch: Watch) -> Result<()> {
-        let mut term = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
-        let backends = |places| Backends::new(places, CONNECT_MS, IDLE_MS);
-        let (proxy, charging) = Self::new(settings, fastrand::u64(..), Rc::new(Wire), backends)?;
-        let front = proxy.front;
-        let listener = TcpListener::bind(front).await.wrap_err("front address")?;
-        tokio::task::spawn_local(proxy.clone().be_fed());
-        tokio::task::spawn_local(proxy.clone().charge(charging));
-        tokio::task::spawn_local(proxy.clone().mind_full_rate());
+        let mut term = signal(SignalKind::terminate()).wrap_err("cannot install the SIGTERM handler")?;
+        let backends = |max_connections| Backends::new(max_connections, CONNECT_MS, IDLE_MS);
+        let (proxy, charge_requests) = Self::new(settings, fastrand::u64(..), Rc::new(Wire), backends)?;
+        let client_addr = proxy.client_addr;
+        let listener = TcpListener::bind(client_addr).await.wrap_err("cannot bind the client address")?;
+        tokio::task::spawn_local(proxy.clone().run_agent_link());
+        tokio::task::spawn_local(proxy.clone().run_charges(charge_requests));
+        tokio::task::spawn_local(proxy.clone().watch_full_rate());
         if let Some(ready) = proxy.settings.ready_addr {
-            let listener = TcpListener::bind(ready).await.wrap_err("ready address")?;
-            tokio::task::spawn_local(proxy.clone().tell_ready(listener));
+            let listener = TcpListener::bind(ready).await.wrap_err("cannot bind the readiness address")?;
+            tokio::task::spawn_local(proxy.clone().serve_readiness(listener));
         }
-        // What a proxy goes by in them does not change while it runs; the agent learns the seeds.
+        // Settings that the proxy uses do not change at run time; the agent applies new seeds.
         tokio::task::spawn_local(async move {
             loop {
                 drop(watch.changed().await);
-                log::info!("proxy: the settings were read again");
+                log::info!("proxy: settings reloaded");
             }
         });
-        let sweeping = proxy.clone();
+        let sweeper = proxy.clone();
         tokio::task::spawn_local(async move {
             loop {
                 sleep(Duration::from_secs(1)).await;
-                sweeping.driver.sweep();
+                sweeper.driver.sweep();
             }
         });
         let accepting = tokio::task::spawn_local(proxy.clone().accept(listener));
-        log::info!("proxy: clients arrive at {front}");
+        log::info!("proxy: accepting clients on {client_addr}");
         term.recv().await;
-        log::info!("proxy: told to end");
+        log::info!("proxy: received SIGTERM; shutting down");
         let (now, grace) = (Instant::now(), proxy.settings.bounds.grace);
-        proxy.phase.send_replace(Phase::Drains);
-        proxy.told.notify_waiters();
-        sleep_until(now + grace.mul_f64(ACCEPT_ON)).await;
+        proxy.phase.send_replace(Phase::Draining);
+        proxy.readiness_changed.notify_waiters();
+        sleep_until(now + grace.mul_f64(ACCEPT_OF_GRACE)).await;
         accepting.abort();
-        proxy.phase.send_replace(Phase::Closes);
-        if !proxy.ended(now + grace.mul_f64(ANSWERED)).await {
-            log::warn!("proxy: answers {} requests that are in hand at its end", proxy.busy.get());
-            proxy.answers_all();
-            if !proxy.ended(now + grace.mul_f64(agent::ENDED)).await {
-                log::warn!("proxy: ends with {} connections open", proxy.open_connections());
-                invariants::check(Invariant::RequestsAreAnswered, proxy.busy.get() == 0, || {
-                    format!("{} requests are in hand at the end", proxy.busy.get())
+        proxy.phase.send_replace(Phase::ClosingIdle);
+        if !proxy.wait_for_connections(now + grace.mul_f64(RESPOND_OF_GRACE)).await {
+            log::warn!(
+                "proxy: grace period is nearly over: aborting {} requests in flight",
+                proxy.in_flight.get()
+            );
+            proxy.abort_all();
+            if !proxy.wait_for_connections(now + grace.mul_f64(agent::ENDED)).await {
+                log::warn!("proxy: exiting with {} connections open", proxy.open_connections());
+                invariants::check(Invariant::RequestsAreAnswered, proxy.in_flight.get() == 0, || {
+                    format!("{} requests in flight at exit", proxy.in_flight.get())
                 });
             }
         }
-        // The last answers are on their way out.
-        sleep(LAST_BYTES).await;
+        // Lets the kernel send the last responses.
+        sleep(FLUSH_TIME).await;
         Ok(())
     }
 
-    /// Waits until all connections have ended, and so all answers are written to their last byte. False if time is up. A
-    /// request in hand is not enough to wait for: a large answer passes on when its request is decided.
-    async fn ended(&self, by: Instant) -> bool {
-        let all = u32::try_from(self.places_most).unwrap_or(u32::MAX);
-        timeout_at(by, self.places.acquire_many(all)).await.is_ok()
+    /// Waits until all client connections are closed; false on timeout. Waiting for requests in flight would
+    /// not do: a large response is still being written after its request is decided.
+    async fn wait_for_connections(&self, deadline: Instant) -> bool {
+        let all = u32::try_from(self.max_connections).unwrap_or(u32::MAX);
+        timeout_at(deadline, self.connection_slots.acquire_many(all)).await.is_ok()
     }
 
     fn open_connections(&self) -> usize {
-        self.places_most - self.places.available_permits()
+        self.max_connections - self.connection_slots.available_permits()
     }
 
-    /// Whatever is in hand gets its final answer: no request that was read ends without a word.
-    fn answers_all(&self) {
-        self.phase.send_replace(Phase::Answers);
+    /// Gives all requests in flight their final response.
+    fn abort_all(&self) {
+        self.phase.send_replace(Phase::Aborting);
         self.driver.leave_all();
     }
 
@@ -324,96 +329,102 @@
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    // ---- What the agent tells -----------------------------------------------------------------------------------
+    // ---- State updates from the agent ---------------------------------------------------------------------
 
-    async fn be_fed(self: Rc<Self>) {
+    async fn run_agent_link(self: Rc<Self>) {
         loop {
             if let Ok(stream) = link::connect(feed(&self.settings)).await {
-                // However it ends: the agent is asked again, and until then what it told holds.
-                let _ = self.fed(stream).await;
+                // After any error the proxy reconnects; until then the current state stays in use.
+                let _ = self.serve_agent_link(stream).await;
             }
-            sleep(AGAIN).await;
+            sleep(RECONNECT_DELAY).await;
         }
     }
 
-    async fn fed(self: &Rc<Self>, stream: TcpStream) -> std::io::Result<()> {
+    async fn serve_agent_link(self: &Rc<Self>, stream: TcpStream) -> std::io::Result<()> {
         let (read, write) = stream.into_split();
-        let (out, from) = Outgoing::new();
-        let writing = tokio::task::spawn_local(link::write(write, from));
+        let (outgoing, queue) = Outgoing::new();
+        let writer = tokio::task::spawn_local(link::write(write, queue));
         let mut incoming = Incoming::<ToProxy>::new(read);
-        let ended = loop {
+        let result = loop {
             let ready = self.ready();
-            out.send(&self.copy.borrow_mut().message(self.now(), self.front.to_string(), ready));
+            outgoing.send(&self.replica.borrow_mut().message(
+                self.now(),
+                self.client_addr.to_string(),
+                ready,
+            ));
             let next = tokio::select! {
                 next = incoming.next() => next,
-                () = self.told.notified() => continue,
+                () = self.readiness_changed.notified() => continue,
             };
             match next {
-                Ok(news) => self.heard(news),
+                Ok(news) => self.apply_update(news),
                 Err(e) => break Err(e),
             }
         };
-        writing.abort();
-        ended
+        writer.abort();
+        result
     }
 
-    /// Goes by what its agent tells.
-    pub fn heard(self: &Rc<Self>, news: ToProxy) {
+    /// Applies a state update from the agent.
+    pub fn apply_update(self: &Rc<Self>, news: ToProxy) {
         let (now, counter) = (self.now(), news.counter.parse().ok());
-        let Effects { touched, repaired: mended, leader_heard_at: word } =
-            self.copy.borrow_mut().apply(now, news);
-        if mended {
-            self.figures.copy_mended();
+        let Effects { touched, repaired, leader_heard_at } = self.replica.borrow_mut().apply(now, news);
+        if repaired {
+            self.metrics.replica_repaired();
         }
         if touched.contains(&Touched::Config) {
-            self.configure();
+            self.apply_config();
         }
         if touched.contains(&Touched::Gateways) || touched.contains(&Touched::Config) {
-            self.tune();
+            self.update_settings();
         }
-        let full_rate = self.copy.borrow().has_full_rate(now);
-        if touched.iter().any(|of| *of != Touched::Nothing) || full_rate != self.full_rate.get() {
-            self.list();
+        let full_rate = self.replica.borrow().has_full_rate(now);
+        if touched.iter().any(|part| *part != Touched::Nothing) || full_rate != self.full_rate.get() {
+            self.update_backends();
         }
-        self.counter.send_if_modified(|at| std::mem::replace(at, counter) != counter);
-        if let Some(word) = word {
-            self.tally.borrow_mut().leader_contacted(word);
+        self.counter_addr.send_if_modified(|at| std::mem::replace(at, counter) != counter);
+        if let Some(heard_at) = leader_heard_at {
+            self.tally.borrow_mut().leader_contacted(heard_at);
         }
-        if !self.has_been.get() && self.table.borrow().is_some() && self.in_touch() {
-            self.has_been.set(true);
-            self.news.notify_waiters();
+        if !self.was_synced.get() && self.table.borrow().is_some() && self.lease_is_valid() {
+            self.was_synced.set(true);
+            self.synced.notify_waiters();
         }
     }
 
-    /// Lists backends anew as soon as the last word of a settled leader is too old.
-    async fn mind_full_rate(self: Rc<Self>) {
+    /// Updates the backends once the last contact of an up-to-date leader is too old to allow the full rate.
+    async fn watch_full_rate(self: Rc<Self>) {
         loop {
-            let left = self.copy.borrow().full_rate_until() - self.now();
-            sleep(if left > 0.0 { Duration::from_secs_f64(left / 1000.0) } else { NO_FULL_RATE }).await;
-            if self.full_rate.get() && !self.copy.borrow().has_full_rate(self.now()) {
-                log::info!("proxy: no settled leader is heard: any backend may be cold");
-                self.list();
+            let left = self.replica.borrow().full_rate_until() - self.now();
+            sleep(if left > 0.0 { Duration::from_secs_f64(left / 1000.0) } else { FULL_RATE_CHECK_INTERVAL })
+                .await;
+            if self.full_rate.get() && !self.replica.borrow().has_full_rate(self.now()) {
+                log::info!(
+                    "proxy: no contact with an up-to-date leader: limiting all backends to the cold rate"
+                );
+                self.update_backends();
             }
         }
     }
 
-    /// Goes by another configuration from now on.
-    fn configure(&self) {
-        let copy = self.copy.borrow();
-        let Some(config) = copy.state().and_then(|state| state.config.as_ref()) else { return };
-        let former = self.table.borrow().as_ref().map(|table| table.classes.clone()).unwrap_or_default();
+    /// Applies the configuration of the current state.
+    fn apply_config(&self) {
+        let replica = self.replica.borrow();
+        let Some(config) = replica.state().and_then(|state| state.config.as_ref()) else { return };
+        let old_classes = self.table.borrow().as_ref().map(|table| table.classes.clone()).unwrap_or_default();
         let (mut routes, mut pools) = (self.routes.borrow_mut(), self.pools.borrow_mut());
-        match RouteTable::new(&config.text, &self.zones, &mut routes, &mut pools, &former) {
+        match RouteTable::new(&config.text, &self.zones, &mut routes, &mut pools, &old_classes) {
             Ok(table) => {
                 self.tally.borrow_mut().set_limits(self.now(), &table.limits);
                 *self.table.borrow_mut() = Some(Rc::new(table));
             }
-            Err(e) => log::error!("proxy: r{} can't be gone by: {}", config.edition, e.0),
+            Err(e) => log::error!("proxy: cannot apply configuration r{}: {}", config.edition, e.0),
         }
     }
 
-    fn tune(&self) {
-        let Some((gateways, position)) = self.copy.borrow().state().map(|state| {
+    fn update_settings(&self) {
+        let Some((gateways, position)) = self.replica.borrow().state().map(|state| {
             let position = state.gateways.keys().position(|node| *node == self.settings.node);
             (state.gateways.len().max(1), position.unwrap_or(0))
         }) else {
@@ -421,54 +432,58 @@
         };
         self.tally.borrow_mut().set_gateways(gateways);
         let classes = self.table.borrow().as_ref().map(|table| table.classes.clone()).unwrap_or_default();
-        let tuning = tuning(&self.settings, &self.zones, classes, gateways as u32, position as u32);
-        self.driver.retune(tuning, CONNECT_MS, IDLE_MS);
+        let settings =
+            driver_settings(&self.settings, &self.zones, classes, gateways as u32, position as u32);
+        self.driver.retune(settings, CONNECT_MS, IDLE_MS);
     }
 
-    fn list(&self) {
-        let copy = self.copy.borrow();
-        let Some(state) = copy.state() else { return };
+    fn update_backends(&self) {
+        let replica = self.replica.borrow();
+        let Some(state) = replica.state() else { return };
         let table = self.table.borrow();
         let mut pools = self.pools.borrow_mut();
-        let bits = state.evacuated.iter().fold(0, |bits, zone| bits | 1 << self.zones.number(zone).min(63));
-        self.evacuated.set(bits);
-        let (mine, theirs) = (self.now(), self.driver.now());
+        let evacuated =
+            state.evacuated.iter().fold(0, |mask, zone| mask | 1 << self.zones.number(zone).min(63));
+        self.evacuated.set(evacuated);
+        let (proxy_now, driver_now) = (self.now(), self.driver.now());
         let region = |zone: &str| self.zones.region(zone);
-        let full_rate = copy.has_full_rate(mine);
+        let full_rate = replica.has_full_rate(proxy_now);
         self.full_rate.set(full_rate);
-        // Most lists name no backend that is limited.
+        // Computed only if some backend is rate-limited.
         let shares = LazyCell::new(|| {
             let names = state.gateways.keys().map(String::as_str);
             Shares::new(&self.settings.bounds, &self.settings.node, names)
         });
-        let told = state.backends.values().filter_map(|known| {
+        let listed_backends = state.backends.values().filter_map(|known| {
             let b = &known.backend;
             let (pool, zone) = (pools.id(&b.service), self.zones.number(&b.zone));
-            let per_s = table.as_ref().and_then(|table| table.cold_per_s.get(&pool)).copied().unwrap_or(0.0);
+            let cold_per_s =
+                table.as_ref().and_then(|table| table.cold_per_s.get(&pool)).copied().unwrap_or(0.0);
             let cold_ms = table.as_ref().and_then(|table| table.cold_ms.get(&pool)).copied().unwrap_or(0.0);
-            // Backends of a zone that was taken back may have turned cold meanwhile.
+            // Backends may have become cold while their zone was evacuated.
             let taken_back = state.evacuation_ends.get(&b.zone).map_or(0.0, |at| at + cold_ms);
             let cold_until = known.cold_until.max(taken_back);
-            let cold_until = if cold_until > mine { theirs + cold_until - mine } else { 0.0 };
-            let cold = per_s > 0.0 && cold_until > theirs;
-            let share = (per_s > 0.0 && (cold || !full_rate)).then(|| shares.share(&b.id, per_s));
-            let far = match (b.zone == self.settings.zone, region(&b.zone) == Some(&self.settings.region)) {
-                (true, _) => 0.0,
-                (_, true) => FAR.1,
-                _ => FAR.0,
-            };
+            let cold_until = if cold_until > proxy_now { driver_now + cold_until - proxy_now } else { 0.0 };
+            let cold = cold_per_s > 0.0 && cold_until > driver_now;
+            let share = (cold_per_s > 0.0 && (cold || !full_rate)).then(|| shares.share(&b.id, cold_per_s));
+            let distance_cost =
+                match (b.zone == self.settings.zone, region(&b.zone) == Some(&self.settings.region)) {
+                    (true, _) => 0.0,
+                    (_, true) => OTHER_ZONE_COST,
+                    _ => OTHER_REGION_COST,
+                };
             let listed = BackendEntry {
                 id: 0,
                 zone,
                 kind: 0,
                 cell: 0,
-                state: if b.draining { Stands::Draining } else { Stands::Ready },
+                state: if b.draining { BackendState::Draining } else { BackendState::Ready },
                 size: f64::from(b.max_concurrency.max(1)),
                 started: 0.0,
                 pool,
-                distance_cost: far,
-                cold_until: if per_s > 0.0 { cold_until } else { 0.0 },
-                cold_per_s: share.map_or(0.0, |share| per_s / share.senders),
+                distance_cost,
+                cold_until: if cold_per_s > 0.0 { cold_until } else { 0.0 },
+                cold_per_s: share.map_or(0.0, |share| cold_per_s / share.senders),
                 limited_until: match share {
                     None => 0.0,
                     Some(_) if full_rate => cold_until,
@@ -476,44 +491,44 @@
                 },
                 limit: share.map_or(0, |share| share.limit),
             };
-            Some(Listing { name: b.id.clone(), addr: Some(b.address.parse().ok()?), listed })
+            Some(DriverBackend { name: b.id.clone(), addr: Some(b.address.parse().ok()?), listed })
         });
-        self.driver.list(true, told.collect());
+        self.driver.list(true, listed_backends.collect());
         self.driver.discovery_heard();
     }
 
-    /// Whether it may still go by the keys that it has.
-    fn in_touch(&self) -> bool {
-        self.copy.borrow().lease_is_valid(self.now())
+    /// Whether the lease still allows the proxy to accept its tenant keys.
+    fn lease_is_valid(&self) -> bool {
+        self.replica.borrow().lease_is_valid(self.now())
     }
 
-    /// Whether clients are to come.
+    /// Whether new clients should be sent here.
     fn ready(&self) -> bool {
-        let serves = *self.phase.borrow() == Phase::Serves;
-        serves && self.table.borrow().is_some() && self.driver.ready() && self.in_touch()
+        let serving = *self.phase.borrow() == Phase::Serving;
+        serving && self.table.borrow().is_some() && self.driver.ready() && self.lease_is_valid()
     }
 
-    /// The figures for operators.
-    fn open_metrics(&self) -> Reply {
-        let present = Present {
-            open: self.busy.get(),
+    /// All metrics in OpenMetrics format.
+    fn metrics_response(&self) -> HttpResponse {
+        let gauges = Gauges {
+            in_flight_requests: self.in_flight.get(),
             backend_connections: self.driver.backends().open(),
             backends: self.driver.listed(),
-            change: self.copy.borrow().applied_index(),
-            word_age: self
-                .copy
+            applied_index: self.replica.borrow().applied_index(),
+            leader_contact_age: self
+                .replica
                 .borrow()
                 .leader_contact_age(self.now())
                 .map(|ms| Duration::from_secs_f64(ms.max(0.0) / 1000.0)),
             ready: self.ready(),
         };
-        let mut reply = Response::new(Content::whole(self.figures.open_metrics(&present)));
+        let mut response = Response::new(Content::whole(self.metrics.encode(&gauges)));
         let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-        reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
-        reply
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+        response
     }
 
-    async fn tell_ready(self: Rc<Self>, listener: TcpListener) {
+    async fn serve_readiness(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 sleep(Duration::from_millis(20)).await;
@@ -522,27 +537,27 @@
             let proxy = self.clone();
             tokio::task::spawn_local(async move {
                 let service = service_fn(|request: Request<Body>| {
-                    let reply = match request.uri().path() {
-                        "/metrics" => proxy.open_metrics(),
-                        _ if proxy.ready() => plain(StatusCode::OK, ""),
-                        _ => plain(StatusCode::SERVICE_UNAVAILABLE, ""),
+                    let response = match request.uri().path() {
+                        "/metrics" => proxy.metrics_response(),
+                        _ if proxy.ready() => text_response(StatusCode::OK, ""),
+                        _ => text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
                     };
-                    async move { Ok::<_, Infallible>(reply) }
+                    async move { Ok::<_, Infallible>(response) }
                 });
                 let connection = http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(WHOLE)
+                    .header_read_timeout(READ_TIMEOUT)
                     .serve_connection(TokioIo::new(stream), service);
-                // Who asks and breaks off asks again.
+                // The caller retries after an error.
                 let _ = connection.await;
             });
         }
     }
 
-    // ---- Charges ----------------------------------------------------------------------------------------------------
+    // ---- Charges ------------------------------------------------------------------------------------------
 
-    async fn charge(self: Rc<Self>, mut charging: UnboundedReceiver<Charging>) {
-        let mut counter = self.counter.subscribe();
+    async fn run_charges(self: Rc<Self>, mut charge_requests: UnboundedReceiver<ChargeRequest>) {
+        let mut counter = self.counter_addr.subscribe();
         loop {
             let at = *counter.borrow_and_update();
             let stream = match at {
@@ -550,26 +565,26 @@
                 None => None,
             };
             match stream {
-                Some(stream) => self.charge_on(stream, &mut charging, &mut counter).await,
+                Some(stream) => self.exchange_charges(stream, &mut charge_requests, &mut counter).await,
                 None => {
-                    // Nobody counts: what waits surely did not count.
-                    while let Ok(lost) = charging.try_recv() {
-                        drop(lost.answer);
+                    // Without a counter, pending charges fail at once.
+                    while let Ok(failed) = charge_requests.try_recv() {
+                        drop(failed.response);
                     }
-                    let _ = timeout(AGAIN, counter.changed()).await;
+                    let _ = timeout(RECONNECT_DELAY, counter.changed()).await;
                 }
             }
         }
     }
 
-    async fn charge_on(
-        &self, stream: TcpStream, charging: &mut UnboundedReceiver<Charging>,
+    async fn exchange_charges(
+        &self, stream: TcpStream, charge_requests: &mut UnboundedReceiver<ChargeRequest>,
         counter: &mut watch::Receiver<Option<SocketAddr>>,
     ) {
         let (read, write) = stream.into_split();
-        let (out, from) = Outgoing::new();
-        let writing = tokio::task::spawn_local(link::write(write, from));
-        out.send(&Hello { purpose: Purpose::Counter as i32 });
+        let (outgoing, queue) = Outgoing::new();
+        let writer = tokio::task::spawn_local(link::write(write, queue));
+        outgoing.send(&Hello { purpose: Purpose::Counter as i32 });
         self.tally.borrow_mut().counter_connected();
         let mut incoming = Incoming::<Totals>::new(read);
         let mut waiting: Pending<Vec<oneshot::Sender<Option<ChargeTotal>>>> = Pending::default();
@@ -577,79 +592,82 @@
             tokio::select! {
                 _ = counter.changed() => break,
                 totals = incoming.next() => {
-                    let Ok(Totals { sequence: number, authoritative: sure, totals }) = totals else { break };
-                    let Some(answers) = waiting.answered(number) else { continue };
-                    for (at, answer) in answers.into_iter().enumerate() {
-                        let total = totals.get(at).filter(|_| sure);
+                    let Ok(Totals { sequence, authoritative, totals }) = totals else { break };
+                    let Some(responses) = waiting.answered(sequence) else { continue };
+                    for (index, response) in responses.into_iter().enumerate() {
+                        let total = totals.get(index).filter(|_| authoritative);
                         let counted = total.map(|total| ChargeTotal {
                             units: total.units,
                             limit: total.limit,
                             left_ms: f64::from(total.remaining_ms),
                             window: total.window,
                         });
-                        // It may have waited long enough.
-                        let _ = answer.send(counted);
+                        // The receiver may have timed out.
+                        let _ = response.send(counted);
                     }
                 }
-                first = charging.recv() => {
+                first = charge_requests.recv() => {
                     let Some(first) = first else { return };
-                    let (mut charges, mut answers) = (Vec::new(), Vec::new());
+                    let (mut charges, mut responses) = (Vec::new(), Vec::new());
                     let mut next = Some(first);
-                    while let Some(Charging { tenant, charge: tally::Charge { units, refund: back, window }, answer }) = next {
-                        charges.push(Charge { tenant, units, refund: back, window });
-                        answers.push(answer);
-                        next = charging.try_recv().ok();
+                    while let Some(ChargeRequest { tenant, charge, response }) = next {
+                        let tally::Charge { units, refund, window } = charge;
+                        charges.push(Charge { tenant, units, refund, window });
+                        responses.push(response);
+                        next = charge_requests.try_recv().ok();
                     }
-                    let Some(number) = waiting.sent(answers) else { break };
-                    if !out.send(&Charges { sequence: number, charges }) {
+                    let Some(sequence) = waiting.sent(responses) else { break };
+                    if !outgoing.send(&Charges { sequence, charges }) {
                         break;
                     }
                 }
             }
         }
-        writing.abort();
+        writer.abort();
     }
 
-    /// The ordinary path's first step: a request's unit is added to its tenant's count.
-    async fn admit(self: &Rc<Self>, tenant: &Rc<Tenant>, target: Duration) -> Verdict {
-        let asked = self.tally.borrow_mut().admit(self.now(), &tenant.name);
-        match asked {
-            Verdict::Charge(charge) => self.charged(tenant, charge, target, true).await,
+    /// Charges one request to its tenant's quota.
+    async fn charge_tenant(self: &Rc<Self>, tenant: &Rc<Tenant>, target: Duration) -> Verdict {
+        let verdict = self.tally.borrow_mut().admit(self.now(), &tenant.name);
+        match verdict {
+            Verdict::Charge(charge) => self.send_charge(tenant, charge, target, true).await,
             Verdict::PassAndCharge(charge) => {
                 let (proxy, tenant) = (self.clone(), tenant.clone());
-                tokio::task::spawn_local(async move { proxy.charged(&tenant, charge, target, false).await });
+                tokio::task::spawn_local(
+                    async move { proxy.send_charge(&tenant, charge, target, false).await },
+                );
                 Verdict::Pass
             }
             verdict => verdict,
         }
     }
 
-    async fn charged(
-        &self, tenant: &Tenant, charge: tally::Charge, target: Duration, waits: bool,
+    async fn send_charge(
+        &self, tenant: &Tenant, charge: tally::Charge, target: Duration, hold_request: bool,
     ) -> Verdict {
-        let began = self.now();
-        let (answer, total) = oneshot::channel();
-        let sent = self.charges.send(Charging { tenant: tenant.name.clone(), charge, answer });
+        let start = self.now();
+        let (response, total) = oneshot::channel();
+        let sent = self.charges.send(ChargeRequest { tenant: tenant.name.clone(), charge, response });
         let total = match sent {
-            Ok(()) => timeout(target.mul_f64(COUNT_OF_AIM), total).await,
+            Ok(()) => timeout(target.mul_f64(COUNTER_TIMEOUT_OF_TARGET), total).await,
             Err(_) => Ok(Ok(None)),
         };
         let mut tally = self.tally.borrow_mut();
         let now = self.now();
         match total {
             Ok(Ok(Some(counted))) => {
-                tally.total_received(now, &tenant.name, charge, now - began, counted, waits)
+                tally.total_received(now, &tenant.name, charge, now - start, counted, hold_request)
             }
-            // Not counted, by nobody who vouches for it, or not in time.
-            Ok(_) | Err(_) => tally.charge_unanswered(now, &tenant.name, waits),
+            // Not charged, not authoritative, or timed out.
+            Ok(_) | Err(_) => tally.charge_unanswered(now, &tenant.name, hold_request),
         }
     }
 
-    // ---- Clients ------------------------------------------------------------------------------------------------------
+    // ---- Clients ------------------------------------------------------------------------------------------
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
-            let Ok(place) = self.places.clone().acquire_owned().await else { return };
+            let Ok(slot) = self.connection_slots.clone().acquire_owned().await else { return };
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(_) => {
@@ -660,164 +678,175 @@
             let proxy = self.clone();
             tokio::task::spawn_local(async move {
                 let _ = stream.set_nodelay(true);
-                proxy.connection(stream).await;
-                drop(place);
+                proxy.serve_connection(stream).await;
+                drop(slot);
             });
         }
     }
 
-    /// Serves a client's connection to its end.
-    pub async fn connection(self: Rc<Self>, stream: impl Stream) {
-        let idle = self.table.borrow().as_ref().map_or(WHOLE, |table| table.idle_timeout);
-        let ahead = Ahead::new();
-        let front = Front::new(stream, ahead.clone(), |parts: &Parts| self.begin(parts));
-        let asked = Cell::new(false);
+    /// Serves a client connection until it closes.
+    pub async fn serve_connection(self: Rc<Self>, stream: impl Stream) {
+        let idle = self.table.borrow().as_ref().map_or(READ_TIMEOUT, |table| table.idle_timeout);
+        let pipeline = Pipeline::new();
+        let client_stream =
+            PipelinedStream::new(stream, pipeline.clone(), |parts: &Parts| self.start_pipelined(parts));
+        let received = Cell::new(false);
         let service = service_fn(|request| {
-            asked.set(true);
-            let (proxy, ahead) = (self.clone(), ahead.clone());
-            async move { Ok::<_, Infallible>(proxy.reply(request, &ahead).await) }
+            received.set(true);
+            let (proxy, pipeline) = (self.clone(), pipeline.clone());
+            async move { Ok::<_, Infallible>(proxy.handle(request, &pipeline).await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(idle)
-            .max_buf_size(READ)
-            .serve_connection(TokioIo::new(front), service);
+            .max_buf_size(READ_BUFFER_BYTES)
+            .serve_connection(TokioIo::new(client_stream), service);
         let mut connection = std::pin::pin!(connection);
         let mut phase = self.phase.subscribe();
-        let closes = async {
-            // The sender lives as long as the proxy.
-            let _ = phase.wait_for(|phase| matches!(phase, Phase::Closes | Phase::Answers)).await;
-            ahead.emptied().await;
+        let idle_close = async {
+            // Fails only after the proxy is dropped.
+            let _ = phase.wait_for(|phase| matches!(phase, Phase::ClosingIdle | Phase::Aborting)).await;
+            pipeline.drained().await;
         };
         tokio::select! {
             _ = connection.as_mut() => return,
-            // The library would wait for a first request.
-            () = closes => if !asked.get() { return },
+            // A graceful shutdown would wait for a first request.
+            () = idle_close => if !received.get() { return },
         }
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
 
-    /// Begins a request that came behind another one, if it may run more than once and its client is to stay.
-    fn begin(self: &Rc<Self>, parts: &Parts) -> Option<Begun<Reply>> {
+    /// Starts a pipelined request early if it may run more than once and the proxy is not shutting down.
+    fn start_pipelined(self: &Rc<Self>, parts: &Parts) -> Option<PendingResponse<HttpResponse>> {
         let table = self.table.borrow().clone()?;
-        let host = text(&parts.headers, &HOST).unwrap_or("");
+        let host = header_text(&parts.headers, &HOST).unwrap_or("");
         let route = table.route(host, parts.uri.path()).filter(|route| !route.at_most_once)?;
-        if *self.phase.borrow() != Phase::Serves {
+        if *self.phase.borrow() != Phase::Serving {
             return None;
         }
-        let name = shown(parts.headers.get("request-id"));
-        log::trace!("proxy: request {name} of class {} begins behind another one", route.class);
-        self.figures.begun_ahead();
-        let (proxy, parts, busy) = (self.clone(), parts.clone(), Busy::new(self));
-        Some(Begun::new(tokio::task::spawn_local(async move { proxy.answer(parts, None, busy).await })))
+        let request_id = request_id_text(parts.headers.get("request-id"));
+        log::trace!("proxy: pipelined request {request_id} of class {} started early", route.class);
+        self.metrics.request_pipelined();
+        let (proxy, parts, in_flight) = (self.clone(), parts.clone(), InFlight::new(self));
+        Some(PendingResponse::new(tokio::task::spawn_local(async move {
+            proxy.process(parts, None, in_flight).await
+        })))
     }
 
-    async fn reply(self: &Rc<Self>, request: Request<Body>, ahead: &Ahead<Reply>) -> Reply {
-        let began = Instant::now();
+    async fn handle(
+        self: &Rc<Self>, request: Request<Body>, pipeline: &Pipeline<HttpResponse>,
+    ) -> HttpResponse {
+        let start = Instant::now();
         let (parts, body) = request.into_parts();
-        let busy = Busy::new(self);
-        let begun = ahead.take(&parts);
-        let early = begun.is_some();
-        let name = parts.headers.get("request-id").cloned();
-        log::trace!("proxy: request {} has its turn", shown(name.as_ref()));
-        let mut reply = match begun {
-            Some(begun) => {
-                let failed = || plain(StatusCode::BAD_GATEWAY, "failed; it may have run\n");
-                begun.answer().await.unwrap_or_else(failed)
+        let in_flight = InFlight::new(self);
+        let pending = pipeline.take(&parts);
+        let started_early = pending.is_some();
+        let request_id = parts.headers.get("request-id").cloned();
+        log::trace!("proxy: request {} received", request_id_text(request_id.as_ref()));
+        let mut response = match pending {
+            Some(pending) => {
+                let failed = || text_response(StatusCode::BAD_GATEWAY, "failed; it may have run\n");
+                pending.response().await.unwrap_or_else(failed)
             }
-            None => self.answer(parts, Some(body), busy).await,
+            None => self.process(parts, Some(body), in_flight).await,
         };
-        // What was begun behind it is answered on this connection.
-        if *self.phase.borrow() != Phase::Serves && !ahead.begun() {
-            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        // Requests already started behind this one are still answered on this connection.
+        if *self.phase.borrow() != Phase::Serving && !pipeline.has_started() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        ahead.answered();
+        pipeline.response_done();
         log::trace!(
-            "proxy: request {} is answered with {} after {} ms{}",
-            shown(name.as_ref()),
-            reply.status().as_u16(),
-            began.elapsed().as_millis(),
-            if early { " of its turn" } else { "" }
+            "proxy: request {} got status {} after {} ms{}",
+            request_id_text(request_id.as_ref()),
+            response.status().as_u16(),
+            start.elapsed().as_millis(),
+            if started_early { " (started early)" } else { "" }
         );
-        self.figures.answered(reply.status().as_u16(), began.elapsed());
-        reply
+        self.metrics.response_sent(response.status().as_u16(), start.elapsed());
+        response
     }
 
-    async fn answer(self: &Rc<Self>, parts: Parts, body: Option<Body>, busy: Busy) -> Reply {
+    async fn process(self: &Rc<Self>, parts: Parts, body: Option<Body>, in_flight: InFlight) -> HttpResponse {
         let mut phase = self.phase.subscribe();
-        let ends = phase.wait_for(|phase| *phase == Phase::Answers);
+        let aborting = phase.wait_for(|phase| *phase == Phase::Aborting);
         let admitted = tokio::select! {
             biased;
-            // The sender lives as long as the proxy.
-            _ = ends => Err(refused(StatusCode::SERVICE_UNAVAILABLE, AFTER_MS)),
-            admitted = self.admitted(&parts, body) => admitted,
+            // Fails only after the proxy is dropped.
+            _ = aborting => Err(not_run_response(StatusCode::SERVICE_UNAVAILABLE, MIN_RETRY_AFTER_MS)),
+            admitted = self.admit(&parts, body) => admitted,
         };
         match admitted {
-            Ok(admitted) => self.passed_on(&parts, admitted, busy).await,
-            Err(reply) => reply,
+            Ok(admitted) => self.forward(&parts, admitted, in_flight).await,
+            Err(response) => response,
         }
     }
 
-    /// Finds a request's route and tenant, reads its body, and charges its tenant; its answer where it goes no further.
-    async fn admitted(self: &Rc<Self>, parts: &Parts, body: Option<Body>) -> Result<Admitted, Reply> {
-        let Some(table) = self.started(&parts.headers).await else {
-            return Err(refused(StatusCode::SERVICE_UNAVAILABLE, AFTER_MS));
+    /// Routes and authenticates a request, reads its body and charges its tenant; `Err` is the final
+    /// response.
+    async fn admit(self: &Rc<Self>, parts: &Parts, body: Option<Body>) -> Result<Admitted, HttpResponse> {
+        let Some(table) = self.wait_for_table(&parts.headers).await else {
+            return Err(not_run_response(StatusCode::SERVICE_UNAVAILABLE, MIN_RETRY_AFTER_MS));
         };
-        if ONCE.iter().any(|name| parts.headers.get_all(*name).iter().nth(1).is_some()) {
-            return Err(plain(StatusCode::BAD_REQUEST, "a header stands twice that may stand once\n"));
+        if SINGLETON_HEADERS.iter().any(|name| parts.headers.get_all(*name).iter().nth(1).is_some()) {
+            return Err(text_response(
+                StatusCode::BAD_REQUEST,
+                "a header stands twice that may stand once\n",
+            ));
         }
-        let host = text(&parts.headers, &HOST).unwrap_or("");
+        let host = header_text(&parts.headers, &HOST).unwrap_or("");
         let Some(route) = table.route(host, parts.uri.path()) else {
-            return Err(plain(StatusCode::NOT_FOUND, "no such route\n"));
+            return Err(text_response(StatusCode::NOT_FOUND, "no such route\n"));
         };
-        let key = text(&parts.headers, &AUTHORIZATION).and_then(|value| value.strip_prefix("Bearer "));
+        let key = header_text(&parts.headers, &AUTHORIZATION).and_then(|value| value.strip_prefix("Bearer "));
         let tenant = match table.check_key(&route, key) {
             KeyCheck::NotRequired => None,
             KeyCheck::Tenant(tenant) => Some(tenant),
-            KeyCheck::Unknown => return Err(plain(StatusCode::UNAUTHORIZED, "no such key\n")),
+            KeyCheck::Unknown => return Err(text_response(StatusCode::UNAUTHORIZED, "no such key\n")),
         };
-        if tenant.is_some() && !self.in_touch() {
-            // The key may have been taken away meanwhile.
-            return Err(refused(StatusCode::SERVICE_UNAVAILABLE, AFTER_MOST_MS));
+        if tenant.is_some() && !self.lease_is_valid() {
+            // The key may have been revoked since.
+            return Err(not_run_response(StatusCode::SERVICE_UNAVAILABLE, MAX_RETRY_AFTER_MS));
         }
-        let waits = waits(&parts.headers).min(route.timeout);
+        let client_timeout = client_timeout(&parts.headers).min(route.timeout);
         let (body, more) = match body {
-            Some(body) => self.body(body, table.body_bytes).await?,
+            Some(body) => self.read_body(body, table.body_bytes).await?,
             None => (BytesMut::new(), None),
         };
-        let deadline = Stated::remaining(waits).from(Instant::now());
+        let deadline = Stated::remaining(client_timeout).from(Instant::now());
         if let Some(tenant) = &tenant {
-            let verdict = self.admit(tenant, route.target).await;
-            self.figures.charged(&verdict);
+            let verdict = self.charge_tenant(tenant, route.target).await;
+            self.metrics.charged(&verdict);
             if let Verdict::Refuse(after) = verdict {
-                return Err(refused(StatusCode::TOO_MANY_REQUESTS, after));
+                return Err(not_run_response(StatusCode::TOO_MANY_REQUESTS, after));
             }
         }
         Ok(Admitted { route, tenant, deadline, body, more })
     }
 
-    /// Has the decision module send a request, and gives its final answer.
-    async fn passed_on(self: &Rc<Self>, parts: &Parts, admitted: Admitted, mut busy: Busy) -> Reply {
+    /// Forwards a request through the decision module and returns the final response.
+    async fn forward(
+        self: &Rc<Self>, parts: &Parts, admitted: Admitted, mut in_flight: InFlight,
+    ) -> HttpResponse {
         let Admitted { route, tenant, deadline, body, more } = admitted;
-        let places = route.zone_mask
+        let zone_mask = route.zone_mask
             & tenant.as_ref().map_or(u64::MAX, |tenant| tenant.zone_mask)
             & !self.evacuated.get();
-        let asked = Asked {
+        let request = Asked {
             customer: 0,
             plan: 0,
             class: route.class,
             units: 1.0,
             spread: 1.0,
             repeat: false,
-            pool: self.pool(&route),
-            places,
+            pool: self.choose_pool(&route),
+            places: zone_mask,
             attempts: route.attempts,
             deadline,
             until: None,
         };
         let tenant_name = tenant.as_ref().map(|tenant| tenant.name.as_str());
-        let work = work(
+        let work = backend_request(
             &parts.method,
             parts.uri.path_and_query().map_or("/", |p| p.as_str()),
             &parts.headers,
@@ -825,126 +854,127 @@
             &body,
             more,
         );
-        let (id, answer) = self.driver.request(&asked, work);
-        busy.1 = Some(id);
+        let (id, answer) = self.driver.request(&request, work);
+        in_flight.1 = Some(id);
         let (answer, course) = self.driver.answer(id, answer).await;
-        busy.1 = None;
+        in_flight.1 = None;
         if let (Some(tenant), false) = (&tenant, course.ran || matches!(answer, Answer::Served { .. })) {
-            // The true units: what never ran cost nothing.
+            // A request that never ran is not charged.
             self.tally.borrow_mut().refund(&tenant.name);
         }
         match (client_response(route.at_most_once, &answer, &course), answer) {
             (ClientResponse::Served, Answer::Served { head, content }) => {
-                served(&head, content, parts.method == Method::HEAD)
+                response_from_backend(&head, content, parts.method == Method::HEAD)
             }
             (ClientResponse::NotRun(after), answer) => {
                 if let Answer::Refused { reason, .. } = answer {
                     log::debug!(
-                        "proxy: class {} pool {} of places {places:x}: {reason:?} after {} attempts",
+                        "proxy: refused class {} pool {} zones {zone_mask:x}: {reason:?} after {} attempts",
                         route.class,
-                        asked.pool,
+                        request.pool,
                         course.attempts
                     );
                 }
-                refused(StatusCode::SERVICE_UNAVAILABLE, after.unwrap_or(AFTER_MS))
+                not_run_response(StatusCode::SERVICE_UNAVAILABLE, after.unwrap_or(MIN_RETRY_AFTER_MS))
             }
-            (ClientResponse::TooLarge, _) => short_of(Short::TooLarge),
-            (ClientResponse::Broken, _) => short_of(Short::Broken),
-            (ClientResponse::Slow, _) => short_of(Short::Slow),
+            (ClientResponse::TooLarge, _) => body_error(Short::TooLarge),
+            (ClientResponse::Broken, _) => body_error(Short::Broken),
+            (ClientResponse::Slow, _) => body_error(Short::Slow),
             (ClientResponse::MayHaveRun | ClientResponse::Served, _) => {
-                plain(StatusCode::BAD_GATEWAY, "failed; it may have run\n")
+                text_response(StatusCode::BAD_GATEWAY, "failed; it may have run\n")
             }
         }
     }
 
-    /// The table, once this process knows the state of the system: requests that come while it starts wait for a part
-    /// of their time.
-    async fn started(&self, headers: &HeaderMap) -> Option<Rc<RouteTable>> {
-        let by = Instant::now() + waits(headers).mul_f64(START_OF_WAIT);
+    /// The route table; requests that arrive during startup wait for it for a share of their timeout.
+    async fn wait_for_table(&self, headers: &HeaderMap) -> Option<Rc<RouteTable>> {
+        let deadline = Instant::now() + client_timeout(headers).mul_f64(STARTUP_WAIT_OF_TIMEOUT);
         loop {
             let table = self.table.borrow().clone();
-            if table.is_some() && self.in_touch() {
+            if table.is_some() && self.lease_is_valid() {
                 return table;
             }
-            if self.has_been.get() {
-                // It is cut off: another gateway may not be.
+            if self.was_synced.get() {
+                // The lease has expired: the client should retry at another gateway.
                 return table;
             }
-            timeout_at(by, self.news.notified()).await.ok()?;
+            timeout_at(deadline, self.synced.notified()).await.ok()?;
         }
     }
 
-    /// Reads a body: whole if it is small.
-    async fn body(
-        &self, body: Body, most: u64,
-    ) -> Result<(BytesMut, Option<(Rc<More>, Option<u64>)>), Reply> {
-        let mut upload = Upload::new(body, Instant::now() + WHOLE, None);
+    /// Reads a body: completely if it is small, otherwise its first part.
+    async fn read_body(
+        &self, body: Body, max_bytes: u64,
+    ) -> Result<(BytesMut, Option<(Rc<More>, Option<u64>)>), HttpResponse> {
+        let mut upload = Upload::new(body, Instant::now() + READ_TIMEOUT, None);
         let size = upload.size();
-        let mut held = BytesMut::new();
+        let mut buffered = BytesMut::new();
         if size == Some(0) {
-            return Ok((held, None));
+            return Ok((buffered, None));
         }
-        if size.is_some_and(|size| size > most) {
-            return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n"));
+        if size.is_some_and(|size| size > max_bytes) {
+            return Err(text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n"));
         }
-        let room = timeout_at(Instant::now() + ROOM, self.budget.body(size)).await;
-        let Ok(_room) = room else { return Err(refused(StatusCode::SERVICE_UNAVAILABLE, AFTER_MOST_MS)) };
+        let reserved = timeout_at(Instant::now() + MEMORY_TIMEOUT, self.budget.body(size)).await;
+        let Ok(_reserved) = reserved else {
+            return Err(not_run_response(StatusCode::SERVICE_UNAVAILABLE, MAX_RETRY_AFTER_MS));
+        };
         loop {
             match upload.piece().await {
-                Ok(None) => return Ok((held, None)),
-                Ok(Some(piece)) => held.extend_from_slice(&piece),
-                Err(short) => return Err(short_of(short)),
+                Ok(None) => return Ok((buffered, None)),
+                Ok(Some(piece)) => buffered.extend_from_slice(&piece),
+                Err(error) => return Err(body_error(error)),
             }
-            if held.len() > HELD_MOST {
-                return Ok((held, Some((Rc::new(More::new(upload)), size))));
+            if buffered.len() > HELD_MOST {
+                return Ok((buffered, Some((Rc::new(More::new(upload)), size))));
             }
         }
     }
 
-    /// The service of a request: by weight where there are several.
-    fn pool(&self, route: &Route) -> u32 {
+    /// Chooses one of the route's pools at random by weight.
+    fn choose_pool(&self, route: &Route) -> u32 {
         let sum: f64 = route.pools.iter().map(|(_, weight)| weight).sum();
-        let mut at = self.rng.borrow_mut().f64() * sum;
+        let mut drawn = self.rng.borrow_mut().f64() * sum;
         for (pool, weight) in &route.pools {
-            if at < *weight {
+            if drawn < *weight {
                 return *pool;
             }
-            at -= weight;
+            drawn -= weight;
         }
         route.pools.iter().rev().find(|(_, weight)| *weight > 0.0).map_or(0, |(pool, _)| *pool)
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A request's name in the log.
-fn shown(name: Option<&HeaderValue>) -> &str {
-    name.and_then(|name| name.to_str().ok()).unwrap_or("without a name")
+/// A request id as logged.
+fn request_id_text(name: Option<&HeaderValue>) -> &str {
+    name.and_then(|name| name.to_str().ok()).unwrap_or("without an id")
 }
 
-/// How long a client says that it waits.
-fn waits(headers: &HeaderMap) -> Duration {
-    let waits = headers.get("deadline-ms").and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    waits.map_or(WAITS, Duration::from_millis)
+/// The client's timeout from `deadline-ms`, or the default.
+fn client_timeout(headers: &HeaderMap) -> Duration {
+    let stated = headers.get("deadline-ms").and_then(|value| value.to_str().ok()?.trim().parse().ok());
+    stated.map_or(DEFAULT_CLIENT_TIMEOUT, Duration::from_millis)
 }
 
-fn short_of(short: Short) -> Reply {
-    match short {
-        Short::TooLarge => plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n"),
-        Short::Broken => plain(StatusCode::BAD_REQUEST, "the body is not whole\n"),
-        // Nothing of it was sent on that could run.
-        Short::Slow => plain(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n"),
+fn body_error(error: Short) -> HttpResponse {
+    match error {
+        Short::TooLarge => text_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n"),
+        Short::Broken => text_response(StatusCode::BAD_REQUEST, "the body is not whole\n"),
+        // No part that could run was forwarded.
+        Short::Slow => text_response(StatusCode::REQUEST_TIMEOUT, "the body did not come in time\n"),
     }
 }
 
-/// What the decision module goes by.
-fn tuning(
+/// Settings of the decision module.
+fn driver_settings(
     settings: &Settings, zones: &Zones, classes: Vec<cherrytally::Class>, gateways: u32, position: u32,
-) -> Tuning {
+) -> DriverSettings {
     let bounds = &settings.bounds;
-    Tuning {
+    DriverSettings {
         gateways,
         position,
         zone: zones.number(&settings.zone),
@@ -961,28 +991,28 @@
             probes: false,
             peers: false,
             retry_after: true,
-            max_retry_after_ms: AFTER_MOST_MS,
+            max_retry_after_ms: MAX_RETRY_AFTER_MS,
         },
         rules: Rules {
             cold_capacity: 0.5,
-            early_refusal_share: EARLY_OF_AIM,
+            early_refusal_share: EARLY_REFUSAL_OF_TARGET,
             overload_multiple: 2.0,
             overload_ms: 1000.0,
             retry_budget: Some(RetryBudget {
-                ratio: bounds.retry_ratio * OF_BUDGET,
-                burst: bounds.retry_slack * OF_BUDGET / f64::from(gateways.max(1)),
+                ratio: bounds.retry_ratio * RETRY_BUDGET_SHARE,
+                burst: bounds.retry_slack * RETRY_BUDGET_SHARE / f64::from(gateways.max(1)),
             }),
             ..Rules::default()
         },
-        ..Tuning::default()
+        ..DriverSettings::default()
     }
 }
 
-/// Headers that may stand once: with two of them it is not known which one a backend goes by.
-const ONCE: [&str; 2] = ["host", "request-id"];
+/// Headers that may occur only once: backends could differ in which of two values they use.
+const SINGLETON_HEADERS: [&str; 2] = ["host", "request-id"];
 
-/// Headers that concern one connection, and those that the system sets itself.
-const OWN: [&str; 13] = [
+/// Hop-by-hop headers and headers that the proxy sets itself.
+const UNFORWARDED_HEADERS: [&str; 13] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -998,25 +1028,27 @@
     "tenant",
 ];
 
-/// Names that the values of `Connection` headers make a connection's own.
-fn listed<'a>(values: impl Iterator<Item = &'a [u8]>) -> Vec<String> {
+/// Header names listed in the values of `Connection` headers.
+fn connection_header_names<'a>(values: impl Iterator<Item = &'a [u8]>) -> Vec<String> {
     let texts = values.map(|value| String::from_utf8_lossy(value).to_ascii_lowercase());
     texts.flat_map(|text| text.split(',').map(|name| name.trim().to_owned()).collect::<Vec<_>>()).collect()
 }
 
-/// The request as a backend gets it.
-fn work(
+/// Builds the request that a backend receives.
+fn backend_request(
     method: &Method, target: &str, headers: &HeaderMap, tenant: Option<&str>, body: &[u8],
     more: Option<(Rc<More>, Option<u64>)>,
 ) -> Work {
     let mut head = Vec::with_capacity(512);
     let mut line = |parts: &[&[u8]]| parts.iter().for_each(|part| head.extend_from_slice(part));
     line(&[method.as_str().as_bytes(), b" ", target.as_bytes(), b" HTTP/1.1\r\n"]);
-    let own = listed(headers.get_all(CONNECTION).iter().map(HeaderValue::as_bytes));
+    let hop_by_hop = connection_header_names(headers.get_all(CONNECTION).iter().map(HeaderValue::as_bytes));
     for (name, value) in headers {
         let name = name.as_str();
-        // A client can't have those taken away that say where a request belongs.
-        if !OWN.contains(&name) && (ONCE.contains(&name) || !own.iter().any(|of| of == name)) {
+        // A client cannot remove `host` or `request-id` by listing them in `Connection`.
+        if !UNFORWARDED_HEADERS.contains(&name)
+            && (SINGLETON_HEADERS.contains(&name) || !hop_by_hop.iter().any(|listed| listed == name))
+        {
             line(&[name.as_bytes(), b": ", value.as_bytes(), b"\r\n"]);
         }
     }
@@ -1027,11 +1059,11 @@
         Some((_, size)) => *size,
         None => Some(body.len() as u64),
     };
-    let named = headers.contains_key(CONTENT_LENGTH) || headers.contains_key("transfer-encoding");
+    let has_body_headers = headers.contains_key(CONTENT_LENGTH) || headers.contains_key("transfer-encoding");
     let chunked = size.is_none();
     if chunked {
         line(&[b"Transfer-Encoding: chunked\r\n"]);
-    } else if named || size != Some(0) {
+    } else if has_body_headers || size != Some(0) {
         line(&[b"Content-Length: ", size.unwrap_or(0).to_string().as_bytes(), b"\r\n"]);
     }
     let rest = if chunked {
@@ -1039,30 +1071,30 @@
     } else {
         [b"\r\n", body].concat()
     };
-    let name = headers.get("request-id").map(|id| id.as_bytes().to_vec()).unwrap_or_default();
-    Work { head, rest, name, more: more.map(|(more, _)| (more, chunked)), _part: None }
+    let request_id = headers.get("request-id").map(|id| id.as_bytes().to_vec()).unwrap_or_default();
+    Work { head, rest, name: request_id, more: more.map(|(more, _)| (more, chunked)), _part: None }
 }
 
-/// A backend's answer as the client gets it.
-fn served(head: &Head, content: Content, head_only: bool) -> Reply {
-    let mut reply = Response::new(content);
-    *reply.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut own = Vec::new();
+/// Builds the client's response from a backend's.
+fn response_from_backend(head: &Head, content: Content, head_only: bool) -> HttpResponse {
+    let mut response = Response::new(content);
+    *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    let mut hop_by_hop = Vec::new();
     head.each(|name, value| {
         if name.eq_ignore_ascii_case("connection") {
-            own.extend(listed(std::iter::once(value)));
+            hop_by_hop.extend(connection_header_names(std::iter::once(value)));
         }
     });
-    let headers = reply.headers_mut();
+    let headers = response.headers_mut();
     head.each(|name, value| {
-        // The answer to a HEAD has the length of the body that it stands for.
+        // A response to HEAD keeps the length of the body that GET would return.
         let kept = (head_only && name.eq_ignore_ascii_case("content-length")
-            || !OWN.iter().any(|of| name.eq_ignore_ascii_case(of)))
-            && !own.iter().any(|of| name.eq_ignore_ascii_case(of));
+            || !UNFORWARDED_HEADERS.iter().any(|header| name.eq_ignore_ascii_case(header)))
+            && !hop_by_hop.iter().any(|listed| name.eq_ignore_ascii_case(listed));
         let pair = HeaderName::try_from(name).ok().zip(HeaderValue::from_bytes(value).ok()).filter(|_| kept);
         if let Some((name, value)) = pair {
             headers.append(name, value);
         }
     });
-    reply
+    response
 }
--- a/overland/src/speech.rs
+++ b/overland/src/speech.rs
@@ -1,52 +1,54 @@
-//! What a proxy speaks with backends.
+//! Protocol between the proxy and its backends: request headers and classification of responses.
 
 use cherrytally::plane::driver::Speech;
 use cherrytally::plane::http::Head;
-use cherrytally::CallResult as Ended;
+use cherrytally::CallResult;
 use std::io::Write;
 use std::time::Duration;
 
-/// The wire of the system's backends.
+/// The backends' HTTP protocol.
 pub struct Wire;
 
 impl Speech for Wire {
     fn terms(&self, message: &mut Vec<u8>, backend: &str, left: Duration) {
-        // A Vec takes every write.
+        // Writing to a `Vec` cannot fail.
         let _ = write!(message, "Deadline-Ms: {}\r\nExpect-Instance: {backend}\r\n", left.as_millis());
     }
 
-    fn judge(&self, head: &Head) -> Ended {
+    fn judge(&self, head: &Head) -> CallResult {
         let (mut stamped, mut not_run, mut encoded, mut chunked, mut sized) =
             (false, false, false, false, false);
-        head.each(|name, value| {
-            let is = |of: &str| name.eq_ignore_ascii_case(of);
-            stamped |= is("stamp") && !value.is_empty();
-            not_run |= is("not-run");
-            encoded |= is("content-encoding");
-            chunked |= is("transfer-encoding");
-            sized |= is("content-length");
+        head.each(|header, value| {
+            let is_field = |field: &str| header.eq_ignore_ascii_case(field);
+            stamped |= is_field("stamp") && !value.is_empty();
+            not_run |= is_field("not-run");
+            encoded |= is_field("content-encoding");
+            chunked |= is_field("transfer-encoding");
+            sized |= is_field("content-length");
         });
-        // Of an answer to a HEAD the head is all, and one without content has an end that is known.
+        // The end of the body is known: a length, chunks, or no body at all.
         let framed = sized || chunked || head.status == 204;
         match head.status {
-            200..=299 if stamped && !encoded && framed => Ended::Ok,
-            // A success that lacks its stamp, or whose end can't be told from a break, is none; it may have run.
-            200..=299 => Ended::Reset,
-            421 => Ended::Rejected,
-            400 | 429 | 503 if not_run => Ended::Rejected,
-            _ => Ended::Error,
+            200..=299 if stamped && !encoded && framed => CallResult::Ok,
+            // Without a stamp or a known end, a truncated response would look like success; the request may
+            // have run.
+            200..=299 => CallResult::Reset,
+            421 => CallResult::Rejected,
+            400 | 429 | 503 if not_run => CallResult::Rejected,
+            _ => CallResult::Error,
         }
     }
 
-    fn own(&self, head: &Head, name: &[u8]) -> bool {
-        let (mut named, mut same) = (false, true);
+    fn own(&self, head: &Head, id: &[u8]) -> bool {
+        let (mut has_id, mut matches) = (false, true);
         head.each(|header, value| {
             if header.eq_ignore_ascii_case("request-id") {
-                (named, same) = (true, same && value == name);
+                (has_id, matches) = (true, matches && value == id);
             }
         });
-        // One without a name may be anybody's: taken for this request's, it could say that this did not run.
-        same && (named || name.is_empty())
+        // A response without an id may belong to another request, and its `not-run` would be taken for this
+        // one's.
+        matches && (has_id || id.is_empty())
     }
 
     fn passes_failures(&self) -> bool {
@@ -54,7 +56,7 @@
     }
 
     fn begins_early(&self) -> bool {
-        // Nothing says that backends wait for the whole body.
+        // A backend may start a request before it has read the whole body.
         true
     }
 }
--- a/overland/tests/plane.rs
+++ b/overland/tests/plane.rs
@@ -1,4 +1,4 @@
-//! Drawn histories of the data plane, and faults put in on purpose that the same histories find.
+//! Random histories of the data plane, and injected faults that the same histories must detect.
 
 #[path = "plane/mod.rs"]
 mod plane;
@@ -6,123 +6,127 @@
 use cherrytally::plane::driver::Speech;
 use cherrytally::plane::exchange::{End, Exchange, Idle, Stage};
 use cherrytally::plane::http::Head;
-use cherrytally::CallResult as Ended;
+use cherrytally::CallResult;
 use overland::speech::Wire;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Histories in each test run.
-const USUAL: u64 = 400;
-/// Histories tried before a fault counts as not found.
-const MOST: u64 = 3000;
-/// Finds of which the shortest history is told.
-const FINDS: usize = 3;
+/// Histories per test run unless `HISTORIES` is set.
+const DEFAULT_HISTORIES: u64 = 400;
+/// Histories tried before a fault counts as undetected.
+const MAX_HISTORIES: u64 = 3000;
+/// Failing histories per fault, of which the shortest is printed.
+const MAX_FAILURES_PER_FAULT: usize = 3;
 
-fn wanted() -> u64 {
-    std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(USUAL)
+fn history_count() -> u64 {
+    std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_HISTORIES)
 }
 
-/// Plays histories in threads; the first that broke something.
-fn hunt(
-    seeds: std::ops::Range<u64>, most: usize, speech: fn() -> Rc<dyn Speech>,
+/// Runs histories in threads; returns the failing ones, shortest first, and the total counts.
+fn run_histories(
+    seeds: std::ops::Range<u64>, max_failures: usize, speech: fn() -> Rc<dyn Speech>,
 ) -> (Vec<(usize, u64, String)>, [usize; 3]) {
     let threads = 2;
-    let found = Arc::new(AtomicUsize::new(0));
-    let parts: Vec<_> = (0..threads)
-        .map(|part| {
-            let (seeds, found) = (seeds.clone(), found.clone());
+    let failure_count = Arc::new(AtomicUsize::new(0));
+    let workers: Vec<_> = (0..threads)
+        .map(|worker| {
+            let (seeds, failure_count) = (seeds.clone(), failure_count.clone());
             std::thread::spawn(move || {
-                let (mut finds, mut sums) = (Vec::new(), [0; 3]);
-                for seed in seeds.filter(|seed| seed % threads == part) {
-                    let (broken, events, answers, served) = plane::play(seed, speech);
-                    sums = [sums[0] + events, sums[1] + answers, sums[2] + served];
-                    if let Some(broken) = broken {
-                        finds.push((events, seed, broken));
-                        found.fetch_add(1, Ordering::Relaxed);
+                let (mut failures, mut totals) = (Vec::new(), [0; 3]);
+                for seed in seeds.filter(|seed| seed % threads == worker) {
+                    let (violation, events, responses, successes) = plane::run_history(seed, speech);
+                    totals = [totals[0] + events, totals[1] + responses, totals[2] + successes];
+                    if let Some(violation) = violation {
+                        failures.push((events, seed, violation));
+                        failure_count.fetch_add(1, Ordering::Relaxed);
                     }
-                    if found.load(Ordering::Relaxed) >= most {
+                    if failure_count.load(Ordering::Relaxed) >= max_failures {
                         break;
                     }
                 }
-                (finds, sums)
+                (failures, totals)
             })
         })
         .collect();
-    let (mut finds, mut sums) = (Vec::new(), [0; 3]);
-    for part in parts {
-        let (found, sum) = part.join().expect("a thread");
-        finds.extend(found);
-        (0..3).for_each(|at| sums[at] += sum[at]);
+    let (mut failures, mut totals) = (Vec::new(), [0; 3]);
+    for worker in workers {
+        let (worker_failures, worker_totals) = worker.join().expect("a worker thread panicked");
+        failures.extend(worker_failures);
+        (0..3).for_each(|index| totals[index] += worker_totals[index]);
     }
-    finds.sort();
-    (finds, sums)
+    failures.sort();
+    (failures, totals)
 }
 
 #[test]
-fn every_answer_goes_to_its_caller_and_nothing_runs_twice_that_may_not() {
-    let from: u64 = std::env::var("FROM").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
-    let (finds, [events, answers, served]) = hunt(from..from + wanted(), 5, || Rc::new(Wire));
-    println!("{} histories, {events} events, {answers} answers, {served} successes", wanted());
-    assert!(finds.is_empty(), "{finds:#?}");
-    assert!(answers > wanted() as usize && served * 4 > answers, "{answers} answers, {served} successes");
+fn responses_match_requests_and_unsafe_requests_run_at_most_once() {
+    let first_seed: u64 = std::env::var("FROM").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let (failures, [events, responses, successes]) =
+        run_histories(first_seed..first_seed + history_count(), 5, || Rc::new(Wire));
+    println!("{} histories, {events} events, {responses} responses, {successes} successes", history_count());
+    assert!(failures.is_empty(), "{failures:#?}");
+    assert!(
+        responses > history_count() as usize && successes * 4 > responses,
+        "{responses} responses, {successes} successes"
+    );
 }
 
-/// The system's speech with one fault put in.
-struct Faulty(Fault);
+/// The backend protocol with one injected fault.
+struct FaultySpeech(Fault);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// A connection goes on in use with bytes that nobody asked for on it.
-    SurplusStays,
-    /// A part of the request written counts as nothing written.
-    PartIsNothing,
-    /// A break after the whole request was written counts as «not run».
-    WholeIsNothing,
-    /// A silence after the whole request was written counts as «not run».
-    SilenceIsNothing,
-    /// A connection that stirred while it stood idle is used.
-    StaleTrusted,
-    /// Any answer is the request's own.
-    AnybodysAnswer,
-    /// An answer without a name is the request's own, as failures were before.
-    NamelessFailure,
-    /// The last of two names counts, as before.
-    LastName,
-    /// 503 counts as «not run» without the word.
-    ShedIsNotRun,
-    /// A success needs no stamp and no end that is known.
-    AnySuccess,
-    /// An answer before the whole body was written says that nothing ran, as before.
-    EarlyIsNothing,
+    /// A connection with unexpected bytes is reused.
+    SurplusBytesKept,
+    /// A partly written request counts as not sent.
+    PartialWriteIsNotRun,
+    /// A broken connection after a fully written request counts as not run.
+    ResetAfterWriteIsNotRun,
+    /// A timeout after a fully written request counts as not run.
+    TimeoutAfterWriteIsNotRun,
+    /// A connection with activity while idle is reused.
+    StaleConnectionReused,
+    /// Every response counts as the request's own, whatever its id.
+    ResponseIdIgnored,
+    /// An error response without an id counts as the request's own.
+    ErrorWithoutIdAccepted,
+    /// Of two ids in a response the last one counts.
+    LastIdWins,
+    /// A 503 without `not-run` counts as not run.
+    Plain503IsNotRun,
+    /// A success needs neither a stamp nor a known end.
+    AnySuccessAccepted,
+    /// A response before the whole body is written counts as not run.
+    EarlyResponseIsNotRun,
 }
 
-impl Speech for Faulty {
+impl Speech for FaultySpeech {
     fn terms(&self, message: &mut Vec<u8>, backend: &str, left: Duration) {
         Wire.terms(message, backend, left);
     }
 
-    fn judge(&self, head: &Head) -> Ended {
+    fn judge(&self, head: &Head) -> CallResult {
         match (self.0, Wire.judge(head)) {
-            (Fault::ShedIsNotRun, Ended::Error) if head.status == 503 => Ended::Rejected,
-            (Fault::AnySuccess, Ended::Reset) => Ended::Ok,
-            (_, ended) => ended,
+            (Fault::Plain503IsNotRun, CallResult::Error) if head.status == 503 => CallResult::Rejected,
+            (Fault::AnySuccessAccepted, CallResult::Reset) => CallResult::Ok,
+            (_, result) => result,
         }
     }
 
-    fn own(&self, head: &Head, name: &[u8]) -> bool {
-        let mut ids = Vec::new();
+    fn own(&self, head: &Head, id: &[u8]) -> bool {
+        let mut id_matches = Vec::new();
         head.each(|header, value| {
             if header.eq_ignore_ascii_case("request-id") {
-                ids.push(value == name);
+                id_matches.push(value == id);
             }
         });
         match self.0 {
-            Fault::AnybodysAnswer => true,
-            Fault::NamelessFailure if ids.is_empty() => head.status >= 400,
-            Fault::LastName => ids.last() == Some(&true),
-            _ => Wire.own(head, name),
+            Fault::ResponseIdIgnored => true,
+            Fault::ErrorWithoutIdAccepted if id_matches.is_empty() => head.status >= 400,
+            Fault::LastIdWins => id_matches.last() == Some(&true),
+            _ => Wire.own(head, id),
         }
     }
 
@@ -131,58 +135,62 @@
     }
 
     fn begins_early(&self) -> bool {
-        self.0 != Fault::EarlyIsNothing
+        self.0 != Fault::EarlyResponseIsNotRun
     }
 
-    fn says(&self, exchange: &Exchange, end: End) -> Ended {
+    fn says(&self, exchange: &Exchange, end: End) -> CallResult {
         match (self.0, exchange.stage(), end) {
-            (Fault::PartIsNothing, Stage::Body, _)
-            | (Fault::WholeIsNothing, Stage::Written, End::Broken)
-            | (Fault::SilenceIsNothing, Stage::Written, End::Silent) => Ended::ConnectFailed,
+            (Fault::PartialWriteIsNotRun, Stage::Body, _)
+            | (Fault::ResetAfterWriteIsNotRun, Stage::Written, End::Broken)
+            | (Fault::TimeoutAfterWriteIsNotRun, Stage::Written, End::Silent) => CallResult::ConnectFailed,
             _ => exchange.says(end, self.begins_early()),
         }
     }
 
     fn keeps(&self, exchange: &Exchange) -> bool {
         match self.0 {
-            Fault::SurplusStays => exchange.stage() == Stage::Answered,
+            Fault::SurplusBytesKept => exchange.stage() == Stage::Answered,
             _ => exchange.sound(),
         }
     }
 
     fn trusts(&self, idle: &Idle) -> bool {
         match self.0 {
-            Fault::StaleTrusted | Fault::SurplusStays => Idle { stirred: false, ..*idle }.sound(),
+            Fault::StaleConnectionReused | Fault::SurplusBytesKept => {
+                Idle { stirred: false, ..*idle }.sound()
+            }
             _ => idle.sound(),
         }
     }
 }
 
 macro_rules! faults {
-    ($($fault:ident),*) => { [$((Fault::$fault, (|| Rc::new(Faulty(Fault::$fault)) as Rc<dyn Speech>) as fn() -> Rc<dyn Speech>)),*] };
+    ($($fault:ident),*) => { [$((Fault::$fault, (|| Rc::new(FaultySpeech(Fault::$fault)) as Rc<dyn Speech>) as fn() -> Rc<dyn Speech>)),*] };
 }
 
 #[test]
-fn each_fault_put_in_on_purpose_is_found() {
+fn each_injected_fault_is_detected() {
     let mut missed = Vec::new();
     for (fault, speech) in faults![
-        SurplusStays,
-        PartIsNothing,
-        WholeIsNothing,
-        SilenceIsNothing,
-        StaleTrusted,
-        AnybodysAnswer,
-        NamelessFailure,
-        LastName,
-        ShedIsNotRun,
-        AnySuccess,
-        EarlyIsNothing
+        SurplusBytesKept,
+        PartialWriteIsNotRun,
+        ResetAfterWriteIsNotRun,
+        TimeoutAfterWriteIsNotRun,
+        StaleConnectionReused,
+        ResponseIdIgnored,
+        ErrorWithoutIdAccepted,
+        LastIdWins,
+        Plain503IsNotRun,
+        AnySuccessAccepted,
+        EarlyResponseIsNotRun
     ] {
-        let (finds, _) = hunt(0..MOST, FINDS, speech);
-        match finds.first() {
-            Some((events, seed, broken)) => println!("{fault:?}: history {seed}, {events} events: {broken}"),
+        let (failures, _) = run_histories(0..MAX_HISTORIES, MAX_FAILURES_PER_FAULT, speech);
+        match failures.first() {
+            Some((events, seed, violation)) => {
+                println!("{fault:?}: history {seed}, {events} events: {violation}")
+            }
             None => missed.push(fault),
         }
     }
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    assert!(missed.is_empty(), "not detected: {missed:?}");
 }
--- a/overland/tests/plane/mod.rs
+++ b/overland/tests/plane/mod.rs
@@ -1,12 +1,11 @@
-//! The data plane without sockets: two real proxies, with the real driver, decisions, readers and HTTP library, between
-//! clients and hostile backends, by simulated time. The plain model is a ledger of who asked what, which backend ran
-//! what, and who was told what.
+//! The data plane without sockets, in simulated time: two real proxies between clients and faulty backends.
+//! A ledger of requests, runs and responses serves as the reference model.
 
 mod backend;
 mod client;
 mod wire;
 
-use backend::Standing;
+use backend::TestBackend;
 use cherrytally::plane::driver::Speech;
 use overland::news::{Backend, ConfigRevision, Gateway, StateSnapshot, ToProxy};
 use overland::proxy::Proxy;
@@ -19,60 +18,60 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Attempts that a route grants.
-const ATTEMPTS: usize = 3;
+/// Maximum attempts of each route.
+const MAX_ATTEMPTS: usize = 3;
 
-/// What a client sent.
+/// A request that a client sent.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub method: &'static str,
     pub path: String,
     pub body: Vec<u8>,
-    /// It may run once at most.
-    pub once: bool,
-    /// It is framed so that it has no one reading.
-    pub odd: bool,
+    /// Must not run more than once.
+    pub at_most_once: bool,
+    /// The framing is ambiguous.
+    pub ambiguous: bool,
 }
 
-/// What a backend answered, by the stamp.
+/// A response that a backend sent.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct SentResponse {
     pub id: String,
     pub status: u16,
     pub body: Vec<u8>,
 }
 
-/// All that happened.
+/// Record of all requests, runs and responses; responses are keyed by stamp.
 #[derive(Default)]
 pub struct Ledger {
-    pub sent: BTreeMap<String, Sent>,
-    pub arrivals: BTreeMap<String, usize>,
+    pub sent: BTreeMap<String, SentRequest>,
+    pub attempts: BTreeMap<String, usize>,
     pub runs: BTreeMap<String, usize>,
-    pub given: BTreeMap<String, Given>,
-    /// Those that were promised not to have run.
-    pub promised: HashSet<String>,
-    pub answers: usize,
-    pub served: usize,
-    pub events: usize,
-    pub broken: Option<String>,
+    pub responses: BTreeMap<String, SentResponse>,
+    /// Ids of requests that were reported as not run.
+    pub reported_not_run: HashSet<String>,
+    pub response_count: usize,
+    pub success_count: usize,
+    pub event_count: usize,
+    pub violation: Option<String>,
 }
 
 pub struct World {
     pub rng: RefCell<fastrand::Rng>,
     pub ledger: RefCell<Ledger>,
-    /// Of a hundred requests so many meet a backend's ill will.
-    pub ill: u32,
-    pub standing: Vec<Rc<Standing>>,
+    /// Percentage of requests that a backend mistreats.
+    pub fault_percent: u32,
+    pub backends: Vec<Rc<TestBackend>>,
     pub next: Cell<usize>,
 }
 
 impl World {
-    pub fn draw(&self, below: usize) -> usize {
-        self.rng.borrow_mut().usize(0..below.max(1))
+    pub fn random_below(&self, bound: usize) -> usize {
+        self.rng.borrow_mut().usize(0..bound.max(1))
     }
 
-    pub fn chance(&self, of_hundred: u32) -> bool {
-        self.rng.borrow_mut().u32(0..100) < of_hundred
+    pub fn chance(&self, percent: u32) -> bool {
+        self.rng.borrow_mut().u32(0..100) < percent
     }
 
     pub fn id(&self, kind: &str) -> String {
@@ -80,77 +79,83 @@
         format!("{kind}{}", self.next.get())
     }
 
-    pub fn event(&self) {
-        self.ledger.borrow_mut().events += 1;
+    pub fn count_event(&self) {
+        self.ledger.borrow_mut().event_count += 1;
     }
 
-    pub fn broken(&self, what: String) {
-        self.ledger.borrow_mut().broken.get_or_insert(what);
+    pub fn report_violation(&self, description: String) {
+        self.ledger.borrow_mut().violation.get_or_insert(description);
     }
 
-    /// A backend has begun to work on a request.
-    pub fn ran(&self, id: &str, method: &str, path: &str, body: Option<&[u8]>, tenant: &str) {
+    /// Records that a backend started to run a request.
+    pub fn record_run(&self, id: &str, method: &str, path: &str, body: Option<&[u8]>, tenant: &str) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.events += 1;
+        ledger.event_count += 1;
         let runs = ledger.runs.entry(id.to_owned()).or_default();
         *runs += 1;
         let runs = *runs;
         let Some(sent) = ledger.sent.get(id).cloned() else {
-            ledger.broken.get_or_insert(format!("UNASKED: {id:?} runs, {method} {path}"));
+            ledger.violation.get_or_insert(format!("UNASKED: {id:?} runs, {method} {path}"));
             return;
         };
         let body_differs = body.is_some_and(|body| body != sent.body);
-        if !sent.odd && ((sent.method, sent.path.as_str()) != (method, path) || body_differs)
+        if !sent.ambiguous && ((sent.method, sent.path.as_str()) != (method, path) || body_differs)
             || tenant != "t1"
         {
-            ledger.broken.get_or_insert(format!("UNASKED: {id} changed: {method} {path} of {tenant:?}"));
+            ledger.violation.get_or_insert(format!("UNASKED: {id} changed: {method} {path} of {tenant:?}"));
         }
-        if sent.once && runs > 1 {
-            ledger.broken.get_or_insert(format!("TWICE: {id} runs {runs} times"));
+        if sent.at_most_once && runs > 1 {
+            ledger.violation.get_or_insert(format!("TWICE: {id} runs {runs} times"));
         }
-        if sent.once && ledger.promised.contains(id) {
-            ledger.broken.get_or_insert(format!("REFUSED: {id} runs after the promise"));
+        if sent.at_most_once && ledger.reported_not_run.contains(id) {
+            ledger.violation.get_or_insert(format!("REFUSED: {id} runs after it was reported not run"));
         }
     }
 
-    pub fn arrived(&self, id: &str) {
+    pub fn record_attempt(&self, id: &str) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.events += 1;
-        let count = ledger.arrivals.entry(id.to_owned()).or_default();
+        ledger.event_count += 1;
+        let count = ledger.attempts.entry(id.to_owned()).or_default();
         *count += 1;
-        if *count > ATTEMPTS {
-            ledger.broken.get_or_insert(format!("BUDGET: {id} arrives {ATTEMPTS} times and more"));
+        if *count > MAX_ATTEMPTS {
+            ledger.violation.get_or_insert(format!("BUDGET: {id} gets more than {MAX_ATTEMPTS} attempts"));
         }
     }
 
-    /// A client has a whole answer to its request.
-    pub fn told(&self, id: &str, status: u16, named: Option<&str>, stamp: Option<&str>, body: &[u8]) {
+    /// Records a client's complete response and checks it against the ledger.
+    pub fn record_response(
+        &self, id: &str, status: u16, response_id: Option<&str>, stamp: Option<&str>, body: &[u8],
+    ) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.events += 1;
-        ledger.answers += 1;
-        let given = stamp.and_then(|stamp| ledger.given.get(stamp).cloned());
+        ledger.event_count += 1;
+        ledger.response_count += 1;
+        let expected = stamp.and_then(|stamp| ledger.responses.get(stamp).cloned());
         let sent = ledger.sent.get(id).cloned();
-        let bodiless = sent.as_ref().is_some_and(|sent| sent.method == "HEAD");
-        let wrong = match (status, &given) {
-            _ if named.is_some_and(|named| named != id) => Some("an answer to another request"),
+        let is_head_request = sent.as_ref().is_some_and(|sent| sent.method == "HEAD");
+        let mismatch = match (status, &expected) {
+            _ if response_id.is_some_and(|response_id| response_id != id) => {
+                Some("a response to another request")
+            }
             (200..=299, None) => Some("a success without a stamp"),
-            (_, Some(given)) if given.id != id => Some("an answer to another request"),
-            (_, Some(given)) if given.status != status => Some("another status than the backend gave"),
-            (200..=299, Some(given)) if !bodiless && given.body != body => {
-                Some("another body than the backend gave")
+            (_, Some(expected)) if expected.id != id => Some("a response to another request"),
+            (_, Some(expected)) if expected.status != status => Some("not the status that the backend sent"),
+            (200..=299, Some(expected)) if !is_head_request && expected.body != body => {
+                Some("not the body that the backend sent")
             }
             _ => None,
         };
-        if let Some(wrong) = wrong {
+        if let Some(mismatch) = mismatch {
             let text = String::from_utf8_lossy(&body[..body.len().min(80)]).into_owned();
-            ledger.broken.get_or_insert(format!("MIXED: {id} gets {status}, {wrong}: {given:?} {text:?}"));
+            ledger
+                .violation
+                .get_or_insert(format!("MIXED: {id} gets {status}, {mismatch}: {expected:?} {text:?}"));
         }
-        ledger.served += usize::from(status < 300);
+        ledger.success_count += usize::from(status < 300);
         if [408, 421, 429, 503].contains(&status) {
-            ledger.promised.insert(id.to_owned());
+            ledger.reported_not_run.insert(id.to_owned());
             let ran = ledger.runs.get(id).copied().unwrap_or(0);
-            if sent.is_some_and(|sent| sent.once) && ran > 0 {
-                ledger.broken.get_or_insert(format!("REFUSED: {id} gets {status} and has run"));
+            if sent.is_some_and(|sent| sent.at_most_once) && ran > 0 {
+                ledger.violation.get_or_insert(format!("REFUSED: {id} gets {status} although it ran"));
             }
         }
     }
@@ -170,11 +175,11 @@
 tariffs:\n  bounds:\n    ack: \"8000ms\"\n    grace: \"6s\"\n    closed: false\n    retry_ratio: 5.0\n    retry_slack: 500\n    \
 ttl_max: \"5s\"\n";
 
-fn news(index: u64, standing: &[Rc<Standing>]) -> ToProxy {
-    let backends = standing.iter().filter(|of| of.listed.get()).map(|of| Backend {
-        id: of.id.clone(),
+fn news(index: u64, backends: &[Rc<TestBackend>]) -> ToProxy {
+    let backends = backends.iter().filter(|backend| backend.listed.get()).map(|backend| Backend {
+        id: backend.id.clone(),
         service: "s1".into(),
-        address: of.addr.to_string(),
+        address: backend.addr.to_string(),
         zone: "a".into(),
         max_concurrency: 4,
         draining: false,
@@ -182,7 +187,7 @@
         heartbeat_seq: 0,
     });
     let gateway = Gateway { node: "g1".into(), ..Gateway::default() };
-    let whole = StateSnapshot {
+    let snapshot = StateSnapshot {
         index,
         config: Some(ConfigRevision {
             edition: 1,
@@ -195,7 +200,7 @@
         ..StateSnapshot::default()
     };
     ToProxy {
-        snapshot: Some(whole),
+        snapshot: Some(snapshot),
         leader_contact_age_ms: 0.0,
         request_sent_at: Some(0.0),
         index,
@@ -203,69 +208,70 @@
     }
 }
 
-/// Plays one history. What broke, if anything did, and how many events, answers and successes it had.
-pub fn play(seed: u64, speech: impl Fn() -> Rc<dyn Speech>) -> (Option<String>, usize, usize, usize) {
+/// Runs one history; returns the first violation and the numbers of events, responses and successes.
+pub fn run_history(seed: u64, speech: impl Fn() -> Rc<dyn Speech>) -> (Option<String>, usize, usize, usize) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime");
+        .expect("cannot build the runtime");
     LocalSet::new().block_on(&runtime, async {
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = 1 + rng.usize(0..3);
         let addr = |n: usize| SocketAddr::from(([10, 0, 0, n as u8 + 1], 80));
-        let mut standing: Vec<_> =
-            (0..count).map(|n| Standing::new(format!("i-{n}"), addr(n), true)).collect();
-        // One that takes the place of another later, at the same address.
-        standing.push(Standing::new("i-new".into(), addr(0), false));
-        let ill = [0, 5, 20, 50, 90][rng.usize(0..5)];
+        let mut backends: Vec<_> =
+            (0..count).map(|n| TestBackend::new(format!("i-{n}"), addr(n), true)).collect();
+        // Replaces the first backend later, at the same address.
+        backends.push(TestBackend::new("i-new".into(), addr(0), false));
+        let fault_percent = [0, 5, 20, 50, 90][rng.usize(0..5)];
         let clients = 1 + rng.usize(0..4);
         let world = Rc::new(World {
             rng: RefCell::new(rng),
             ledger: RefCell::default(),
-            ill,
-            standing,
+            fault_percent,
+            backends,
             next: Cell::new(0),
         });
         let proxies: Vec<_> = (0..2)
             .map(|_| {
-                let of = world.clone();
+                let dial_world = world.clone();
                 let dial = Box::new(move |addr| -> std::pin::Pin<Box<dyn std::future::Future<Output = _>>> {
-                    let world = of.clone();
+                    let world = dial_world.clone();
                     Box::pin(async move { backend::connect(world, addr).await })
                 });
-                let settings = Settings::read(SETTINGS).expect("settings");
+                let settings = Settings::read(SETTINGS).expect("invalid settings");
                 let seed = world.rng.borrow_mut().u64(..);
-                Proxy::apart(settings, seed, speech(), dial, news(1, &world.standing)).expect("a proxy")
+                Proxy::standalone(settings, seed, speech(), dial, news(1, &world.backends))
+                    .expect("cannot create the proxy")
             })
             .collect();
         let tasks: Vec<_> = (0..clients)
             .map(|_| {
-                let proxy = proxies[world.draw(2)].clone();
+                let proxy = proxies[world.random_below(2)].clone();
                 tokio::task::spawn_local(client::run(world.clone(), proxy))
             })
             .collect();
         if world.chance(30) {
-            // A backend is replaced at the same address, in the middle of it all.
-            sleep(Duration::from_millis(world.draw(900) as u64)).await;
-            world.standing[0].listed.set(false);
-            world.standing[count].listed.set(true);
-            proxies.iter().for_each(|proxy| proxy.heard(news(2, &world.standing)));
+            // Replaces a backend at the same address during traffic.
+            sleep(Duration::from_millis(world.random_below(900) as u64)).await;
+            world.backends[0].listed.set(false);
+            world.backends[count].listed.set(true);
+            proxies.iter().for_each(|proxy| proxy.apply_update(news(2, &world.backends)));
         }
         if world.chance(30) {
-            sleep(Duration::from_millis(world.draw(900) as u64)).await;
-            proxies[0].ends();
-            sleep(Duration::from_millis(world.draw(1500) as u64)).await;
-            proxies[0].ends();
+            sleep(Duration::from_millis(world.random_below(900) as u64)).await;
+            proxies[0].advance_shutdown();
+            sleep(Duration::from_millis(world.random_below(1500) as u64)).await;
+            proxies[0].advance_shutdown();
         }
         for task in tasks {
             if task.await.is_err() {
-                world.broken("a task panicked".into());
+                world.report_violation("a task panicked".into());
             }
         }
-        // What lies in buffers may run still.
+        // Buffered requests may still run.
         sleep(Duration::from_secs(9)).await;
         let ledger = world.ledger.borrow();
-        (ledger.broken.clone(), ledger.events, ledger.answers, ledger.served)
+        (ledger.violation.clone(), ledger.event_count, ledger.response_count, ledger.success_count)
     })
 }
--- a/overland/tests/plane/wire.rs
+++ b/overland/tests/plane/wire.rs
@@ -1,4 +1,4 @@
-//! Connections without sockets: bounded, read in pieces, reset, closed, or forgotten without a word.
+//! In-memory connections with bounded buffers and short reads that can be reset, closed or silently dropped.
 
 use cherrytally::plane::backends::Stream;
 use std::cell::RefCell;
@@ -9,133 +9,135 @@
 use std::task::{Context, Poll, Waker};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// One direction.
-struct Way {
+/// One direction of a connection.
+struct Direction {
     bytes: VecDeque<u8>,
-    holds: usize,
-    piece: usize,
-    ended: bool,
+    capacity: usize,
+    max_read: usize,
+    closed: bool,
     reset: bool,
-    /// Nobody reads any more: what is written next is answered by a reset.
-    deaf: bool,
+    /// The reader is gone: the next write resets the connection.
+    reader_gone: bool,
     wakers: Vec<Waker>,
 }
 
-impl Way {
+impl Direction {
     fn wake(&mut self) {
         self.wakers.drain(..).for_each(Waker::wake);
     }
 }
 
-struct End {
-    from: Rc<RefCell<Way>>,
-    to: Rc<RefCell<Way>>,
-    silent: RefCell<bool>,
+struct Endpoint {
+    incoming: Rc<RefCell<Direction>>,
+    outgoing: Rc<RefCell<Direction>>,
+    drop_is_silent: RefCell<bool>,
 }
 
-impl Drop for End {
+impl Drop for Endpoint {
     fn drop(&mut self) {
-        if *self.silent.borrow() {
+        if *self.drop_is_silent.borrow() {
             return;
         }
         let unread = {
-            let mut from = self.from.borrow_mut();
-            from.deaf = true;
-            from.wake();
-            !from.bytes.is_empty()
+            let mut incoming = self.incoming.borrow_mut();
+            incoming.reader_gone = true;
+            incoming.wake();
+            !incoming.bytes.is_empty()
         };
-        let mut to = self.to.borrow_mut();
-        to.ended = true;
-        to.reset |= unread;
-        to.wake();
+        let mut outgoing = self.outgoing.borrow_mut();
+        outgoing.closed = true;
+        outgoing.reset |= unread;
+        outgoing.wake();
     }
 }
 
-/// One end of a connection. Clones share it.
+/// One end of a connection; clones share it.
 #[derive(Clone)]
-pub struct Wire(Rc<End>);
+pub struct MemoryStream(Rc<Endpoint>);
 
-impl Wire {
-    /// Both ends. Each way holds so many bytes, and a read gives so many at most.
-    pub fn pair(holds: usize, piece: usize) -> (Wire, Wire) {
-        let way = || {
-            Rc::new(RefCell::new(Way {
+impl MemoryStream {
+    /// Creates both ends. Each direction buffers `capacity` bytes, and a read returns at most `max_read`.
+    pub fn pair(capacity: usize, max_read: usize) -> (MemoryStream, MemoryStream) {
+        let direction = || {
+            Rc::new(RefCell::new(Direction {
                 bytes: VecDeque::new(),
-                holds,
-                piece,
-                ended: false,
+                capacity,
+                max_read,
+                closed: false,
                 reset: false,
-                deaf: false,
+                reader_gone: false,
                 wakers: Vec::new(),
             }))
         };
-        let (a, b) = (way(), way());
-        let end = |from, to| Wire(Rc::new(End { from, to, silent: RefCell::new(false) }));
-        (end(a.clone(), b.clone()), end(b, a))
+        let (a, b) = (direction(), direction());
+        let endpoint = |incoming, outgoing| {
+            MemoryStream(Rc::new(Endpoint { incoming, outgoing, drop_is_silent: RefCell::new(false) }))
+        };
+        (endpoint(a.clone(), b.clone()), endpoint(b, a))
     }
 
-    /// Resets it. What the other end has not read may be lost.
-    pub fn reset(&self, loses: bool) {
-        for way in [&self.0.from, &self.0.to] {
-            let mut way = way.borrow_mut();
-            way.reset = true;
-            if loses {
-                way.bytes.clear();
+    /// Resets the connection, optionally discarding unread bytes.
+    pub fn reset(&self, discard_unread: bool) {
+        for direction in [&self.0.incoming, &self.0.outgoing] {
+            let mut direction = direction.borrow_mut();
+            direction.reset = true;
+            if discard_unread {
+                direction.bytes.clear();
             }
-            way.wake();
+            direction.wake();
         }
     }
 
-    /// Forgets it without a word.
-    pub fn forget(&self) {
-        *self.0.silent.borrow_mut() = true;
-        self.0.from.borrow_mut().deaf = true;
+    /// Makes the drop of this end invisible to the peer until it writes.
+    pub fn drop_silently(&self) {
+        *self.0.drop_is_silent.borrow_mut() = true;
+        self.0.incoming.borrow_mut().reader_gone = true;
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for MemoryStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut from = self.0.from.borrow_mut();
-        if from.bytes.is_empty() {
-            if from.reset {
+        let mut incoming = self.0.incoming.borrow_mut();
+        if incoming.bytes.is_empty() {
+            if incoming.reset {
                 return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
             }
-            if from.ended {
+            if incoming.closed {
                 return Poll::Ready(Ok(()));
             }
-            from.wakers.push(cx.waker().clone());
+            incoming.wakers.push(cx.waker().clone());
             return Poll::Pending;
         }
-        let count = from.bytes.len().min(from.piece).min(buf.remaining());
-        for byte in from.bytes.drain(..count) {
+        let count = incoming.bytes.len().min(incoming.max_read).min(buf.remaining());
+        for byte in incoming.bytes.drain(..count) {
             buf.put_slice(&[byte]);
         }
-        from.wake();
+        incoming.wake();
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for MemoryStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let mut to = self.0.to.borrow_mut();
-        if to.reset {
+        let mut outgoing = self.0.outgoing.borrow_mut();
+        if outgoing.reset {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        if to.deaf {
-            to.reset = true;
-            drop(to);
-            let mut from = self.0.from.borrow_mut();
-            from.reset = true;
-            from.wake();
+        if outgoing.reader_gone {
+            outgoing.reset = true;
+            drop(outgoing);
+            let mut incoming = self.0.incoming.borrow_mut();
+            incoming.reset = true;
+            incoming.wake();
             return Poll::Ready(Ok(bytes.len()));
         }
-        if to.bytes.len() >= to.holds {
-            to.wakers.push(cx.waker().clone());
+        if outgoing.bytes.len() >= outgoing.capacity {
+            outgoing.wakers.push(cx.waker().clone());
             return Poll::Pending;
         }
-        let count = bytes.len().min(to.holds - to.bytes.len());
-        to.bytes.extend(&bytes[..count]);
-        to.wake();
+        let count = bytes.len().min(outgoing.capacity - outgoing.bytes.len());
+        outgoing.bytes.extend(&bytes[..count]);
+        outgoing.wake();
         Poll::Ready(Ok(count))
     }
 
@@ -144,20 +146,20 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut to = self.0.to.borrow_mut();
-        to.ended = true;
-        to.wake();
+        let mut outgoing = self.0.outgoing.borrow_mut();
+        outgoing.closed = true;
+        outgoing.wake();
         Poll::Ready(Ok(()))
     }
 }
 
-impl Stream for Wire {
+impl Stream for MemoryStream {
     fn quiet(&self) -> bool {
-        let from = self.0.from.borrow();
-        from.bytes.is_empty() && !from.ended && !from.reset
+        let incoming = self.0.incoming.borrow();
+        incoming.bytes.is_empty() && !incoming.closed && !incoming.reset
     }
 
-    /// Refused: a connection without it is a connection all the same.
+    /// Always fails; callers must tolerate that.
     fn prompt(&self) -> io::Result<()> {
         Err(io::Error::from(io::ErrorKind::Unsupported))
     }
