--- a/overland/src/figures.rs
+++ b/overland/src/figures.rs
@@ -61,17 +61,22 @@
     fn default() -> Self {
         let mut registry = Registry::with_prefix("pelion");
         let responses = Family::default();
-        registry.register("answers", "Answers to clients by status", responses.clone());
+        registry.register("answers", "Responses to clients by status", responses.clone());
         let request_seconds = Histogram::new(REQUEST_BUCKETS_S);
-        registry.register_with_unit("request", "From head to answer", Unit::Seconds, request_seconds.clone());
+        registry.register_with_unit(
+            "request",
+            "Time from the end of the request head to the response",
+            Unit::Seconds,
+            request_seconds.clone(),
+        );
         let (attempts, refusals, charges) = <(Family<_, _>, Family<_, _>, Family<_, _>)>::default();
-        registry.register("attempts", "Attempts at backends by how they ended", attempts.clone());
-        registry.register("refusals", "Requests refused by the decisions, by reason", refusals.clone());
-        registry.register("charges", "Requests charged to their tenant, by what came of it", charges.clone());
+        registry.register("attempts", "Attempts at backends by result", attempts.clone());
+        registry.register("refusals", "Requests refused by the decision module, by reason", refusals.clone());
+        registry.register("charges", "Requests charged to their tenant, by outcome", charges.clone());
         let (relayed, pipelined, repairs) = <(Counter, Counter, Counter)>::default();
-        registry.register("relayed", "Attempts written whole to backends", relayed.clone());
-        registry.register("ahead", "Requests begun behind another on their connection", pipelined.clone());
-        registry.register("mended", "Times that the copy of the state was mended", repairs.clone());
+        registry.register("relayed", "Attempts written completely to backends", relayed.clone());
+        registry.register("ahead", "Pipelined requests started before their turn", pipelined.clone());
+        registry.register("mended", "Repairs of the state replica", repairs.clone());
         Metrics {
             registry,
             responses,
@@ -116,20 +121,28 @@
         for (invariant, count) in invariants::violation_counts() {
             violations.get_or_create(&WhatLabel { what: invariant.name() }).inc_by(count);
         }
-        gauge_registry.register("invariant_violations", "What must hold and did not", violations);
+        gauge_registry.register("invariant_violations", "Violations of invariants", violations);
         let mut register_gauge = |name: &str, help: &str, value: f64| {
             let gauge = Gauge::<f64, AtomicU64>::default();
             gauge.set(value);
             gauge_registry.register(name, help, gauge);
         };
-        register_gauge("open", "Requests without an answer", gauges.in_flight_requests as f64);
-        register_gauge("backend_connections", "Connections to backends", gauges.backend_connections as f64);
-        register_gauge("backends", "Backends that are known", gauges.backends.0 as f64);
-        register_gauge("backends_avoided", "Backends that requests are kept from", gauges.backends.1 as f64);
-        register_gauge("change", "The last change that it goes by", gauges.applied_index as f64);
-        register_gauge("ready", "It takes clients", f64::from(u8::from(gauges.ready)));
+        register_gauge("open", "Requests in flight", gauges.in_flight_requests as f64);
+        register_gauge(
+            "backend_connections",
+            "Open connections to backends",
+            gauges.backend_connections as f64,
+        );
+        register_gauge("backends", "Known backends", gauges.backends.0 as f64);
+        register_gauge("backends_avoided", "Known backends that get no requests", gauges.backends.1 as f64);
+        register_gauge("change", "Index of the last applied change", gauges.applied_index as f64);
+        register_gauge("ready", "1 if the proxy accepts clients", f64::from(u8::from(gauges.ready)));
         if let Some(age) = gauges.leader_contact_age {
-            register_gauge("word_age_seconds", "Since the last word of who leads", age.as_secs_f64());
+            register_gauge(
+                "word_age_seconds",
+                "Time since the last contact with the leader",
+                age.as_secs_f64(),
+            );
         }
         let mut text = String::new();
         let encoded = [&self.registry, &gauge_registry]
