--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -455,30 +455,33 @@
             Shares::new(&self.settings.bounds, &self.settings.node, names)
         });
         let listed_backends = state.backends.values().filter_map(|known| {
-            let b = &known.backend;
-            let (pool, zone) = (pools.id(&b.service), self.zones.number(&b.zone));
+            let backend = &known.backend;
+            let (pool, zone) = (pools.id(&backend.service), self.zones.number(&backend.zone));
             let cold_per_s =
                 table.as_ref().and_then(|table| table.cold_per_s.get(&pool)).copied().unwrap_or(0.0);
             let cold_ms = table.as_ref().and_then(|table| table.cold_ms.get(&pool)).copied().unwrap_or(0.0);
             // Backends may have become cold while their zone was evacuated.
-            let taken_back = state.evacuation_ends.get(&b.zone).map_or(0.0, |at| at + cold_ms);
+            let taken_back = state.evacuation_ends.get(&backend.zone).map_or(0.0, |at| at + cold_ms);
             let cold_until = known.cold_until.max(taken_back);
             let cold_until = if cold_until > proxy_now { driver_now + cold_until - proxy_now } else { 0.0 };
             let cold = cold_per_s > 0.0 && cold_until > driver_now;
-            let share = (cold_per_s > 0.0 && (cold || !full_rate)).then(|| shares.share(&b.id, cold_per_s));
-            let distance_cost =
-                match (b.zone == self.settings.zone, region(&b.zone) == Some(&self.settings.region)) {
-                    (true, _) => 0.0,
-                    (_, true) => OTHER_ZONE_COST,
-                    _ => OTHER_REGION_COST,
-                };
+            let share =
+                (cold_per_s > 0.0 && (cold || !full_rate)).then(|| shares.share(&backend.id, cold_per_s));
+            let distance_cost = match (
+                backend.zone == self.settings.zone,
+                region(&backend.zone) == Some(&self.settings.region),
+            ) {
+                (true, _) => 0.0,
+                (_, true) => OTHER_ZONE_COST,
+                _ => OTHER_REGION_COST,
+            };
             let listed = BackendEntry {
                 id: 0,
                 zone,
                 kind: 0,
                 cell: 0,
-                state: if b.draining { BackendState::Draining } else { BackendState::Ready },
-                size: f64::from(b.max_concurrency.max(1)),
+                state: if backend.draining { BackendState::Draining } else { BackendState::Ready },
+                size: f64::from(backend.max_concurrency.max(1)),
                 started: 0.0,
                 pool,
                 distance_cost,
@@ -491,7 +494,11 @@
                 },
                 limit: share.map_or(0, |share| share.limit),
             };
-            Some(DriverBackend { name: b.id.clone(), addr: Some(b.address.parse().ok()?), listed })
+            Some(DriverBackend {
+                name: backend.id.clone(),
+                addr: Some(backend.address.parse().ok()?),
+                listed,
+            })
         });
         self.driver.list(true, listed_backends.collect());
         self.driver.discovery_heard();
@@ -643,7 +650,7 @@
     }
 
     async fn send_charge(
-        &self, tenant: &Tenant, charge: tally::Charge, target: Duration, hold_request: bool,
+        &self, tenant: &Tenant, charge: tally::Charge, target: Duration, request_waits: bool,
     ) -> Verdict {
         let start = self.now();
         let (response, total) = oneshot::channel();
@@ -656,10 +663,10 @@
         let now = self.now();
         match total {
             Ok(Ok(Some(counted))) => {
-                tally.total_received(now, &tenant.name, charge, now - start, counted, hold_request)
+                tally.total_received(now, &tenant.name, charge, now - start, counted, request_waits)
             }
             // Not charged, not authoritative, or timed out.
-            Ok(_) | Err(_) => tally.charge_unanswered(now, &tenant.name, hold_request),
+            Ok(_) | Err(_) => tally.charge_unanswered(now, &tenant.name, request_waits),
         }
     }
 
