--- a/overland/src/ahead.rs
+++ b/overland/src/ahead.rs
@@ -82,7 +82,7 @@
     }
 
     /// Number of buffered bytes that may be passed on now.
-    pub fn open(&mut self) -> usize {
+    pub fn readable(&mut self) -> usize {
         if self.state == State::Head {
             self.state = match parse_head(&self.buffer) {
                 HeadParse::Complete(_, total, _) => State::Forwarding(total),
@@ -98,8 +98,8 @@
     }
 
     /// Moves readable bytes into `to`; returns the pipelined requests found afterwards.
-    pub fn hand(&mut self, to: &mut ReadBuf) -> Vec<Parts> {
-        let bytes = self.open().min(to.remaining());
+    pub fn read_into(&mut self, to: &mut ReadBuf) -> Vec<Parts> {
+        let bytes = self.readable().min(to.remaining());
         to.put_slice(&self.buffer[..bytes]);
         self.buffer.advance(bytes);
         if let State::Forwarding(left) = self.state {
@@ -110,7 +110,7 @@
     }
 
     /// Advances to the next request after a response; true if that request was already found.
-    pub fn turn(&mut self) -> bool {
+    pub fn response_done(&mut self) -> bool {
         if self.state != State::AwaitingResponse {
             // The response came before the end of the request: what follows is the rest of its body.
             self.state = State::PassThrough;
@@ -302,7 +302,7 @@
 
     /// Advances to the next request after a response.
     pub fn response_done(&self) {
-        self.current_is_pipelined.set(self.splitter.borrow_mut().turn());
+        self.current_is_pipelined.set(self.splitter.borrow_mut().response_done());
         if let Some(waker) = self.read_waker.take() {
             waker.wake();
         }
@@ -343,8 +343,8 @@
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            if self.pipeline.splitter.borrow_mut().open() > 0 {
-                let found = self.pipeline.splitter.borrow_mut().hand(buf);
+            if self.pipeline.splitter.borrow_mut().readable() > 0 {
+                let found = self.pipeline.splitter.borrow_mut().read_into(buf);
                 self.start_requests(found);
                 return Poll::Ready(Ok(()));
             }
--- a/overland/tests/ahead.rs
+++ b/overland/tests/ahead.rs
@@ -26,7 +26,7 @@
 ) -> Vec<hyper::http::request::Parts> {
     let mut chunk = vec![0; max_bytes];
     let mut buf = ReadBuf::new(&mut chunk);
-    let found = splitter.hand(&mut buf);
+    let found = splitter.read_into(&mut buf);
     output.extend_from_slice(buf.filled());
     found
 }
@@ -47,7 +47,7 @@
                 found.extend(splitter.feed(&stream_bytes[fed_bytes..more]));
                 fed_bytes = more;
             }
-            if splitter.open() > 0 {
+            if splitter.readable() > 0 {
                 found.extend(read_chunk(&mut splitter, 1 + rng.usize(0..300), &mut passed_on));
             }
             pipelined.extend(
@@ -57,7 +57,7 @@
             if passed_on.len() == current_end && rng.bool() {
                 let next = current + 1;
                 assert_eq!(
-                    splitter.turn(),
+                    splitter.response_done(),
                     pipelined.contains(&next),
                     "wrong report on whether the next request was found"
                 );
@@ -94,7 +94,7 @@
         assert!(splitter.feed(text.as_bytes()).is_empty(), "{head}");
         assert!(read_chunk(&mut splitter, 4096, &mut passed_on).is_empty(), "{head}");
         assert_eq!(passed_on, text.as_bytes(), "{head}");
-        assert!(!splitter.turn() && splitter.open() == 0);
+        assert!(!splitter.response_done() && splitter.readable() == 0);
     }
     // Look-ahead is limited in requests and in buffered bytes.
     let mut splitter = Splitter::default();
@@ -113,14 +113,14 @@
     assert!(splitter.feed(head.as_bytes()).is_empty());
     read_chunk(&mut splitter, 4096, &mut passed_on);
     // The request was refused by its head alone; the HTTP library reads the rest or closes the connection.
-    assert!(!splitter.turn());
+    assert!(!splitter.response_done());
     for part in [&first, second] {
         assert!(splitter.feed(part.as_bytes()).is_empty());
         assert!(
             read_chunk(&mut splitter, 4096, &mut passed_on).is_empty(),
             "a request was found inside a body"
         );
-        assert!(!splitter.turn());
+        assert!(!splitter.response_done());
     }
     assert_eq!(passed_on, format!("{head}{first}{second}").as_bytes());
 }
--- a/overland/tests/readers.rs
+++ b/overland/tests/readers.rs
@@ -177,17 +177,17 @@
             found.extend(splitter.feed(&all[fed..more]));
             fed = more;
         }
-        let open = splitter.open();
+        let open = splitter.readable();
         if act & 2 == 0 && open > 0 {
             let mut room = vec![0; 1 + choices.next() as usize * 4];
             let mut buf = ReadBuf::new(&mut room);
-            found.extend(splitter.hand(&mut buf));
+            found.extend(splitter.read_into(&mut buf));
             handed.extend_from_slice(buf.filled());
         }
         told.extend(found.into_iter().map(|parts| parts.uri.path().to_owned()));
         // It is answered: at its proper end, or now and then before.
-        if splitter.open() == 0 && handed.len() > begins[turns] && act & 4 == 0 || act == 255 {
-            splitter.turn();
+        if splitter.readable() == 0 && handed.len() > begins[turns] && act & 4 == 0 || act == 255 {
+            splitter.response_done();
             turns += 1;
             begins.push(handed.len());
         }
