--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -13,8 +13,10 @@
 //! result.
 
 use super::{Action, AgreementInput, CallResult, Caller, Member, Stage, Wait};
-use crate::calls::{Answers, Done, Evacuate, Get, Order, Outcome, Patch, Put, Refusal, TakeBack};
-use crate::config::{full_config_digest, ConfigUpdate};
+use crate::calls::{
+    Answers, ConfigUpdate, Done, EndEvacuation, Get, Outcome, Patch, Put, Refusal, StartEvacuation,
+};
+use crate::config::{full_config_digest, ConfigDocument};
 use crate::difference::Difference;
 use crate::ledger::UpdateId;
 use crate::news::{ConfigRevision, Kind, RejectedUpdate};
@@ -73,34 +75,34 @@
 
 impl Answers<Put> for Member {
     fn answer(&mut self, _: Millis, Put(order): Put) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Order(order)))
+        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
     }
 }
 
 impl Answers<Patch> for Member {
     fn answer(&mut self, _: Millis, Patch(order): Patch) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Order(order)))
+        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
     }
 }
 
 impl Answers<Get> for Member {
     fn answer(&mut self, now: Millis, _: Get) -> CallResult<miniserde::json::Value> {
         let authoritative = self.is_authoritative(now);
-        let config = self.state.config.as_ref().filter(|_| authoritative).ok_or(Refusal::Later)?;
-        let value = miniserde::json::from_str(&config.text).map_err(|_| Refusal::Later)?;
-        Ok(Outcome::Now(value))
+        let config = self.state.config.as_ref().filter(|_| authoritative).ok_or(Refusal::Unavailable)?;
+        let value = miniserde::json::from_str(&config.text).map_err(|_| Refusal::Unavailable)?;
+        Ok(Outcome::Ready(value))
     }
 }
 
-impl Answers<Evacuate> for Member {
-    fn answer(&mut self, _: Millis, Evacuate(zone): Evacuate) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+impl Answers<StartEvacuation> for Member {
+    fn answer(&mut self, _: Millis, StartEvacuation(zone): StartEvacuation) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
     }
 }
 
-impl Answers<TakeBack> for Member {
-    fn answer(&mut self, _: Millis, TakeBack(zone): TakeBack) -> CallResult<Done> {
-        Ok(Outcome::Waits(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+impl Answers<EndEvacuation> for Member {
+    fn answer(&mut self, _: Millis, EndEvacuation(zone): EndEvacuation) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
     }
 }
 
@@ -121,7 +123,7 @@
 impl Member {
     pub(super) fn queue_update(&mut self, caller: Caller, out: &mut Vec<Action>) {
         if self.updates.queued.len() >= MAX_QUEUED {
-            return self.refuse(&caller, &Refusal::Later, out);
+            return self.refuse(&caller, &Refusal::Unavailable, out);
         }
         self.updates.queued.push_back(caller);
     }
@@ -131,7 +133,7 @@
         for caller in self.updates.queued.clone() {
             let step = match self.calls.get(&caller).map(|call| &call.stage) {
                 Some(Stage::Queued(order)) => self.next_step(now, order),
-                _ => Step::Refuse(Refusal::Later),
+                _ => Step::Refuse(Refusal::Unavailable),
             };
             let update_id = self.queued_update_id(&caller);
             if !matches!(step, Step::Wait) {
@@ -158,19 +160,19 @@
 
     fn queued_update_id(&self, caller: &Caller) -> Option<UpdateId> {
         match &self.calls.get(caller)?.stage {
-            Stage::Queued(order) => order.mark,
+            Stage::Queued(order) => order.id,
             _ => None,
         }
     }
 
-    fn next_step(&self, now: Millis, order: &Order) -> Step {
+    fn next_step(&self, now: Millis, order: &ConfigUpdate) -> Step {
         if !self.is_authoritative(now) {
-            return Step::Refuse(Refusal::Later);
+            return Step::Refuse(Refusal::Unavailable);
         }
-        let (update, update_id) = match (&order.envelope, &order.mark) {
+        let (update, update_id) = match (&order.envelope, &order.id) {
             (Ok(update), Some(update_id)) => (update, update_id),
             (Err(invalid), _) => return Step::Refuse(invalid.clone().into()),
-            (Ok(_), None) => return Step::Refuse(Refusal::Later),
+            (Ok(_), None) => return Step::Refuse(Refusal::Unavailable),
         };
         let proposed = &self.updates.proposed;
         if let Some(same) = proposed.iter().find(|proposed| proposed.digest == update_id.content_digest) {
@@ -197,7 +199,9 @@
     }
 
     /// The change that an update based on the current configuration proposes.
-    fn change_for(&self, update: &ConfigUpdate, update_id: &UpdateId, patch: bool) -> Result<Kind, Refusal> {
+    fn change_for(
+        &self, update: &ConfigDocument, update_id: &UpdateId, patch: bool,
+    ) -> Result<Kind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
         let update = update.clone();
         let (_, text) = if patch { update.apply_to(current) } else { update.into_full_config() }?;
@@ -227,14 +231,15 @@
         let current = self.state.edition();
         match check {
             UpdateCheck::Stale => Refusal::Conflict(format!("r{current} is in place")),
-            UpdateCheck::NotIncreasing => {
-                Refusal::Bad(format!("edition r{} is not above r{}", update_id.edition, update_id.based_on))
-            }
+            UpdateCheck::NotIncreasing => Refusal::BadRequest(format!(
+                "edition r{} is not above r{}",
+                update_id.edition, update_id.based_on
+            )),
             UpdateCheck::Unrecorded => {
-                Refusal::Unclear(format!("r{} lies too far back to tell", update_id.edition))
+                Refusal::OutcomeUnknown(format!("r{} lies too far back to tell", update_id.edition))
             }
             // Neither accepted nor refused: the applied entry was another update's.
-            UpdateCheck::Accepted(_) | UpdateCheck::Applicable | UpdateCheck::Ahead => Refusal::Later,
+            UpdateCheck::Accepted(_) | UpdateCheck::Applicable | UpdateCheck::Ahead => Refusal::Unavailable,
         }
     }
 
--- a/overland/tests/readers.rs
+++ b/overland/tests/readers.rs
@@ -179,17 +179,19 @@
             found.extend(splitter.feed(&input[fed..end]));
             fed = end;
         }
-        let open = splitter.open();
+        let open = splitter.readable();
         if action & 2 == 0 && open > 0 {
             let mut room = vec![0; 1 + choices.next() as usize * 4];
             let mut buf = ReadBuf::new(&mut room);
-            found.extend(splitter.hand(&mut buf));
+            found.extend(splitter.read_into(&mut buf));
             passed_on.extend_from_slice(buf.filled());
         }
         announced.extend(found.into_iter().map(|parts| parts.uri.path().to_owned()));
         // The response is sent: at the end of the request, or at times before it.
-        if splitter.open() == 0 && passed_on.len() > turn_starts[turns] && action & 4 == 0 || action == 255 {
-            splitter.turn();
+        if splitter.readable() == 0 && passed_on.len() > turn_starts[turns] && action & 4 == 0
+            || action == 255
+        {
+            splitter.response_done();
             turns += 1;
             turn_starts.push(passed_on.len());
         }
--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -4,7 +4,7 @@
 use crate::figures::{count, gauge};
 use crate::server::Drains;
 use crate::status;
-use cherrytally::membership::{Action, Event, Membership, State, View, DATAGRAM_MOST, DROPPED};
+use cherrytally::membership::{Action, Event, Membership, State, View, DROP_REASONS, MAX_DATAGRAM_BYTES};
 use cherrytally::plane::driver::Driver;
 use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -74,7 +74,7 @@
                         self.unsent.set(self.unsent.get() + 1);
                     }
                 }
-                Action::Changed { who, was, state, draining } => {
+                Action::Changed { identity: who, previous: was, state, draining } => {
                     let was = was.map_or("unknown", name);
                     let drained = if draining { ", draining" } else { "" };
                     tracing::info!(
@@ -87,7 +87,7 @@
                 Action::Present { count, majority } => {
                     self.driver.membership_changed(count, majority != Some(false))
                 }
-                Action::Out => self.driver.membership_changed(0, false),
+                Action::NotMember => self.driver.membership_changed(0, false),
                 Action::Warn(line) => tracing::warn!("cluster: {line}"),
             }
         }
@@ -100,7 +100,7 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let (mut buf, seldom) = ([0; DATAGRAM_MOST + 1], WarningLimiter::default());
+        let (mut buf, seldom) = ([0; MAX_DATAGRAM_BYTES + 1], WarningLimiter::default());
         loop {
             let due = self.machine.borrow().due();
             let due = self.born + Duration::from_secs_f64((due / 1000.0).clamp(0.0, 1e9));
@@ -332,7 +332,7 @@
             count(into, &format!("members_{name}"), help, value);
         }
         let dropped = Family::<Dropped, Counter>::default();
-        for (why, reason) in DROPPED {
+        for (why, reason) in DROP_REASONS {
             dropped.get_or_create(&Dropped { reason }).inc_by(counts.dropped[why as usize]);
         }
         into.register("members_datagrams_dropped", "Datagrams dropped, by reason", dropped);
