--- a/src/custody/keeper.rs
+++ b/src/custody/keeper.rs
@@ -193,7 +193,7 @@
         assert_eq!(
             replica.handle(0.0, 1, claim(term(5, 8), 1)),
             Reply::Superseded { by: term(0, 7) },
-            "a claim before any read"
+            "unread"
         );
         let Reply::Record { record, .. } = replica.handle(0.0, 1, Message::Read { term: term(1, 8) }) else {
             panic!("expected the record")
