--- a/src/bin/heronstage/beside.rs
+++ b/src/bin/heronstage/beside.rs
@@ -1,5 +1,5 @@
-//! The process that runs beside this one during an upgrade. Both count as one gateway: through notes in `$TMPDIR`
-//! each learns how many descriptors the other holds, and leaves them to it.
+//! Shares the descriptor limit between the old and the new process during an upgrade. Each publishes its
+//! descriptor count in a record file in `$TMPDIR` and reads the other's.
 
 use cherrytally::plane::backends::Backends;
 use cherrytally::plane::driver::Driver;
@@ -14,80 +14,81 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::sleep;
 
-/// A note's form; one of another version is none of ours.
+/// File name prefix of a record; includes the format version.
 const PREFIX: &str = "heronstage-beside-1-";
-/// How often notes are written and read.
-const EVERY: Duration = Duration::from_millis(200);
-/// A note not renewed for so long is of a process that is gone, or of another clock.
-const STALE_MS: f64 = 2000.0;
-/// And after so long anybody removes it.
-const OLD_MS: f64 = 60_000.0;
-/// Longest note, and the most of them that are read.
-const NOTE_MOST: u64 = 1024;
-const NOTES_MOST: usize = 16;
-/// Descriptors for clients and backends that a process has in any case.
-const LEAST: usize = 8;
+/// Interval between two updates of the own record.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
+/// Records older than this are ignored: their process has exited, or its clock differs.
+const STALE_AFTER_MS: f64 = 2000.0;
+/// Records older than this are deleted by any process.
+const DELETE_AFTER_MS: f64 = 60_000.0;
+/// Size limit of a record.
+const MAX_RECORD_BYTES: u64 = 1024;
+/// Limit on the records read in one update.
+const MAX_RECORDS: usize = 16;
+/// Descriptors for clients and backends that a process always keeps.
+const MIN_DESCRIPTORS: usize = 8;
 
 #[derive(Deserialize, Serialize)]
-struct Note {
+struct DescriptorRecord {
     started_ms: f64,
     written_ms: f64,
-    /// Descriptors held, those kept for other uses included.
+    /// Open descriptors, including those reserved for other uses.
     held: usize,
 }
 
-/// One gateway's descriptors, as this process shares them with the other.
-pub struct Beside {
-    folder: PathBuf,
+/// This process's share of the gateway's descriptors.
+pub struct DescriptorShare {
+    directory: PathBuf,
     name: String,
     started_ms: f64,
-    sockets: usize,
+    max_descriptors: usize,
     reserved: usize,
-    /// Places for clients, and for connections to backends.
-    places: usize,
-    free: Arc<Semaphore>,
-    /// Places for clients that are left to the other process.
+    /// Limit on client connections, and on backend connections, when running alone.
+    max_connections: usize,
+    client_permits: Arc<Semaphore>,
+    /// Client permits left to the other process.
     withheld: Option<OwnedSemaphorePermit>,
-    /// Whether a process that started later runs beside this one.
-    later: Rc<Cell<bool>>,
+    /// Whether a process that started later is running.
+    newer_running: Rc<Cell<bool>>,
     driver: Rc<Driver>,
 }
 
-impl Beside {
-    /// `seed` is this start's own and names its note, with the process's number.
+impl DescriptorShare {
+    /// `seed` and the process id make the record's file name unique.
     pub fn new(
-        folder: PathBuf, seed: u64, sockets: usize, reserved: usize, free: Arc<Semaphore>,
-        later: Rc<Cell<bool>>, driver: Rc<Driver>,
+        directory: PathBuf, seed: u64, max_descriptors: usize, reserved: usize,
+        client_permits: Arc<Semaphore>, newer_running: Rc<Cell<bool>>, driver: Rc<Driver>,
     ) -> Self {
-        let (name, places) =
-            (format!("{PREFIX}{seed:016x}-{}", std::process::id()), free.available_permits());
-        Beside {
-            folder,
+        let (name, max_connections) =
+            (format!("{PREFIX}{seed:016x}-{}", std::process::id()), client_permits.available_permits());
+        DescriptorShare {
+            directory,
             name,
             started_ms: unix_ms(),
-            sockets,
+            max_descriptors,
             reserved,
-            places,
-            free,
+            max_connections,
+            client_permits,
             withheld: None,
-            later,
+            newer_running,
             driver,
         }
     }
 
-    /// Looks at the other's note and tells the own, as long as the program runs.
+    /// Reads the other records and writes the own one until the program ends.
     pub async fn run(mut self) {
-        let mut told = None;
+        let mut last_error = None;
         loop {
-            if let Err(e) = self.look().and_then(|()| self.tell()) {
-                // Alone it would do as well: said once, and again when it changes.
+            if let Err(e) = self.update_limits().and_then(|()| self.write_record()) {
+                // Not fatal: logged once for each distinct error.
                 let e = e.to_string();
-                if told.as_ref() != Some(&e) {
-                    tracing::warn!("notes in {}: {e}", self.folder.display());
-                    told = Some(e);
+                if last_error.as_ref() != Some(&e) {
+                    tracing::warn!("sharing descriptors through {} failed: {e}", self.directory.display());
+                    last_error = Some(e);
                 }
             }
-            sleep(EVERY).await;
+            sleep(UPDATE_INTERVAL).await;
         }
     }
 
@@ -95,44 +96,46 @@
         self.driver.backends()
     }
 
-    /// Writes the own note whole or not at all.
-    fn tell(&self) -> io::Result<()> {
+    /// Writes the own record atomically.
+    fn write_record(&self) -> io::Result<()> {
         let withheld = self.withheld.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-        let clients =
-            self.places - withheld.min(self.places) - self.free.available_permits().min(self.places);
+        let clients = self.max_connections
+            - withheld.min(self.max_connections)
+            - self.client_permits.available_permits().min(self.max_connections);
         let held = self.reserved + clients + self.backends().open_connections();
-        let note = Note { started_ms: self.started_ms, written_ms: unix_ms(), held };
-        let new = self.folder.join(format!("{}.new", self.name));
-        fs::write(&new, serde_json::to_vec(&note)?)?;
-        fs::rename(new, self.folder.join(&self.name))
+        let record = DescriptorRecord { started_ms: self.started_ms, written_ms: unix_ms(), held };
+        let new = self.directory.join(format!("{}.new", self.name));
+        fs::write(&new, serde_json::to_vec(&record)?)?;
+        fs::rename(new, self.directory.join(&self.name))
     }
 
-    /// Whoever came first goes down to half; the later one takes what is free meanwhile.
-    fn look(&mut self) -> io::Result<()> {
-        let all = self.sockets.saturating_sub(self.reserved);
-        let (mut room, notes) = (all, self.notes()?);
-        self.later.set(notes.iter().any(|other| other.started_ms > self.started_ms));
-        for other in notes {
-            room = room.min(if other.started_ms < self.started_ms {
-                all.saturating_sub(other.held)
+    /// Updates the limits: the older process shrinks to half; the newer one takes what the older one leaves
+    /// free.
+    fn update_limits(&mut self) -> io::Result<()> {
+        let usable = self.max_descriptors.saturating_sub(self.reserved);
+        let (mut available, records) = (usable, self.read_other_records()?);
+        self.newer_running.set(records.iter().any(|other| other.started_ms > self.started_ms));
+        for other in records {
+            available = available.min(if other.started_ms < self.started_ms {
+                usable.saturating_sub(other.held)
             } else {
-                (self.sockets / 2).saturating_sub(self.reserved)
+                (self.max_descriptors / 2).saturating_sub(self.reserved)
             });
         }
-        let places = (room.max(LEAST) / 2).min(self.places);
-        self.backends().set_max_connections(places);
-        self.withhold(self.places - places);
+        let max_connections = (available.max(MIN_DESCRIPTORS) / 2).min(self.max_connections);
+        self.backends().set_max_connections(max_connections);
+        self.set_withheld(self.max_connections - max_connections);
         Ok(())
     }
 
-    /// Leaves so many places for clients to the other process, as they become free.
-    fn withhold(&mut self, places: usize) {
-        let now = self.withheld.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-        if places < now {
-            drop(self.withheld.as_mut().and_then(|withheld| withheld.split(now - places)));
+    /// Withholds this many client permits, as they become free.
+    fn set_withheld(&mut self, permits: usize) {
+        let current = self.withheld.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
+        if permits < current {
+            drop(self.withheld.as_mut().and_then(|withheld| withheld.split(current - permits)));
         } else {
-            let more = (places - now).min(self.free.available_permits()) as u32;
-            if let Ok(more) = self.free.clone().try_acquire_many_owned(more) {
+            let more = (permits - current).min(self.client_permits.available_permits()) as u32;
+            if let Ok(more) = self.client_permits.clone().try_acquire_many_owned(more) {
                 match &mut self.withheld {
                     Some(withheld) => withheld.merge(more),
                     None => self.withheld = Some(more),
@@ -141,40 +144,40 @@
         }
     }
 
-    /// What other processes tell that run now. A note that can't be read is none: its writer may be of another
-    /// version, or was ended as it wrote.
-    fn notes(&self) -> io::Result<Vec<Note>> {
+    /// Current records of other processes. Unreadable ones are skipped: their writer may use another format,
+    /// or was killed during the write.
+    fn read_other_records(&self) -> io::Result<Vec<DescriptorRecord>> {
         let now = unix_ms();
-        let mut notes = Vec::new();
-        for entry in fs::read_dir(&self.folder)?.take(NOTES_MOST * 4) {
+        let mut records = Vec::new();
+        for entry in fs::read_dir(&self.directory)?.take(MAX_RECORDS * 4) {
             let entry = entry?;
             let name = entry.file_name();
             let Some(name) = name.to_str().filter(|name| name.starts_with(PREFIX)) else { continue };
-            if name.trim_end_matches(".new") == self.name || notes.len() >= NOTES_MOST {
+            if name.trim_end_matches(".new") == self.name || records.len() >= MAX_RECORDS {
                 continue;
             }
-            match read(&entry.path()) {
-                Some(note) if (now - note.written_ms).abs() < STALE_MS => notes.push(note),
-                Some(note) if (now - note.written_ms).abs() < OLD_MS => {}
-                // Another may have removed it meanwhile.
+            match read_record(&entry.path()) {
+                Some(record) if (now - record.written_ms).abs() < STALE_AFTER_MS => records.push(record),
+                Some(record) if (now - record.written_ms).abs() < DELETE_AFTER_MS => {}
+                // Another process may already have removed it.
                 Some(_) => drop(fs::remove_file(entry.path())),
                 None => {}
             }
         }
-        Ok(notes)
+        Ok(records)
     }
 }
 
-impl Drop for Beside {
+impl Drop for DescriptorShare {
     fn drop(&mut self) {
-        // If it stays it goes stale.
-        let _ = fs::remove_file(self.folder.join(&self.name));
+        // A record left behind expires.
+        let _ = fs::remove_file(self.directory.join(&self.name));
     }
 }
 
-fn read(path: &Path) -> Option<Note> {
+fn read_record(path: &Path) -> Option<DescriptorRecord> {
     let mut text = Vec::new();
-    fs::File::open(path).ok()?.take(NOTE_MOST).read_to_end(&mut text).ok()?;
+    fs::File::open(path).ok()?.take(MAX_RECORD_BYTES).read_to_end(&mut text).ok()?;
     serde_json::from_slice(&text).ok()
 }
 
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -1,4 +1,4 @@
-//! The shared counter: calls written one behind another on a few kept connections.
+//! Client of the counter service: calls are pipelined on a few persistent connections.
 
 use crate::config::{moved, Places};
 use bytes::{Buf, BytesMut};
@@ -6,7 +6,7 @@
 use cherrytally::plane::http::Reader;
 use cherrytally::plane::idle::IdleLimit;
 use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
-use cherrytally::CallResult as Ended;
+use cherrytally::CallResult;
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
@@ -18,83 +18,83 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Connections to the counter. A name keeps to one of them, so that its calls stay in order; a silence on
-/// one leaves the others alone.
-const LANES: usize = 4;
-/// A connection idle for so long, or for longer than others bore, is closed before the counter does it: a call
-/// that crosses may be lost.
-const IDLE: Duration = Duration::from_secs(4);
-/// Largest answer of the counter.
-const ANSWER_MOST: usize = 1024;
-
-/// The counter keeps amounts this many times as large as the module's. It writes totals with three decimals,
-/// and the module's amounts grow from a billionth of a unit at the start of a window: written as they stand,
-/// they came back as nought, and each window began unchecked.
-const SCALE: f64 = 1e7;
-/// Largest amount that the counter takes.
-const AMOUNT_MOST: f64 = 1e9;
-
-/// Who hears how calls have ended.
-pub type Hears = Rc<dyn Fn(CounterReply)>;
-
-/// Where calls go in.
-pub struct Lanes(Vec<UnboundedSender<CounterCall>>);
-
-/// Where they come out, one for each connection.
-pub type LaneEnds = Vec<UnboundedReceiver<CounterCall>>;
-
-impl Lanes {
-    pub fn new() -> (Self, LaneEnds) {
-        let (to, from) = (0..LANES).map(|_| unbounded_channel()).unzip();
-        (Lanes(to), from)
+/// Connections to the counter. All calls for a name use the same one, so they stay in order; a stalled
+/// connection does not block the others.
+const CONNECTIONS: usize = 4;
+/// Connections idle for this long, or for longer than earlier ones survived, are closed before the counter
+/// closes them: a call sent at that moment may be lost.
+const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Size limit of a response.
+const MAX_RESPONSE_BYTES: usize = 1024;
+
+/// Factor between the library's amounts and those stored in the counter. The counter rounds totals to three
+/// decimals, which would reduce the small amounts at the start of a window to zero.
+const AMOUNT_SCALE: f64 = 1e7;
+/// Largest amount that the counter accepts.
+const MAX_AMOUNT: f64 = 1e9;
+
+/// Callback for the result of each call.
+pub type ReplyHandler = Rc<dyn Fn(CounterReply)>;
+
+/// Sends each call to its connection's queue.
+pub struct CallSenders(Vec<UnboundedSender<CounterCall>>);
+
+/// Receivers of the queues, one for each connection.
+pub type CallReceivers = Vec<UnboundedReceiver<CounterCall>>;
+
+impl CallSenders {
+    pub fn new() -> (Self, CallReceivers) {
+        let (senders, receivers) = (0..CONNECTIONS).map(|_| unbounded_channel()).unzip();
+        (CallSenders(senders), receivers)
     }
 
     pub fn call(&self, call: CounterCall) {
-        let lane = (call.name ^ call.name >> 30) as usize % self.0.len();
-        // The other end lives as long as the program.
-        let _ = self.0[lane].send(call);
+        let queue = (call.name ^ call.name >> 30) as usize % self.0.len();
+        // The receiver lives as long as the program.
+        let _ = self.0[queue].send(call);
     }
 }
 
-/// Runs the connections.
-pub fn spawn(ends: LaneEnds, addr: SocketAddr, places: &Receiver<Places>, hears: &Hears) {
-    let patience = places.borrow().patience;
-    let idle_limit = Rc::new(IdleLimit::new(IDLE));
-    for calls in ends {
-        let (places, hears, idle_limit) = (places.clone(), hears.clone(), idle_limit.clone());
-        let (next, seldom) = (None, WarningLimiter::default());
-        let lane = Lane { addr, places, patience, hears, calls, next, idle_limit, seldom };
-        tokio::task::spawn_local(lane.run());
+/// Starts one task for each connection.
+pub fn spawn(receivers: CallReceivers, addr: SocketAddr, places: &Receiver<Places>, on_reply: &ReplyHandler) {
+    let reply_timeout = places.borrow().patience;
+    let idle_limit = Rc::new(IdleLimit::new(MAX_IDLE));
+    for calls in receivers {
+        let (places, on_reply, idle_limit) = (places.clone(), on_reply.clone(), idle_limit.clone());
+        let (next, warnings) = (None, WarningLimiter::default());
+        let connection =
+            Connection { addr, places, reply_timeout, on_reply, calls, next, idle_limit, warnings };
+        tokio::task::spawn_local(connection.run());
     }
 }
 
-struct Lane {
+struct Connection {
     addr: SocketAddr,
     places: Receiver<Places>,
-    patience: Duration,
-    hears: Hears,
+    reply_timeout: Duration,
+    on_reply: ReplyHandler,
     calls: UnboundedReceiver<CounterCall>,
-    /// A call taken in that needs a new connection.
+    /// A call already received that needs a new connection.
     next: Option<CounterCall>,
     idle_limit: Rc<IdleLimit>,
-    seldom: WarningLimiter,
+    warnings: WarningLimiter,
 }
 
 struct Pending {
     call: CounterCall,
-    /// Bytes written on the connection once the whole call is.
+    /// Offset of the call's last byte in what is written to the connection.
     end: u64,
-    /// The module has been told that it timed out; its late answer is dropped.
-    given_up: bool,
+    /// The call was reported as timed out; a late response is dropped.
+    timed_out: bool,
 }
 
-/// How long its connection had stood idle, `heard` of last, before the call came: not at all if it was opened
-/// for the call or had others to answer.
-fn idle_before(pending: &Pending, heard: Instant) -> Duration {
-    pending.call.at.saturating_duration_since(heard)
+/// How long the connection was idle before the call; zero if it was opened for the call or had others
+/// pending.
+fn idle_before(pending: &Pending, last_response: Instant) -> Duration {
+    pending.call.at.saturating_duration_since(last_response)
 }
 
-impl Lane {
+impl Connection {
     async fn run(mut self) {
         loop {
             let first = match self.next.take() {
@@ -104,121 +104,129 @@
                     None => return,
                 },
             };
-            // A configuration that names no counter any more leaves the calls where they went.
-            let Places { counter, patience, .. } = *self.places.borrow();
-            (self.addr, self.patience) = (counter.unwrap_or(self.addr), patience);
-            match timeout(self.patience, TcpStream::connect(self.addr)).await {
+            // Without a counter in the new configuration, calls still go to the former address.
+            let Places { counter, patience: reply_timeout, .. } = *self.places.borrow();
+            (self.addr, self.reply_timeout) = (counter.unwrap_or(self.addr), reply_timeout);
+            match timeout(self.reply_timeout, TcpStream::connect(self.addr)).await {
                 Ok(Ok(stream)) => {
                     let _ = stream.set_nodelay(true);
-                    let mut waiting = VecDeque::new();
-                    let (written, why) = self.connected(stream, first, &mut waiting).await;
-                    for pending in waiting.into_iter().filter(|p| !p.given_up) {
-                        // What was written whole may have been added, or may yet be.
-                        let ended = if pending.end <= written { why } else { Ended::ConnectFailed };
-                        self.tell(&pending.call, ended, 0.0);
+                    let mut in_flight = VecDeque::new();
+                    let (written, unanswered) = self.serve_connection(stream, first, &mut in_flight).await;
+                    for pending in in_flight.into_iter().filter(|p| !p.timed_out) {
+                        // A call that was written completely may have been counted.
+                        let result =
+                            if pending.end <= written { unanswered } else { CallResult::ConnectFailed };
+                        self.report(&pending.call, result, 0.0);
                     }
                 }
                 _ => {
-                    // No connection: of this call and those behind it nothing was added.
-                    self.tell(&first, Ended::ConnectFailed, 0.0);
+                    // No connection: neither this call nor the queued ones were counted.
+                    self.report(&first, CallResult::ConnectFailed, 0.0);
                     while let Ok(call) = self.calls.try_recv() {
-                        self.tell(&call, Ended::ConnectFailed, 0.0);
+                        self.report(&call, CallResult::ConnectFailed, 0.0);
                     }
                 }
             }
         }
     }
 
-    fn tell(&self, call: &CounterCall, result: Ended, total: f64) {
+    fn report(&self, call: &CounterCall, result: CallResult, total: f64) {
         let took_ms = call.at.elapsed().as_secs_f64() * 1000.0;
-        (self.hears)(CounterReply { name: call.name, result, total, took_ms });
+        (self.on_reply)(CounterReply { name: call.name, result, total, took_ms });
     }
 
-    /// Serves calls on one connection until it breaks, falls silent, has stood idle or the counter has moved.
-    /// Returns the bytes written and how the calls ended that have no answer.
-    async fn connected(
-        &mut self, stream: TcpStream, first: CounterCall, waiting: &mut VecDeque<Pending>,
-    ) -> (u64, Ended) {
+    /// Serves calls on one connection until it fails, times out, is idle for too long or the counter's
+    /// address changes. Returns the bytes written and the result of the calls without a response.
+    async fn serve_connection(
+        &mut self, stream: TcpStream, first: CounterCall, in_flight: &mut VecDeque<Pending>,
+    ) -> (u64, CallResult) {
         let (read, mut write) = stream.into_split();
         let mut reader = Reader::new(read);
         let mut out = BytesMut::new();
         let (mut queued, mut written) = (0, 0);
         let host = self.addr;
-        let mut left = false;
-        let mut enter = |call: CounterCall, out: &mut BytesMut, waiting: &mut VecDeque<Pending>| {
+        let mut moved_away = false;
+        let mut enqueue = |call: CounterCall, out: &mut BytesMut, in_flight: &mut VecDeque<Pending>| {
             let text = format!(
                 "POST /counters/{:016x}?by={}&expire_ms={} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n",
                 call.name,
-                (call.amount * SCALE).clamp(-AMOUNT_MOST, AMOUNT_MOST),
+                (call.amount * AMOUNT_SCALE).clamp(-MAX_AMOUNT, MAX_AMOUNT),
                 call.lifetime_ms.max(1.0) as u64
             );
             out.extend_from_slice(text.as_bytes());
             queued += text.len() as u64;
-            waiting.push_back(Pending { call, end: queued, given_up: false });
+            in_flight.push_back(Pending { call, end: queued, timed_out: false });
         };
-        enter(first, &mut out, waiting);
-        let mut heard = Instant::now();
+        enqueue(first, &mut out, in_flight);
+        let mut last_response = Instant::now();
         loop {
-            // After a move what was asked here is still awaited; what comes next goes to the new address.
-            if left && waiting.iter().all(|p| p.given_up) {
-                return (written, Ended::Timeout);
+            // After an address change pending calls are still awaited here; later ones go to the new address.
+            if moved_away && in_flight.iter().all(|p| p.timed_out) {
+                return (written, CallResult::Timeout);
             }
-            while let Some(call) = Some(()).filter(|()| !left).and_then(|()| self.calls.try_recv().ok()) {
-                enter(call, &mut out, waiting);
+            while let Some(call) = Some(()).filter(|()| !moved_away).and_then(|()| self.calls.try_recv().ok())
+            {
+                enqueue(call, &mut out, in_flight);
             }
-            // The next call to be given up; with none, the wait for late answers or for new calls.
-            let due = waiting.iter().find(|p| !p.given_up).map(|p| p.call.at + self.patience);
-            let silent = waiting.front().map(|p| p.call.at.max(heard) + 2 * self.patience);
+            // Wakes for the next call timeout, else when the connection counts as stalled or idle.
+            let due = in_flight.iter().find(|p| !p.timed_out).map(|p| p.call.at + self.reply_timeout);
+            let stalled_at = in_flight.front().map(|p| p.call.at.max(last_response) + 2 * self.reply_timeout);
             let idle_limit = self.idle_limit.get();
-            let wake = due.into_iter().chain(silent).min().unwrap_or(heard + idle_limit);
+            let wake = due.into_iter().chain(stalled_at).min().unwrap_or(last_response + idle_limit);
             tokio::select! {
-                () = moved(&mut self.places, |p| p.counter.is_some_and(|to| to != host)), if !left => left = true,
-                call = self.calls.recv(), if !left => match call {
-                    Some(call) if waiting.is_empty() && heard.elapsed() >= self.idle_limit.get() => {
+                () = moved(&mut self.places, |p| p.counter.is_some_and(|to| to != host)), if !moved_away => {
+                    moved_away = true;
+                }
+                call = self.calls.recv(), if !moved_away => match call {
+                    Some(call)
+                        if in_flight.is_empty() && last_response.elapsed() >= self.idle_limit.get() =>
+                    {
                         self.next = Some(call);
-                        return (written, Ended::Timeout);
+                        return (written, CallResult::Timeout);
                     }
-                    Some(call) => enter(call, &mut out, waiting),
-                    None => return (written, Ended::Timeout),
+                    Some(call) => enqueue(call, &mut out, in_flight),
+                    None => return (written, CallResult::Timeout),
                 },
-                wrote = write.write(&out), if !out.is_empty() => match wrote {
+                write_result = write.write(&out), if !out.is_empty() => match write_result {
                     Ok(bytes) if bytes > 0 => {
                         out.advance(bytes);
                         written += bytes as u64;
                     }
-                    _ => return (written, Ended::Reset),
+                    _ => return (written, CallResult::Reset),
                 },
-                answer = reader.read_response(ANSWER_MOST) => {
-                    let Ok((head, body)) = answer else {
-                        if let Some(first) = waiting.front() {
-                            self.idle_limit.record_use(idle_before(first, heard), true);
+                response = reader.read_response(MAX_RESPONSE_BYTES) => {
+                    let Ok((head, body)) = response else {
+                        if let Some(first) = in_flight.front() {
+                            self.idle_limit.record_use(idle_before(first, last_response), true);
                         }
-                        return (written, Ended::Reset);
+                        return (written, CallResult::Reset);
                     };
-                    let Some(pending) = waiting.pop_front() else { return (written, Ended::Reset) };
-                    self.idle_limit.record_use(idle_before(&pending, heard), false);
-                    heard = Instant::now();
-                    let (ended, total) = reading(head.status, &body, &self.seldom);
-                    if !pending.given_up {
-                        self.tell(&pending.call, ended, total);
+                    let Some(pending) = in_flight.pop_front() else { return (written, CallResult::Reset) };
+                    self.idle_limit.record_use(idle_before(&pending, last_response), false);
+                    last_response = Instant::now();
+                    let (result, total) = parse_response(head.status, &body, &self.warnings);
+                    if !pending.timed_out {
+                        self.report(&pending.call, result, total);
                     }
-                    // A total that can't be read leaves the connection of no further use.
-                    if !head.keep_alive || ended == Ended::Reset {
-                        return (written, Ended::Reset);
+                    // After an unreadable total the connection cannot be reused.
+                    if !head.keep_alive || result == CallResult::Reset {
+                        return (written, CallResult::Reset);
                     }
                 }
                 () = sleep_until(wake) => {
                     let now = Instant::now();
-                    for pending in waiting.iter_mut().filter(|p| !p.given_up) {
-                        if pending.call.at + self.patience > now {
+                    for pending in in_flight.iter_mut().filter(|p| !p.timed_out) {
+                        if pending.call.at + self.reply_timeout > now {
                             break;
                         }
-                        pending.given_up = true;
-                        self.tell(&pending.call, Ended::Timeout, 0.0);
+                        pending.timed_out = true;
+                        self.report(&pending.call, CallResult::Timeout, 0.0);
                     }
-                    // Guards against a machine that vanished: its connections stay open and silent.
-                    if silent.is_some_and(|at| at <= now) || waiting.is_empty() && heard + idle_limit <= now {
-                        return (written, Ended::Timeout);
+                    // Detects a host that vanished: its connections stay open without traffic.
+                    if stalled_at.is_some_and(|at| at <= now)
+                        || in_flight.is_empty() && last_response + idle_limit <= now
+                    {
+                        return (written, CallResult::Timeout);
                     }
                 }
             }
@@ -226,19 +234,19 @@
     }
 }
 
-/// What an answer means. A total that is no number counts as none: the amount may have been added.
-fn reading(status: u16, body: &[u8], seldom: &WarningLimiter) -> (Ended, f64) {
+/// Interprets a response. With an invalid total the call may still have been counted.
+fn parse_response(status: u16, body: &[u8], warnings: &WarningLimiter) -> (CallResult, f64) {
     let total =
         || std::str::from_utf8(body).map_err(io::Error::other)?.trim().parse().map_err(io::Error::other);
     match status {
         200 => match total() {
-            Ok(total) if f64::is_finite(total) => (Ended::Ok, total / SCALE),
+            Ok(total) if f64::is_finite(total) => (CallResult::Ok, total / AMOUNT_SCALE),
             _ => {
-                warn_limited!(seldom, "the counter's total is no number", String::from_utf8_lossy(body));
-                (Ended::Reset, 0.0)
+                warn_limited!(warnings, "counter returned an invalid total", String::from_utf8_lossy(body));
+                (CallResult::Reset, 0.0)
             }
         },
-        503 | 400 | 404 => (Ended::Rejected, 0.0),
-        _ => (Ended::Timeout, 0.0),
+        503 | 400 | 404 => (CallResult::Rejected, 0.0),
+        _ => (CallResult::Timeout, 0.0),
     }
 }
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -1,6 +1,6 @@
-//! The gateway as a process: puts its parts together, reads its configuration anew, and ends as it is told to.
+//! The gateway process: startup, configuration reload and shutdown.
 
-use crate::beside::Beside;
+use crate::beside::DescriptorShare;
 use crate::cluster::Cluster;
 use crate::config::{Changes, Config, Logs, Places, Source};
 use crate::counter;
@@ -25,33 +25,33 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// Descriptors kept for all but clients and backends: log, signals, counter, discovery, peers, cluster, listener.
+/// Descriptors reserved for the log, signals, counter, discovery, peers, cluster and listener.
 const RESERVED: usize = 32;
-/// Clients that may wait to be accepted.
-const BACKLOG: u32 = 1024;
-/// After SIGTERM new clients are taken in for so long: the front may not have noticed yet.
-const ACCEPT_ON: Duration = Duration::from_millis(600);
-/// With an inherited listener, whose new clients the next process takes in, connections that are still open are
-/// closed between requests so long after SIGTERM: by then nearly all were asked to go by an answer.
-const HAND_OVER: Duration = Duration::from_millis(1750);
-/// Clients of an inherited listener are taken in once requests can be served, or after so long all the same.
-const UNREADY: Duration = Duration::from_secs(5);
-/// Wait between two tries for an address that the process beside this one holds.
-const TAKEN: Duration = Duration::from_millis(100);
-/// What is open is answered so long after SIGTERM, or after the longest deadline where that is longer: the
-/// platform kills 0.7 s after it.
-const ANSWERED: Duration = Duration::from_millis(3300);
-const ANSWERED_AFTER_DEADLINE_MS: f64 = 300.0;
-/// And the last answers are written by so much later.
-const WRITTEN: Duration = Duration::from_millis(150);
+/// Accept queue length of a listener.
+const ACCEPT_BACKLOG: u32 = 1024;
+/// New clients are still accepted for this long after SIGTERM, until health checks have seen the drain.
+const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(600);
+/// With an inherited listener, which the next process serves, connections still open this long after SIGTERM
+/// are closed between requests. By then most clients have received `Connection: close`.
+const CLOSE_INHERITED_AFTER: Duration = Duration::from_millis(1750);
+/// An inherited listener is served once the gateway is ready, at the latest after this time.
+const MAX_ACCEPT_DELAY: Duration = Duration::from_secs(5);
+/// Delay between two attempts to bind an address that the old process still holds.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Open requests are answered within this time after SIGTERM, or within the longest deadline if that is
+/// later. The platform kills the process 0.7 s after it.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3300);
+const ANSWER_AFTER_DEADLINE_MS: f64 = 300.0;
+/// Additional time to write the last responses.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Runs one gateway until it is told to end. An error is one line that says why it did not start.
+/// Runs the gateway until SIGTERM. An error is one line that says why it did not start.
 pub fn serve(source: Source) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let config = source.load()?;
-    let inherited = inherited().map_err(|e| format!("RELAY_LISTEN_FD: {e}"))?;
-    // It starts a thread, which must not read the environment while it is changed above.
+    let inherited = inherited_listener().map_err(|e| format!("RELAY_LISTEN_FD: {e}"))?;
+    // Starts a thread, which must not run while `inherited_listener` changes the environment.
     let log = Rc::new(Log::start(&config.logs)?);
     tokio::task::LocalSet::new().block_on(&runtime, run(source, config, inherited, log))
 }
@@ -67,61 +67,69 @@
         Some(listener) => TcpListener::from_std(listener).map_err(|e| format!("RELAY_LISTEN_FD: {e}"))?,
         None => listen(config.listen).map_err(|e| format!("listen {}: {e}", config.listen))?,
     };
-    // With a process beside this one its addresses are taken until it ends; alone that is a mistake.
-    let taken = |e: &std::io::Error| shared && e.kind() == std::io::ErrorKind::AddrInUse;
+    // During an upgrade the old process holds the addresses until it ends; otherwise this is an error.
+    let held_by_old_process = |e: &std::io::Error| shared && e.kind() == std::io::ErrorKind::AddrInUse;
     let operator = match config.operator.map(|at| (at, listen(at))) {
-        Some((at, Err(e))) if !taken(&e) => return Err(format!("operator {at}: {e}")),
+        Some((at, Err(e))) if !held_by_old_process(&e) => return Err(format!("operator {at}: {e}")),
         operator => operator.map(|(at, listener)| (at, listener.ok())),
     };
     let peers = match config.peer_listen.filter(|_| config.settings.limits.peers) {
         Some(at) => {
             let peers = peers::Peers::new(at, config.peers.clone(), config.peers_all);
             match peers.bind().await {
-                Err(e) if !taken(&e) => return Err(format!("peer_listen {at}: {e}")),
+                Err(e) if !held_by_old_process(&e) => return Err(format!("peer_listen {at}: {e}")),
                 _ => Some(Rc::new(peers)),
             }
         }
         None => None,
     };
     let reserved = RESERVED + operator.as_ref().map_or(0, |_| operator::PLACES + 1);
-    let places = config.sockets.saturating_sub(reserved).max(2) / 2;
-    let backends = Backends::new(places, config.connect_ms, config.idle_ms);
+    let max_connections = config.sockets.saturating_sub(reserved).max(2) / 2;
+    let backends = Backends::new(max_connections, config.connect_ms, config.idle_ms);
     let counter = config.settings.counter.and(config.places.counter);
-    let (moves, places_now) = watch::channel(config.places);
-    let (lanes, ends) = counter::Lanes::new();
+    let (places_sender, places) = watch::channel(config.places);
+    let (call_senders, call_receivers) = counter::CallSenders::new();
     let names = Names { zones: config.zones.clone(), kinds: config.kinds.clone() };
     let mut settings = config.settings.clone();
     let (figures, mut tables) = (Rc::new(Figures::default()), Tables::default());
-    tables.take(&config.classes, &config.plans, &mut settings, &figures)?;
-    let place = (settings.gateways, settings.position);
+    tables.apply(&config.classes, &config.plans, &mut settings, &figures)?;
+    let fleet_position = (settings.gateways, settings.position);
     let budget = Rc::new(MemoryBudget::new(config.memory));
-    let reach = DriverResources {
+    let resources = DriverResources {
         backends,
-        call_counter: counter.map(|_| Box::new(move |call| lanes.call(call)) as Box<dyn Fn(CounterCall)>),
+        call_counter: counter
+            .map(|_| Box::new(move |call| call_senders.call(call)) as Box<dyn Fn(CounterCall)>),
         send_message: peers
             .clone()
-            .map(|peers| Box::new(move |to, body: &[u8]| peers.tell(to, body)) as MessageSender),
+            .map(|peers| Box::new(move |to, body: &[u8]| peers.send(to, body)) as MessageSender),
         budget: budget.clone(),
         protocol: Rc::new(Platform),
         observer: figures.clone(),
     };
-    let driver = Driver::new(settings, config.seed, reach);
+    let driver = Driver::new(settings, config.seed, resources);
     if let Some(addr) = counter {
         let driver = driver.clone();
-        let hears: counter::Hears = Rc::new(move |counted| driver.counter_replied(counted));
-        counter::spawn(ends, addr, &places_now, &hears);
+        let on_reply: counter::ReplyHandler = Rc::new(move |reply| driver.counter_replied(reply));
+        counter::spawn(call_receivers, addr, &places, &on_reply);
     }
     let known = config.known.take();
     let version = known.as_ref().map_or(0, |known| known.version);
     if let Some(known) = known {
-        let (full, told) = names.told(known);
-        driver.update_backends(full, told);
+        let (full, backends) = names.to_backends(known);
+        driver.update_backends(full, backends);
     }
-    tokio::task::spawn_local(discovery::run(places_now, version, place, config.seed, names, driver.clone()));
+    tokio::task::spawn_local(discovery::run(
+        places,
+        version,
+        fleet_position,
+        config.seed,
+        names,
+        driver.clone(),
+    ));
     if let Some(peers) = peers {
         let driver = driver.clone();
-        let hears = move |from, body| driver.message_received(from, body);
-        tokio::task::spawn_local(peers::run(peers, config.peer_intake, hears));
+        let on_message = move |from, body| driver.message_received(from, body);
+        tokio::task::spawn_local(peers::run(peers, config.peer_intake, on_message));
     }
     let sweeper = driver.clone();
     tokio::task::spawn_local(async move {
@@ -130,19 +138,28 @@
             sweeper.close_expired();
         }
     });
-    let free = Arc::new(Semaphore::new(places));
-    let later = Rc::new(Cell::new(false));
-    if let Some(folder) = std::env::var_os("TMPDIR").filter(|_| shared) {
-        let (seed, sockets, free) = (config.seed, config.sockets, free.clone());
-        let beside = Beside::new(folder.into(), seed, sockets, reserved, free, later.clone(), driver.clone());
-        tokio::task::spawn_local(beside.run());
+    let client_permits = Arc::new(Semaphore::new(max_connections));
+    let newer_running = Rc::new(Cell::new(false));
+    if let Some(directory) = std::env::var_os("TMPDIR").filter(|_| shared) {
+        let (seed, max_descriptors, client_permits) = (config.seed, config.sockets, client_permits.clone());
+        let share = DescriptorShare::new(
+            directory.into(),
+            seed,
+            max_descriptors,
+            reserved,
+            client_permits,
+            newer_running.clone(),
+            driver.clone(),
+        );
+        tokio::task::spawn_local(share.run());
     }
-    let named = logs::Names::new(config.logs.customers);
-    let server = Server::new(driver.clone(), tables, figures.clone(), named, budget, free.clone());
+    let customer_names = logs::Names::new(config.logs.customers);
+    let server =
+        Server::new(driver.clone(), tables, figures.clone(), customer_names, budget, client_permits.clone());
     let cluster = Cluster::new(driver.clone(), config.seed, shared, server.drains());
-    let joins = cluster.prepare(config.cluster.clone())?;
+    let cluster_change = cluster.prepare(config.cluster.clone())?;
     let (name, descriptors) = (config.name.clone(), config.sockets);
-    let reloads = Reloads { source, config: config.into(), moves, figures: figures.clone() };
+    let reloads = Reloads { source, config: config.into(), places: places_sender, figures: figures.clone() };
     let desk = Rc::new(Desk {
         server: server.clone(),
         cluster: cluster.clone(),
@@ -155,12 +172,12 @@
     });
     tokio::task::spawn_local(on_hangup(hangup, desk.clone()));
     tracing::info!("listening on {}", listener.local_addr().map_err(|e| e.to_string())?);
-    cluster.apply(joins);
+    cluster.apply(cluster_change);
     let accepting = server.clone();
     let accept = tokio::task::spawn_local(async move {
         let start = Instant::now();
-        // The process that runs beside this one serves meanwhile; without one clients wait in the queue.
-        while shared && !accepting.ready() && start.elapsed() < UNREADY {
+        // Until then the old process serves; without one clients wait in the accept queue.
+        while shared && !accepting.ready() && start.elapsed() < MAX_ACCEPT_DELAY {
             sleep(Duration::from_millis(10)).await;
         }
         accepting.accept(listener).await;
@@ -172,7 +189,7 @@
                 None => loop {
                     match listen(at) {
                         Ok(listener) => break listener,
-                        Err(_) => sleep(TAKEN).await,
+                        Err(_) => sleep(BIND_RETRY_DELAY).await,
                     }
                 },
             };
@@ -185,53 +202,54 @@
     }
 
     term.recv().await;
-    let longest = Duration::from_secs_f64((server.longest_ms() + ANSWERED_AFTER_DEADLINE_MS) / 1000.0);
-    let by = Instant::now() + longest.max(ANSWERED);
-    if later.get() {
-        // The next process goes on as the same member.
+    let max_deadline =
+        Duration::from_secs_f64((server.max_deadline_ms() + ANSWER_AFTER_DEADLINE_MS) / 1000.0);
+    let answer_by = Instant::now() + max_deadline.max(ANSWER_TIMEOUT);
+    if newer_running.get() {
+        // The next process takes over this cluster membership.
         cluster.hand_over();
     }
-    // From then on connections end between requests; those that are answering end after it.
-    let closes = server.end(if shared { HAND_OVER } else { ACCEPT_ON });
+    // From `closes_at` on idle connections are closed, the others after their current request.
+    let closes_at = server.shut_down(if shared { CLOSE_INHERITED_AFTER } else { ACCEPT_AFTER_TERM });
     if !shared {
-        sleep(ACCEPT_ON).await;
+        sleep(ACCEPT_AFTER_TERM).await;
     }
-    // What waits in the queue of an inherited listener is for the next process: this copy alone is closed.
+    // Closes only this process's copy of an inherited listener: the next process accepts what is queued.
     accept.abort();
-    sleep_until(closes).await;
-    while server.busy() && Instant::now() < by {
+    sleep_until(closes_at).await;
+    while server.busy() && Instant::now() < answer_by {
         sleep(Duration::from_millis(5)).await;
     }
     driver.fail_all();
     cluster.leave();
-    // All places are free once the last connection has ended. One that never sent a request need not.
-    let _ = timeout_at(Instant::now() + WRITTEN, free.acquire_many(places as u32)).await;
+    // All permits are free once the last connection has closed; idle ones may remain open.
+    let _ =
+        timeout_at(Instant::now() + WRITE_TIMEOUT, client_permits.acquire_many(max_connections as u32)).await;
     Ok(())
 }
 
-/// Reads the configuration anew: where discovery and the counter are from now on, and other settings. A file that is
-/// broken anywhere changes nothing.
+/// Reloads the configuration. An invalid one changes nothing.
 pub struct Reloads {
     source: Source,
-    /// What was taken last.
+    /// The configuration applied last.
     config: RefCell<Config>,
-    moves: watch::Sender<Places>,
+    places: watch::Sender<Places>,
     figures: Rc<Figures>,
 }
 
 impl Reloads {
-    /// What the configuration says of the log.
+    /// The current log settings.
     pub fn logs(&self) -> Logs {
         self.config.borrow().logs.clone()
     }
 
-    /// Takes what is to be read now, whole or not at all; tells which keys changed.
+    /// Loads and applies the configuration, all of it or nothing. Returns the changed keys.
     pub fn reload(&self, server: &Server, cluster: &Rc<Cluster>) -> Result<Changes, String> {
-        let taken = self.take(server, cluster);
-        self.figures.configured(taken.is_ok());
-        match &taken {
+        let result = self.apply(server, cluster);
+        self.figures.configured(result.is_ok());
+        match &result {
             Ok(changes) => {
-                let Places { discovery, counter, .. } = *self.moves.borrow();
+                let Places { discovery, counter, .. } = *self.places.borrow();
                 tracing::info!("SIGHUP: discovery at {discovery}, counter at {counter:?}");
                 if !changes.keys.is_empty() {
                     tracing::info!("changed: {}", changes.keys.join(", "));
@@ -240,42 +258,42 @@
                     tracing::warn!("these hold after a restart: {}", changes.restart.join(", "));
                 }
             }
-            Err(e) => tracing::warn!("SIGHUP: {e}; what was read before stands"),
+            Err(e) => tracing::warn!("SIGHUP: {e}; keeping the previous configuration"),
         }
-        taken
+        result
     }
 
-    fn take(&self, server: &Server, cluster: &Rc<Cluster>) -> Result<Changes, String> {
-        let mut later = self.source.load()?;
+    fn apply(&self, server: &Server, cluster: &Rc<Cluster>) -> Result<Changes, String> {
+        let mut new_config = self.source.load()?;
         let mut config = self.config.borrow_mut();
-        let changes = config.changes(&later);
-        if let Some(why) = config.turns_down(&later, &changes) {
-            return Err(why);
+        let changes = config.changes(&new_config);
+        if let Some(reason) = config.turns_down(&new_config, &changes) {
+            return Err(reason);
         }
-        // What can fail comes before the first change.
-        let change = cluster.prepare(later.cluster.clone())?;
-        if config.retunes(&later) {
-            server.retune(&later)?;
+        // Every step that can fail comes before the first change.
+        let change = cluster.prepare(new_config.cluster.clone())?;
+        if config.retunes(&new_config) {
+            server.apply_config(&new_config)?;
         }
         cluster.apply(change);
-        self.moves.send_replace(later.places);
-        later.known = None;
-        *config = later;
+        self.places.send_replace(new_config.places);
+        new_config.known = None;
+        *config = new_config;
         Ok(changes)
     }
 }
 
 async fn on_hangup(mut hangup: Signal, desk: Rc<Desk>) {
     while hangup.recv().await.is_some() {
-        // What came of it stands in the log and the figures.
+        // The result is logged and counted by the reload.
         let _ = desk.reload();
     }
 }
 
-/// The listener that whoever started this process holds, where `RELAY_LISTEN_FD` names its descriptor.
-fn inherited() -> std::io::Result<Option<std::net::TcpListener>> {
+/// The listener inherited from the parent process under the descriptor in `RELAY_LISTEN_FD`, if that is set.
+fn inherited_listener() -> std::io::Result<Option<std::net::TcpListener>> {
     let Some(fd) = std::env::var_os("RELAY_LISTEN_FD") else { return Ok(None) };
-    // The crate goes by systemd's variables. No other thread runs yet that could read them meanwhile.
+    // The crate reads systemd's variables. No other thread runs yet that could read the environment.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", fd);
@@ -287,8 +305,8 @@
 
 fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A restart finds the address free, though connections of the former process linger.
+    // Lets a restart bind the address while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
--- a/src/bin/heronstage/main.rs
+++ b/src/bin/heronstage/main.rs
@@ -1,4 +1,5 @@
-//! One gateway on real sockets, and the command line round it. The decisions are in the library.
+//! The gateway program: sockets, protocols and the command line. Load-balancing decisions are made by the
+//! library.
 
 mod beside;
 mod cli;
@@ -26,18 +27,18 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         None => serve(Source::Platform),
         Some(Command::Serve(args)) => serve(args.into()),
         Some(Command::Check(layers)) => remote::check(&layers.into()),
         Some(Command::Config(show)) => remote::config(show),
-        Some(Command::Reload(args)) => wait(remote::reload(args)),
-        Some(Command::Status(args)) => wait(remote::status(args)),
-        Some(Command::Members(args)) => wait(remote::members(args)),
-        Some(Command::Drain(args)) => wait(remote::drain(args)),
-        Some(Command::Resume(args)) => wait(remote::resume(args)),
-        Some(Command::Log { levels, call }) => wait(remote::log(call, &levels)),
-        Some(Command::Top { call, every, looks }) => wait(top::run(call, every, looks)),
+        Some(Command::Reload(args)) => block_on(remote::reload(args)),
+        Some(Command::Status(args)) => block_on(remote::status(args)),
+        Some(Command::Members(args)) => block_on(remote::members(args)),
+        Some(Command::Drain(args)) => block_on(remote::drain(args)),
+        Some(Command::Resume(args)) => block_on(remote::resume(args)),
+        Some(Command::Log { levels, call }) => block_on(remote::log(call, &levels)),
+        Some(Command::Top { call, every, looks }) => block_on(top::run(call, every, looks)),
         Some(Command::Completions { shell }) => {
             let mut text = Vec::new();
             clap_complete::generate(shell, &mut Cli::command(), "heronstage", &mut text);
@@ -45,12 +46,12 @@
         }
         Some(Command::Man) => {
             let mut text = Vec::new();
-            // A Vec takes every write.
+            // Writing to a Vec cannot fail.
             let _ = clap_mangen::Man::new(Cli::command()).render(&mut text);
             remote::made(&text)
         }
     };
-    match done {
+    match result {
         Ok(exit) => exit.into(),
         Err(Failure { exit: Exit::Done, .. }) => Exit::Done.into(),
         Err(Failure { exit, why }) => {
@@ -64,7 +65,8 @@
     gateway::serve(source).map(|()| Exit::Done).map_err(|why| Failure { exit: Exit::Bad, why })
 }
 
-fn wait(command: impl Future<Output = Result<Exit, Failure>>) -> Result<Exit, Failure> {
+/// Runs a command's future on a runtime of its own.
+fn block_on(command: impl Future<Output = Result<Exit, Failure>>) -> Result<Exit, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| Failure { exit: Exit::No, why: e.to_string() })?.block_on(command)
 }
--- a/src/bin/heronstage/peers.rs
+++ b/src/bin/heronstage/peers.rs
@@ -1,4 +1,4 @@
-//! Short messages between gateways, as UDP datagrams.
+//! Messages between gateways, sent as UDP datagrams.
 
 use std::cell::OnceCell;
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, Instant};
 
-/// Longest message.
-const MESSAGE_MOST: usize = 256;
-/// Wait between two tries for the address.
-const AGAIN: Duration = Duration::from_millis(100);
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Delay between two attempts to bind the address.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The socket between gateways and the addresses of the others.
+/// The UDP socket and the addresses of the other gateways.
 pub struct Peers {
     listen: SocketAddr,
-    /// Bound once the address is free: during an upgrade the process beside this one holds it.
+    /// Set once the address is free: during an upgrade the old process still holds it.
     socket: OnceCell<UdpSocket>,
     peers: Vec<SocketAddr>,
+    /// Address that reaches all gateways.
     all: Option<SocketAddr>,
 }
 
@@ -26,49 +26,51 @@
         Peers { listen, socket: OnceCell::new(), peers, all }
     }
 
-    /// Binds the socket, unless it is.
+    /// Binds the socket unless it is bound already.
     pub async fn bind(&self) -> std::io::Result<()> {
         if self.socket.get().is_none() {
-            // Nobody else binds it meanwhile: there is one task for that.
+            // Only one task binds, so the cell is still empty.
             let _ = self.socket.set(UdpSocket::bind(self.listen).await?);
         }
         Ok(())
     }
 
-    /// Sends to one gateway, or to all with every bit of `to` set. Messages may be lost, so one that the
-    /// socket can't take now is.
-    pub fn tell(&self, to: u32, body: &[u8]) {
+    /// Sends to gateway number `to`, or to all if it is `u32::MAX`. A message that the socket cannot take at
+    /// once is dropped: delivery is best effort.
+    pub fn send(&self, to: u32, body: &[u8]) {
         let addr = if to == u32::MAX { self.all } else { self.peers.get(to as usize).copied() };
-        if let (Some(addr), Some(socket)) = (addr.filter(|_| body.len() <= MESSAGE_MOST), self.socket.get()) {
+        if let (Some(addr), Some(socket)) =
+            (addr.filter(|_| body.len() <= MAX_MESSAGE_BYTES), self.socket.get())
+        {
             let _ = socket.try_send_to(body, addr);
         }
     }
 }
 
-/// Takes in messages, `intake` a second at most, each with the number of the gateway that sent it.
-pub async fn run(peers: Rc<Peers>, intake: f64, hears: impl Fn(u32, Vec<u8>)) {
-    let mut buf = [0; MESSAGE_MOST + 1];
-    let (mut room, mut at) = (intake, Instant::now());
+/// Receives messages and passes them on with their sender's number, limited to `max_per_s`.
+pub async fn run(peers: Rc<Peers>, max_per_s: f64, on_message: impl Fn(u32, Vec<u8>)) {
+    let mut buf = [0; MAX_MESSAGE_BYTES + 1];
+    let (mut tokens, mut refilled_at) = (max_per_s, Instant::now());
     let socket = loop {
         match peers.socket.get() {
             Some(socket) => break socket,
-            None => sleep(AGAIN).await,
+            None => sleep(BIND_RETRY_DELAY).await,
         }
-        // It stays with the other process until that ends.
+        // Fails until the old process has ended.
         let _ = peers.bind().await;
     };
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buf).await else { continue };
-        // Guards against strangers and against what no gateway may send.
+        // Ignore datagrams from unknown addresses, and oversized ones.
         let Some(from) = peers.peers.iter().position(|p| *p == from) else { continue };
-        if length > MESSAGE_MOST {
+        if length > MAX_MESSAGE_BYTES {
             continue;
         }
-        room = (room + at.elapsed().as_secs_f64() * intake).min(intake);
-        at = Instant::now();
-        if room >= 1.0 {
-            room -= 1.0;
-            hears(from as u32, buf[..length].to_vec());
+        tokens = (tokens + refilled_at.elapsed().as_secs_f64() * max_per_s).min(max_per_s);
+        refilled_at = Instant::now();
+        if tokens >= 1.0 {
+            tokens -= 1.0;
+            on_message(from as u32, buf[..length].to_vec());
         }
     }
 }
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -1,4 +1,4 @@
-//! Clients: takes in their requests by HTTP/1.1 and writes the answers.
+//! HTTP/1.1 server for clients: parses requests, hands them to the driver and writes the responses.
 
 use crate::config::Config;
 use crate::figures::{End, Figures, Place, Present};
@@ -34,83 +34,84 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 use tracing::{Level, Span};
 
-/// A client that has not sent a whole head by then loses its connection, idle or not. Anyone may connect and
-/// say nothing, and is owed a close within 3 s; a client's idle connection may be closed after 2 s.
-const HEAD_TIME: Duration = Duration::from_millis(2500);
-/// And a body must have come, or be coming at a fair pace, so long after its connection came up, or after its head
-/// where others came before it on the connection: as with the head, an answer is owed within 3 s.
-const WHOLE_TIME: Duration = Duration::from_millis(2750);
-/// So long after a drain began connections are closed between requests. Whatever asks before has its answer or
-/// is 2 s old when the front may expect the last one gone, 4 s after the call.
-const DRAIN_IDLE: Duration = Duration::from_millis(1750);
-/// A body waits so long for room in the budget.
-const ROOM_TIME: Duration = Duration::from_millis(1500);
-/// What is read from a client at once, and the longest head.
-const READ: usize = 16 * 1024;
-/// A customer's number stays below this.
-const CUSTOMERS: u64 = 1 << 33;
-
-/// What all connections of clients share.
+/// Timeout for a complete request head, including idle time before it. Idle connections must be kept for 2 s,
+/// and connections without a request closed within 3 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time after which the body must be complete or arriving at the minimum rate. Counts from the connection's
+/// start for the first request, from the head for later ones; a response is due within 3 s.
+const BODY_TIMEOUT: Duration = Duration::from_millis(2750);
+/// Delay between the start of a drain and closing idle connections. Requests that arrive before have their
+/// response, or are 2 s old, when the last connection is expected to be gone, 4 s after the drain began.
+const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1750);
+/// Timeout for reserving memory for a body.
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Read buffer size, and size limit of a request head.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Customer numbers are below this.
+const MAX_CUSTOMERS: u64 = 1 << 33;
+
+/// State shared by all client connections.
 pub struct Server {
     driver: Rc<Driver>,
     tables: RefCell<Tables>,
     figures: Rc<Figures>,
-    /// How customers are named in the log.
+    /// Names of customers in the log.
     names: Names,
-    /// Requests taken in and not yet ended.
-    open: Cell<usize>,
+    /// Requests handed to the driver that have not ended.
+    open_requests: Cell<usize>,
     budget: Rc<MemoryBudget>,
     drain: watch::Sender<Drain>,
-    busy: Cell<usize>,
+    /// Requests whose response is not complete.
+    unanswered: Cell<usize>,
     connections: Cell<usize>,
-    /// Places for connections that are free.
-    places: Arc<Semaphore>,
+    /// Permits for further client connections.
+    client_permits: Arc<Semaphore>,
 }
 
-/// Whether clients are asked to go.
+/// State of a drain.
 #[derive(Clone, Copy)]
 enum Drain {
-    /// Clients are taken in.
-    No,
-    /// Unready; idle connections are closed from then on.
-    Until(Instant),
-    /// The same, and the program ends: there is no way back.
-    Ends(Instant),
+    /// Not draining.
+    Inactive,
+    /// Not ready; idle connections are closed from this time on.
+    Draining(Instant),
+    /// The same, but final: the program is shutting down.
+    Final(Instant),
 }
 
 impl Drain {
-    /// From when on connections are closed between requests.
-    fn closes(self) -> Option<Instant> {
+    /// The time from which idle connections are closed.
+    fn closes_at(self) -> Option<Instant> {
         match self {
-            Drain::No => None,
-            Drain::Until(at) | Drain::Ends(at) => Some(at),
+            Drain::Inactive => None,
+            Drain::Draining(at) | Drain::Final(at) => Some(at),
         }
     }
 }
 
-/// Hears of drains.
+/// Reports changes of the drain state.
 #[derive(Clone)]
 pub struct Drains(watch::Receiver<Drain>);
 
 impl Drains {
-    /// Whether the gateway drains.
+    /// Whether the gateway is draining.
     pub fn draining(&mut self) -> bool {
-        self.0.borrow_and_update().closes().is_some()
+        self.0.borrow_and_update().closes_at().is_some()
     }
 
-    /// Waits for a change; false if there will be none.
+    /// Waits for a change; false if there will be no more.
     pub async fn changed(&mut self) -> bool {
         self.0.changed().await.is_ok()
     }
 }
 
-/// An answer's body, and the request as long as it streams.
-pub struct Replied {
+/// A response body, and its request while the body is streamed.
+pub struct ReplyBody {
     content: ResponseBody,
-    ticket: Option<Ticket>,
+    guard: Option<RequestGuard>,
 }
 
-impl Body for Replied {
+impl Body for ReplyBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -118,14 +119,14 @@
         mut self: Pin<&mut Self>, cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         let frame = ready!(Pin::new(&mut self.content).poll_frame(cx));
-        // With the last bytes of a known length nobody asks for more.
+        // With a known length, the frame with the last bytes is the last one polled.
         let last = match &frame {
             Some(Ok(_)) if self.content.size_hint().exact() != Some(0) => None,
             Some(Ok(_)) | None => Some(End::Fulfilled),
             Some(Err(_)) => Some(End::Faulted),
         };
-        if let Some((end, mut ticket)) = last.and_then(|end| Some((end, self.ticket.take()?))) {
-            ticket.end(end);
+        if let Some((end, mut guard)) = last.and_then(|end| Some((end, self.guard.take()?))) {
+            guard.end(end);
         }
         Poll::Ready(frame)
     }
@@ -139,38 +140,38 @@
     }
 }
 
-type Reply = Response<Replied>;
+type Reply = Response<ReplyBody>;
 
-/// Why a request never reaches the decision. 429 and 503 promise that trying again is harmless; what is the client's
-/// fault is answered with neither.
-struct Fault {
+/// Why a request is rejected before it reaches the driver. Statuses 429 and 503 promise that a retry is safe;
+/// client errors use neither.
+struct Rejection {
     status: StatusCode,
     text: &'static str,
-    /// The method that the class wants.
+    /// The method that the class requires.
     allow: Option<Method>,
-    /// When trying again may do better, in seconds.
+    /// Delay before a retry, in seconds.
     retry_after: Option<u32>,
 }
 
-impl From<BodyError> for Fault {
-    fn from(short: BodyError) -> Self {
-        match short {
-            BodyError::TooLarge => Fault::new(StatusCode::PAYLOAD_TOO_LARGE, "body over 40 MiB\n"),
-            BodyError::Broken => Fault::new(StatusCode::BAD_REQUEST, "body not whole\n"),
-            BodyError::Slow => Fault::new(StatusCode::REQUEST_TIMEOUT, "body not whole in time\n"),
+impl From<BodyError> for Rejection {
+    fn from(error: BodyError) -> Self {
+        match error {
+            BodyError::TooLarge => Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "body over 40 MiB\n"),
+            BodyError::Broken => Rejection::new(StatusCode::BAD_REQUEST, "body not whole\n"),
+            BodyError::Slow => Rejection::new(StatusCode::REQUEST_TIMEOUT, "body not whole in time\n"),
         }
     }
 }
 
-impl Fault {
+impl Rejection {
     fn new(status: StatusCode, text: &'static str) -> Self {
-        Fault { status, text, allow: None, retry_after: None }
+        Rejection { status, text, allow: None, retry_after: None }
     }
 
-    /// Nothing of it was read: trying again is harmless.
-    fn no_room() -> Self {
+    /// The body was not read, so a retry is safe.
+    fn out_of_memory() -> Self {
         let text = "no room for the body now\n";
-        Fault { retry_after: Some(1), ..Fault::new(StatusCode::SERVICE_UNAVAILABLE, text) }
+        Rejection { retry_after: Some(1), ..Rejection::new(StatusCode::SERVICE_UNAVAILABLE, text) }
     }
 
     fn reply(self) -> Reply {
@@ -182,39 +183,40 @@
     }
 }
 
-/// A request's line in the log, where such lines are written.
-struct Line {
+/// A request's log entry, if requests are logged.
+struct RequestLog {
     span: Span,
     body: Duration,
-    room: Duration,
-    /// When its last byte came.
-    whole: Instant,
-    course: AttemptSummary,
+    /// Time spent waiting for memory.
+    memory: Duration,
+    /// When the last byte of the request was received.
+    received: Instant,
+    attempts: AttemptSummary,
     first_byte: Option<Duration>,
     reason: Option<&'static str>,
 }
 
-/// Counts a request as long as its answer is not given; tells the driver if the client goes first.
-struct Ticket {
+/// Tracks a request until its response is complete; cancels it at the driver if the client disconnects first.
+struct RequestGuard {
     server: Rc<Server>,
-    /// When its head was read.
-    began: Instant,
+    /// When the head was read.
+    started: Instant,
     open: Option<(RequestId, Rc<Class>)>,
-    line: Option<Box<Line>>,
+    log: Option<Box<RequestLog>>,
 }
 
-impl Ticket {
+impl RequestGuard {
     fn new(server: &Rc<Server>) -> Self {
-        server.busy.set(server.busy.get() + 1);
-        Ticket { server: server.clone(), began: Instant::now(), open: None, line: None }
+        server.unanswered.set(server.unanswered.get() + 1);
+        RequestGuard { server: server.clone(), started: Instant::now(), open: None, log: None }
     }
 
     fn open(&mut self, id: RequestId, class: Rc<Class>) {
-        self.server.open.set(self.server.open.get() + 1);
+        self.server.open_requests.set(self.server.open_requests.get() + 1);
         self.open = Some((id, class));
     }
 
-    /// The request has its final answer, or its client has gone.
+    /// Records the end of the request: it has its final response, or the client disconnected.
     fn end(&mut self, end: End) {
         if self.open.is_some() {
             self.end_at(end, Instant::now());
@@ -223,55 +225,56 @@
 
     fn end_at(&mut self, end: End, now: Instant) {
         let Some((id, class)) = self.open.take() else { return };
-        self.server.open.set(self.server.open.get() - 1);
-        let took = now.duration_since(self.began);
+        self.server.open_requests.set(self.server.open_requests.get() - 1);
+        let took = now.duration_since(self.started);
         class.ends.count(end, took);
         if end == End::Gone {
             self.server.driver.cancel(id);
         }
-        if let Some(line) = self.line.take() {
-            line.write(end, took, &self.server.driver);
+        if let Some(log) = self.log.take() {
+            log.write(end, took, &self.server.driver);
         }
     }
 
-    /// The module has ended the request, now.
-    fn decided(
-        &mut self, whole: Instant, deadline: Option<Deadline>, course: AttemptSummary, answer: &FinalResponse,
+    /// Records that the driver has returned the final response.
+    fn record_response(
+        &mut self, received: Instant, deadline: Option<Deadline>, attempts: AttemptSummary,
+        response: &FinalResponse,
     ) -> Instant {
         let figures = &self.server.figures;
         let now = Instant::now();
-        figures.waited(Place::Decision, course.first_sent.unwrap_or(now).duration_since(whole));
+        figures.waited(Place::Decision, attempts.first_sent.unwrap_or(now).duration_since(received));
         let mut first_byte = None;
-        if let Some(sent) = course.first_sent {
+        if let Some(sent) = attempts.first_sent {
             figures.waited(Place::Servers, now.duration_since(sent));
         }
         if let Some(deadline) = deadline {
-            figures.left(course.first_sent.map(|sent| deadline.remaining(sent)), deadline.remaining(now));
-            if deadline.expired(now) && !matches!(answer, FinalResponse::Served { .. }) {
-                figures.expired(if course.first_sent.is_some() { Place::Servers } else { Place::Decision });
+            figures.left(attempts.first_sent.map(|sent| deadline.remaining(sent)), deadline.remaining(now));
+            if deadline.expired(now) && !matches!(response, FinalResponse::Served { .. }) {
+                figures.expired(if attempts.first_sent.is_some() { Place::Servers } else { Place::Decision });
             }
         }
-        if let (FinalResponse::Served { .. }, Some((_, class))) = (answer, &self.open) {
-            let took = now.duration_since(whole);
+        if let (FinalResponse::Served { .. }, Some((_, class))) = (response, &self.open) {
+            let took = now.duration_since(received);
             class.ends.first_byte(took);
             first_byte = Some(took);
         }
-        if let Some(line) = &mut self.line {
-            line.course = course;
-            line.first_byte = first_byte;
-            if let FinalResponse::Refused { reason, .. } = answer {
-                line.reason = Some(reason.name());
+        if let Some(log) = &mut self.log {
+            log.attempts = attempts;
+            log.first_byte = first_byte;
+            if let FinalResponse::Refused { reason, .. } = response {
+                log.reason = Some(reason.name());
             }
         }
         now
     }
 }
 
-impl Line {
+impl RequestLog {
     fn write(&self, end: End, took: Duration, driver: &Driver) {
         let ms = |time: Duration| (time.as_secs_f64() * 1e6).round() / 1e3;
         let until = |from: Instant, to: Instant| ms(to.saturating_duration_since(from));
-        let AttemptSummary { first_sent: sent, attempts, backend: server, .. } = self.course;
+        let AttemptSummary { first_sent: sent, attempts, backend: server, .. } = self.attempts;
         let now = Instant::now();
         tracing::debug!(
             target: REQUEST,
@@ -282,8 +285,8 @@
             server = server.map(|server| driver.backend_name(server)),
             took_ms = ms(took),
             body_ms = ms(self.body),
-            room_ms = ms(self.room),
-            decision_ms = until(self.whole, sent.unwrap_or(now)),
+            room_ms = ms(self.memory),
+            decision_ms = until(self.received, sent.unwrap_or(now)),
             servers_ms = sent.map(|sent| until(sent, now)),
             first_byte_ms = self.first_byte.map(ms),
             "request ended"
@@ -291,9 +294,9 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.server.busy.set(self.server.busy.get() - 1);
+        self.server.unanswered.set(self.server.unanswered.get() - 1);
         self.end(End::Gone);
     }
 }
@@ -301,106 +304,116 @@
 impl Server {
     pub fn new(
         driver: Rc<Driver>, tables: Tables, figures: Rc<Figures>, names: Names, budget: Rc<MemoryBudget>,
-        places: Arc<Semaphore>,
+        client_permits: Arc<Semaphore>,
     ) -> Rc<Self> {
-        let (tables, drain) = (RefCell::new(tables), watch::Sender::new(Drain::No));
-        let (open, busy, connections) = Default::default();
-        Rc::new(Server { driver, tables, figures, names, open, budget, drain, busy, connections, places })
+        let (tables, drain) = (RefCell::new(tables), watch::Sender::new(Drain::Inactive));
+        let (open_requests, unanswered, connections) = Default::default();
+        Rc::new(Server {
+            driver,
+            tables,
+            figures,
+            names,
+            open_requests,
+            budget,
+            drain,
+            unanswered,
+            connections,
+            client_permits,
+        })
     }
 
-    /// Takes over the settings of another configuration, all or none of them. What is open goes on by the former
-    /// ones.
-    pub fn retune(&self, config: &Config) -> Result<(), String> {
+    /// Applies a new configuration's settings, all or none. Open requests keep the previous ones.
+    pub fn apply_config(&self, config: &Config) -> Result<(), String> {
         let mut settings = config.settings.clone();
-        self.tables.borrow_mut().take(&config.classes, &config.plans, &mut settings, &self.figures)?;
+        self.tables.borrow_mut().apply(&config.classes, &config.plans, &mut settings, &self.figures)?;
         self.driver.apply_settings(settings, config.connect_ms, config.idle_ms);
         Ok(())
     }
 
-    /// The longest deadline of what may be open, in ms.
-    pub fn longest_ms(&self) -> f64 {
-        self.tables.borrow().longest_ms()
+    /// The longest deadline that an open request may have.
+    pub fn max_deadline_ms(&self) -> f64 {
+        self.tables.borrow().max_deadline_ms()
     }
 
-    /// What stands so now.
+    /// Current counts of requests, connections and backends.
     pub fn present(&self) -> Present {
         let (listed, avoided) = self.driver.backend_counts();
-        Present { open: self.open.get(), connections: self.connections.get(), listed, avoided }
+        Present { open: self.open_requests.get(), connections: self.connections.get(), listed, avoided }
     }
 
-    /// Whether clients are to come, and if not why.
+    /// Whether the gateway is ready, and if not why.
     pub fn phase(&self) -> Phase {
         match *self.drain.borrow() {
-            Drain::No if self.driver.ready() => Phase::Ready,
-            Drain::No => Phase::Unready,
-            Drain::Until(_) => Phase::Draining,
-            Drain::Ends(_) => Phase::Ending,
+            Drain::Inactive if self.driver.ready() => Phase::Ready,
+            Drain::Inactive => Phase::Unready,
+            Drain::Draining(_) => Phase::Draining,
+            Drain::Final(_) => Phase::Ending,
         }
     }
 
-    /// To hear of drains.
+    /// Subscribes to changes of the drain state.
     pub fn drains(&self) -> Drains {
         Drains(self.drain.subscribe())
     }
 
-    /// From now on the gateway is unready, asks clients to go with each answer, and soon closes idle
-    /// connections. A drain under way goes on as it is.
+    /// Starts a drain: the gateway is not ready, responses carry `Connection: close`, and idle connections
+    /// are closed after a delay. Has no effect on a running drain.
     pub fn drain(&self) {
         self.drain.send_if_modified(|drain| {
-            let begins = matches!(drain, Drain::No);
-            if begins {
-                *drain = Drain::Until(Instant::now() + DRAIN_IDLE);
+            let starts = matches!(drain, Drain::Inactive);
+            if starts {
+                *drain = Drain::Draining(Instant::now() + DRAIN_IDLE_CLOSE_DELAY);
                 tracing::info!("draining");
             }
-            begins
+            starts
         });
     }
 
-    /// Takes clients again after a drain. False if the program is ending.
+    /// Ends a drain. False if the program is shutting down.
     pub fn resume(&self) -> bool {
         self.drain.send_if_modified(|drain| {
-            let ends = matches!(drain, Drain::Until(_));
+            let ends = matches!(drain, Drain::Draining(_));
             if ends {
-                *drain = Drain::No;
-                tracing::info!("the drain has ended");
+                *drain = Drain::Inactive;
+                tracing::info!("drain ended");
             }
             ends
         });
-        !matches!(*self.drain.borrow(), Drain::Ends(_))
+        !matches!(*self.drain.borrow(), Drain::Final(_))
     }
 
-    /// Drains for good, in this time or what is left of a drain under way. Returns when idle connections are
-    /// closed.
-    pub fn end(&self, idle: Duration) -> Instant {
+    /// Starts the final drain. Idle connections are closed after `idle`, or earlier if a running drain does
+    /// so; returns that time.
+    pub fn shut_down(&self, idle: Duration) -> Instant {
         self.drain();
-        let mut closes = Instant::now() + idle;
+        let mut closes_at = Instant::now() + idle;
         self.drain.send_modify(|drain| {
-            closes = drain.closes().map_or(closes, |at| at.min(closes));
-            *drain = Drain::Ends(closes);
+            closes_at = drain.closes_at().map_or(closes_at, |at| at.min(closes_at));
+            *drain = Drain::Final(closes_at);
         });
-        closes
+        closes_at
     }
 
-    /// True if clients are to come.
+    /// Whether new clients should be sent here.
     pub fn ready(&self) -> bool {
         self.phase() == Phase::Ready
     }
 
-    /// True while a request has no answer.
+    /// Whether a request has no complete response.
     pub fn busy(&self) -> bool {
-        self.busy.get() > 0
+        self.unanswered.get() > 0
     }
 
-    /// Accepts clients until dropped. With all places taken, further ones wait in the listener's queue, so
-    /// that the program never runs out of descriptors.
+    /// Accepts clients until dropped. At the connection limit further clients wait in the accept queue, so
+    /// that the process does not run out of descriptors.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let seldom = WarningLimiter::default();
+        let warnings = WarningLimiter::default();
         loop {
-            let Ok(place) = self.places.clone().acquire_owned().await else { return };
+            let Ok(permit) = self.client_permits.clone().acquire_owned().await else { return };
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    warn_limited!(seldom, "accept", e);
+                    warn_limited!(warnings, "accepting a client connection failed", e);
                     sleep(Duration::from_millis(20)).await;
                     continue;
                 }
@@ -410,65 +423,65 @@
                 server.connections.set(server.connections.get() + 1);
                 server.clone().connection(stream).await;
                 server.connections.set(server.connections.get() - 1);
-                drop(place);
+                drop(permit);
             });
         }
     }
 
     async fn connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let came_up = Cell::new(Some(Instant::now()));
+        let connected_at = Cell::new(Some(Instant::now()));
         let service = service_fn(|request| {
             let server = self.clone();
-            let whole_by = came_up.take().unwrap_or_else(Instant::now) + WHOLE_TIME;
-            async move { Ok::<_, Infallible>(server.reply(request, whole_by).await) }
+            let body_due = connected_at.take().unwrap_or_else(Instant::now) + BODY_TIMEOUT;
+            async move { Ok::<_, Infallible>(server.reply(request, body_due).await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIME)
-            .max_buf_size(READ)
+            .header_read_timeout(HEAD_TIMEOUT)
+            .max_buf_size(READ_BUFFER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
-        // A client that breaks off or sends no HTTP is its own affair.
+        // Errors of a client connection need no handling.
         tokio::select! {
             _ = connection.as_mut() => return,
-            () = self.drained() => connection.as_mut().graceful_shutdown(),
+            () = self.idle_close() => connection.as_mut().graceful_shutdown(),
         }
         let _ = connection.await;
     }
 
     /// Waits until a drain closes idle connections.
-    async fn drained(&self) {
+    async fn idle_close(&self) {
         let mut drain = self.drain.subscribe();
         loop {
-            let closes = drain.borrow_and_update().closes();
+            let closes_at = drain.borrow_and_update().closes_at();
             tokio::select! {
-                () = sleep_until(closes.unwrap_or_else(Instant::now)), if closes.is_some() => return,
+                () = sleep_until(closes_at.unwrap_or_else(Instant::now)), if closes_at.is_some() => return,
                 // The sender lives as long as the server.
                 _ = drain.changed() => {}
             }
         }
     }
 
-    async fn reply(self: &Rc<Self>, request: Request<Incoming>, whole_by: Instant) -> Reply {
-        let mut reply = match self.answer(request, whole_by, Ticket::new(self)).await {
+    async fn reply(self: &Rc<Self>, request: Request<Incoming>, body_due: Instant) -> Reply {
+        let mut reply = match self.handle(request, body_due, RequestGuard::new(self)).await {
             Ok(reply) => reply,
-            Err(fault) => {
-                self.figures.undecided(fault.status.as_u16());
-                fault.reply()
+            Err(rejection) => {
+                self.figures.undecided(rejection.status.as_u16());
+                rejection.reply()
             }
         };
-        // With all places taken a client is asked to go: those that wait to be accepted would starve behind
-        // connections that are kept idle.
-        if self.drain.borrow().closes().is_some() || self.places.available_permits() == 0 {
+        // At the connection limit clients are asked to close, or idle connections would starve those in the
+        // accept queue.
+        if self.drain.borrow().closes_at().is_some() || self.client_permits.available_permits() == 0 {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         reply
     }
 
-    async fn answer(
-        &self, request: Request<Incoming>, whole_by: Instant, mut ticket: Ticket,
-    ) -> Result<Reply, Fault> {
+    async fn handle(
+        &self, request: Request<Incoming>, body_due: Instant, mut guard: RequestGuard,
+    ) -> Result<Reply, Rejection> {
         let (parts, body) = request.into_parts();
         match parts.uri.path() {
             "/health/ready" => {
@@ -480,68 +493,82 @@
             "/health/live" => return Ok(plain(StatusCode::OK, "")),
             _ => {}
         }
-        let (mut asked, stated, class) =
-            self.read(&parts.method, &parts.uri, &parts.headers, ticket.began)?;
-        let mut upload = Upload::new(body, whole_by, stated.absolute());
+        let (mut info, client_deadline, class) =
+            self.parse(&parts.method, &parts.uri, &parts.headers, guard.started)?;
+        let mut upload = Upload::new(body, body_due, client_deadline.absolute());
         let size = upload.size();
         if size.is_some_and(|size| size > MAX_REQUEST_BODY_BYTES) {
             return Err(BodyError::TooLarge.into());
         }
-        let part = match size {
+        let reservation = match size {
             Some(0) => None,
             _ => {
-                let by = stated.cap(Instant::now() + ROOM_TIME);
-                let room = timeout_at(by, self.budget.reserve_request(size)).await;
-                room.map_err(|_| self.expired(&stated, Place::Room).unwrap_or_else(Fault::no_room))?
+                let reserve_by = client_deadline.cap(Instant::now() + RESERVE_TIMEOUT);
+                let reserved = timeout_at(reserve_by, self.budget.reserve_request(size)).await;
+                reserved.map_err(|_| {
+                    self.check_deadline(&client_deadline, Place::Room)
+                        .unwrap_or_else(Rejection::out_of_memory)
+                })?
             }
         };
-        // One without a body waits in neither place.
-        let in_room = if size == Some(0) { ticket.began } else { Instant::now() };
-        let mut held = BytesMut::new();
-        let more = loop {
-            let piece = upload.next_bytes().await;
-            match piece.map_err(|short| self.expired(&stated, Place::Body).unwrap_or_else(|| short.into()))? {
+        // A request without a body waits for neither memory nor a body.
+        let reserved_at = if size == Some(0) { guard.started } else { Instant::now() };
+        let mut buffered = BytesMut::new();
+        let unread = loop {
+            let bytes = upload.next_bytes().await;
+            match bytes.map_err(|error| {
+                self.check_deadline(&client_deadline, Place::Body).unwrap_or_else(|| error.into())
+            })? {
                 None => break None,
-                Some(piece) => held.extend_from_slice(&piece),
+                Some(bytes) => buffered.extend_from_slice(&bytes),
             }
-            if held.len() > MAX_BUFFERED_BYTES {
+            if buffered.len() > MAX_BUFFERED_BYTES {
                 break Some(Rc::new(UnreadBody::new(upload)));
             }
         };
-        // A request's time counts from its last byte.
-        let whole = Instant::now();
-        asked.deadline = stated.deadline(whole);
+        // Relative deadlines count from the last byte of the request.
+        let received = Instant::now();
+        info.deadline = client_deadline.deadline(received);
         if size != Some(0) {
-            self.figures.waited(Place::Room, in_room.duration_since(ticket.began));
-            self.figures.waited(Place::Body, whole.duration_since(in_room));
+            self.figures.waited(Place::Room, reserved_at.duration_since(guard.started));
+            self.figures.waited(Place::Body, received.duration_since(reserved_at));
         }
-        // The time of a body that streams counts from its end.
-        let deadline = Some(asked.deadline).filter(|_| more.is_none());
-        let length = if more.is_some() { size } else { Some(held.len() as u64) };
-        let work = work(&class, &parts.uri, &parts.headers, &held, length, more.clone(), part);
-        drop(held);
-        let ((id, answer), span) = self.taken(&asked, &class, work);
-        ticket.open(id, class);
-        let (body, room) = (whole.duration_since(in_room), in_room.duration_since(ticket.began));
-        let (course, first_byte, reason) = Default::default();
-        let line = |span| Box::new(Line { span, body, room, whole, course, first_byte, reason });
-        ticket.line = span.map(line);
-        let (answer, course) = self.driver.await_response(id, answer).await;
-        let now = ticket.decided(whole, deadline, course, &answer);
-        if let Some(upload) = more.and_then(|more| more.take()) {
+        // With a streamed body the deadline counts from its end, which is not known yet.
+        let deadline = Some(info.deadline).filter(|_| unread.is_none());
+        let length = if unread.is_some() { size } else { Some(buffered.len() as u64) };
+        let backend_request = backend_request(
+            &class,
+            &parts.uri,
+            &parts.headers,
+            &buffered,
+            length,
+            unread.clone(),
+            reservation,
+        );
+        drop(buffered);
+        let ((id, receiver), span) = self.submit(&info, &class, backend_request);
+        guard.open(id, class);
+        let (body, memory) =
+            (received.duration_since(reserved_at), reserved_at.duration_since(guard.started));
+        let (attempts, first_byte, reason) = Default::default();
+        let log = |span| Box::new(RequestLog { span, body, memory, received, attempts, first_byte, reason });
+        guard.log = span.map(log);
+        let (response, attempts) = self.driver.await_response(id, receiver).await;
+        let now = guard.record_response(received, deadline, attempts, &response);
+        if let Some(upload) = unread.and_then(|unread| unread.take()) {
             tokio::task::spawn_local(upload.drain());
         }
-        Ok(match answer {
+        Ok(match response {
             FinalResponse::Served { head, body: content } => {
-                let ticket = match &content {
+                let guard = match &content {
                     ResponseBody::Buffered { .. } => {
-                        ticket.end_at(End::Fulfilled, now);
+                        guard.end_at(End::Fulfilled, now);
                         None
                     }
-                    // It ends with the stream.
-                    ResponseBody::Stream(..) => Some(ticket),
+                    // The guard ends with the stream.
+                    ResponseBody::Stream(..) => Some(guard),
                 };
-                let mut reply = Response::new(Replied { content, ticket });
+                let mut reply = Response::new(ReplyBody { content, guard });
                 let content_type = head.content_type.and_then(|t| HeaderValue::from_maybe_shared(t).ok());
                 if let Some(content_type) = content_type {
                     reply.headers_mut().insert(CONTENT_TYPE, content_type);
@@ -549,7 +576,7 @@
                 reply
             }
             FinalResponse::Refused { retry_after_ms, .. } => {
-                ticket.end_at(End::Throttled, now);
+                guard.end_at(End::Throttled, now);
                 let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless\n");
                 if retry_after_ms > 0.0 {
                     let seconds = format!("{:.3}", retry_after_ms / 1000.0);
@@ -558,29 +585,29 @@
                 reply
             }
             FinalResponse::Failed => {
-                ticket.end_at(End::Faulted, now);
+                guard.end_at(End::Faulted, now);
                 plain(StatusCode::BAD_GATEWAY, "failed; it may have run\n")
             }
-            FinalResponse::IncompleteBody(short) => return Err(short.into()),
+            FinalResponse::IncompleteBody(error) => return Err(error.into()),
         })
     }
 
-    /// The answer to a request whose time was over before it was whole: it was sent nowhere.
-    fn expired(&self, stated: &ClientDeadline, place: Place) -> Option<Fault> {
-        stated.expired(Instant::now()).then(|| {
+    /// The rejection of a request whose deadline passed before it was complete; it was not sent to a backend.
+    fn check_deadline(&self, client_deadline: &ClientDeadline, place: Place) -> Option<Rejection> {
+        client_deadline.expired(Instant::now()).then(|| {
             self.figures.expired(place);
-            Fault::new(StatusCode::TOO_MANY_REQUESTS, "its time is over; trying again is harmless\n")
+            Rejection::new(StatusCode::TOO_MANY_REQUESTS, "its time is over; trying again is harmless\n")
         })
     }
 
-    /// Hands a request to the driver, in a span of its own where such are written.
-    fn taken(
-        &self, asked: &RequestInfo, class: &Class, work: BackendRequest,
+    /// Hands a request to the driver, in a span of its own if requests are logged.
+    fn submit(
+        &self, info: &RequestInfo, class: &Class, backend_request: BackendRequest,
     ) -> ((RequestId, ResponseReceiver), Option<Span>) {
         if !tracing::enabled!(target: REQUEST, Level::DEBUG) {
-            return (self.driver.request(asked, work), None);
+            return (self.driver.request(info, backend_request), None);
         }
-        let (customer, plan) = (self.names.customer(asked.customer), asked.plan as usize);
+        let (customer, plan) = (self.names.customer(info.customer), info.plan as usize);
         let span = tracing::debug_span!(
             target: REQUEST,
             "request",
@@ -588,33 +615,33 @@
             class = class.name,
             plan = self.tables.borrow().plan_name(plan),
             customer,
-            units = asked.units,
-            repeat = asked.is_retry,
+            units = info.units,
+            repeat = info.is_retry,
         );
-        let (id, answer) = span.in_scope(|| self.driver.request(asked, work));
+        let (id, receiver) = span.in_scope(|| self.driver.request(info, backend_request));
         span.record("id", id);
-        ((id, answer), Some(span))
+        ((id, receiver), Some(span))
     }
 
-    /// Reads what a request says of itself. What is wrong with it is the client's fault, and never a refusal.
-    fn read(
+    /// Parses the request line and headers. Errors are client errors, with status 400, 404 or 405.
+    fn parse(
         &self, method: &Method, uri: &Uri, headers: &HeaderMap, now: Instant,
-    ) -> Result<(RequestInfo, ClientDeadline, Rc<Class>), Fault> {
+    ) -> Result<(RequestInfo, ClientDeadline, Rc<Class>), Rejection> {
         let lane = uri.path().trim_start_matches('/').split('/').next().unwrap_or("");
         let tables = self.tables.borrow();
         let Some(class) = tables.class(lane) else {
-            return Err(Fault::new(StatusCode::NOT_FOUND, "no such class\n"));
+            return Err(Rejection::new(StatusCode::NOT_FOUND, "no such class\n"));
         };
         if *method != class.method {
             let allow = Some(class.method.clone());
-            return Err(Fault {
+            return Err(Rejection {
                 status: StatusCode::METHOD_NOT_ALLOWED,
                 text: "wrong method\n",
                 allow,
                 retry_after: None,
             });
         }
-        let bad = |what| Fault::new(StatusCode::BAD_REQUEST, what);
+        let bad = |what| Rejection::new(StatusCode::BAD_REQUEST, what);
         let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
         if text("x-lane") != Some(lane) {
             return Err(bad("X-Lane is missing or differs from the path\n"));
@@ -627,10 +654,10 @@
         }
         let plan = text("x-plan").and_then(|plan| tables.plan(plan));
         let plan = plan.ok_or_else(|| bad("X-Plan is missing or unknown\n"))?;
-        let stated = ClientDeadline::from_headers(headers, SystemTime::now(), now).map_err(bad)?;
+        let client_deadline = ClientDeadline::from_headers(headers, SystemTime::now(), now).map_err(bad)?;
         let account = uri.query().and_then(|q| q.split('&').find_map(|p| p.strip_prefix("account=")));
         let account = account.filter(|a| a.len() == 16 && a.bytes().all(|b| b.is_ascii_hexdigit()));
-        let account = account.and_then(|a| u64::from_str_radix(a, 16).ok()).filter(|a| *a < CUSTOMERS);
+        let account = account.and_then(|a| u64::from_str_radix(a, 16).ok()).filter(|a| *a < MAX_CUSTOMERS);
         let customer = account.ok_or_else(|| bad("account is missing or malformed\n"))?;
         let quota = text("x-quota").unwrap_or("");
         let part = |name: &str| {
@@ -641,7 +668,7 @@
         let (Some(units), Some(spread)) = (part("units"), part("spread")) else {
             return Err(bad("X-Quota is missing or malformed\n"));
         };
-        let asked = RequestInfo {
+        let info = RequestInfo {
             customer,
             plan: plan as u32,
             class: class.number,
@@ -651,17 +678,17 @@
             pool: 0,
             zone_mask: u64::MAX,
             max_attempts: usize::MAX,
-            deadline: stated.deadline(now),
-            client_deadline: stated.absolute(),
+            deadline: client_deadline.deadline(now),
+            client_deadline: client_deadline.absolute(),
         };
-        Ok((asked, stated, class))
+        Ok((info, client_deadline, class))
     }
 }
 
-/// The request as a backend gets it.
-fn work(
+/// Builds the request as it is sent to a backend.
+fn backend_request(
     class: &Class, uri: &Uri, headers: &HeaderMap, body: &[u8], length: Option<u64>,
-    more: Option<Rc<UnreadBody>>, part: MemoryReservation,
+    unread: Option<Rc<UnreadBody>>, reservation: MemoryReservation,
 ) -> BackendRequest {
     let mut head = Vec::with_capacity(256);
     let mut line = |parts: &[&[u8]]| parts.iter().for_each(|part| head.extend_from_slice(part));
@@ -696,13 +723,13 @@
         head,
         rest,
         correlation_id: Vec::new(),
-        streamed_body: more.map(|more| (more, chunked)),
-        _reservation: part,
+        streamed_body: unread.map(|unread| (unread, chunked)),
+        _reservation: reservation,
     }
 }
 
 fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(Replied { content: ResponseBody::buffered(text), ticket: None });
+    let mut reply = Response::new(ReplyBody { content: ResponseBody::buffered(text), guard: None });
     *reply.status_mut() = status;
     reply
 }
--- a/src/bin/heronstage/speech.rs
+++ b/src/bin/heronstage/speech.rs
@@ -1,13 +1,13 @@
-//! What is spoken with servers in service: the wire of the customers' platform, and the list as discovery tells it.
+//! The HTTP protocol of the backends, and the conversion of discovery's backend list.
 
 use crate::config::{Registry, ServerState};
 use cherrytally::plane::driver::{BackendProtocol, DiscoveredBackend};
 use cherrytally::plane::http::Head;
-use cherrytally::{BackendEntry, BackendState, CallResult as Ended};
+use cherrytally::{BackendEntry, BackendState, CallResult};
 use std::io::Write;
 use std::time::Duration;
 
-/// Names of zones and kinds, in the order of the settings.
+/// Names of zones and kinds, in the order of the settings; a position is the number that the library uses.
 #[derive(Clone)]
 pub struct Names {
     pub zones: Vec<String>,
@@ -15,20 +15,21 @@
 }
 
 impl Names {
-    /// The list as the driver takes it.
-    pub fn told(&self, registry: Registry) -> (bool, Vec<DiscoveredBackend>) {
-        let place =
+    /// Converts a list for the driver; the flag says whether it is complete. Unknown names get the number
+    /// after the last one.
+    pub fn to_backends(&self, registry: Registry) -> (bool, Vec<DiscoveredBackend>) {
+        let index_of =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len()) as u32;
-        let told = registry.servers.into_iter().map(|server| {
+        let backends = registry.servers.into_iter().map(|server| {
             let state = match server.state {
                 ServerState::Ready => BackendState::Ready,
                 ServerState::Terminating => BackendState::Draining,
                 ServerState::Gone => BackendState::Gone,
             };
-            let listed = BackendEntry {
+            let entry = BackendEntry {
                 id: 0,
-                zone: place(&self.zones, &server.zone),
-                kind: place(&self.kinds, &server.kind),
+                zone: index_of(&self.zones, &server.zone),
+                kind: index_of(&self.kinds, &server.kind),
                 cell: server.cell,
                 state,
                 size: server.weight,
@@ -40,27 +41,27 @@
                 limited_until: 0.0,
                 limit: 0,
             };
-            DiscoveredBackend { name: server.id, addr: server.addr, entry: listed }
+            DiscoveredBackend { name: server.id, addr: server.addr, entry }
         });
-        (registry.full, told.collect())
+        (registry.full, backends.collect())
     }
 }
 
-/// The platform's wire.
+/// The platform's protocol between gateway and backends.
 pub struct Platform;
 
 impl BackendProtocol for Platform {
-    fn write_attempt_headers(&self, message: &mut Vec<u8>, _: &str, left: Duration) {
-        // A Vec takes every write.
-        let _ = write!(message, "X-Remaining-Ms: {}\r\n", left.as_millis());
+    fn write_attempt_headers(&self, message: &mut Vec<u8>, _: &str, remaining: Duration) {
+        // Writing to a Vec cannot fail.
+        let _ = write!(message, "X-Remaining-Ms: {}\r\n", remaining.as_millis());
     }
 
-    fn classify_response(&self, head: &Head) -> Ended {
+    fn classify_response(&self, head: &Head) -> CallResult {
         match head.status {
-            200 => Ended::Ok,
-            // Only these two with this header prove that the request never ran.
-            503 | 504 if head.not_executed => Ended::Rejected,
-            _ => Ended::Error,
+            200 => CallResult::Ok,
+            // Only with this header do these statuses prove that the request was not executed.
+            503 | 504 if head.not_executed => CallResult::Rejected,
+            _ => CallResult::Error,
         }
     }
 
@@ -73,7 +74,7 @@
     }
 
     fn may_start_early(&self) -> bool {
-        // Its servers wait for the whole body.
+        // The backends wait for the whole body.
         false
     }
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway on loopback sockets, against backends, a counter and discovery that the tests play.
+//! Runs the gateway on loopback sockets, with test servers as backends, counter and discovery.
 #![allow(missing_docs)]
 
 mod played;
@@ -11,14 +11,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-// ---- The tests --------------------------------------------------------------------------------------------
+// ---- The tests -------------------------------------------------------------------------------------------
 
 #[test]
-fn passes_a_request_on_and_its_answer_back_unchanged() {
+fn requests_and_responses_are_forwarded_unchanged() {
     let (backend, got) = healthy_backend();
     let gateway = Gateway::new(&basic_config(&[backend]));
-    let answer = gateway.request(&post_request("order", IDEMPOTENCY_KEY_HEADER, "two pallets"));
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"stock: 12"[..]));
+    let response = gateway.request(&post_request("order", IDEMPOTENCY_KEY_HEADER, "two pallets"));
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"stock: 12"[..]));
     let got = got.lock().unwrap();
     assert_eq!(got.len(), 1);
     assert_eq!(got[0].first_line, "POST /order?account=0000000000000007 HTTP/1.1");
@@ -29,14 +29,14 @@
     assert!(remaining > 0 && remaining < 3000, "{remaining}");
 }
 
-/// Totals come back with three decimals: an amount below that is lost and leaves a window unchecked.
+/// The counter rounds totals to three decimals: smaller amounts would be lost and the quota not enforced.
 #[test]
-fn charges_stay_above_what_the_counter_rounds_away() {
+fn amounts_sent_to_the_counter_survive_rounding() {
     let (backend, _) = healthy_backend();
     let amounts = Arc::new(Mutex::new(Vec::new()));
     let silent = serve(|_| ServerAction::HangUntilClosed(channel().0));
     let gateway = Gateway::new(&config(&[backend], counter(amounts.clone()), silent));
-    // Customers' windows roll at different times, so these stand anywhere in theirs.
+    // Quota windows of customers start at different times.
     let mut open = gateway.connect();
     for customer in 0..8 {
         open.get_mut().write_all(get_request(customer * 0x1234_5671, 2, 3000).as_bytes()).unwrap();
@@ -48,24 +48,24 @@
 }
 
 #[test]
-fn refuses_at_once_beyond_the_quota_with_advice() {
+fn requests_over_quota_are_refused_with_retry_after() {
     let (backend, got) = healthy_backend();
     let gateway = Gateway::new(&basic_config(&[backend]));
-    let statuses = [2, 1, 4].map(|units| gateway.get(9, units));
-    assert_eq!([statuses[0].status(), statuses[1].status()], [200, 200]);
-    assert_eq!(statuses[2].status(), 429);
-    let advice: f64 = statuses[2].headers["retry-after"].parse().unwrap();
-    assert!(advice > 0.0 && advice <= 2.0, "{advice}");
+    let responses = [2, 1, 4].map(|units| gateway.get(9, units));
+    assert_eq!([responses[0].status(), responses[1].status()], [200, 200]);
+    assert_eq!(responses[2].status(), 429);
+    let retry_after: f64 = responses[2].headers["retry-after"].parse().unwrap();
+    assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
     assert_eq!(got.lock().unwrap().len(), 2);
 }
 
 #[test]
-fn what_never_ran_goes_to_another_backend() {
+fn rejected_requests_are_retried_on_another_backend() {
     let (backend, got) = healthy_backend();
     let full = serve(|_| ServerAction::Respond(response_text(503, "X-Turned-Away: 1\r\n", "")));
-    // An unsafe request may be sent again only if it is known not to have run.
-    for bad in [refusing_address(), full] {
-        let gateway = Gateway::new(&basic_config(&[bad, backend]));
+    // An unsafe request may be retried only if it was certainly not executed.
+    for failing in [refusing_address(), full] {
+        let gateway = Gateway::new(&basic_config(&[failing, backend]));
         for _ in 0..2 {
             assert_eq!(gateway.request(&post_request("once", "", "x")).status(), 200);
         }
@@ -74,20 +74,20 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_if_unsafe() {
-    for play in [
+fn unsafe_requests_that_may_have_run_are_not_retried() {
+    for action in [
         || ServerAction::Respond(response_text(500, "", "")),
-        // Without the header a 503 proves nothing.
+        // Without the header a 503 does not prove that the request was not executed.
         || ServerAction::Respond(response_text(503, "", "")),
         || ServerAction::RespondAndClose(String::new()),
-        // A body that ends too early is a reset, and no answer.
+        // A truncated body counts as a connection reset.
         || ServerAction::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsto".to_owned()),
     ] {
         let count = Arc::new(Mutex::new(0));
         let seen = count.clone();
         let addr = serve(move |_| {
             *seen.lock().unwrap() += 1;
-            play()
+            action()
         });
         let gateway = Gateway::new(&basic_config(&[addr, addr]));
         assert_eq!(gateway.request(&post_request("once", "", "x")).status(), 502);
@@ -96,27 +96,27 @@
 }
 
 #[test]
-fn an_attempt_given_up_ends_its_connection_and_is_answered_in_time() {
-    let (closed_to, closed) = channel();
-    let addr = serve(move |_| ServerAction::HangUntilClosed(closed_to.clone()));
+fn timed_out_attempt_closes_its_connection_and_is_answered_in_time() {
+    let (closed_tx, closed) = channel();
+    let addr = serve(move |_| ServerAction::HangUntilClosed(closed_tx.clone()));
     let gateway = Gateway::new(&basic_config(&[addr, addr]));
     let start = Instant::now();
-    let answer =
+    let response =
         gateway.request(&post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 600"));
-    // It may have run, so nothing is promised.
-    assert_eq!(answer.status(), 502);
+    // It may have run, so the status must not promise a safe retry.
+    assert_eq!(response.status(), 502);
     assert!(start.elapsed() < Duration::from_millis(1400), "{:?}", start.elapsed());
-    closed.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection ends");
-    assert!(closed.try_recv().is_err(), "sent again");
+    closed.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
+    assert!(closed.try_recv().is_err(), "the request was retried");
 }
 
 #[test]
-fn a_client_that_goes_frees_its_attempt() {
-    let (closed_to, closed) = channel();
-    let (begun_to, begun) = channel();
+fn client_disconnect_cancels_the_attempt() {
+    let (closed_tx, closed) = channel();
+    let (begun_tx, begun) = channel();
     let addr = serve(move |_| {
-        let _ = begun_to.send(());
-        ServerAction::HangUntilClosed(closed_to.clone())
+        let _ = begun_tx.send(());
+        ServerAction::HangUntilClosed(closed_tx.clone())
     });
     let gateway = Gateway::new(&basic_config(&[addr]));
     let start = Instant::now();
@@ -124,12 +124,12 @@
     open.get_mut().write_all(get_request(3, 1, 3000).as_bytes()).unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     drop(open);
-    closed.recv_timeout(TEST_TIMEOUT).expect("the attempt is withdrawn");
-    assert!(start.elapsed() < Duration::from_millis(1400), "only at its time-out");
+    closed.recv_timeout(TEST_TIMEOUT).expect("the attempt is cancelled");
+    assert!(start.elapsed() < Duration::from_millis(1400), "cancelled only at its timeout");
 }
 
 #[test]
-fn a_connection_that_broke_while_idle_is_not_used() {
+fn backend_connection_closed_while_idle_is_not_reused() {
     let count = Arc::new(Mutex::new(0));
     let seen = count.clone();
     let addr = serve(move |_| {
@@ -138,17 +138,17 @@
     });
     let gateway = Gateway::new(&basic_config(&[addr]));
     for _ in 0..3 {
-        // Sent into a broken connection it might have run, and would fail.
+        // On a broken connection the request might have run, so it would fail without a retry.
         assert_eq!(gateway.request(&post_request("once", "", "x")).status(), 200);
-        // The end of the connection has to arrive.
+        // Let the close reach the gateway.
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(*count.lock().unwrap(), 3);
 }
 
-/// A peer, or the path to it, that drops a connection idle for over 100 ms and says so only by a reset once
-/// it is used again. Counts these resets.
-fn forgets_idle_connections(resets: Arc<Mutex<usize>>, play: fn(&Message) -> String) -> SocketAddr {
+/// Starts a server that resets a connection when it is used after more than 100 ms of idle time, and counts
+/// the resets.
+fn serve_dropping_idle_connections(resets: Arc<Mutex<usize>>, respond: fn(&Message) -> String) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -157,10 +157,10 @@
             std::thread::spawn(move || {
                 let mut from = BufReader::new(stream.try_clone().unwrap());
                 while let Some(message) = read_message(&mut from) {
-                    stream.write_all(play(&message).as_bytes()).unwrap();
+                    stream.write_all(respond(&message).as_bytes()).unwrap();
                     let idle = Instant::now();
                     if stream.peek(&mut [0]).is_ok_and(|n| n > 0) && idle.elapsed().as_millis() > 100 {
-                        // Closed with what came left unread: a reset.
+                        // Closing with unread data sends a reset.
                         *resets.lock().unwrap() += 1;
                         return;
                     }
@@ -172,25 +172,25 @@
 }
 
 #[test]
-fn idle_connections_that_break_are_soon_used_no_more() {
+fn backend_idle_limit_adapts_to_resets() {
     let resets = Arc::default();
-    let backend = forgets_idle_connections(Arc::clone(&resets), |_| response_text(200, "", "ok"));
+    let backend = serve_dropping_idle_connections(Arc::clone(&resets), |_| response_text(200, "", "ok"));
     let gateway = Gateway::new(&basic_config(&[backend]));
     let mut failed = 0;
     for customer in 0..12 {
-        // An unsafe request may not be sent again after a reset.
+        // An unsafe request is not retried after a reset.
         let once = post_request("once", "", "x").replace("0007 HTTP", &format!("{customer:04x} HTTP"));
         failed += usize::from(gateway.request(&once).status() != 200);
         std::thread::sleep(Duration::from_millis(150));
     }
     assert!(failed <= 2, "{failed} of 12 failed");
-    assert!(*resets.lock().unwrap() >= 1, "the first idle connection is used");
+    assert!(*resets.lock().unwrap() >= 1, "the first idle connection is reused");
 }
 
 #[test]
-fn idle_connections_to_the_counter_that_break_are_soon_used_no_more() {
+fn counter_idle_limit_adapts_to_resets() {
     let resets = Arc::default();
-    let counter = forgets_idle_connections(Arc::clone(&resets), |_| response_text(200, "", "0.0"));
+    let counter = serve_dropping_idle_connections(Arc::clone(&resets), |_| response_text(200, "", "0.0"));
     let (backend, _) = healthy_backend();
     let gateway =
         Gateway::new(&config(&[backend], counter, serve(|_| ServerAction::HangUntilClosed(channel().0))));
@@ -203,12 +203,12 @@
 }
 
 #[test]
-fn requests_pass_while_the_counter_is_silent_broken_or_gone() {
+fn requests_are_served_while_the_counter_fails() {
     let (backend, _) = healthy_backend();
     let silent = serve(|_| ServerAction::HangUntilClosed(channel().0));
-    let nonsense = serve(|_| ServerAction::Respond(response_text(200, "", "many")));
+    let invalid = serve(|_| ServerAction::Respond(response_text(200, "", "many")));
     let broken = serve(|_| ServerAction::RespondAndClose("no HTTP\r\n\r\n".to_owned()));
-    for counter in [silent, nonsense, broken, refusing_address()] {
+    for counter in [silent, invalid, broken, refusing_address()] {
         let gateway =
             Gateway::new(&config(&[backend], counter, serve(|_| ServerAction::HangUntilClosed(channel().0))));
         for customer in 0..6 {
@@ -217,16 +217,16 @@
     }
 }
 
-/// The terms: such a connection is of no further use, though the amount was added.
+/// After an invalid total the connection must not be reused, though the amount was counted.
 #[test]
-fn a_counter_connection_that_told_no_number_is_left() {
+fn counter_connection_is_closed_after_an_invalid_total() {
     let (backend, _) = healthy_backend();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let (ended_to, ended) = channel();
+    let (ended_tx, ended) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, ended_to) = (stream.unwrap(), ended_to.clone());
+            let (mut stream, ended_tx) = (stream.unwrap(), ended_tx.clone());
             std::thread::spawn(move || {
                 let mut from = BufReader::new(stream.try_clone().unwrap());
                 let mut calls = 0;
@@ -234,7 +234,7 @@
                     calls += 1;
                     let _ = stream.write_all(response_text(200, "", "many").as_bytes());
                 }
-                let _ = ended_to.send(calls);
+                let _ = ended_tx.send(calls);
             });
         }
     });
@@ -242,13 +242,13 @@
         Gateway::new(&config(&[backend], addr, serve(|_| ServerAction::HangUntilClosed(channel().0))));
     for customer in 0..2 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
-        let calls = ended.recv_timeout(Duration::from_secs(2)).expect("the connection is ended at once");
+        let calls = ended.recv_timeout(Duration::from_secs(2)).expect("the connection is closed at once");
         assert_eq!(calls, 1);
     }
 }
 
 #[test]
-fn a_drain_is_kept_and_broken_lists_change_nothing() {
+fn drain_state_survives_an_invalid_discovery_line() {
     let ((one, got_one), (two, _)) = (healthy_backend(), healthy_backend());
     let discovery = Discovery::new();
     let gateway = Gateway::new(&config(&[one, two], counter(Arc::default()), discovery.addr));
@@ -257,7 +257,7 @@
     let change = serde_json::json!({"version": 8, "full": false, "servers": [entry(0, one, "Terminating")]});
     send_discovery_line(&mut watch, &change.to_string());
     send_discovery_line(&mut watch, "{\"version\": 9, \"full\": tr");
-    // What can't be read leaves a gap: the whole list is asked for.
+    // After an invalid line the full list is requested.
     let (line, _) = discovery.watch();
     assert!(!line.contains("stream"), "{line}");
     let before = got_one.lock().unwrap().len();
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_watch_that_ends_is_opened_again_with_the_last_version() {
+fn discovery_watch_resumes_at_the_last_version() {
     let (one, _) = healthy_backend();
     let discovery = Discovery::new();
     let _gateway = Gateway::new(&config(&[one], counter(Arc::default()), discovery.addr));
@@ -282,7 +282,7 @@
     assert!(discovery.watch().0.contains("index=12"));
 }
 
-/// With few descriptors clients wait to be accepted; connections kept idle must not starve them.
+/// At the descriptor limit idle connections must not starve clients in the accept queue.
 #[test]
 fn few_descriptors_serve_many_clients() {
     let (backend, _) = healthy_backend();
@@ -298,9 +298,9 @@
     }
 }
 
-/// Silent peers must not hold the places of clients: here they have taken them all.
+/// Clients that send no complete head must not occupy all connections.
 #[test]
-fn peers_that_send_no_whole_head_are_closed_in_time() {
+fn connections_without_a_complete_head_are_closed_in_time() {
     let (backend, _) = healthy_backend();
     let mut config = basic_config(&[backend]);
     config["limits"]["sockets"] = 48.into();
@@ -309,16 +309,16 @@
     let mut silent: Vec<_> = (0..16).map(|_| gateway.connect()).collect();
     silent[1].get_mut().write_all(b"GET /look?account=").unwrap();
     assert_eq!(gateway.get(1, 1).status(), 200);
-    for peer in &mut silent {
-        // Closed, with or without an error.
-        assert!(peer.read_to_end(&mut Vec::new()).is_ok());
+    for client in &mut silent {
+        // The connection ends, with or without a response.
+        assert!(client.read_to_end(&mut Vec::new()).is_ok());
     }
     assert!(start.elapsed() < Duration::from_secs(12), "{:?}", start.elapsed());
 }
 
-/// A body that never comes must not hold a place for as long as its sender says it would wait.
+/// A missing body must not hold a connection until the client's own deadline.
 #[test]
-fn a_request_that_is_never_whole_is_answered_in_time() {
+fn incomplete_request_gets_408_in_time() {
     let (backend, got) = healthy_backend();
     let gateway = Gateway::new(&basic_config(&[backend]));
     let part = post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 3600000");
@@ -332,14 +332,14 @@
         open.get_mut().write_all(part.as_bytes()).unwrap();
     }
     for open in [&mut fresh, &mut kept] {
-        assert_eq!(read_message(open).expect("an answer").status(), 408);
+        assert_eq!(read_message(open).expect("a response").status(), 408);
         assert!(open.read_to_end(&mut Vec::new()).is_ok(), "the connection is closed");
     }
     assert!(start.elapsed() < Duration::from_secs(12), "{:?}", start.elapsed());
     assert_eq!(got.lock().unwrap().len(), 1);
 }
 
-/// The protocol lets a gateway close a connection only once it has stood idle for 2 s.
+/// Idle client connections must not be closed within 2 s.
 #[test]
 fn an_idle_client_keeps_its_connection_for_two_seconds() {
     let (backend, _) = healthy_backend();
@@ -353,22 +353,22 @@
 }
 
 #[test]
-fn bad_requests_are_the_clients_fault() {
+fn invalid_requests_get_4xx() {
     let (backend, got) = healthy_backend();
     let gateway = Gateway::new(&basic_config(&[backend]));
-    let fine = get_request(1, 1, 3000);
+    let valid = get_request(1, 1, 3000);
     for (text, status) in [
-        (fine.replace("/look", "/else"), 404),
-        (fine.replace("GET", "DELETE"), 405),
-        (fine.replace("X-Plan: small", "X-Plan: none"), 400),
-        (fine.replace("X-Lane: look", "X-Lane: order"), 400),
-        (fine.replace("X-Lane", "X-Other"), 400),
-        (fine.replace("X-Txn", "X-Other"), 400),
-        (fine.replace("X-Remaining-Ms: 3000", "X-Remaining-Ms: soon"), 400),
-        (fine.replace("units=1", "units=NaN"), 400),
-        (fine.replace("X-Quota", "X-Other"), 400),
-        (fine.replace("account=0", "account=z"), 400),
-        (fine.replace("account=0000", "account="), 400),
+        (valid.replace("/look", "/else"), 404),
+        (valid.replace("GET", "DELETE"), 405),
+        (valid.replace("X-Plan: small", "X-Plan: none"), 400),
+        (valid.replace("X-Lane: look", "X-Lane: order"), 400),
+        (valid.replace("X-Lane", "X-Other"), 400),
+        (valid.replace("X-Txn", "X-Other"), 400),
+        (valid.replace("X-Remaining-Ms: 3000", "X-Remaining-Ms: soon"), 400),
+        (valid.replace("units=1", "units=NaN"), 400),
+        (valid.replace("X-Quota", "X-Other"), 400),
+        (valid.replace("account=0", "account=z"), 400),
+        (valid.replace("account=0000", "account="), 400),
         (post_request("order", "", "x"), 400),
         (
             post_request("order", IDEMPOTENCY_KEY_HEADER, "x")
@@ -380,24 +380,27 @@
         assert_eq!(gateway.request(&text).status(), status, "{}", text.lines().next().unwrap());
     }
     assert_eq!(got.lock().unwrap().len(), 0);
-    assert_eq!(gateway.request(&fine).status(), 200);
+    assert_eq!(gateway.request(&valid).status(), 200);
 }
 
 #[test]
-fn a_bad_configuration_is_told_in_one_line_that_names_the_field() {
+fn invalid_configuration_is_reported_in_one_line_with_the_field() {
     let mut config = basic_config(&[refusing_address()]);
     config["settings"]["rules"]["cold-from"] = "warm".into();
     let output = start(&config).0.wait_with_output().unwrap();
-    let told = String::from_utf8(output.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success());
-    assert!(told.contains("settings.rules.cold-from") && told.trim_end().lines().count() == 1, "{told}");
+    assert!(
+        stderr.contains("settings.rules.cold-from") && stderr.trim_end().lines().count() == 1,
+        "{stderr}"
+    );
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_and_ends_well() {
-    let (begun_to, begun) = channel();
+fn sigterm_answers_open_requests_and_exits_with_success() {
+    let (begun_tx, begun) = channel();
     let addr = serve(move |_| {
-        let _ = begun_to.send(());
+        let _ = begun_tx.send(());
         std::thread::sleep(Duration::from_millis(900));
         ServerAction::Respond(response_text(200, "", "done"))
     });
@@ -407,11 +410,11 @@
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     let start = Instant::now();
     gateway.signal("-TERM");
-    // It is unready at once but goes on taking what comes.
+    // It is not ready from now on, but still accepts new clients.
     let unready = loop {
-        let answer = gateway.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        if answer.status() != 200 {
-            break answer;
+        let response = gateway.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        if response.status() != 200 {
+            break response;
         }
     };
     assert_eq!((unready.status(), unready.headers["connection"].as_str()), (503, "close"));
@@ -422,20 +425,20 @@
 }
 
 #[test]
-fn sighup_moves_to_the_addresses_that_the_configuration_names() {
+fn sighup_switches_to_the_configured_addresses() {
     let ((one, _), (two, got)) = (healthy_backend(), healthy_backend());
     let (before, after) = (Discovery::new(), Discovery::new());
-    let first = Arc::new(Mutex::new(Vec::new()));
-    let mut config = config(&[one], counter(Arc::clone(&first)), before.addr);
+    let old_amounts = Arc::new(Mutex::new(Vec::new()));
+    let mut config = config(&[one], counter(Arc::clone(&old_amounts)), before.addr);
     let gateway = Gateway::new(&config);
     let _former = before.watch();
     assert_eq!(gateway.get(1, 1).status(), 200);
-    assert!(!first.lock().unwrap().is_empty());
-    let then = Arc::new(Mutex::new(Vec::new()));
+    assert!(!old_amounts.lock().unwrap().is_empty());
+    let new_amounts = Arc::new(Mutex::new(Vec::new()));
     config["discovery"] = after.addr.to_string().into();
-    config["counter"] = counter(Arc::clone(&then)).to_string().into();
+    config["counter"] = counter(Arc::clone(&new_amounts)).to_string().into();
     reload(&gateway, &config.to_string());
-    // The former watch is still open: it is left, and the list is taken anew.
+    // The former watch is still open: it is abandoned, and the full list is fetched.
     let (line, mut stream) = after.watch();
     assert!(!line.contains("stream"), "{line}");
     let list =
@@ -443,30 +446,30 @@
     stream.write_all(response_text(200, "Connection: close\r\n", &list).as_bytes()).unwrap();
     let start = Instant::now();
     for customer in 0.. {
-        assert!(start.elapsed() < TEST_TIMEOUT, "never at the new addresses");
+        assert!(start.elapsed() < TEST_TIMEOUT, "the new addresses are never used");
         assert_eq!(gateway.get(customer, 1).status(), 200);
-        if !got.lock().unwrap().is_empty() && !then.lock().unwrap().is_empty() {
+        if !got.lock().unwrap().is_empty() && !new_amounts.lock().unwrap().is_empty() {
             break;
         }
     }
 }
 
 #[test]
-fn sighup_with_a_broken_configuration_changes_nothing() {
+fn sighup_with_an_invalid_configuration_changes_nothing() {
     let (backend, _) = healthy_backend();
     let gateway = Gateway::new(&basic_config(&[backend]));
     reload(&gateway, "{\"name\": ");
-    let told = gateway.log.iter().find(|line| line.contains("SIGHUP")).expect("it is told");
-    assert!(told.contains("WARN"), "{told}");
+    let line = gateway.log.iter().find(|line| line.contains("SIGHUP")).expect("a log line");
+    assert!(line.contains("WARN"), "{line}");
     assert_eq!(gateway.get(1, 1).status(), 200);
 }
 
 #[test]
-fn strangers_and_long_messages_between_gateways_are_dropped() {
+fn unknown_senders_and_oversized_peer_messages_are_dropped() {
     let (backend, _) = healthy_backend();
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let at = {
-        // A port that was free a moment ago.
+        // A port that was just free.
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.local_addr().unwrap()
     };
@@ -488,12 +491,12 @@
     stranger.send_to(&ask(1), at).unwrap();
     peer.send_to(&[1; 300], at).unwrap();
     peer.send_to(&ask(2), at).unwrap();
-    let mut answer = [0; 300];
-    let (length, _) = peer.recv_from(&mut answer).expect("the known gateway is answered");
-    assert_eq!((length, answer[1]), (13, 2));
+    let mut response = [0; 300];
+    let (length, _) = peer.recv_from(&mut response).expect("the known gateway is answered");
+    assert_eq!((length, response[1]), (13, 2));
 }
 
-// ---- Operators --------------------------------------------------------------------------------------------
+// ---- Operator interface ----------------------------------------------------------------------------------
 
 #[test]
 fn operators_drain_and_resume() {
@@ -508,25 +511,25 @@
     assert_eq!(operator_request(at, "POST /admin/quiesce").status(), 200);
     assert!(!gateway.ready());
     assert_eq!(operator_request(at, "GET /admin/health").status(), 503);
-    // Whoever comes all the same is served and asked to go; the idle connection is closed in time.
-    let answer = gateway.get(2, 1);
-    assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
+    // New clients are still served, with `Connection: close`; the idle connection is closed in time.
+    let response = gateway.get(2, 1);
+    assert_eq!((response.status(), response.headers["connection"].as_str()), (200, "close"));
     assert!(read_message(&mut idle).is_none());
     assert!(start.elapsed() < Duration::from_secs(4), "{:?}", start.elapsed());
     assert_eq!(operator_request(at, "POST /admin/resume").status(), 200);
     assert!(gateway.ready());
     assert!(!gateway.get(3, 1).headers.contains_key("connection"));
-    // And SIGTERM ends it while it is drained.
+    // SIGTERM also ends it during a drain.
     assert_eq!(operator_request(at, "POST /admin/quiesce").status(), 200);
     gateway.signal("-TERM");
     assert!(gateway.child.wait().unwrap().success());
 }
 
 #[test]
-fn running_requests_outlast_a_drain() {
-    let (begun_to, begun) = channel();
+fn open_requests_complete_during_a_drain() {
+    let (begun_tx, begun) = channel();
     let addr = serve(move |_| {
-        let _ = begun_to.send(());
+        let _ = begun_tx.send(());
         std::thread::sleep(Duration::from_millis(2200));
         ServerAction::Respond(response_text(200, "", "done"))
     });
@@ -538,12 +541,12 @@
     open.get_mut().write_all(get_request(1, 1, 4000).as_bytes()).unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     assert_eq!(operator_request(at, "POST /admin/quiesce").status(), 200);
-    assert_eq!(read_message(&mut open).expect("an answer").body, b"done");
-    assert!(read_message(&mut open).is_none(), "it is closed after that");
+    assert_eq!(read_message(&mut open).expect("a response").body, b"done");
+    assert!(read_message(&mut open).is_none(), "the connection is closed after the response");
 }
 
 #[test]
-fn other_calls_of_operators_are_turned_down() {
+fn invalid_operator_requests_are_rejected() {
     let (backend, _) = healthy_backend();
     let gateway = Gateway::new(&config_with_operator(&[backend]));
     let at = gateway.operator();
@@ -552,16 +555,16 @@
     assert_eq!((wrong.status(), wrong.headers["allow"].as_str()), (405, "POST"));
     assert_eq!(operator_request(at, "POST /admin/health").status(), 405);
     assert!(gateway.ready());
-    // What operators may call, clients may not.
+    // The operator interface is not reachable on the client port.
     assert_eq!(
         gateway.request("POST /admin/quiesce HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").status(),
         404
     );
 }
 
-/// Neither clients that hold every place nor callers that say nothing keep an operator waiting.
+/// Neither clients at the connection limit nor silent operator connections block an operator.
 #[test]
-fn an_operator_is_heard_however_many_hang_on() {
+fn operator_requests_are_served_at_the_connection_limit() {
     let (backend, _) = healthy_backend();
     let mut config = config_with_operator(&[backend]);
     config["limits"]["sockets"] = 80.into();
@@ -572,15 +575,15 @@
     assert_eq!(operator_request(at, "GET /admin/health").status(), 200);
     for caller in &mut silent {
         caller.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        // Closed, with or without an error.
+        // The connection ends, with or without a response.
         assert!(caller.read_to_end(&mut Vec::new()).is_ok());
     }
 }
 
-// ---- A new version beside the old one ---------------------------------------------------------------------
+// ---- Upgrades --------------------------------------------------------------------------------------------
 
 #[test]
-fn a_second_process_takes_over_the_listener_and_loses_nothing() {
+fn new_process_takes_over_the_listener_without_losing_requests() {
     let (backend, _) = healthy_backend();
     let config = config_with_operator(&[backend]);
     let (listener, temporary) = (TcpListener::bind("127.0.0.1:0").unwrap(), new_temp_dir());
@@ -594,27 +597,27 @@
     wait_until_healthy(new.operator());
     old.signal("-TERM");
     let mut customer = 1;
-    let ended = loop {
+    let status = loop {
         assert_eq!(new.get(customer, 1).status(), 200, "a request while both run");
         customer += 1;
         if let Some(status) = old.child.try_wait().unwrap() {
             break status;
         }
         if customer == 4 {
-            // What clients kept open is served by the old process, which asks them to go.
+            // The old process still serves its open connections, with `Connection: close`.
             kept.get_mut().write_all(get_request(99, 1, 3000).as_bytes()).unwrap();
-            let answer = read_message(&mut kept).unwrap();
-            assert_eq!((answer.status(), answer.headers["connection"].as_str()), (200, "close"));
+            let response = read_message(&mut kept).unwrap();
+            assert_eq!((response.status(), response.headers["connection"].as_str()), (200, "close"));
         }
     };
-    assert!(ended.success());
+    assert!(status.success());
     assert!(start.elapsed() < TEST_TIMEOUT);
     assert_eq!(new.get(customer, 1).status(), 200, "the listener outlives the old process");
 }
 
-/// What the old process holds by itself passes to the new one when it ends, and not before.
+/// Addresses bound by the old process pass to the new one only when the old one ends.
 #[test]
-fn addresses_of_the_old_process_are_left_to_it_until_it_ends() {
+fn new_process_binds_the_other_addresses_when_the_old_one_ends() {
     let (backend, _) = healthy_backend();
     let (listener, temporary) = (TcpListener::bind("127.0.0.1:0").unwrap(), new_temp_dir());
     let mut config = config_with_operator(&[backend]);
@@ -633,7 +636,7 @@
     assert_eq!(new.operator(), at);
     wait_until_healthy(at);
     assert_eq!(new.get(1, 1).status(), 200);
-    // The new process hears the other gateways once it has the address: asked for a customer's room, it answers.
+    // Once bound, the new process answers another gateway's quota request.
     let mut ask = vec![1];
     ask.extend(5u64.to_le_bytes());
     ask.extend(7u64.to_le_bytes());
@@ -641,21 +644,21 @@
     ask.extend(1f32.to_le_bytes());
     peer.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
     let start = Instant::now();
-    let mut answer = [0; 300];
-    while peer.recv_from(&mut answer).is_err() {
+    let mut response = [0; 300];
+    while peer.recv_from(&mut response).is_err() {
         assert!(start.elapsed() < TEST_TIMEOUT, "never answered");
         peer.send_to(&ask, config["peer_listen"].as_str().unwrap()).unwrap();
     }
-    assert_eq!(answer[1], 5);
+    assert_eq!(response[1], 5);
 }
 
-/// Descriptors that a process holds.
+/// Number of a process's open descriptors.
 fn descriptors(child: &Child) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, Iterator::count)
 }
 
 #[test]
-fn two_processes_hold_no_more_descriptors_than_one_may() {
+fn two_processes_together_stay_within_the_descriptor_limit() {
     let backend = serve(|_| {
         std::thread::sleep(Duration::from_millis(300));
         ServerAction::Respond(response_text(200, "", "ok"))
@@ -664,7 +667,7 @@
     config["limits"]["sockets"] = 140.into();
     config["settings"]["categories"][0]["aim-ms"] = 3000.into();
     let (listener, temporary) = (TcpListener::bind("127.0.0.1:0").unwrap(), new_temp_dir());
-    // Left by processes that were ended: broken, of another time, too long.
+    // Records left by killed processes: truncated, outdated, too long.
     for (number, text) in
         ["{\"started", "{\"started_ms\":1,\"written_ms\":1,\"held\":900}", &"9".repeat(100_000)]
             .into_iter()
@@ -673,10 +676,10 @@
         std::fs::write(temporary.join(format!("heronstage-beside-1-{number}")), text).unwrap();
     }
     let old = Gateway::started(start_inheriting(&config, &listener, &temporary));
-    // Clients that take every place they get, each with a request at work.
+    // Clients that use every available connection, each with an open request.
     let mut hold = std::collections::VecDeque::new();
     let mut customers = 0..;
-    let mut come = |hold: &mut std::collections::VecDeque<_>, gateway: &Gateway| {
+    let mut add_client = |hold: &mut std::collections::VecDeque<_>, gateway: &Gateway| {
         let mut open = gateway.connect();
         let _ = open.get_mut().write_all(get_request(customers.next().unwrap(), 1, 3000).as_bytes());
         hold.push_back(open);
@@ -687,51 +690,52 @@
     };
     let start = Instant::now();
     while descriptors(&old.child) < 90 {
-        come(&mut hold, &old);
-        assert!(start.elapsed() < TEST_TIMEOUT, "never full");
+        add_client(&mut hold, &old);
+        assert!(start.elapsed() < TEST_TIMEOUT, "the connections are never used up");
     }
     let new = Gateway::started(start_inheriting(&config, &listener, &temporary));
     let at = new.operator();
-    let (both, mut most) = (Instant::now(), 0);
-    while both.elapsed() < Duration::from_secs(3) {
-        come(&mut hold, &new);
-        most = most.max(descriptors(&old.child) + descriptors(&new.child));
+    let (started, mut max_descriptors) = (Instant::now(), 0);
+    while started.elapsed() < Duration::from_secs(3) {
+        add_client(&mut hold, &new);
+        max_descriptors = max_descriptors.max(descriptors(&old.child) + descriptors(&new.child));
     }
-    assert!(most <= 140, "{most} descriptors");
+    assert!(max_descriptors <= 140, "{max_descriptors} descriptors");
     assert_eq!(operator_request(at, "GET /admin/health").status(), 200);
-    // With the other gone everything is there again.
+    // After the old process has ended all connections are available again.
     drop((hold, old));
     assert_eq!(new.get(1, 1).status(), 200);
     let (start, mut hold) = (Instant::now(), std::collections::VecDeque::new());
     while descriptors(&new.child) < 90 {
-        come(&mut hold, &new);
-        assert!(start.elapsed() < TEST_TIMEOUT, "its places are not back");
+        add_client(&mut hold, &new);
+        assert!(start.elapsed() < TEST_TIMEOUT, "the connections are not available again");
     }
 }
 
 #[test]
-fn an_inherited_descriptor_that_is_no_socket_is_told() {
+fn inherited_descriptor_that_is_no_socket_is_reported() {
     let path = write_config(&basic_config(&[refusing_address()]));
     let mut command = Command::new(env!("CARGO_BIN_EXE_heronstage"));
     command.env("RELAY_CONFIG", &path).env("RELAY_LISTEN_FD", "0").stdin(Stdio::null());
     let output = command.output().unwrap();
-    let told = String::from_utf8(output.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success());
-    assert!(told.contains("RELAY_LISTEN_FD") && told.trim_end().lines().count() == 1, "{told}");
+    assert!(stderr.contains("RELAY_LISTEN_FD") && stderr.trim_end().lines().count() == 1, "{stderr}");
 }
 
-// ---- Figures ----------------------------------------------------------------------------------------------
+// ---- Metrics ---------------------------------------------------------------------------------------------
 
-fn ended(class: &str, status: &str) -> String {
+/// Name of the counter of ended requests of a class and status.
+fn ended_metric(class: &str, status: &str) -> String {
     format!("relay_operations_total{{priority=\"{class}\",status=\"{status}\"}}")
 }
 
 #[test]
-fn figures_tell_what_became_of_requests() {
-    let (begun_to, begun) = channel();
+fn metrics_count_request_outcomes() {
+    let (begun_tx, begun) = channel();
     let (good, _) = healthy_backend();
-    let hush = serve(move |_| {
-        let _ = begun_to.send(());
+    let silent = serve(move |_| {
+        let _ = begun_tx.send(());
         ServerAction::HangUntilClosed(channel().0)
     });
     let full = serve(|_| ServerAction::Respond(response_text(503, "X-Turned-Away: 1\r\n", "")));
@@ -741,16 +745,16 @@
     let gateway = Gateway::new(&config);
     let at = gateway.operator();
     for status in ["fulfilled", "throttled", "faulted"] {
-        wait_for_stat(at, &ended("once", status), 0);
+        wait_for_stat(at, &ended_metric("once", status), 0);
     }
     wait_for_stat(at, "relay_registry_entries", 2);
     wait_for_stat(at, "relay_out_of_rotation", 0);
-    // Both backends get what never ran, if the full one is asked first; the customer's third is far over its
-    // quota, and the first two leave some of it: the counter rounds, so a quota used up to nothing may be passed.
+    // A request rejected by the full backend is retried on the other. The third request is far over the
+    // quota; the first two leave some of it, because the counter's rounding may let an exhausted quota pass.
     assert_eq!([2, 1, 4].map(|units| gateway.get(9, units).status()), [200, 200, 429]);
-    wait_for_stat(at, &ended("look", "fulfilled"), 2);
-    wait_for_stat(at, &ended("look", "throttled"), 1);
-    // No request of a class: nobody's figure.
+    wait_for_stat(at, &ended_metric("look", "fulfilled"), 2);
+    wait_for_stat(at, &ended_metric("look", "throttled"), 1);
+    // Invalid requests are not counted for a class.
     assert_eq!(gateway.request(&get_request(1, 1, 3000).replace("X-Txn", "X-Other")).status(), 400);
     let (_, mut watch) = discovery.watch();
     let change = |version: u64, servers: &[serde_json::Value]| {
@@ -758,7 +762,7 @@
     };
     send_discovery_line(
         &mut watch,
-        &change(8, &[entry(0, good, "Terminating"), entry(1, full, "Gone"), entry(2, hush, "Ready")]),
+        &change(8, &[entry(0, good, "Terminating"), entry(1, full, "Gone"), entry(2, silent, "Ready")]),
     );
     wait_for_stat(at, "relay_registry_entries", 2);
     wait_for_stat(at, "relay_out_of_rotation", 1);
@@ -768,7 +772,7 @@
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     wait_for_stat(at, "relay_open_requests", 1);
     assert_eq!(read_message(&mut open).unwrap().status(), 502);
-    wait_for_stat(at, &ended("once", "faulted"), 1);
+    wait_for_stat(at, &ended_metric("once", "faulted"), 1);
     wait_for_stat(at, "relay_open_requests", 0);
     std::fs::write(&gateway.path, "").unwrap();
     gateway.signal("-HUP");
@@ -777,11 +781,11 @@
     wait_for_stat(at, "relay_cfg_accepted_total", 1);
 }
 
-/// Each attempt written whole counts, one that found no connection does not.
+/// Attempts count once completely written; failed connections do not count.
 #[test]
-fn attempts_count_once_they_are_written() {
-    let turned = Arc::new(Mutex::new(0));
-    let seen = turned.clone();
+fn only_written_attempts_are_counted() {
+    let rejected = Arc::new(Mutex::new(0));
+    let seen = rejected.clone();
     let full = serve(move |_| {
         *seen.lock().unwrap() += 1;
         ServerAction::Respond(response_text(503, "X-Turned-Away: 1\r\n", ""))
@@ -792,24 +796,24 @@
     for customer in 0..3 {
         assert_eq!(gateway.get(customer, 1).status(), 200);
     }
-    let written = *turned.lock().unwrap() + got.lock().unwrap().len() as u64;
+    let written = *rejected.lock().unwrap() + got.lock().unwrap().len() as u64;
     wait_for_stat(at, "relay_relayed_total", written);
 }
 
-// ---- Settings that change ---------------------------------------------------------------------------------
+// ---- Changed settings ------------------------------------------------------------------------------------
 
 #[test]
-fn sighup_brings_other_settings_and_open_requests_keep_theirs() {
-    let (begun_to, begun) = channel();
-    let (go_on, goes_on) = channel::<()>();
-    let goes_on = Mutex::new(goes_on);
+fn sighup_applies_settings_and_open_requests_keep_theirs() {
+    let (begun_tx, begun) = channel();
+    let (resume_tx, resume_rx) = channel::<()>();
+    let resume_rx = Mutex::new(resume_rx);
     let count = Arc::new(Mutex::new(0));
     let seen = count.clone();
     let held = serve(move |m| {
         if m.first_line.contains("/once") {
             *seen.lock().unwrap() += 1;
-            let _ = begun_to.send(());
-            let _ = goes_on.lock().unwrap().recv_timeout(TEST_TIMEOUT);
+            let _ = begun_tx.send(());
+            let _ = resume_rx.lock().unwrap().recv_timeout(TEST_TIMEOUT);
             return ServerAction::RespondAndClose(String::new());
         }
         ServerAction::Respond(response_text(200, "", "ok"))
@@ -822,7 +826,7 @@
     let mut open = gateway.connect();
     open.get_mut().write_all(post_request("once", "", "x").as_bytes()).unwrap();
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
-    // `once` may be repeated from now on, `order` is gone and `new` is there, before the others.
+    // `once` becomes idempotent, `order` is removed, and `new` is added in front of the others.
     let classes = config["settings"]["categories"].as_array_mut().unwrap();
     let mut added = classes[0].clone();
     added["name"] = "new".into();
@@ -835,15 +839,15 @@
     assert_eq!(gateway.get(2, 1).status(), 200);
     assert_eq!(gateway.request(&post_request("order", IDEMPOTENCY_KEY_HEADER, "x")).status(), 404);
     assert_eq!(gateway.request(&post_request("once", "", "x")).status(), 405);
-    // The open one may have run and must not run again, as its class was.
-    go_on.send(()).unwrap();
+    // The open request may have run; its former class does not allow a retry.
+    resume_tx.send(()).unwrap();
     assert_eq!(read_message(&mut open).unwrap().status(), 502);
     assert_eq!(*count.lock().unwrap(), 1);
-    wait_for_stat(at, &ended("once", "faulted"), 1);
+    wait_for_stat(at, &ended_metric("once", "faulted"), 1);
 }
 
 #[test]
-fn broken_files_leave_the_settings_whole() {
+fn invalid_files_do_not_change_the_settings() {
     let (backend, _) = healthy_backend();
     let config = config_with_operator(&[backend]);
     let gateway = Gateway::new(&config);
@@ -861,7 +865,7 @@
         changed(&|_| {}) + "}",
         changed(&|c| drop(c.as_object_mut().unwrap().remove("settings"))),
         changed(&|c| drop(c["settings"].as_object_mut().unwrap().remove("balancers"))),
-        // Not needed by this program, but it was there before.
+        // This program does not use it, but it was set before.
         changed(&|c| drop(c["settings"]["rules"].as_object_mut().unwrap().remove("unread"))),
         changed(&|c| c["settings"]["categories"][1]["give-up-ms"] = 0.into()),
         changed(&|c| c["settings"]["categories"][1]["give-up-ms"] = (-5).into()),
@@ -881,14 +885,14 @@
     wait_for_stat(at, "relay_cfg_accepted_total", 1);
 }
 
-// ---- Room -------------------------------------------------------------------------------------------------
+// ---- Large bodies and memory -----------------------------------------------------------------------------
 
-/// Bytes that tell where they stand.
+/// Bytes that depend on their offset.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n / 251 + n) as u8).collect()
 }
 
-/// Reads a body in chunks, with whatever stands behind their sizes.
+/// Reads a chunked body; chunk extensions are ignored.
 fn read_chunks(from: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
@@ -905,14 +909,14 @@
     }
 }
 
-/// A backend that takes one request a connection, also in chunks, and hands it to the play.
-fn takes_all(play: impl Fn(Message, &mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Starts a backend that reads one request per connection, also a chunked one, and passes it to the handler.
+fn serve_one_per_connection(handler: impl Fn(Message, &mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let play = Arc::new(play);
+    let handler = Arc::new(handler);
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (mut stream, play) = (stream.unwrap(), play.clone());
+            let (mut stream, handler) = (stream.unwrap(), handler.clone());
             std::thread::spawn(move || {
                 let mut from = BufReader::new(stream.try_clone().unwrap());
                 let Some(mut message) = read_message(&mut from) else { return };
@@ -920,14 +924,15 @@
                     let Some(body) = read_chunks(&mut from) else { return };
                     message.body = body;
                 }
-                play(message, &mut stream);
+                handler(message, &mut stream);
             });
         }
     });
     addr
 }
 
-fn body_of(length: usize, framing: &str) -> Vec<u8> {
+/// A request with a body of this length and framing.
+fn request_with_body(length: usize, framing: &str) -> Vec<u8> {
     let head = post_request("once", "", "").replace("Content-Length: 0\r\n", framing);
     let mut text = head.into_bytes();
     if framing.starts_with("Content-Length") {
@@ -945,9 +950,10 @@
 
 #[test]
 fn large_bodies_reach_the_backend_unchanged() {
-    let addr = takes_all(|message, stream| {
-        let same = message.body == pattern(message.body.len());
-        let text = response_text(200, "Connection: close\r\n", &format!("{} {same}", message.body.len()));
+    let addr = serve_one_per_connection(|message, stream| {
+        let unchanged = message.body == pattern(message.body.len());
+        let text =
+            response_text(200, "Connection: close\r\n", &format!("{} {unchanged}", message.body.len()));
         stream.write_all(text.as_bytes()).unwrap();
     });
     let gateway = Gateway::new(&basic_config(&[addr]));
@@ -955,19 +961,19 @@
         for framing in [format!("Content-Length: {length}\r\n"), "Transfer-Encoding: chunked\r\n".to_owned()]
         {
             let mut open = gateway.connect();
-            open.get_mut().write_all(&body_of(length, &framing)).unwrap();
-            let answer = read_message(&mut open).expect("an answer");
-            let told = (answer.status(), String::from_utf8(answer.body).unwrap());
-            assert_eq!(told, (200, format!("{length} true")), "{framing}");
+            open.get_mut().write_all(&request_with_body(length, &framing)).unwrap();
+            let response = read_message(&mut open).expect("a response");
+            let response = (response.status(), String::from_utf8(response.body).unwrap());
+            assert_eq!(response, (200, format!("{length} true")), "{framing}");
         }
     }
 }
 
-/// Each way in which an answer may be framed, in small pieces and large ones.
+/// Covers each framing of a response body.
 #[test]
-fn large_answers_reach_the_client_unchanged() {
+fn large_responses_reach_the_client_unchanged() {
     const LENGTH: usize = 3_000_000;
-    let addr = takes_all(|message, stream| {
+    let addr = serve_one_per_connection(|message, stream| {
         let body = pattern(LENGTH);
         let framing = message.first_line.split("form=").nth(1).unwrap().split(' ').next().unwrap().to_owned();
         let head = match framing.as_str() {
@@ -997,8 +1003,8 @@
         let mut open = gateway.connect();
         let text = get_request(1, 1, 3000).replace(" HTTP/1.1", &format!("&form={form} HTTP/1.1"));
         open.get_mut().write_all(text.as_bytes()).unwrap();
-        let mut answer = Message::default();
-        open.read_line(&mut answer.first_line).unwrap();
+        let mut response = Message::default();
+        open.read_line(&mut response.first_line).unwrap();
         let mut line = String::new();
         let mut chunked = false;
         while open.read_line(&mut line).unwrap() > 2 {
@@ -1012,22 +1018,22 @@
             open.read_exact(&mut body).unwrap();
             body
         };
-        assert_eq!(answer.status(), 200, "{form}");
+        assert_eq!(response.status(), 200, "{form}");
         assert!(body == pattern(LENGTH), "{form}");
-        wait_for_stat(at, &ended("look", "fulfilled"), number as u64 + 1);
+        wait_for_stat(at, &ended_metric("look", "fulfilled"), number as u64 + 1);
     }
     wait_for_stat(at, "relay_open_requests", 0);
 }
 
-/// The first bytes of a large answer are passed on while the rest is still to come, past its deadline too.
+/// A large response is forwarded as it arrives, also past the request's deadline.
 #[test]
-fn a_large_answer_is_passed_on_as_it_comes_and_not_cut_at_its_deadline() {
-    let (go_on, goes_on) = channel::<()>();
-    let goes_on = Mutex::new(goes_on);
-    let addr = takes_all(move |_, stream| {
+fn large_response_is_streamed_past_the_deadline() {
+    let (resume_tx, resume_rx) = channel::<()>();
+    let resume_rx = Mutex::new(resume_rx);
+    let addr = serve_one_per_connection(move |_, stream| {
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n").unwrap();
         stream.write_all(&pattern(100_000)[..10]).unwrap();
-        let _ = goes_on.lock().unwrap().recv_timeout(TEST_TIMEOUT);
+        let _ = resume_rx.lock().unwrap().recv_timeout(TEST_TIMEOUT);
         stream.write_all(&pattern(100_000)[10..]).unwrap();
     });
     let gateway = Gateway::new(&basic_config(&[addr]));
@@ -1040,14 +1046,14 @@
     let mut body = vec![0; 100_000];
     open.read_exact(&mut body[..10]).unwrap();
     std::thread::sleep(Duration::from_millis(900));
-    go_on.send(()).unwrap();
+    resume_tx.send(()).unwrap();
     open.read_exact(&mut body[10..]).unwrap();
     assert!(body == pattern(100_000));
 }
 
 #[test]
-fn a_large_answer_that_breaks_is_seen_to_be_broken() {
-    let addr = takes_all(|_, stream| {
+fn truncated_large_response_is_visible_to_the_client() {
+    let addr = serve_one_per_connection(|_, stream| {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n").unwrap();
         stream.write_all(&pattern(100_000)).unwrap();
     });
@@ -1059,40 +1065,40 @@
     while open.read_line(&mut line).unwrap() > 2 {
         line.clear();
     }
-    assert!(read_chunks(&mut open).is_none(), "its end must be missing");
-    wait_for_stat(at, &ended("look", "faulted"), 1);
+    assert!(read_chunks(&mut open).is_none(), "the final chunk must be missing");
+    wait_for_stat(at, &ended_metric("look", "faulted"), 1);
 }
 
-/// A client may go at 64 kB a second, for longer than a whole request once had.
+/// A client may send at a low rate for longer than the timeout of a small body.
 #[test]
-fn a_slow_body_is_waited_for_and_a_stalled_one_is_not() {
-    let addr = takes_all(|message, stream| {
+fn slow_body_is_accepted_and_stalled_body_is_rejected() {
+    let addr = serve_one_per_connection(|message, stream| {
         let text = response_text(200, "Connection: close\r\n", &message.body.len().to_string());
         stream.write_all(text.as_bytes()).unwrap();
     });
     let gateway = Gateway::new(&basic_config(&[addr]));
     let mut slow = gateway.connect();
-    let text = body_of(400_000, "Content-Length: 400000\r\n");
+    let text = request_with_body(400_000, "Content-Length: 400000\r\n");
     for piece in text.chunks(9_600) {
         slow.get_mut().write_all(piece).unwrap();
         std::thread::sleep(Duration::from_millis(95));
     }
-    let answer = read_message(&mut slow).expect("an answer");
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"400000"[..]));
+    let response = read_message(&mut slow).expect("a response");
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"400000"[..]));
     let mut stalled = gateway.connect();
     stalled.get_mut().write_all(&text[..200_000]).unwrap();
-    let answer = read_message(&mut stalled).expect("an answer");
-    assert_eq!(answer.status(), 408);
+    let response = read_message(&mut stalled).expect("a response");
+    assert_eq!(response.status(), 408);
 }
 
-/// A large body is gone once a part of it was sent on; before that another backend may have it.
+/// A streamed body can be retried only before a part of it was sent.
 #[test]
-fn a_large_body_goes_to_another_backend_only_before_it_is_sent() {
-    let addr = takes_all(|message, stream| {
+fn streamed_body_is_retried_only_before_it_is_sent() {
+    let addr = serve_one_per_connection(|message, stream| {
         let text = response_text(200, "Connection: close\r\n", &message.body.len().to_string());
         stream.write_all(text.as_bytes()).unwrap();
     });
-    let text = body_of(5_000_000, "Content-Length: 5000000\r\n");
+    let text = request_with_body(5_000_000, "Content-Length: 5000000\r\n");
     for _ in 0..3 {
         let gateway = Gateway::new(&basic_config(&[refusing_address(), addr]));
         let mut open = gateway.connect();
@@ -1113,16 +1119,16 @@
     let gateway = Gateway::new(&basic_config(&[breaks, breaks]));
     let mut open = gateway.connect();
     open.get_mut().write_all(&text).unwrap();
-    // It never ran: the client may try again.
+    // It was not executed: the client may retry.
     assert_eq!(read_message(&mut open).unwrap().status(), 429);
     assert_eq!(*count.lock().unwrap(), 1);
 }
 
-/// Clients that read nothing of large answers must not fill the memory.
+/// Clients that do not read large responses must not exhaust the memory.
 #[test]
-fn many_large_answers_stay_within_their_part_of_memory() {
+fn large_responses_stay_within_the_memory_limit() {
     const LENGTH: usize = 16_000_000;
-    let addr = takes_all(|_, stream| {
+    let addr = serve_one_per_connection(|_, stream| {
         let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n").as_bytes());
         let body = vec![7; 1_000_000];
         while stream.write_all(&body).is_ok() {}
