--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::config;
 use crate::figures::{count, gauge};
-use crate::server::Drains;
+use crate::server::DrainWatch;
 use crate::status;
 use cherrytally::membership::{Action, Event, Membership, State, View, DATAGRAM_MOST, DROPPED};
 use cherrytally::plane::driver::Driver;
@@ -169,7 +169,7 @@
     seed: u64,
     /// Another process of this gateway may hold the address.
     shared: bool,
-    drains: Drains,
+    drains: DrainWatch,
     config: RefCell<Option<config::Cluster>>,
     member: RefCell<Option<Rc<Member>>>,
     tasks: RefCell<Vec<AbortHandle>>,
@@ -177,7 +177,7 @@
 
 impl Cluster {
     /// Of no cluster as yet.
-    pub fn new(driver: Rc<Driver>, seed: u64, shared: bool, drains: Drains) -> Rc<Self> {
+    pub fn new(driver: Rc<Driver>, seed: u64, shared: bool, drains: DrainWatch) -> Rc<Self> {
         let (config, member, tasks) = Default::default();
         Rc::new(Cluster { driver, seed, shared, drains, config, member, tasks })
     }
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -156,10 +156,10 @@
     let customer_names = logs::Names::new(config.logs.customers);
     let server =
         Server::new(driver.clone(), tables, figures.clone(), customer_names, budget, client_permits.clone());
-    let cluster = Cluster::new(driver.clone(), config.seed, shared, server.drains());
+    let cluster = Cluster::new(driver.clone(), config.seed, shared, server.watch_drain());
     let cluster_change = cluster.prepare(config.cluster.clone())?;
     let (name, descriptors) = (config.name.clone(), config.sockets);
-    let reloads = Reloads { source, config: config.into(), places: places_sender, figures: figures.clone() };
+    let reloads = Reloader { source, config: config.into(), places: places_sender, figures: figures.clone() };
     let desk = Rc::new(Desk {
         server: server.clone(),
         cluster: cluster.clone(),
@@ -229,7 +229,7 @@
 }
 
 /// Reloads the configuration. An invalid one changes nothing.
-pub struct Reloads {
+pub struct Reloader {
     source: Source,
     /// The configuration applied last.
     config: RefCell<Config>,
@@ -237,9 +237,9 @@
     figures: Rc<Figures>,
 }
 
-impl Reloads {
+impl Reloader {
     /// The current log settings.
-    pub fn logs(&self) -> Logs {
+    pub fn log_settings(&self) -> Logs {
         self.config.borrow().logs.clone()
     }
 
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -3,7 +3,7 @@
 use crate::cluster::Cluster;
 use crate::config::Changes;
 use crate::figures::{Figures, Present};
-use crate::gateway::Reloads;
+use crate::gateway::Reloader;
 use crate::logs::{self, Log};
 use crate::server::Server;
 use crate::status::{Process, Servers, Status};
@@ -38,7 +38,7 @@
 
 /// What operators are told of, and may change.
 pub struct Desk {
-    pub reloads: Reloads,
+    pub reloads: Reloader,
     pub server: Rc<Server>,
     pub cluster: Rc<Cluster>,
     pub figures: Rc<Figures>,
@@ -55,7 +55,7 @@
     pub fn reload(&self) -> Result<Changes, String> {
         let changes = self.reloads.reload(&self.server, &self.cluster)?;
         if changes.keys.iter().any(|key| key.starts_with("logs")) {
-            self.log.set(logs::targets(&self.reloads.logs()));
+            self.log.set(logs::targets(&self.reloads.log_settings()));
         }
         Ok(changes)
     }
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -91,9 +91,9 @@
 
 /// Reports changes of the drain state.
 #[derive(Clone)]
-pub struct Drains(watch::Receiver<Drain>);
+pub struct DrainWatch(watch::Receiver<Drain>);
 
-impl Drains {
+impl DrainWatch {
     /// Whether the gateway is draining.
     pub fn draining(&mut self) -> bool {
         self.0.borrow_and_update().closes_at().is_some()
@@ -352,8 +352,8 @@
     }
 
     /// Subscribes to changes of the drain state.
-    pub fn drains(&self) -> Drains {
-        Drains(self.drain.subscribe())
+    pub fn watch_drain(&self) -> DrainWatch {
+        DrainWatch(self.drain.subscribe())
     }
 
     /// Starts a drain: the gateway is not ready, responses carry `Connection: close`, and idle connections
