--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -54,7 +54,7 @@
             return self.grant(now, id, actions);
         }
         let trusted = self.counter.is_trusted();
-        // If the counter can't take all calls, plans that lose by requests over their quota have priority.
+        // Without peers, plans whose requests over quota earn no more than they cost get the last calls.
         let peers = self.settings.limits.peers;
         let may_call = self.take_call(now, peers || plan.excess_worth > plan.excess_cost);
         let customer = self.customers.get_mut(&customer_id).expect("refreshed above");
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Refuses a request over its quota, unless sending it pays for the plan and there is spare capacity.
+    /// Refuses a request over its quota, unless it earns more than it costs and there is spare capacity.
     pub(super) fn handle_over_quota(&mut self, now: Millis, id: RequestId, actions: &mut Vec<Action>) {
         let unseen_share = (1.0 - CERTAIN_GATEWAYS / self.gateway_count(now)).max(0.0);
         let Some(pool) = self.requests.get(&id).map(|open| open.request.pool) else { return };
--- a/src/choice/attempts.rs
+++ b/src/choice/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request, and its final answer if no further attempt is possible.
+//! Attempts of a request, and its final response if no further attempt is possible.
 
 use super::tuned::*;
 use super::Gateway;
@@ -97,7 +97,7 @@
         self.update_load(now, pool, 1.0, 0.0);
     }
 
-    /// The backend is done: what follows depends on the client and the network only.
+    /// A streamed response has started. The rest of it depends on the client and the network only.
     pub(super) fn handle_response_start(&mut self, now: Millis, id: RequestId, number: u8) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         open.streaming = true;
@@ -161,7 +161,7 @@
         let idempotency = self.settings.classes[class].idempotency;
         let worthwhile = self.settings.classes[class].late_worth > 0.0
             || now + self.classes[class].mean_ms < open.target_deadline;
-        // Under a configured retry limit, a request that the backend rejected counts as a retry too.
+        // A configured retry budget is charged for retries of rejected attempts too.
         let free = match self.settings.rules.retry_budget {
             Some(_) => matches!(result, CallResult::ConnectFailed | CallResult::NotSent),
             None => result.never_ran(),
--- a/src/choice/tuned.rs
+++ b/src/choice/tuned.rs
@@ -64,11 +64,11 @@
 /// Cost of a backend outside the subset, and reduction for one with a warm-up token, in mean latencies.
 pub(super) const OUTSIDE_SUBSET_COST: f64 = 1.0;
 pub(super) const WARM_UP_BONUS: f64 = 1.0;
-/// Points of consecutive failures at which a backend is ejected. The network may cause resets too.
+/// Points of consecutive failures at which a backend is ejected. Resets get fewer: the network may cause one.
 pub(super) const EJECTION_POINTS: u32 = 4;
 pub(super) const FAILURE_POINTS: u32 = 2;
 pub(super) const RESET_POINTS: u32 = 1;
-/// First ejection time; doubles with each failed trial, up to 32 times.
+/// First ejection time; doubles with each failed trial, up to 32-fold.
 pub(super) const EJECTION_MS: f64 = 500.0;
 /// Weight of one response in a backend's error rate, and time constant of its decay without responses.
 pub(super) const ERROR_RATE_GAIN: f64 = 0.3;
@@ -78,7 +78,7 @@
 pub(super) const UNSAFE_ERROR_COST: f64 = 10.0;
 /// An attempt whose late response earns nothing times out this long, and two ticks, before its target.
 pub(super) const TARGET_MARGIN_MS: f64 = 4.0;
-/// A backend that rejected a request is avoided for its plan this long, or until about this many requests.
+/// A backend that rejected a request is avoided for the request's plan; the longer of these two applies.
 pub(super) const FULL_MS: f64 = 200.0;
 pub(super) const FULL_REQUESTS: f64 = 20.0;
 /// Retry tokens earned by each first attempt.
@@ -96,7 +96,7 @@
 pub(super) const REQUEST_RATE_MS: f64 = 5000.0;
 pub(super) const MIN_REQUEST_RATE_AGE_MS: f64 = 1000.0;
 pub(super) const MIN_COUNT_READ_INTERVAL_MS: f64 = 100.0;
-/// Raises an expected latency from few responses, for requests over quota and if there are more gateways.
+/// Largest relative increase of a latency estimate over quota; 0 with many responses or this few gateways.
 pub(super) const UNCERTAINTY: f64 = 0.75;
 pub(super) const CERTAIN_GATEWAYS: f64 = 10.0;
 /// No request over its quota is sent for this long after a refusal for lack of capacity.
@@ -109,6 +109,6 @@
 pub(super) const TICK_MS: f64 = 1000.0;
 
 pub(super) const TOKEN_TICK: u64 = 0;
-/// Set in the token of a request's wait for the counter or a peer; the request's number is in the rest.
+/// Set in the token of a request's wait for the counter or a peer; the other bits are the request's id.
 pub(super) const TOKEN_WAIT: u64 = 1 << 60;
 pub(super) const TOKEN_ID_MASK: u64 = (1 << 60) - 1;
--- a/src/custody/custodian.rs
+++ b/src/custody/custodian.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes over a request of another gateway, starting with a read of its replicas.
+    /// Takes over a request of another gateway, starting with a read of the request's replicas.
     pub fn take_over(quorum: Quorum, process: ProcessId, actions: &mut Vec<Action>) -> Coordinator {
         let term = Term { round: 1, process };
         let mut coordinator = Coordinator { term, ..Coordinator::first_owner(quorum, process) };
--- a/src/custody/keeper.rs
+++ b/src/custody/keeper.rs
@@ -12,7 +12,7 @@
     pub max_records: usize,
     /// Maximum total size of stored responses.
     pub max_response_bytes: usize,
-    /// Lifetime of a record, longer than any client may take to come back. A restarted replica has lost its
+    /// Lifetime of a record, longer than any client may take to retry. A restarted replica has lost its
     /// promises and doesn't vote for this long.
     pub lifetime_ms: f64,
 }
@@ -141,7 +141,7 @@
     }
 }
 
-/// Accepts a claim of the last reader, or of the first owner if there was no other owner or reader.
+/// Accepts a claim under the promised term, or of the first owner if the record is still empty.
 fn accept_claim(record: &mut Record, term: Term, claim: Claim) -> Reply {
     let is_new = *record == Record::default();
     if !(term == record.promised && !is_new || term.round == 0 && is_new) {
--- a/src/custody/mod.rs
+++ b/src/custody/mod.rs
@@ -83,7 +83,7 @@
 /// State of a request at one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// Claims under an earlier term are rejected.
+    /// Term of the last read or accepted claim. Claims under any other term are rejected.
     pub promised: Term,
     /// Attempts, ordered by term and number.
     pub attempts: Vec<Attempt>,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -47,7 +47,7 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Latency target: a response within it earns the full worth, in ms.
+    /// Latency target, in ms: a response within it earns the full worth.
     pub target_ms: f64,
     /// The client's total wait, including its retries, in ms.
     pub deadline_ms: f64,
@@ -164,9 +164,9 @@
     pub warm_up_ms: f64,
     /// Time within which attempts to a draining or removed backend must have ended, in ms.
     pub drain_grace_ms: f64,
-    /// A cold backend fails under a load of this multiple of its current capacity ...
+    /// Load under which a cold backend fails, as a multiple of its current capacity.
     pub overload_multiple: f64,
-    /// ... that lasts this long, in ms.
+    /// How long that load must last for the backend to fail, in ms.
     pub overload_ms: f64,
     /// Maximum interval between two polls of the backend list, in ms.
     pub max_poll_interval_ms: f64,
@@ -183,7 +183,7 @@
 pub struct RetryBudget {
     /// Retries allowed for each first attempt.
     pub ratio: f64,
-    /// Maximum of unused retries that are kept.
+    /// Maximum number of unused retries that accumulate.
     pub burst: f64,
 }
 
@@ -237,11 +237,11 @@
     pub pool: u32,
     /// Extra cost of sending to it, for example to a remote region, in multiples of the usual service time.
     pub distance_cost: f64,
-    /// Until then it is sent no more than `cold_per_s`; 0 for no such limit.
+    /// Until this time it is sent at most `cold_per_s`; 0 for no such limit.
     pub cold_until: Millis,
     /// This gateway's part of the requests a second that it can take while cold.
     pub cold_per_s: f64,
-    /// Until then this gateway sends it at most `limit` attempts in any second; 0 for no such limit.
+    /// Until this time this gateway sends it at most `limit` attempts in any second; 0 for no such limit.
     pub limited_until: Millis,
     /// Maximum attempts a second; with 0 it gets none.
     pub limit: u32,
@@ -294,7 +294,7 @@
     Rejected,
     /// No response in time; may have been executed.
     Timeout,
-    /// No connection could be opened; not executed.
+    /// No connection could be opened, or too little of the request was written to start it; not executed.
     ConnectFailed,
     /// The connection broke; may have been executed.
     Reset,
@@ -385,7 +385,7 @@
     },
     /// An attempt ended.
     Outcome(Outcome),
-    /// The client disconnected and needs no response.
+    /// The request needs no response from the module any more, for example because the client disconnected.
     ClientGone {
         /// The request.
         id: RequestId,
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -98,7 +98,7 @@
         self.start_sync(now, &candidates, actions);
     }
 
-    /// Starts a sync with whichever of these members answers first.
+    /// Starts a sync with the first of these members to answer.
     pub(super) fn start_sync(&mut self, now: Millis, candidates: &[SocketAddrV4], actions: &mut Vec<Action>) {
         if candidates.is_empty() {
             return;
@@ -171,6 +171,7 @@
     }
 
     /// While the name is contested: pings the other process, and syncs with a member that may know of it.
+    /// Takes the name over at the end of the contest.
     pub(super) fn contest_name(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let LocalStatus::Contested(rival, until) = self.status.clone() else { return };
         if now >= until {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -105,7 +105,7 @@
 pub enum State {
     /// Present.
     Alive,
-    /// Present, but at least one member's probe failed.
+    /// Present, but a probe of it by at least one member failed.
     Suspect,
     /// Declared failed.
     Down,
@@ -413,7 +413,7 @@
             }
             Event::Leave => self.leave(actions),
         }
-        // Updates queued later are sent at once, and that timer does not count as late.
+        // An update queued after a quiet time is sent at once, and its timer does not count as late.
         self.gossip_at = self.gossip_at.max(now);
         let present = (matches!(self.status, LocalStatus::Member)).then(|| (self.present(), self.majority()));
         if self.reported != present {
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -292,8 +292,8 @@
                 )));
             }
         } else if record.identity.rank() < self.local.rank() {
-            // A predecessor or a process of lower rank: gossip tells members that list it as present of this
-            // one.
+            // A predecessor or a process of lower rank: members that list it as present learn of this
+            // process by gossip.
             if record.state.present() {
                 let name = self.local.name.clone();
                 self.updates.push(&name);
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -43,7 +43,7 @@
     Namesake,
     /// Over the rate limit of its sender or of all senders.
     Flood,
-    /// An answer that matches no request, or any datagram after this process left the cluster.
+    /// An answer that matches no request, or any datagram once this process has left or is displaced.
     Unsolicited,
     /// Describes a new member while the table is full.
     Full,
@@ -69,11 +69,11 @@
 pub enum Body {
     /// Direct probe.
     Ping,
-    /// Answers the ping or indirect ping with the same sequence number.
+    /// Answers the ping or ping request with the same sequence number.
     Ack,
     /// Asks the receiver to probe the target for the sender.
     PingReq { target: Name },
-    /// Tells the sender of an indirect ping that the target has not answered yet.
+    /// Tells the sender of a ping request that the target has not answered yet.
     Nack,
     /// Requests records of members with names after `after`; `known` counts the other members that the sender
     /// lists as present.
--- a/src/plane/backends.rs
+++ b/src/plane/backends.rs
@@ -93,7 +93,7 @@
     pub head: Head,
     /// The body and its memory reservation; none if it was streamed.
     pub body: Option<(Bytes, MemoryReservation)>,
-    /// Time to the first body bytes if streamed, otherwise to the last ones.
+    /// Time from the end of the request to the first body bytes if streamed, otherwise to the last ones.
     pub took: Duration,
 }
 
--- a/src/plane/deadline.rs
+++ b/src/plane/deadline.rs
@@ -13,7 +13,7 @@
 /// The timeout and the absolute deadline given by a client; at least one is present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientDeadline {
-    /// Timeout that starts when the last byte of the request was sent.
+    /// Timeout that starts when the last byte of the request is received.
     timeout: Option<Duration>,
     /// Absolute deadline, independent of when the request was received.
     absolute: Option<Instant>,
@@ -24,7 +24,7 @@
 pub struct Deadline(Instant);
 
 impl ClientDeadline {
-    /// A timeout that starts when the last byte of the request was sent, capped at the maximum.
+    /// A timeout that starts when the last byte of the request is received, capped at the maximum.
     pub fn from_timeout(timeout: Duration) -> Self {
         ClientDeadline { timeout: Some(timeout.min(MAX_TIMEOUT)), absolute: None }
     }
@@ -91,7 +91,7 @@
         self.0.saturating_duration_since(now)
     }
 
-    /// Whether less time is left than any response needs.
+    /// Whether less than the network margin is left, too little for any response.
     pub fn expired(self, now: Instant) -> bool {
         self.remaining(now) < NETWORK_MARGIN
     }
--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -312,7 +312,7 @@
     deadline: Option<Instant>,
     budget: Duration,
     client_deadline: Option<Instant>,
-    /// Senders that cancel the attempts, by attempt number; none if it has ended.
+    /// Senders that cancel the attempts, by attempt number; none for an attempt that has ended.
     attempts: Vec<Option<oneshot::Sender<()>>>,
     max_attempts: usize,
     /// A backend's error response, forwarded if no attempt succeeds.
@@ -648,8 +648,8 @@
         self.discovery_synced.set(true);
     }
 
-    /// True once requests can be served: discovery is up to date or has not responded for a second, and a
-    /// backend is ready.
+    /// True once requests can be served: a backend is ready, and discovery is up to date or a second has
+    /// passed since the start.
     pub fn ready(&self) -> bool {
         let list_usable = self.discovery_synced.get() || self.started.elapsed() > MAX_DISCOVERY_WAIT;
         list_usable && self.inner.borrow().listed.values().any(|backend| backend.state == BackendState::Ready)
--- a/src/plane/room.rs
+++ b/src/plane/room.rs
@@ -69,7 +69,7 @@
     TooLarge,
     /// The connection was closed, or the framing is invalid.
     Broken,
-    /// It is slower than the minimum transfer rate.
+    /// It is slower than the minimum transfer rate, or the client's absolute deadline passed.
     Slow,
 }
 
@@ -92,7 +92,7 @@
         Upload { body, received: 0, started: Instant::now(), grace_until, deadline }
     }
 
-    /// Total size, if the head gives it.
+    /// Total size, if the head gives it. Valid only before the first bytes are received.
     pub fn size(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -162,7 +162,7 @@
     /// Its latency relative to the mean of the backends.
     pub(crate) relative_latency: f64,
     pub(crate) latency_at: Millis,
-    /// Last response while attempts were in flight.
+    /// Time of the last success or rejection, or of the first request since none was in flight, if later.
     pub(crate) last_response_at: Millis,
     /// Sum of the points of consecutive failures; at `EJECTION_POINTS` it is ejected.
     pub(crate) failure_points: u32,
