--- a/overland/src/agreement/letter.rs
+++ b/overland/src/agreement/letter.rs
@@ -81,16 +81,16 @@
     /// Answers `AppendEntries`, and a snapshot once it is installed.
     #[prost(message, tag = "4")]
     AppendResponse(AppendResponse),
-    /// A snapshot that fits one message, for a follower that the log no longer reaches back to.
+    /// A snapshot that fits one chunk, for a follower that lacks entries no longer retained.
     #[prost(message, tag = "5")]
     InstallSnapshot(InstallSnapshot),
     /// Leadership transfer: the leader of this term asks the receiver to start an election at once.
     #[prost(uint64, tag = "6")]
     TimeoutNow(u64),
-    /// A chunk of a snapshot that is too large for one message.
+    /// One of several chunks of a snapshot.
     #[prost(message, tag = "11")]
     SnapshotChunk(SnapshotChunk),
-    /// Answers a chunk of a snapshot that is not complete yet.
+    /// Answers a chunk that does not complete the snapshot.
     #[prost(message, tag = "12")]
     ChunkResponse(ChunkResponse),
 }
@@ -148,13 +148,14 @@
     /// The leader's commit index.
     #[prost(uint64, tag = "5")]
     pub commit: u64,
-    /// A receiver that lost its disk may vote and count toward quorums again once it holds all of this.
+    /// A receiver that lost its disk may vote and count toward quorums again once its commit index reaches
+    /// `commit`.
     #[prost(bool, tag = "6")]
     pub grants_voting: bool,
     /// When it was sent, by the leader's clock, in ms.
     #[prost(double, tag = "7")]
     pub sent_at: f64,
-    /// A receiver that is shutting down may stop: the members do not need it any more.
+    /// A receiver that is shutting down may stop: it is no longer needed.
     #[prost(bool, tag = "8")]
     pub released: bool,
     /// Time since the leader last heard from the receiver, in ms; 0 from earlier releases.
@@ -184,7 +185,7 @@
     /// The follower is shutting down and asks whether it may stop.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
-    /// Number of gateway agents that the follower hears; 0 from earlier releases.
+    /// Number of gateway agents that recently reported to the follower; 0 from earlier releases.
     #[prost(uint32, tag = "7")]
     pub reachable_agents: u32,
     /// The newest entry format that the follower reads: [`MAX_ENTRY_VERSION`].
@@ -250,7 +251,7 @@
     pub sent_at: f64,
 }
 
-/// The response to a chunk of a snapshot that is not complete yet, or was rejected.
+/// The response to a chunk that does not complete the snapshot, is rejected, or has an earlier term.
 #[derive(Clone, PartialEq, Message)]
 pub struct ChunkResponse {
     /// The follower's term.
--- a/overland/src/agreement/members.rs
+++ b/overland/src/agreement/members.rs
@@ -18,11 +18,12 @@
 /// election timeout, so a change of leader alone replaces nobody.
 pub(super) const SUSPECT_AFTER_MS: Millis = 1500.0;
 /// A member silent for this long is removed without a replacement where that helps the remaining ones; a
-/// learner is forgotten. More than twice the smallest `catch_up`, so that a restarting member is not removed.
+/// learner silent for this long is dropped. More than twice the smallest `catch_up`, so that a restarting
+/// member is not removed.
 const REMOVE_AFTER_MS: Millis = 9000.0;
-/// A learner can become a member if it was heard within this time: three heartbeats.
+/// A learner can become a member if it sent something within this time: three heartbeats and 50 ms.
 pub(super) const RECENTLY_HEARD_MS: Millis = 350.0;
-/// Time after which a new leader has heard from every learner: they repeat their requests each 500 ms.
+/// Time after which a new leader knows every learner: learners repeat their requests every 500 ms.
 const LEARNERS_KNOWN_AFTER_MS: Millis = 1000.0;
 /// Seven members tolerate three losses; more would only add replicas to wait for.
 const MAX_MEMBERS: usize = 7;
@@ -80,7 +81,7 @@
 /// The state of the membership as the leader sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipStatus {
-    /// Members that were not heard recently.
+    /// Members silent for more than 1.5 s.
     pub missing: Vec<Name>,
     /// Members that lost their disk and don't count toward quorums until they have caught up.
     pub catching_up: Vec<Name>,
@@ -91,7 +92,7 @@
 }
 
 impl RaftNode {
-    /// The members by its own log; during joint consensus, the union of both lists.
+    /// The members by this process's log; during joint consensus, the union of both lists.
     pub fn members(&self) -> &[Name] {
         &self.membership.all
     }
@@ -101,14 +102,14 @@
         self.membership.incoming.is_some()
     }
 
-    /// Whether messages from `name` are processed: from members, learners and the current leader, and from
-    /// anybody while it is not a member or has no leader, as its list of members may then be out of date.
+    /// Whether messages from `name` are processed: those of members, learners and the current leader, and of
+    /// anybody while this process is not a member or has no leader, as its member list may be out of date.
     pub fn accepts_messages_from(&self, name: &Name) -> bool {
         let learner = matches!(&self.role, Role::Leader(leader) if leader.learners.contains_key(name));
         self.needs_to_join() || learner || self.leader() == Some(name) || self.members().contains(name)
     }
 
-    /// Number of learners; 0 unless it leads.
+    /// Number of learners; 0 unless this process leads.
     pub fn learner_count(&self) -> usize {
         match &self.role {
             Role::Leader(leader) => leader.learners.len(),
@@ -116,20 +117,20 @@
         }
     }
 
-    /// Whether it should ask to become a member: it is none, or may have been removed without hearing of it.
+    /// Whether this process should ask to become a member: it is not one, or may have been removed unnoticed.
     pub fn needs_to_join(&self) -> bool {
         !self.is_member() || self.leader().is_none()
     }
 
-    /// Whether a process that is shutting down may stop: none while it must go on, else true if it is no
-    /// longer a member and false if it stays one.
+    /// Whether this process may stop while it is shutting down: none if it must keep running, else true if it
+    /// is no longer a member and false if it remains one.
     pub fn leave_outcome(&self) -> Option<bool> {
         let only_member = self.members().iter().all(|name| *name == self.me);
         let removed = !self.is_member() && self.leader().is_none();
         (self.leaving && (self.released || only_member || removed)).then(|| !self.is_member())
     }
 
-    /// The state of the membership; none unless it leads.
+    /// The state of the membership; none unless this process leads.
     pub fn membership_status(&self, now: Millis) -> Option<MembershipStatus> {
         let Role::Leader(leader) = &self.role else { return None };
         let is_missing = |name: &Name| {
@@ -350,7 +351,7 @@
             });
             member != name && (peer_holds || (*member == self.me && self.hard_state.voting))
         };
-        // A learner may still be catching up, and a new leader may not have heard of it yet.
+        // A learner may still be catching up, and a new leader may not know it yet.
         let is_available =
             |learner: &Progress| !learner.leaving && now - learner.last_heard < SUSPECT_AFTER_MS;
         let no_replacement =
--- a/overland/src/agreement/mod.rs
+++ b/overland/src/agreement/mod.rs
@@ -49,11 +49,11 @@
 /// timeout, to allow for clocks that run at different rates.
 const LEASE_MS: f64 = 550.0;
 /// A member with an empty disk may have forgotten a vote, so it grants none for this long after its start. By
-/// then messages from before are answered or lost.
+/// then messages sent before the start are answered or lost.
 const EMPTY_DISK_NO_VOTE_MS: f64 = 3000.0;
 const MAX_BATCH_ENTRIES: usize = 256;
-/// Unacknowledged bytes of entries to one follower, unless a single entry is larger. At 2 Mbit/s they delay a
-/// heartbeat by a quarter of a second.
+/// Limit on unacknowledged bytes of entries to one follower; a larger entry is sent alone. At 2 Mbit/s, this
+/// many bytes delay a heartbeat by a quarter of a second.
 const MAX_IN_FLIGHT_BYTES: usize = 64 * 1024;
 /// Approximate size of an entry without its data.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
@@ -74,15 +74,15 @@
         /// The message.
         payload: RaftPayload,
     },
-    /// Append an entry with this data. Ignored unless it leads and accepts proposals.
+    /// Append an entry with this data. Ignored unless this member leads and accepts proposals.
     Propose(Vec<u8>),
     /// Another process asks to become a member.
     Join(Name),
     /// The process is shutting down: see [`RaftNode::leave_outcome`].
     Leave,
-    /// Transfer leadership, if it leads.
+    /// Transfer leadership, if this member leads.
     TransferLeadership,
-    /// Number of gateway agents that this process hears.
+    /// Number of gateway agents that recently reported to this process.
     ReachableAgents(u32),
 }
 
@@ -100,7 +100,7 @@
     },
     /// Apply this committed entry to the state machine.
     Apply(Entry),
-    /// Replace the state machine by the leader's snapshot.
+    /// Replace the state machine with the leader's snapshot.
     Restore {
         /// Index of the last entry that the snapshot includes.
         index: u64,
@@ -127,7 +127,7 @@
 pub struct HardState {
     /// The latest term seen.
     pub term: u64,
-    /// The candidate that received its vote in that term.
+    /// The candidate that this member voted for in that term.
     pub vote: Option<Name>,
     /// Whether it votes and counts toward quorums. False with an empty disk, until a leader has brought it up
     /// to date: it may have forgotten votes and entries that it acknowledged.
@@ -150,7 +150,7 @@
 /// The persistent state as read from disk at start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistentState {
-    /// Term and vote.
+    /// Term, vote and whether the member votes.
     pub hard_state: HardState,
     /// The latest snapshot.
     pub snapshot: Snapshot,
@@ -173,7 +173,7 @@
     commit_index: u64,
     applied_index: u64,
     role: Role,
-    /// When a leader was last heard, and which one.
+    /// When a message from a leader last arrived, and from which one.
     leader_heard_at: Millis,
     last_leader: Option<Name>,
     /// When the leader's latest message was sent, by the leader's clock.
@@ -182,7 +182,7 @@
     /// Before this time it grants no votes.
     no_votes_until: Millis,
     membership: Membership,
-    /// How long before it sent its latest message the leader had last heard from this member.
+    /// `since_heard_ms` of the leader's latest `AppendEntries`.
     leader_contact_age: Millis,
     reachable_agents: u32,
     /// Processes that asked to become members, and when.
@@ -244,7 +244,7 @@
         raft
     }
 
-    /// Rejects snapshots whose state does not satisfy this.
+    /// Rejects received snapshots whose state does not satisfy `can_decode`.
     pub fn with_decode_check(self, can_decode: fn(&[u8]) -> bool) -> Self {
         RaftNode { can_decode, ..self }
     }
@@ -268,26 +268,26 @@
         }
     }
 
-    /// When the leader's latest message was sent, by the leader's clock. Sent back with a forwarded request,
-    /// it bounds the request's age from above.
+    /// When the leader's latest message was sent, by the leader's clock. A forwarded request carries it
+    /// back, which gives the leader an upper bound on the request's age.
     pub fn leader_sent_at(&self) -> Millis {
         self.leader_sent_at
     }
 
-    /// Whether it leads and every member and learner reads the entry format [`MAX_ENTRY_VERSION`].
+    /// Whether this member leads and all members and learners read the entry format [`MAX_ENTRY_VERSION`].
     pub fn all_read_entry_version(&self) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         let mut receivers = leader.peers.values().chain(leader.learners.values());
         receivers.all(|progress| progress.max_entry_version >= MAX_ENTRY_VERSION)
     }
 
-    /// How long ago the leader last heard from this member, by the leader's latest message. A request
-    /// forwarded to a leader that does not hear this member is lost.
+    /// Time since the leader last heard from this member, by the leader's latest messages, in ms. A request
+    /// forwarded to a leader that this member's messages do not reach is lost.
     pub fn since_heard_by_leader(&self, now: Millis) -> Millis {
         self.leader_contact_age + (now - self.leader_heard_at).max(0.0)
     }
 
-    /// When a leader was last heard.
+    /// When a message from a leader last arrived.
     pub fn leader_heard_at(&self) -> Millis {
         self.leader_heard_at
     }
@@ -297,8 +297,8 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether it is the leader and accepts proposals. During leadership transfer it accepts none: another
-    /// entry would leave the successor behind, and it would lose the election.
+    /// Whether it is the leader and accepts proposals. During leadership transfer it accepts none: the
+    /// successor would lack the new entry and could lose the election.
     pub fn accepts_proposals(&self) -> bool {
         matches!(&self.role, Role::Leader(leader) if leader.transfer_started_at.is_none())
     }
@@ -338,7 +338,7 @@
         self.applied_index
     }
 
-    /// Number of entries in the log.
+    /// Number of entries in the log after the snapshot.
     pub fn log_length(&self) -> usize {
         self.log.len()
     }
@@ -405,7 +405,7 @@
 
     // ---- Elections ----------------------------------------------------------------------------------------
 
-    /// Changes the role and resets the election timeout. The only place that does either.
+    /// Changes the role and resets the election timeout. After the start, nothing else does either.
     fn become_role(&mut self, now: Millis, role: Role, actions: &mut Vec<Action>) {
         let (led, leads) = (self.is_leader(), matches!(role, Role::Leader(_)));
         self.role = role;
@@ -501,7 +501,7 @@
         let mut peers: BTreeMap<_, _> =
             self.other_members().into_iter().map(|name| (name, Progress::new(first_index, now))).collect();
         if let Some(last_leader) = self.last_leader.as_ref().and_then(|name| peers.get_mut(name)) {
-            // The previous leader has been silent for some time already; leaves it a moment to answer.
+            // The previous leader was silent for some time already: it has `RECENTLY_HEARD_MS` or more left.
             last_leader.last_heard =
                 self.leader_heard_at.max(now - members::SUSPECT_AFTER_MS + members::RECENTLY_HEARD_MS);
         }
@@ -512,8 +512,8 @@
         self.append_entry(now, Entry::empty(self.hard_state.term, first_index), actions);
     }
 
-    /// Whether this leader hears less than half as many agents as a member that could take over. Such a
-    /// leader keeps its quorum but is of no use to the agents.
+    /// Whether less than half as many agents report to this leader as to a member that could take over. Such
+    /// a leader keeps its quorum but is of no use to the other agents.
     pub fn is_poorly_connected(&self, now: Millis) -> bool {
         let (last_index, Role::Leader(leader)) = (self.last_index(), &self.role) else { return false };
         let successors = leader.peers.values().filter(|peer| peer.can_take_over(last_index, now));
@@ -527,7 +527,7 @@
         let last_index = self.last_index();
         let Role::Leader(leader) = &mut self.role else { return };
         let successors = leader.peers.iter().filter(|(_, peer)| peer.can_take_over(last_index, now));
-        // Prefers the member that hears most agents, then the one heard last.
+        // Prefers the member that most agents report to, then the one that responded last.
         let successor = successors.max_by(|(_, a), (_, b)| {
             a.reachable_agents.cmp(&b.reachable_agents).then(a.last_heard.total_cmp(&b.last_heard))
         });
@@ -577,7 +577,7 @@
     fn handle_vote_request(
         &mut self, now: Millis, from: Name, request: &VoteRequest, actions: &mut Vec<Action>,
     ) {
-        // Grants no vote while it hears a leader, unless that leader chose the candidate.
+        // Grants no vote while there is a leader, unless that leader chose the candidate.
         let has_leader = self.is_leader() || now - self.leader_heard_at < MIN_ELECTION_TIMEOUT_MS;
         let barred = !self.hard_state.voting
             || now < self.no_votes_until
@@ -758,7 +758,7 @@
         }
     }
 
-    /// Sends one member the entries or the snapshot that it lacks, or a heartbeat.
+    /// Sends one member or learner the entries or the snapshot that it lacks, or a heartbeat.
     fn replicate_to(&mut self, now: Millis, to: &Name, actions: &mut Vec<Action>) {
         let (term, commit, min_prev_index) = (self.hard_state.term, self.commit_index, self.min_prev_index());
         let released = self.may_release(now, to);
--- a/overland/src/agreement/role.rs
+++ b/overland/src/agreement/role.rs
@@ -33,7 +33,8 @@
     pub(super) peers: BTreeMap<Name, Progress>,
     /// Processes that receive the log and wait to become members.
     pub(super) learners: BTreeMap<Name, Progress>,
-    /// When it asked another member to take over; from then on it accepts no proposals and holds no lease.
+    /// When this leader asked another member to take over; from then on it accepts no proposals and holds no
+    /// lease.
     pub(super) transfer_started_at: Option<Millis>,
 }
 
@@ -66,7 +67,7 @@
 pub(super) struct Progress {
     /// Index of the next entry to send.
     pub(super) next_index: u64,
-    /// It holds the leader's log on disk up to this index.
+    /// The process holds the leader's log on disk up to this index.
     pub(super) match_index: u64,
     /// Whether it counts toward quorums, by its latest response.
     pub(super) voting: bool,
@@ -76,7 +77,7 @@
     pub(super) snapshot_transfer: Option<SnapshotTransfer>,
     /// Bytes of entries sent since it had last acknowledged all of them.
     pub(super) in_flight_bytes: usize,
-    /// Since when entries are unacknowledged.
+    /// When entries became unacknowledged, or when the latest success response left some unacknowledged.
     pub(super) unacked_since: Option<Millis>,
     pub(super) last_sent: Millis,
     pub(super) last_heard: Millis,
@@ -86,9 +87,10 @@
     pub(super) disk_lost_at: Millis,
     /// It is shutting down.
     pub(super) leaving: bool,
-    /// It was told that it may stop, so it no longer counts toward quorums.
+    /// The leader has sent it permission to stop, so it counts toward neither commits nor the release
+    /// of others.
     pub(super) released: bool,
-    /// Number of gateway agents that it hears.
+    /// Number of gateway agents that recently reported to it.
     pub(super) reachable_agents: u32,
     pub(super) max_entry_version: u32,
 }
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Whether it could take over leadership at once: it was heard recently and lacks no entry.
+    /// Whether it could take over leadership at once: it has responded recently and lacks no entry.
     pub(super) fn can_take_over(&self, last_index: u64, now: Millis) -> bool {
         // A member that is shutting down would only hand leadership over again.
         self.voting
--- a/overland/src/agreement/snapshot.rs
+++ b/overland/src/agreement/snapshot.rs
@@ -39,7 +39,7 @@
 
 /// 130 ms at 2 Mbit/s, well below the minimum election timeout, and 640 KiB/s at a round trip of 50 ms.
 const SNAPSHOT_CHUNK_BYTES: usize = 32 * 1024;
-/// The largest message that a link carries.
+/// Size limit of a received snapshot's state; as large as the largest message that a link carries.
 const MAX_SNAPSHOT_BYTES: u64 = 32 << 20;
 /// Entries retained after compaction: some minutes at ten changes a second. A follower that lacks more is
 /// sent a snapshot.
@@ -110,7 +110,7 @@
 impl RaftNode {
     // ---- Log compaction -----------------------------------------------------------------------------------
 
-    /// The lowest index that can precede entries to send: later entries are held, and its term is known.
+    /// The lowest index that can precede entries to send: later entries are retained, and its term is known.
     pub(super) fn min_prev_index(&self) -> u64 {
         self.trailing.front().map_or(self.snapshot.index, |entry| entry.index)
     }
@@ -135,7 +135,7 @@
         self.log.iter().take_while(|entry| entry.index <= index).map(|entry| entry.data.len()).sum()
     }
 
-    /// Replaces the log up to and including `index` by a snapshot with this state. Does nothing if `index` is
+    /// Replaces the log up to and including `index` with a snapshot of this state. Does nothing if `index` is
     /// not applied, is already compacted, or lies within joint consensus.
     pub fn compact(&mut self, index: u64, state: Vec<u8>, actions: &mut Vec<Action>) {
         if index <= self.snapshot.index || index > self.applied_index {
@@ -275,7 +275,7 @@
     // ---- Receiving snapshots ------------------------------------------------------------------------------
 
     /// Progress of the snapshot being received: its index, the bytes received, the bytes in total, and
-    /// whether it was rejected because it can't be decoded.
+    /// whether it was rejected because it can't be decoded or is too large.
     pub fn snapshot_progress(&self) -> Option<(u64, u64, u64, bool)> {
         self.incoming_snapshot.as_ref().map(|incoming| {
             (incoming.index, incoming.bytes.len() as u64, incoming.total_bytes, incoming.rejected)
@@ -393,7 +393,7 @@
         ChunkOutcome::Complete
     }
 
-    /// Replaces the log and the state machine by the snapshot received.
+    /// Replaces the log and the state machine with the snapshot received.
     fn restore_snapshot(&mut self, actions: &mut Vec<Action>) {
         let Some(incoming) = self.incoming_snapshot.take() else { return };
         let IncomingSnapshot { index, last_term: term, members, bytes: state, .. } = incoming;
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -31,7 +31,8 @@
 const CACHE_BYTES: u64 = 1 << 20;
 /// Small, as the process has little disk space.
 const MAX_JOURNAL_BYTES: u64 = 64 << 20;
-/// Read again at start-up. fjall's default of 64 MiB is too much for a process limited to 256 MiB.
+/// The memtable is rebuilt from the journal at start-up. fjall's default of 64 MiB is too much for a process
+/// limited to 256 MiB.
 const MEMTABLE_BYTES: u64 = 8 << 20;
 
 /// The format version that is written. Fields are only ever added, so that the previous release can read it.
@@ -229,7 +230,7 @@
             Ok((store, Contents::Valid { saved, save_number, last_index })) => {
                 store.save_number.set(save_number.max(watermark.unwrap_or(0)));
                 store.last_index.set(last_index);
-                // Find out that the disk is not writable before the process takes part.
+                // Detects a disk that is not writable before the process takes part in the consensus.
                 let hard_state = saved.hard_state.clone();
                 store
                     .save(&Save { hard_state, entries: None, snapshot: None })
--- a/src/bin/cherrytally-benchlink/main.rs
+++ b/src/bin/cherrytally-benchlink/main.rs
@@ -14,7 +14,7 @@
 const REMOVE_INSTANCE: u8 = 2;
 const CREATE_INSTANCE: u8 = 5;
 const DEFINE_LIST: u8 = 11;
-/// Maximum values of a load report.
+/// Maximum number of values in a load report.
 const MAX_LOAD_VALUES: usize = 4;
 
 /// A simulated gateway.
--- a/src/bin/heronstage/beside.rs
+++ b/src/bin/heronstage/beside.rs
@@ -16,7 +16,7 @@
 
 /// File name prefix of a record; includes the format version.
 const PREFIX: &str = "heronstage-beside-1-";
-/// Interval between two updates of the own record.
+/// Interval between two updates of this process's record.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 /// Records older than this are ignored: their process has exited, or its clock differs.
 const STALE_AFTER_MS: f64 = 2000.0;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reads the other records and writes the own one until the program ends.
+    /// Reads the other processes' records and writes this one's until the program ends.
     pub async fn run(mut self) {
         let mut last_error = None;
         loop {
@@ -96,7 +96,7 @@
         self.driver.backends()
     }
 
-    /// Writes the own record atomically.
+    /// Writes this process's record atomically.
     fn write_record(&self) -> io::Result<()> {
         let withheld = self.withheld.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
         let clients = self.max_connections
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -222,7 +222,7 @@
                         pending.timed_out = true;
                         self.report(&pending.call, CallResult::Timeout, 0.0);
                     }
-                    // Detects a host that vanished: its connections stay open without traffic.
+                    // A connection to a host that vanished stays open without traffic: it counts as stalled.
                     if stalled_at.is_some_and(|at| at <= now)
                         || in_flight.is_empty() && last_response + idle_limit <= now
                     {
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -16,19 +16,19 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, timeout};
 
-/// The server sends an empty line every 2 s; a watch without data for this long is reopened.
+/// Discovery sends an empty line every 2 s; a watch without data for this long is reopened.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Backoff limit after a rejection, per gateway of the fleet: whatever the fleet's size, discovery receives
-/// some ten attempts a second.
+/// Backoff limit after a rejection, per gateway of the fleet: discovery receives some ten attempts a second
+/// at first, then fewer; more in large fleets, where `MAX_REJECTED_BACKOFF` caps the limit.
 const REJECTED_BACKOFF: Duration = Duration::from_millis(100);
 /// The backoff limit doubles with each rejection, up to this factor.
 const MAX_REJECTED_FACTOR: u32 = 4;
 const MIN_REJECTED_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_REJECTED_BACKOFF: Duration = Duration::from_secs(60);
 /// Retry interval while discovery is unreachable, per gateway of the fleet: some 300 attempts a second in
-/// total.
+/// total, and more above 1,200 gateways, where `MAX_UNREACHABLE_INTERVAL` caps the interval.
 const UNREACHABLE_INTERVAL: Duration = Duration::from_micros(3300);
 const MIN_UNREACHABLE_INTERVAL: Duration = Duration::from_millis(200);
 /// Together with the connection timeout, less than the 6 s after which missed changes count as delivered.
@@ -72,7 +72,7 @@
 struct Backoff {
     gateways: u32,
     position: u32,
-    /// Discovery was unreachable at the last attempt; the gateway now retries once in each interval.
+    /// Discovery was unreachable at the last attempt; the gateway now retries once per interval.
     unreachable: bool,
     factor: u32,
     rng: fastrand::Rng,
@@ -277,7 +277,7 @@
                 }
             }
         }
-        // Where attempts fail at once, 300 gateways reconnect within a second: no backend drains faster.
+        // If attempts fail at once, 300 gateways reconnect within a second, before any backend has drained.
         assert!(simulate_outage(300, Duration::ZERO, Duration::from_secs(8)).1 <= Duration::from_secs(1));
     }
 }
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -38,8 +38,8 @@
 const MAX_ACCEPT_DELAY: Duration = Duration::from_secs(5);
 /// Delay between two attempts to bind an address that the old process still holds.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Open requests are answered within this time after SIGTERM, or within the longest deadline if that is
-/// later. The platform kills the process 0.7 s after it.
+/// Open requests are answered within this time after SIGTERM, or within the longest deadline and
+/// `ANSWER_AFTER_DEADLINE_MS` if that is longer. The platform kills the process 4 s after SIGTERM.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3300);
 const ANSWER_AFTER_DEADLINE_MS: f64 = 300.0;
 /// Additional time to write the last responses.
@@ -176,7 +176,7 @@
     let accepting = server.clone();
     let accept = tokio::task::spawn_local(async move {
         let start = Instant::now();
-        // Until then the old process serves; without one clients wait in the accept queue.
+        // Until then the old process serves; without an old process, clients wait in the accept queue.
         while shared && !accepting.ready() && start.elapsed() < MAX_ACCEPT_DELAY {
             sleep(Duration::from_millis(10)).await;
         }
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -34,14 +34,14 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 use tracing::{Level, Span};
 
-/// Timeout for a complete request head, including idle time before it. Idle connections must be kept for 2 s,
-/// and connections without a request closed within 3 s.
+/// Timeout for a complete request head, including idle time before it. Idle connections must stay open for
+/// 2 s, and connections without a request must be closed within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time after which the body must be complete or arriving at the minimum rate. Counts from the connection's
 /// start for the first request, from the head for later ones; a response is due within 3 s.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2750);
-/// Delay between the start of a drain and closing idle connections. Requests that arrive before have their
-/// response, or are 2 s old, when the last connection is expected to be gone, 4 s after the drain began.
+/// Delay between the start of a drain and closing idle connections. The last connection should be closed 4 s
+/// after the drain began: by then, requests that arrived during the delay are answered or at least 2 s old.
 const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1750);
 /// Timeout for reserving memory for a body.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -189,7 +189,7 @@
     body: Duration,
     /// Time spent waiting for memory.
     memory: Duration,
-    /// When the last byte of the request was received.
+    /// When the whole request was received, or as much of it as is buffered before the body is streamed.
     received: Instant,
     attempts: AttemptSummary,
     first_byte: Option<Duration>,
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Records that the driver has returned the final response.
+    /// Records that the driver has returned the final response. Returns the current time.
     fn record_response(
         &mut self, received: Instant, deadline: Option<Deadline>, attempts: AttemptSummary,
         response: &FinalResponse,
@@ -399,7 +399,7 @@
         self.phase() == Phase::Ready
     }
 
-    /// Whether a request has no complete response.
+    /// Whether any request is still without a complete response.
     pub fn busy(&self) -> bool {
         self.unanswered.get() > 0
     }
--- a/src/bin/heronstage/speech.rs
+++ b/src/bin/heronstage/speech.rs
@@ -59,7 +59,7 @@
     fn classify_response(&self, head: &Head) -> CallResult {
         match head.status {
             200 => CallResult::Ok,
-            // Only with this header do these statuses prove that the request was not executed.
+            // These statuses prove that the request was not executed only if this header is present.
             503 | 504 if head.not_executed => CallResult::Rejected,
             _ => CallResult::Error,
         }
