--- a/overland/tests/agreement.rs
+++ b/overland/tests/agreement.rs
@@ -48,7 +48,7 @@
     });
 }
 
-/// Regressions. First seed: a new leader released a member before it had heard of the learner that could
+/// Regressions. First seed: a new leader released a member before it knew of the learner that could
 /// replace it. Second seed: successors of a leaving leader lacked its next entry, so it was elected again and
 /// again.
 #[test]
--- a/overland/tests/ahead.rs
+++ b/overland/tests/ahead.rs
@@ -3,7 +3,7 @@
 use overland::ahead::Splitter;
 use tokio::io::ReadBuf;
 
-/// A random request, and whether it may be found ahead.
+/// A random request, and whether the splitter may find it before the previous response is done.
 fn request(rng: &mut fastrand::Rng, number: usize) -> (Vec<u8>, bool) {
     let padding = "x".repeat(rng.usize(0..200));
     match rng.u32(0..5) {
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -44,7 +44,7 @@
         world.run_until(world.now + 600.0);
     }
 
-    /// The backend as this core process has it.
+    /// The backend in this core process's state.
     fn registered(world: &World, core: usize) -> Option<&RegisteredBackend> {
         world.cores[core].running.as_ref().and_then(|member| member.state().backends.get("i-1"))
     }
@@ -79,7 +79,7 @@
         SingleBackend::registered(&world, next).is_some_and(|known| known.backend.draining),
         "a late heartbeat reopened the backend"
     );
-    // A later one counts.
+    // A heartbeat sent after the closing is applied.
     SingleBackend::send_heartbeat(&mut world, next, "open", 5);
     assert!(SingleBackend::registered(&world, next).is_some_and(|known| !known.backend.draining));
 }
@@ -231,7 +231,7 @@
         .iter()
         .any(|action| matches!(action, Action::SendPeer { message, .. } if is_append_response(message)));
     assert!(!acknowledged && node.member.state().index == 0);
-    // A valid one is accepted.
+    // A valid snapshot is accepted.
     let actions =
         node.receive(RaftPayload::InstallSnapshot(InstallSnapshot { state: Vec::new(), ..install }));
     assert!(actions.iter().any(|action| matches!(action, Action::Save(save) if save.snapshot.is_some())));
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -193,7 +193,7 @@
     );
 }
 
-/// A member hears its leader but can't reach it: calls that it can't forward must not wait for the forwarding
+/// A member receives its leader's messages but can't reach it: calls must not wait for the forwarding
 /// timeout.
 #[test]
 fn a_member_that_cannot_reach_its_leader_rejects_calls() {
--- a/overland/tests/copies.rs
+++ b/overland/tests/copies.rs
@@ -112,7 +112,7 @@
     });
 }
 
-/// Each digest hashes all backends, so under a stream of changes it is computed once a second.
+/// Each digest hashes all backends, so under a stream of changes it is computed at most once a second.
 #[test]
 fn digest_is_computed_at_most_once_a_second() {
     let mut state = State::default();
@@ -128,7 +128,7 @@
     assert_eq!(computed, [0.0, 1000.0, 2000.0, 3000.0, 4000.0]);
     assert_eq!(digest.rate_limited(4980.0, &state), 0);
     assert_eq!(digest.rate_limited(5000.0, &state), digest.of(&state));
-    // A cached digest is given at any time.
+    // A cached digest is returned at any time.
     assert_eq!(digest.rate_limited(5001.0, &state), digest.of(&state));
 }
 
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -46,7 +46,7 @@
             "{events:?}"
         );
         assert_eq!(exchange.classify_failure(AttemptFailure::TimedOut, true), if_silent, "{events:?}");
-        // Servers that wait for the whole body do not run a request whose body is incomplete.
+        // Backends that wait for the whole body do not run a request whose body is incomplete.
         let whole_body = exchange.classify_failure(AttemptFailure::ConnectionBroken, false);
         assert_eq!(
             whole_body,
--- a/overland/tests/histories/mod.rs
+++ b/overland/tests/histories/mod.rs
@@ -1,7 +1,7 @@
 //! Random histories of a Raft cluster, checked against a plain model: message loss, duplication and
 //! reordering, one-way partitions, crashes between any two actions, slow processes and wiped disks. A history
 //! may run with a deliberate fault.
-#![allow(dead_code)] // Each test program uses some of it.
+#![allow(dead_code)] // Each test program uses only a part.
 
 #[path = "../kept/mod.rs"]
 mod kept;
@@ -397,7 +397,7 @@
         running.map(|raft| raft.members().to_vec()).collect()
     }
 
-    /// Runs until there is a leader with a lease. Returns the time that took; none if it took longer than
+    /// Runs until there is a leader with a lease. Returns the time until then in ms; none if it exceeds
     /// `max_ms`.
     pub fn time_to_leader(&mut self, max_ms: f64) -> Option<f64> {
         let since = self.now;
@@ -433,7 +433,7 @@
         let target = world.rng.usize(0..world.nodes.len());
         let duration = 100.0 + world.rng.f64() * 3000.0;
         match world.rng.u32(0..8) {
-            // A one-way partition, then a full one.
+            // A one-way partition, or a full one.
             0 => drop(world.blocked.insert((target, world.rng.usize(0..world.nodes.len())))),
             1 => (0..world.nodes.len()).for_each(|other| {
                 world.blocked.insert((target, other));
--- a/overland/tests/link.rs
+++ b/overland/tests/link.rs
@@ -25,7 +25,7 @@
     for round in 0..40 {
         let mut bytes: Vec<u8> = (0..64 * 1024).map(|_| rng.u8(..)).collect();
         match round % 4 {
-            // Lengths of 4 GiB, of one byte above the maximum, and of less than the bytes sent.
+            // Lengths of 4 GiB, one byte above the maximum, less than the bytes sent, and a random large one.
             0 => bytes[..4].copy_from_slice(&u32::MAX.to_le_bytes()),
             1 => bytes[..4].copy_from_slice(&(MAX_HELLO_BYTES as u32 + 1).to_le_bytes()),
             2 => bytes[..4].copy_from_slice(&40_000u32.to_le_bytes()),
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -41,7 +41,7 @@
         world.racers.request_mix = [0.0, 0.0, 0.0, 0.0, 0.0, 1.0];
         world.fault_rates.response_loss = world.rng.f64() * 0.5;
         world.run_until(3000.0);
-        // No duplication: a request without an edition can't be told from its duplicate.
+        // No duplication: a request without an edition can't be distinguished from its duplicate.
         racers::run_with_faults(&mut world, 4000.0, 0.0);
     });
 }
@@ -242,8 +242,8 @@
     }
 }
 
-/// A backend's change must not make every gateway send a report, as a large deployment has thousands. A
-/// configuration does, to the leader alone and once the proxy has applied it.
+/// A backend's change must not make every gateway send a report, as a large deployment has thousands. A new
+/// configuration is reported at once, to the leader alone, after the proxy has applied it.
 #[test]
 fn a_gateway_reports_at_once_only_applied_configurations() {
     let (leader, other) = (simulated::core_address(0).to_string(), simulated::core_address(1).to_string());
--- a/overland/tests/plane.rs
+++ b/overland/tests/plane.rs
@@ -80,13 +80,13 @@
 enum Fault {
     /// A connection with unexpected bytes is reused.
     SurplusBytesKept,
-    /// A partly written request counts as not sent.
+    /// A request whose body is partly written counts as not run.
     PartialWriteIsNotRun,
     /// A broken connection after a fully written request counts as not run.
     ResetAfterWriteIsNotRun,
     /// A timeout after a fully written request counts as not run.
     TimeoutAfterWriteIsNotRun,
-    /// A connection with activity while idle is reused.
+    /// A connection that received data while idle is reused.
     StaleConnectionReused,
     /// Every response counts as the request's own, whatever its id.
     ResponseIdIgnored,
--- a/overland/tests/plane/backend.rs
+++ b/overland/tests/plane/backend.rs
@@ -91,7 +91,7 @@
     AmbiguousFraming(u8),
     /// Runs; the response uses one of the valid framings.
     ValidFraming(u8),
-    /// Runs, then drops the connection silently.
+    /// Runs and responds, then drops the connection silently.
     DropSilently,
 }
 
--- a/overland/tests/plane/wire.rs
+++ b/overland/tests/plane/wire.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Makes the drop of this end invisible to the peer until it writes.
+    /// Makes the drop of this end invisible to the peer until the peer writes.
     pub fn drop_silently(&self) {
         *self.0.drop_is_silent.borrow_mut() = true;
         self.0.incoming.borrow_mut().reader_gone = true;
--- a/overland/tests/processes/mod.rs
+++ b/overland/tests/processes/mod.rs
@@ -1,5 +1,5 @@
 //! Helpers that run the real processes on loopback, with their backends, operators and clients.
-#![allow(dead_code)] // Each test program uses a part of this module.
+#![allow(dead_code)] // Each test program uses only a part.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/overland/tests/replacement.rs
+++ b/overland/tests/replacement.rs
@@ -216,7 +216,7 @@
         "a lost machine is still a member: {}",
         describe_members(&world)
     );
-    // Four are left where one of five left without a replacement; a learner would become the fifth.
+    // Four members remain if one of five left without a replacement; a learner would become the fifth.
     assert!(
         agreement.members().len() % 2 == 1 || !has_learner,
         "an even number of members: {}",
@@ -264,8 +264,8 @@
     }
 }
 
-/// With a learner, membership is transferred before the process ends; without a majority of the others, it is
-/// not released.
+/// With a learner, membership is transferred before the process ends; without a majority of the others, the
+/// process is not released.
 #[test]
 fn a_leaving_member_is_replaced_before_it_ends() {
     for core in 0..3 {
--- a/overland/tests/shares.rs
+++ b/overland/tests/shares.rs
@@ -60,8 +60,8 @@
     assert!(shares("g-0", &names(1..5)).share("i-1", 3.6).limit == 0);
 }
 
-/// A message from a settled leader permits the full rate for a limited time after its question was sent;
-/// messages from other leaders do not.
+/// A message from a settled leader permits the full rate for a limited time after the request that it answers
+/// was sent; messages from other leaders do not.
 #[test]
 fn full_rate_expires_without_a_settled_leader() {
     let mut copy = StateReplica::new(&bounds());
--- a/overland/tests/simulated/callers.rs
+++ b/overland/tests/simulated/callers.rs
@@ -7,7 +7,8 @@
 
 /// Interval between a backend's heartbeats.
 const HEARTBEAT_INTERVAL_MS: f64 = 1500.0;
-/// How long a backend keeps serving after its closing was acknowledged.
+/// Gateways must stop using a backend within this time after its closing was acknowledged. It leaves 500 ms
+/// later.
 pub const DRAIN_MS: f64 = 2500.0;
 /// How long a closing or leaving backend waits for the acknowledgement.
 const CLOSING_TIMEOUT_MS: f64 = 6000.0;
@@ -86,11 +87,11 @@
     pending_calls: BTreeMap<u64, Caller>,
     /// Whether backends end, crash and come back.
     pub churn: bool,
-    /// Whether backends live for tenths of a second and leave without closing first.
+    /// Whether backends live for about 2 s on average, and most leave without closing first.
     pub rapid_churn: bool,
     /// Whether operators start new requests.
     pub operators_active: bool,
-    /// Mean pause between an operator's requests, roughly.
+    /// The pause between an operator's requests is 0.2 to 1.2 times this.
     pub pause_ms: f64,
     /// Number of routes in the configurations that operators put.
     pub routes: usize,
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -66,7 +66,7 @@
     PushBeforeCommit,
     /// Gateways report changes as applied that their proxies lack.
     AppliedIndexOverstated,
-    /// A new leader claims to have heard from every backend.
+    /// A new leader claims to have received a heartbeat from every backend.
     SettledWithoutHeartbeats,
     /// A proxy's lease never expires.
     LeaseNeverExpires,
@@ -261,7 +261,7 @@
     /// Calls in flight: core process, its incarnation, time of sending, and whether it is an operator's
     /// update.
     calls: BTreeMap<u64, (usize, u64, f64, bool)>,
-    /// Acknowledged operators' updates: the time, and the core process that answered.
+    /// Operators' acknowledged updates: the time, and the core process that answered.
     pub acked_updates: Vec<(f64, usize)>,
     /// The frames of the last snapshots sent to agents, newest first.
     pub sent_snapshots: Vec<bytes::Bytes>,
@@ -421,7 +421,7 @@
         }
     }
 
-    /// Ends all faults, starts everything that is down, stops churn and new operators' requests, and after
+    /// Ends all faults, starts everything that is down, stops churn and operators' new requests, and after
     /// this time checks the final state.
     pub fn settle(&mut self, duration_ms: f64) {
         self.cuts.clear();
@@ -566,7 +566,7 @@
                 .count()
         };
         for number in all.iter().copied() {
-            // A leader needs replies from its peers; a follower only needs to hear them.
+            // A leader needs replies from its peers; a follower only needs to receive their messages.
             let leads = self.cores[number].running.as_ref().is_some_and(|member| member.is_leader());
             let hears = |other: usize| {
                 let (this, peer) = (Endpoint::Core(number), Endpoint::Core(other));
@@ -707,7 +707,7 @@
         terms.map(|member| member.agreement().term()).max().unwrap_or(0)
     }
 
-    /// The time by a core process's own clock.
+    /// The time by a core process's own clock, in ms.
     fn core_clock(&self, number: usize) -> f64 {
         let core = &self.cores[number];
         (self.now - core.started_at - core.uncounted_ms) * core.clock_rate
@@ -1051,7 +1051,7 @@
         }
     }
 
-    /// The time by a gateway's own clock.
+    /// The time by a gateway's own clock, in ms.
     fn gateway_clock(&self, number: usize) -> f64 {
         let gateway = &self.gateways[number];
         (self.now - gateway.started_at) * gateway.clock_rate
--- a/overland/tests/simulated/troubles.rs
+++ b/overland/tests/simulated/troubles.rs
@@ -12,7 +12,7 @@
     LeaderIsolated,
     /// A random member is cut off from its peers, in one or both directions.
     MemberCutFromPeers,
-    /// One core process, often the leader, is partitioned with some gateways from everything else.
+    /// One core process, often the leader, and half of the gateways are partitioned from the other ones.
     Partition,
     LeaderPaused,
     /// A random member is paused.
--- a/overland/tests/soak/callers.rs
+++ b/overland/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! The operator, readers and clients of the soak test, and the checks of the responses that they get.
+//! The operator, reader and clients of the soak test, and the checks of the responses that they get.
 
 use crate::processes::{call, config};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     pub acknowledged: AtomicU64,
     /// Configuration changes that were acknowledged.
     pub changes: AtomicU64,
-    /// Changes whose response was not read.
+    /// Configuration calls that disconnected before the response.
     pub lost_responses: AtomicU64,
     pub reads: AtomicU64,
     pub served: AtomicU64,
@@ -107,8 +107,8 @@
     text.split('"').next()?.parse().ok()
 }
 
-/// A client of one gateway: sends safe and unsafe requests over a keep-alive connection. Each one must get a
-/// response unless the gateway is killed meanwhile.
+/// A client of one gateway: sends safe and unsafe requests over a keep-alive connection. An unsafe one that
+/// runs must get a response unless the proxy is killed or paused meanwhile.
 pub fn run_client(seed: u64, gateway: String, kills: Arc<AtomicU64>, results: Arc<Results>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut connection: Option<TcpStream> = None;
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store of a core process: corruption is detected at start-up, and only the last save is ever read back.
+//! The store of a core process: at start-up it returns the last completed save or reports corruption.
 
 use overland::agreement::{Entry, HardState, PersistentState, Save, Snapshot};
 use overland::invariants::violations_on_this_thread;
@@ -364,7 +364,7 @@
     assert_eq!(slow_after(&[18.0, 18.0]), Some(false));
     assert_eq!(slow_after(&[18.0]), Some(true));
     assert_eq!(slow_after(&[0.6, 3000.0, 0.6, 0.6]), Some(false));
-    // Below the minimum latency of a slow save, for any time.
+    // Saves below the minimum latency of a slow save never count as slow.
     assert_eq!(slow_after(&[3.0; 50]), Some(false));
     let mut always_slow = SaveLatency::default();
     assert!(!(0..50).any(|_| always_slow.record(12.0)));
--- a/overland/tests/system.rs
+++ b/overland/tests/system.rs
@@ -51,7 +51,7 @@
         call(control(2), "GET", resolve, "", "").filter(|response| response.body.contains(&front))
     });
 
-    // Every core process reports the status of all: core processes, replicas, gateway and backend.
+    // A core process reports the status of all: core processes, replicas, gateway and backend.
     let status = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_narcissus"))
             .args(["status", "--core", control(1)])
@@ -113,7 +113,7 @@
     assert!(first_at.is_some() && first_at < second_at, "{text}");
     (0..2).for_each(|_| drop(received.recv_timeout(WAIT_TIMEOUT)));
 
-    // The metrics count all this.
+    // The metrics count the requests above.
     let metrics = call(&ready, "GET", "/metrics", "", "").expect("metrics");
     assert_eq!(metrics.status, 200);
     for line in [
--- a/tests/custody.rs
+++ b/tests/custody.rs
@@ -578,7 +578,7 @@
         (Mutant::ResentAfterMayHaveRun, 0),
         (Mutant::WriteQuorumTooSmall, 0),
     ] {
-        // Two other gateways; the owner would only make the search longer.
+        // `EqualTerms` needs two other gateways; the owner would only make the search longer.
         let owner = mutant != Mutant::EqualTerms;
         let attempts = if mutant == Mutant::ResentAfterMayHaveRun { 2 } else { 1 };
         let successors = if owner { 1 } else { 2 };
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -103,7 +103,7 @@
     let start = Instant::now();
     let response =
         gateway.request(&post_request("once", "", "x").replace("Remaining-Ms: 3000", "Remaining-Ms: 600"));
-    // It may have run, so the status must not promise a safe retry.
+    // The request may have run, so the status must not promise a safe retry.
     assert_eq!(response.status(), 502);
     assert!(start.elapsed() < Duration::from_millis(1400), "{:?}", start.elapsed());
     closed.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
@@ -410,7 +410,7 @@
     begun.recv_timeout(TEST_TIMEOUT).unwrap();
     let start = Instant::now();
     gateway.signal("-TERM");
-    // It is not ready from now on, but still accepts new clients.
+    // The gateway is no longer ready, but still accepts new clients.
     let unready = loop {
         let response = gateway.request("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         if response.status() != 200 {
@@ -519,7 +519,7 @@
     assert_eq!(operator_request(at, "POST /admin/resume").status(), 200);
     assert!(gateway.ready());
     assert!(!gateway.get(3, 1).headers.contains_key("connection"));
-    // SIGTERM also ends it during a drain.
+    // SIGTERM also ends the gateway during a drain.
     assert_eq!(operator_request(at, "POST /admin/quiesce").status(), 200);
     gateway.signal("-TERM");
     assert!(gateway.child.wait().unwrap().success());
@@ -702,7 +702,7 @@
     }
     assert!(max_descriptors <= 140, "{max_descriptors} descriptors");
     assert_eq!(operator_request(at, "GET /admin/health").status(), 200);
-    // After the old process has ended all connections are available again.
+    // After the old process has ended, all connections are available again.
     drop((hold, old));
     assert_eq!(new.get(1, 1).status(), 200);
     let (start, mut hold) = (Instant::now(), std::collections::VecDeque::new());
@@ -865,7 +865,7 @@
         changed(&|_| {}) + "}",
         changed(&|c| drop(c.as_object_mut().unwrap().remove("settings"))),
         changed(&|c| drop(c["settings"].as_object_mut().unwrap().remove("balancers"))),
-        // This program does not use it, but it was set before.
+        // The gateway does not use this setting, but one that was set before must not be missing.
         changed(&|c| drop(c["settings"]["rules"].as_object_mut().unwrap().remove("unread"))),
         changed(&|c| c["settings"]["categories"][1]["give-up-ms"] = 0.into()),
         changed(&|c| c["settings"]["categories"][1]["give-up-ms"] = (-5).into()),
@@ -1119,7 +1119,7 @@
     let gateway = Gateway::new(&basic_config(&[breaks, breaks]));
     let mut open = gateway.connect();
     open.get_mut().write_all(&text).unwrap();
-    // It was not executed: the client may retry.
+    // The request was not executed: the client may retry.
     assert_eq!(read_message(&mut open).unwrap().status(), 429);
     assert_eq!(*count.lock().unwrap(), 1);
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -88,7 +88,7 @@
             assert_eq!(world.changes_to(index, "n1", State::Suspect, since), 0);
             assert!(world.view(index).missing.is_empty());
         }
-        // It can rejoin at once.
+        // The member can rejoin at once.
         world.start(1);
         assert!(world.run_until(5.0, |world| world.is_converged()).is_some(), "{size}");
     }
@@ -175,7 +175,7 @@
         world.resume(1);
         assert!(world.run_until(10.0, |world| world.is_converged()).is_some(), "{size}");
         assert!(world.view(1).incarnation > before);
-        // It warns of the pause.
+        // The resumed member warns of the pause.
         let warnings = &world.node(1).warnings;
         assert!(warnings.iter().any(|line| line.contains("was paused for")), "{size}: {warnings:?}");
         // It suspects no member for answers missed during the pause, and no other member goes down.
@@ -316,7 +316,7 @@
 
 #[test]
 fn a_restart_after_the_clock_was_set_back_rejoins() {
-    // At once on the same address; on another one after all members have declared the former process down.
+    // It rejoins at once on the same address; on another one after all have declared the former process down.
     for (size, address) in [(3, 2), (30, 2), (31, 30)] {
         let mut world = World::new(size, 17);
         (0..size.min(30)).for_each(|index| world.start(index));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -100,7 +100,8 @@
     assert!(to_cold <= 9, "{to_cold} of 100 requests to a backend at a quarter of its capacity");
 }
 
-/// Of 100 unsafe requests in 400 ms, the number sent to backend 1, which serves ten and then resets `resets`.
+/// Of 100 unsafe requests in 400 ms, the number sent to backend 1, which serves ten, resets the next `resets`
+/// and serves the rest.
 fn sends_to_backend_with_resets(resets: usize) -> usize {
     let mut rig = Rig::new(settings_without_quota());
     let mut to_backend = 0;
@@ -197,7 +198,7 @@
 
 #[test]
 fn hung_attempts_do_not_block_the_gateway() {
-    // Without responses the expected latency grew without bound, and all requests were refused.
+    // Guards against an expected latency that grows without bound, so that all requests are refused.
     let mut rig = Rig::new(settings_without_quota());
     for id in 1..=200 {
         let actions = rig.request(id, 0, 1.0);
@@ -223,7 +224,7 @@
 
 #[test]
 fn one_hung_attempt_does_not_make_an_idle_gateway_refuse() {
-    // With two requests per second a single hung attempt dominated the average over time.
+    // Guards against a single hung attempt dominating the average over time at two requests per second.
     let mut rig = Rig::new(Settings { gateways: 200, ..settings_without_quota() });
     for id in 1..=20 {
         let backend = sent(&rig.request(id, 0, 1.0)).unwrap();
@@ -238,7 +239,7 @@
 
 #[test]
 fn slow_attempts_are_neither_duplicated_nor_cancelled() {
-    // Duplicates of attempts at rarely used backends, which all seemed to hang, overloaded the backends.
+    // Guards against duplicates of attempts overloading rarely used backends, which all seem to hang.
     for second_copies in [false, true] {
         let mut s = settings_without_quota();
         s.limits.hedging = second_copies;
@@ -257,7 +258,7 @@
 
 #[test]
 fn backends_full_for_one_plan_serve_other_plans() {
-    // A rejection of one plan excluded the backend for all plans, and only for 200 ms.
+    // Guards against a rejection of one plan excluding the backend for all plans, and only for 200 ms.
     let mut s = settings_without_quota();
     s.plans.push(s.plans[0]);
     let mut rig = Rig::new(s);
@@ -656,7 +657,7 @@
     }
     assert!(minimums.windows(2).all(|two| two[1] >= two[0] && two[1] - two[0] <= 1), "{minimums:?}");
     assert_eq!(minimums.last(), Some(&3));
-    // They return: it falls at once. Flapping reports do not change it.
+    // The gateways return: the minimum falls at once. Flapping reports do not change it.
     report(&mut rig, 100, true);
     assert_eq!(admitted(&mut rig, 10_000), 2);
     for round in 0..100 {
