--- a/overland/src/agent.rs
+++ b/overland/src/agent.rs
@@ -21,7 +21,7 @@
 /// Interval between ticks while no deadline is set.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The address at which an agent accepts its proxy: loopback, on the second inner port.
+/// The address at which an agent accepts its proxy: loopback, on the port after the first inner port.
 pub fn proxy_listen_address(settings: &Settings) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), settings.inner_ports.0 + 1)
 }
@@ -47,7 +47,7 @@
     deadline_changed: Notify,
 }
 
-/// Fraction of `grace` by which an agent and its proxy have stopped.
+/// Fraction of `grace` within which an agent and its proxy stop.
 pub const STOP_GRACE_FRACTION: f64 = 0.95;
 
 impl Agent {
--- a/overland/src/ahead.rs
+++ b/overland/src/ahead.rs
@@ -170,7 +170,7 @@
         Ok(httparse::Status::Partial) => return HeadParse::Incomplete,
         Err(_) => return HeadParse::Unknown,
     };
-    // An empty line before a request is allowed. A bare CR or LF is not: parsers disagree on it.
+    // One CRLF before a request is allowed. More of them, or a bare LF, are not: parsers disagree on both.
     if has_bare_lf(bytes[..head].strip_prefix(b"\r\n").unwrap_or(&bytes[..head])) {
         return HeadParse::Unknown;
     }
@@ -183,11 +183,12 @@
         let is_field = |name: &str| header.name.eq_ignore_ascii_case(name);
         let contains_close =
             |value: &[u8]| String::from_utf8_lossy(value).to_ascii_lowercase().contains("close");
-        // Bytes after the last request of a connection are not a request.
+        // Bytes after a request with `connection: close` are not a request.
         if is_field("connection") && contains_close(header.value) {
             return HeadParse::Unknown;
         }
-        // The library decodes chunked bodies, and after a protocol upgrade no request follows.
+        // The end of a chunked body is unknown here, no request follows a protocol upgrade, and after
+        // `expect` the client may omit the body.
         if is_field("transfer-encoding") || is_field("upgrade") || is_field("expect") {
             return HeadParse::Unknown;
         }
@@ -288,7 +289,7 @@
         response.filter(|_| same)
     }
 
-    /// Whether started requests are not taken yet; their connection must stay open.
+    /// Whether some started request is not taken yet; the connection must stay open for its response.
     pub fn has_started(&self) -> bool {
         self.requests.borrow().iter().any(|request| request.response.is_some())
     }
--- a/overland/src/calls.rs
+++ b/overland/src/calls.rs
@@ -57,7 +57,7 @@
     error: &'a str,
 }
 
-/// The delay before a retry that a refusal asks for.
+/// The delay before a retry of a call that is refused with status 503.
 const RETRY_AFTER_MS: u64 = 200;
 
 impl Refusal {
--- a/overland/src/config.rs
+++ b/overland/src/config.rs
@@ -59,7 +59,7 @@
     pub priority: Option<u32>,
     /// Rate limit in requests per second over all gateways; 0 for none.
     pub per_s: Option<f64>,
-    /// Burst that is allowed on top of the rate, in requests.
+    /// Largest burst, in requests; below 1, one second's worth of the rate.
     pub burst: Option<f64>,
     /// Regions that may serve it; all if empty.
     pub home_regions: Option<Vec<String>>,
@@ -120,7 +120,7 @@
     pub service: Option<String>,
     /// Several services by weight.
     pub split: Option<Vec<WeightedService>>,
-    /// Deadline of a request, at most ten minutes.
+    /// Timeout of a request, at most ten minutes.
     pub timeout: String,
     /// Maximum number of attempts at different backends.
     pub attempts: Option<u32>,
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -69,10 +69,10 @@
 
 /// Whether a core process participates in the cluster.
 enum Participation {
-    /// It does.
+    /// It participates.
     Active(Box<Running>),
-    /// Its disk is unavailable, with the reason. It acknowledges nothing, and reloads its state from the disk
-    /// once that is writable.
+    /// Its disk is unavailable for this reason. It acknowledges nothing until its state is reloaded
+    /// from a writable disk.
     WaitsForDisk(String),
 }
 
@@ -95,7 +95,7 @@
     next_number: Cell<u64>,
     /// The seeds currently configured.
     seeds: RefCell<Vec<SocketAddr>>,
-    /// It has stopped: events from links and calls dropped after this are ignored.
+    /// Set at shutdown: later events, from links and calls that are dropped, are ignored.
     stopped: Cell<bool>,
 }
 
@@ -183,7 +183,7 @@
     ///
     /// # Errors
     ///
-    /// The disk fails permanently.
+    /// Any error other than an unavailable disk.
     fn start_or_wait_for_disk(self: &Rc<Self>) -> Result<()> {
         match self.start() {
             Ok(running) => {
@@ -208,15 +208,15 @@
         Ok(Running { member, store })
     }
 
-    /// Stops participating, drops all links and calls, and reloads the state from disk once that is writable:
-    /// the state in memory may be ahead of it.
+    /// Stops participating, closes accepted links, refuses pending calls, and reloads the state once the disk
+    /// is writable: the state in memory may be ahead of the disk.
     fn wait_for_disk(self: &Rc<Self>, error: &eyre::Report) {
         let reason = format!("the disk takes nothing: {}", error.root_cause());
         if !matches!(&*self.participation.borrow(), Participation::WaitsForDisk(known) if *known == reason) {
             log::error!("core: {reason}; not participating until it is writable");
         }
         *self.participation.borrow_mut() = Participation::WaitsForDisk(reason);
-        // Agents reconnect; until then this process looks unreachable to them.
+        // Agents reconnect; until the disk is writable, this process looks unreachable to them.
         self.links.borrow_mut().clear();
         let now = self.now();
         for (_, caller) in std::mem::take(&mut *self.calls.borrow_mut()) {
@@ -336,7 +336,7 @@
         }
     }
 
-    /// Closes the link if its queue is full; the peer reconnects.
+    /// Queues a message; closes the link if its queue is full, and the other process reconnects.
     fn send(&self, link: u64, message: &impl Message) {
         self.send_frame(link, encode_frame(message).into());
     }
@@ -360,7 +360,7 @@
         let mut peers = self.peers.borrow_mut();
         let last_sent = Instant::now();
         match peers.get_mut(to) {
-            // A message that does not fit the queue is lost, as messages in transit may be.
+            // A message that does not fit into the queue is dropped; messages may also be lost in transit.
             Some(peer) => {
                 peer.last_sent = last_sent;
                 peer.out.send(&message);
--- a/overland/src/copy.rs
+++ b/overland/src/copy.rs
@@ -1,5 +1,5 @@
-//! A proxy's replica of the state, without sockets or clock: how updates from the agent are applied, how long
-//! ago the leader was last heard, and when the proxy stops accepting keys (its lease).
+//! A proxy's replica of the state, without sockets or clock: how updates from the agent are applied, the time
+//! since the last leader contact, and when the proxy stops accepting keys (its lease).
 
 use crate::agreement::MAX_ENTRY_VERSION;
 use crate::news::{FromProxy, ToProxy};
@@ -7,25 +7,25 @@
 use crate::state::{DigestCache, State, Touched};
 use cherrytally::Millis;
 
-/// For how long after contact with a settled leader backends not known to be cold count as warm; later, any
-/// of them may have become cold. Longer than an election, shorter than the evacuation of a zone.
+/// How long backends that are not known to be cold count as warm after contact with a settled leader; later,
+/// any of them may have become cold. Longer than an election, shorter than the evacuation of a zone.
 const FULL_RATE_MS: Millis = 2000.0;
-/// A new leader heard within this time after contact with a settled one counts as settled: at most one
-/// heartbeat of each backend was missed, and it is repeated at once.
+/// A new leader in contact within this time after a settled one counts as settled: at most one heartbeat of
+/// each backend was missed, and the backend repeats it at once.
 const LEADER_GAP_MS: Millis = 3000.0;
 
 /// A proxy's replica of the state.
 pub struct StateReplica {
     state: Option<State>,
     digest: DigestCache,
-    /// The replica differs from the agent's; its range digests are due.
+    /// The replica differs from the agent's: its range digests go into the next message to the agent.
     differs: bool,
-    /// When a leader was last heard.
+    /// Latest known contact with a leader.
     leader_heard_at: Option<Millis>,
-    /// When a settled leader was last heard: one that has heard every backend, or that soon followed such a
-    /// leader. Zero at start-up, when the proxy is given the current state.
+    /// Latest contact with a settled leader: one that received a heartbeat from every backend, or followed
+    /// such a leader within [`LEADER_GAP_MS`]. Zero at start-up, when the proxy is given the current state.
     settled_at: Millis,
-    /// How long keys stay valid after a leader was heard; none if they always do.
+    /// How long keys stay valid after contact with a leader; `None` if they always do.
     lease_ms: Option<Millis>,
 }
 
@@ -36,7 +36,7 @@
     pub touched: Vec<Touched>,
     /// Whether ranges of the replica were repaired.
     pub repaired: bool,
-    /// The latest time at which the leader is known to have been heard.
+    /// The time of the leader contact that the message reports.
     pub leader_heard_at: Option<Millis>,
 }
 
@@ -69,12 +69,12 @@
         self.state.as_ref().map_or(0, |state| state.index)
     }
 
-    /// How long ago the leader was last heard, in ms.
+    /// Time since the last contact with the leader, in ms; `None` before the first.
     pub fn leader_contact_age(&self, now: Millis) -> Option<Millis> {
         self.leader_heard_at.map(|at| now - at)
     }
 
-    /// Whether the lease on its keys is still valid.
+    /// Whether the proxy may still accept keys.
     pub fn lease_is_valid(&self, now: Millis) -> bool {
         self.lease_ms.is_none_or(|lease_ms| self.leader_contact_age(now).is_some_and(|age| age < lease_ms))
     }
--- a/overland/src/difference.rs
+++ b/overland/src/difference.rs
@@ -1,4 +1,4 @@
-//! Delta encoding of texts: a configuration is sent as its difference from the version that it builds on, if
+//! Delta encoding of texts: a configuration is sent as its difference from the edition that it builds on, if
 //! all receivers can read that. Texts are JSON in canonical form (sorted members, no white space), so
 //! unchanged parts are equal bytes.
 
@@ -6,7 +6,7 @@
 use prost::Message;
 use std::collections::HashMap;
 
-/// Largest text that is reconstructed: twice the largest configuration that a call may bring.
+/// Largest text that is reconstructed: twice the largest body of a call.
 const MAX_TEXT_BYTES: usize = 32 << 20;
 
 /// A part of the new text: a range copied from the old text, then inserted bytes.
@@ -34,7 +34,7 @@
     pub digest: u64,
 }
 
-/// Splits a text behind each `}`, as an update changes routes, tenants or services, which are objects.
+/// Splits a text after each `}`, as an update changes routes, tenants or services, which are objects.
 fn chunks(text: &[u8]) -> impl Iterator<Item = &[u8]> {
     text.split_inclusive(|byte| *byte == b'}')
 }
@@ -74,7 +74,7 @@
     }
 
     /// Reconstructs the new text from the old one; none if `old` is not the text that the difference was made
-    /// from.
+    /// from, or the result would be too long.
     pub fn apply(&self, old: &str) -> Option<String> {
         let mut text = Vec::with_capacity(old.len().min(MAX_TEXT_BYTES));
         for Piece { offset, length, inserted } in &self.pieces {
--- a/overland/src/figures.rs
+++ b/overland/src/figures.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Histogram buckets of request times, in seconds, from refusals to the longest deadlines.
+/// Histogram buckets of request times, in seconds, from refusals to the default client timeout.
 const REQUEST_BUCKETS_S: [f64; 10] = [0.005, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
@@ -40,7 +40,7 @@
     pub applied_index: u64,
     /// Time since the last contact with the leader; `None` before the first.
     pub leader_contact_age: Option<Duration>,
-    /// Accepts clients.
+    /// The proxy is ready for new clients.
     pub ready: bool,
 }
 
--- a/overland/src/follow.rs
+++ b/overland/src/follow.rs
@@ -17,7 +17,7 @@
 const FOLLOWER_REPORT_INTERVAL_MS: Millis = 650.0;
 /// A link on which nothing was received for this long is reset.
 const LINK_TIMEOUT_MS: Millis = 2000.0;
-/// A core process that has not been listed as a member for this long is dropped.
+/// A core process that has not been listed as a member or seed for this long is dropped.
 const FORMER_MEMBER_TIMEOUT_MS: Millis = 30_000.0;
 /// Maximum number of core processes that an agent connects to: members and their replacements.
 const MAX_CORES: usize = 16;
@@ -74,7 +74,7 @@
 struct Link {
     last_received: Millis,
     next_report: Millis,
-    /// The gateway description last sent on this link.
+    /// The gateway's registration as last sent on this link.
     reported: Option<Gateway>,
 }
 
@@ -100,12 +100,12 @@
     leader: Option<(String, u64)>,
     /// Highest term in which a leader was seen.
     term: u64,
-    /// Index of the last change that brought a configuration. The leader acknowledges the update once the
-    /// proxy holds it, so reaching this index is reported at once.
+    /// Index of the last change that carried a configuration. The leader's acknowledgement of the update
+    /// waits for the proxy to apply it, so reaching this index is reported at once.
     awaited_index: u64,
     /// Send time of the latest report that the leader answered while the replica was up to date.
     up_to_date_at: Option<Millis>,
-    /// In that answer the leader had not heard from every backend yet.
+    /// Whether in that answer the leader was unsettled; see `HeartbeatReply::unsettled`.
     unsettled: bool,
 }
 
@@ -249,14 +249,14 @@
         }
     }
 
-    /// Reports to all core processes at once: clients are sent to this gateway by any of them.
+    /// Reports to all core processes at once, as any of them may direct clients to this gateway.
     fn report_to_all(&mut self, now: Millis, out: &mut Vec<Action>) {
         let links = self.links.values_mut().filter(|link| link.next_report.is_finite());
         links.for_each(|link| link.next_report = now);
         self.send_due_reports(now, out);
     }
 
-    /// Reports at once what only the leader waits for; the others learn it with their next report.
+    /// Reports at once to the leader alone; the other core processes receive the next scheduled report.
     fn report_to_leader(&mut self, now: Millis, out: &mut Vec<Action>) {
         let link = self.leader.as_ref().and_then(|(name, _)| self.links.get_mut(name));
         if let Some(link) = link.filter(|link| link.next_report.is_finite()) {
@@ -367,7 +367,8 @@
 
     // ---- Proxy --------------------------------------------------------------------------------------------
 
-    /// Sends a message to the proxy, completed with the counter's address and the age of the replica.
+    /// Sends a message to the proxy, completed with the fields that every message carries, such as the
+    /// counter's address and the time since the last leader contact.
     fn send_proxy(&self, now: Millis, message: ToProxy, out: &mut Vec<Action>) {
         if self.proxy.is_none() {
             return;
@@ -406,7 +407,7 @@
             self.send_proxy(now, ToProxy { repair, ..ToProxy::default() }, out);
         }
         if previous.sent_at.is_none() {
-            // From its first timestamp on, the proxy can tell the age of what it receives.
+            // The proxy counts a message as leader contact only if it returns one of the proxy's timestamps.
             self.send_proxy(now, ToProxy::default(), out);
         }
         if changed {
--- a/overland/src/ledger.rs
+++ b/overland/src/ledger.rs
@@ -8,7 +8,7 @@
 /// Maximum number of recorded accepted updates, at about a hundred bytes each. Retries end within seconds and
 /// a busy day brings some hundreds of updates; the outcome of an older one is unknown.
 pub const MAX_ACCEPTED: usize = 4096;
-/// Maximum number of recorded rejected updates; only copies still in flight ask for them, within seconds.
+/// Maximum number of recorded rejected updates; only delayed duplicates look them up, within seconds.
 pub const MAX_REJECTED: usize = 256;
 
 /// Identifies a configuration update.
@@ -33,7 +33,7 @@
     Rejected,
     /// Its outcome is no longer recorded; it may have been accepted.
     Unrecorded,
-    /// It was never accepted, and may still be.
+    /// It has not been accepted so far, and may be later.
     NotAccepted,
 }
 
@@ -88,7 +88,7 @@
         if self.accepted.len() > MAX_ACCEPTED {
             if let Some(first) = self.accepted.pop_front() {
                 self.dropped_up_to = self.dropped_up_to.max(first.edition);
-                // Those are older than the one just dropped.
+                // The calls of earlier releases are older than the update just dropped.
                 self.legacy_calls.clear();
             }
         }
--- a/overland/src/link.rs
+++ b/overland/src/link.rs
@@ -42,7 +42,8 @@
 
 /// Sets the socket options of an outgoing or accepted connection.
 pub fn set_socket_options(stream: &TcpStream) {
-    // Errors are ignored: without these options the connection is only slower.
+    // Errors are ignored: without these options, messages and the detection of a dead connection are only
+    // slower.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
--- a/overland/src/member/count.rs
+++ b/overland/src/member/count.rs
@@ -1,4 +1,4 @@
-//! Quota counters of the tenants, kept by the leader.
+//! The tenants' quota counters, which only the leader maintains.
 
 use super::{Action, Member};
 use crate::config::Config;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Each tenant's limit per second and units in its current window.
+    /// Each tenant's name, limit in requests per second, and units in its current window.
     pub(super) fn usage(&self, now: Millis) -> impl Iterator<Item = (&str, f64, i64)> {
         let usage = self.counter.iter().flat_map(move |counter| counter.usage(now));
         usage.map(|(name, units)| (name, self.limits.get(name).map_or(0.0, |limit| limit.per_s), units))
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -20,14 +20,14 @@
     }
 }
 
-/// The leader refuses a forwarded call that may be older than this. The age counts from the leader's last
-/// heartbeat that the sender received. It is well below the 1000 ms after which a caller retries elsewhere.
+/// Maximum age of a forwarded call, counted from the sending of the last leader message that its sender had
+/// received. Well below the 1000 ms after which a caller retries elsewhere.
 pub(super) const MAX_FORWARD_AGE_MS: Millis = 700.0;
-/// No call is forwarded to a leader that was not heard from for this long. It allows for one lost heartbeat
-/// and is below the election timeout.
+/// No call is forwarded to a leader from which nothing was received for this long. The limit tolerates two
+/// lost heartbeats and is below the election timeout.
 const LEADER_SILENCE_MS: Millis = 400.0;
-/// Nor is one forwarded to a leader that has not heard from this process for this long, as the link to it may
-/// be down.
+/// No call is forwarded to a leader that has received nothing from this process for this long: the link to
+/// the leader may be down.
 const UNHEARD_BY_LEADER_MS: Millis = 500.0;
 /// A process with this many learners rejects further requests to join from unknown processes.
 const MAX_JOINING: usize = 9;
@@ -35,8 +35,8 @@
 const RETRY_AFTER_MS: u64 = 200;
 
 impl Member {
-    /// Handles a message from another core process. Messages from processes that are not part of the core are
-    /// rejected, other than requests to join.
+    /// Handles a message from another core process. Rejects messages from unknown processes, except requests
+    /// to join while there is room for learners.
     pub(super) fn handle_peer_message(
         &mut self, now: Millis, from: Name, message: Word, out: &mut Vec<Action>,
     ) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Asks all known core processes to be let in, unless this process is a member with a leader.
+    /// Asks all known core processes to add this process, unless it is a member with a leader.
     pub(super) fn request_join(&self, out: &mut Vec<Action>) {
         if self.agreement.needs_to_join() {
             let seeds = self.seeds.iter().map(SocketAddr::to_string);
@@ -105,7 +105,8 @@
 
     // ---- Forwarded calls ----------------------------------------------------------------------------------
 
-    /// Forwards a client's call to the leader. A call that was itself forwarded is refused.
+    /// Forwards a client's call to the leader. Refuses a call that was itself forwarded, and any call while
+    /// the leader is unreachable.
     pub(super) fn forward_call(
         &mut self, now: Millis, caller: Caller, called: &CallRequest, out: &mut Vec<Action>,
     ) {
@@ -144,7 +145,7 @@
         if call.term > 0 && late {
             return self.refuse(&caller, &Refusal::Unavailable, out);
         }
-        // A duplicate has no effect: the opposite call may have been acknowledged since.
+        // Drops a duplicate: a call that reverses its effect may have been acknowledged since.
         let Caller::Peer(from, call_id) = &caller else { return };
         if self.received_forwards.insert((from.clone(), *call_id), now).is_some() {
             return;
@@ -167,8 +168,8 @@
 
     // ---- State digests ------------------------------------------------------------------------------------
 
-    /// Compares the leader's state digest with this replica's; a difference is answered with the range
-    /// digests.
+    /// Compares the leader's state digest with this replica's. If they differ, sends this replica's range
+    /// digests to the leader.
     fn compare_digest(&self, leader: &Name, theirs: &RangeDigests, out: &mut Vec<Action>) {
         let digest = theirs.ranges.first().map(|range| range.digest);
         let same = theirs.index != self.state.index || digest == Some(self.digest.of(&self.state));
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -40,19 +40,19 @@
 const LEADERLESS_LOG_INTERVAL_TICKS: u32 = 80;
 /// A call is refused after this time, before its caller gives up after 1000 ms.
 pub const CALL_TIMEOUT_MS: Millis = 850.0;
-/// A process without a tick for this long was suspended, and what it receives next may be as old. Scheduling
-/// delays on a busy machine are shorter.
+/// A process without a tick for this long was suspended, and the input that it reads next may have waited as
+/// long. Scheduling delays on a busy machine are shorter.
 const STALL_MS: Millis = 300.0;
 /// Time after a stall within which everything that waited in sockets is read.
 const STALE_INPUT_MS: Millis = 100.0;
-/// The log is compacted at each multiple of this index, so that all members have equal snapshots at equal
-/// indices (apart from remaining cold times).
+/// The log is compacted at each index that is a multiple of this, so that all members have equal snapshots at
+/// equal indices (apart from remaining warm-up times and the ages of ended evacuations).
 const COMPACTION_INTERVAL: u64 = 512;
-/// It is also compacted at this size, which is reached at the same index at all members: entries with large
-/// configurations would use up the memory earlier.
+/// The log is also compacted at this size, as entries may hold large configurations. All members reach the
+/// size at the same index.
 const MAX_LOG_BYTES: usize = 8 << 20;
-/// Consecutive maintenance rounds of poor reach after which a leader hands over. After a start, agents take
-/// some rounds to connect.
+/// A leader hands over after this many consecutive maintenance rounds in which agents reached another member
+/// better. After a start, agents take some rounds to connect.
 const POOR_REACH_ROUNDS: u32 = 4;
 /// Minimum interval between handovers: if every disk is slow, no other leader is better.
 const MIN_HANDOVER_INTERVAL_MS: Millis = 10_000.0;
@@ -61,7 +61,7 @@
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// [`Action::Save`] was completed. No other event may come before this one.
+    /// [`Action::Save`] was completed. Until then, no other event may be handled.
     Saved {
         /// How long the save took, in ms.
         took_ms: f64,
@@ -161,14 +161,13 @@
     Abort(String),
 }
 
-/// Maximum time between deciding a response and writing it. A response is decided within the lease, 550 ms
-/// after a majority was asked, and no other member can lead within 700 ms after that; the difference covers
-/// clocks that run at different rates.
+/// Maximum time between deciding a response and writing it. A response is decided within 550 ms (the lease)
+/// of asking a majority, and no other member leads until 700 ms after that; the rest covers clock drift.
 pub const MAX_RESPONSE_DELAY_MS: Millis = 100.0;
 
 impl Action {
-    /// Replaces a successful response by a refusal if it was decided too long ago, as after a stall or a slow
-    /// save.
+    /// Replaces a response with a status below 500 by a refusal if it was decided too long ago, as after a
+    /// stall or a slow save.
     pub fn fenced(self, decided: Millis, now: Millis) -> Action {
         let late = now - decided > MAX_RESPONSE_DELAY_MS;
         match self {
@@ -224,11 +223,11 @@
     Proposing(Option<UpdateId>),
     /// The change is proposed as this entry.
     Proposed { index: u64, term: u64, update_id: Option<UpdateId> },
-    /// The configuration update is accepted, and waits until every gateway uses it.
+    /// The configuration update is accepted, and waits until it is enforced.
     Enforcing { index: u64 },
 }
 
-/// An input to the agreement.
+/// An input to the Raft node.
 enum AgreementInput {
     Event(agreement::Event),
     /// A change to propose, and the caller that waits for it.
@@ -244,9 +243,9 @@
     agreement: RaftNode,
     state: State,
     digest: DigestCache,
-    /// Actions of the agreement that are held back while a save is in progress.
+    /// Actions of the Raft node that are held back while a save is in progress.
     agreement_actions: VecDeque<agreement::Action>,
-    /// Inputs to the agreement, to be handled after these actions.
+    /// Inputs to the Raft node, to be handled after `agreement_actions`.
     inputs: VecDeque<AgreementInput>,
     saving: bool,
     /// A committed change could not be read: the state is incomplete until it is repaired, and another member
@@ -278,7 +277,7 @@
     ticks: u32,
     rejected_messages: u64,
     last_tick: Millis,
-    /// Until then, received calls may date from before a stall.
+    /// Until this time, received calls may date from before a stall.
     stale_input_until: Millis,
     rng: fastrand::Rng,
 }
@@ -383,7 +382,7 @@
         self.rejected_messages
     }
 
-    /// Whether an idle link to this core process is kept, as it is a member or a seed.
+    /// Whether the link to this core process stays open while idle: true for members and seeds.
     pub fn keeps_link_to(&self, name: &str) -> bool {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == name);
         seed || self.agreement.members().iter().any(|member| member == name)
@@ -478,7 +477,7 @@
             self.inputs.push_back(AgreementInput::Event(agreement::Event::TransferLeadership));
         }
         self.check_reach(now);
-        // Older duplicates are refused for their age.
+        // Older duplicates are refused because of their age.
         self.received_forwards.retain(|_, received| now - *received < joining::MAX_FORWARD_AGE_MS);
         if !self.is_authoritative(now) {
             return;
@@ -498,7 +497,8 @@
         }
     }
 
-    /// Hands over leadership if agents reach another member much better than this one.
+    /// Passes the number of connected agents to the Raft node, and hands over leadership if agents have
+    /// reached another member much better for several rounds.
     fn check_reach(&mut self, now: Millis) {
         let present =
             self.agents.values().filter(|agent| now - agent.last_report < presence::AGENT_TIMEOUT_MS);
@@ -511,7 +511,8 @@
         }
     }
 
-    /// Asks for another leader, if this process leads. Earlier inputs are handled first.
+    /// Requests a leadership transfer, if this process leads and requested none recently. Earlier inputs are
+    /// handled first.
     fn hand_over(&mut self, now: Millis, why: &str) {
         let recent = self.last_handover.is_some_and(|at| now - at < MIN_HANDOVER_INTERVAL_MS);
         if self.is_leader() && !recent {
@@ -521,7 +522,7 @@
         }
     }
 
-    /// Executes the agreement's actions and passes on its inputs, up to the next save.
+    /// Executes the Raft node's actions and passes its inputs on, up to the next save.
     fn run_agreement(&mut self, now: Millis, out: &mut Vec<Action>) {
         while !self.saving {
             if let Some(action) = self.agreement_actions.pop_front() {
@@ -656,7 +657,7 @@
         };
         self.load_limits();
         if !leads {
-            // Their results are unknown; a retry finds out.
+            // The results of these calls are unknown; a retry finds out.
             let own = self.calls.iter().filter(|(_, call)| !matches!(call.stage, Stage::Forwarded(_)));
             let callers: Vec<_> = own.map(|(caller, _)| caller.clone()).collect();
             for caller in callers {
@@ -686,7 +687,7 @@
 
     fn handle_call(&mut self, now: Millis, caller: Caller, called: &CallRequest, out: &mut Vec<Action>) {
         if self.is_stalled(now) || now < self.stale_input_until {
-            // It may have waited in its socket while its caller gave up and made newer calls elsewhere.
+            // The call may have waited in its socket while its caller gave up and made newer calls elsewhere.
             return self.refuse(&caller, &Refusal::Unavailable, out);
         }
         match calls::answer(self, now, called) {
@@ -767,7 +768,7 @@
     StateSnapshot::decode(state).is_ok()
 }
 
-/// The change in an entry; `None` for the agreement's own entries.
+/// The change in an entry; `None` for Raft's own entries.
 fn change_in(entry: &Entry) -> Option<Change> {
     Change::decode(&entry.data[..]).ok().filter(|_| !entry.data.is_empty())
 }
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -1,16 +1,15 @@
-//! Operators' calls: configuration updates, evacuations of zones and their ends, and reads of the
-//! configuration.
+//! Operators' calls: configuration updates, starts and ends of evacuations, and reads of the configuration.
 //!
 //! A configuration update passes through five stages:
 //! 1. queued, until the edition it is based on is applied, or until fewer proposals are pending;
 //! 2. proposed as a log entry, which an identical update joins;
 //! 3. committed: applying the entry accepts or rejects the update, with the same result at every member, and
 //!    the replicated state records that result;
-//! 4. enforced, once no gateway uses an older state;
+//! 4. enforced: with `fail_closed`, every gateway has applied it or has been out of contact for `ack_wait`;
 //! 5. answered.
 //!
-//! The caller may get an inconclusive answer in any stage. Sending the identical update again finds out the
-//! result.
+//! The caller may get an inconclusive answer in any stage. To learn the result, it sends the identical update
+//! again.
 
 use super::{Action, AgreementInput, CallResult, Caller, Member, Stage, Wait};
 use crate::calls::{
@@ -285,7 +284,8 @@
         }
     }
 
-    /// Whether every gateway holds this change, or has lost its lease on an older state.
+    /// Whether every gateway has applied this change or has been out of contact for `ack_wait`, after which
+    /// its keys expire within `revocation_timeout`. Always true unless `fail_closed`.
     fn is_enforced(&self, now: Millis, index: u64) -> bool {
         if !self.settings.bounds.fail_closed {
             return true;
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -1,5 +1,5 @@
-//! Presence of backends, by their heartbeats, and of gateways, by their agents' reports. Contact times are
-//! known to the leader alone; changes that must outlive it are replicated.
+//! Presence of backends, by their heartbeats, and of gateways, by their agents' reports. Only the leader
+//! knows contact times; changes that must survive a change of leader are replicated.
 
 use super::{CallResult, Member, Wait};
 use crate::calls::{
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An agent without a report for this long is left out of what clients resolve.
+/// A gateway whose agent has sent no report for this long is left out of resolve responses.
 pub(super) const AGENT_TIMEOUT_MS: Millis = 1500.0;
 /// A gateway without contact for this long is removed. Until then it may be partitioned and come back.
 const GATEWAY_TIMEOUT_MS: Millis = 60_000.0;
@@ -20,11 +20,11 @@
 const MAX_MISSED_HEARTBEATS: f64 = 4.0;
 /// How long a deregistered backend is remembered, so that a delayed heartbeat does not bring it back.
 const DEREGISTERED_RETENTION_MS: Millis = 30_000.0;
-/// A cold time that ends less than this after the known end is not a new one.
+/// A reported warm-up that ends less than this after the known end counts as unchanged.
 const COLD_TOLERANCE_MS: Millis = 400.0;
 /// Maximum number of addresses in one resolve response.
 const MAX_ADDRESSES: usize = 64;
-/// With fewer ready gateways in the client's region, gateways of all regions are returned.
+/// With fewer ready gateways than this in the client's region, gateways of all regions are returned.
 const MIN_ADDRESSES: usize = 2;
 /// Longest time that a client may use a resolve response, unless the settings limit it further.
 const MAX_TTL: Duration = Duration::from_secs(2);
@@ -33,13 +33,13 @@
 #[derive(Default)]
 pub(super) struct Presence {
     started: Millis,
-    /// When each backend was last heard from, and the highest sequence number of its heartbeats.
+    /// When each backend's last heartbeat arrived, and the highest sequence number of its heartbeats.
     heartbeats: BTreeMap<String, (Millis, u64)>,
     /// Backends that deregistered themselves, and when.
     deregistered: BTreeMap<String, Millis>,
     /// When each gateway was last sent the current index, and the index that its proxy had applied.
     gateway_contacts: BTreeMap<String, (Millis, u64)>,
-    /// Every replicated backend was heard from, and the changes from their heartbeats are applied.
+    /// Every replicated backend has sent this leader a heartbeat, and the resulting changes are applied.
     settled: bool,
 }
 
@@ -54,12 +54,12 @@
         self.gateway_contacts.get(node).copied().unwrap_or((self.started, 0))
     }
 
-    /// Whether this backend deregistered itself at this leader.
+    /// Whether this backend recently deregistered itself at this leader.
     pub(super) fn has_deregistered(&self, id: &str) -> bool {
         self.deregistered.contains_key(id)
     }
 
-    /// Whether this leader has heard from every backend, so that it knows every cold one.
+    /// Whether every backend has sent this leader a heartbeat, so that the leader knows which ones are cold.
     pub(super) fn is_settled(&self) -> bool {
         self.settled
     }
@@ -152,7 +152,7 @@
             && self.state.deregistered.iter().any(|other| other == id))
     }
 
-    /// Marks presence as settled once every backend was heard from and the log is fully applied.
+    /// Marks presence as settled once every backend has sent a heartbeat and the log is fully applied.
     pub(super) fn update_settled(&mut self) {
         let presence = &mut self.presence;
         let heard = |id: &String| presence.heartbeats.contains_key(id);
@@ -160,8 +160,8 @@
         presence.settled |= applied && self.state.backends.keys().all(heard);
     }
 
-    /// Changes to propose: removals of backends and gateways that timed out, and gateways with new
-    /// descriptions.
+    /// Changes to propose: removals of backends and gateways that timed out, and new or changed registrations
+    /// of gateways.
     pub(super) fn presence_changes(&mut self, now: Millis) -> Vec<Kind> {
         let (presence, state) = (&mut self.presence, &self.state);
         let mut changes = Vec::new();
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -11,7 +11,7 @@
 /// changes there are.
 const MIN_PUSH_INTERVAL_MS: Millis = 50.0;
 
-/// How long an encoded state is reused. The remaining cold times in it are too long by at most this.
+/// How long an encoded state is reused. The remaining warm-up times in it are too long by at most this.
 const ENCODED_STATE_TTL_MS: Millis = 500.0;
 
 /// An encoded message with the whole state at `index`.
@@ -21,7 +21,7 @@
     frame: Bytes,
 }
 
-/// The link to an agent.
+/// A connected agent.
 pub(super) struct Agent {
     pub(super) gateway: Gateway,
     /// The last report.
@@ -91,14 +91,14 @@
         }
     }
 
-    /// Whether the replicated state lists a gateway, if keys must be revocable. The next leader waits only
-    /// for listed gateways to hold a change.
+    /// Whether the replicated state lists a gateway; always true unless `fail_closed`. A later leader waits
+    /// only for listed gateways before it acknowledges a change.
     fn is_registered(&self, gateway: &Gateway) -> bool {
         !self.settings.bounds.fail_closed || self.state.gateways.contains_key(&gateway.node)
     }
 
-    /// The reply to a report sent at `request_sent_at`. Its index keeps a gateway that is not registered yet
-    /// from being up to date.
+    /// The reply to a report sent at `request_sent_at`. To a gateway that is not registered yet it gives the
+    /// maximum index, so that the gateway does not count as up to date.
     fn new_heartbeat_reply(
         &self, now: Millis, request_sent_at: Millis, authoritative: bool, gateway: &Gateway,
     ) -> HeartbeatReply {
@@ -109,8 +109,8 @@
         HeartbeatReply { request_sent_at, leads: authoritative, term, index, members, digest, unsettled }
     }
 
-    /// Sends new changes to all subscribed agents, or leaves them for the next tick that is late enough after
-    /// the last push.
+    /// Sends new changes to all subscribed agents; within [`MIN_PUSH_INTERVAL_MS`] of the last push, leaves
+    /// them to a later tick.
     pub(super) fn push_changes(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.push_pending = now - self.last_push < MIN_PUSH_INTERVAL_MS;
         if self.push_pending {
@@ -147,7 +147,7 @@
     /// The changes after `index`, as sent to agents. `None` if the log no longer holds them, or if one is a
     /// difference and the agent, of an earlier release, reads only whole configurations.
     fn changes_since(&self, index: u64, reads_differences: bool) -> Option<Vec<IndexedChange>> {
-        // Agents see a refused configuration update as an index without a change.
+        // Agents receive a rejected configuration update as an index without a change.
         let took_effect = |entry: &&Entry, change: &Change| match &change.kind {
             Some(Kind::Config(_)) => self.state.ledger.accepted_at(entry.index),
             Some(Kind::Rejected(_)) => false,
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -264,7 +264,7 @@
     /// The agent's gateway, in the first message on a link and when it has changed.
     #[prost(message, optional, tag = "1")]
     pub gateway: Option<Gateway>,
-    /// The proxy accepts clients.
+    /// The proxy is ready for new clients.
     #[prost(bool, tag = "4")]
     pub ready: bool,
     /// The index of the last change that the agent has applied.
@@ -310,10 +310,10 @@
     /// The `sent_at` of the agent's message.
     #[prost(double, tag = "1")]
     pub request_sent_at: f64,
-    /// It is the leader, and a majority has recently confirmed that.
+    /// It is the leader, a majority has recently confirmed that, and its state is complete.
     #[prost(bool, tag = "2")]
     pub leads: bool,
-    /// The latest leader's term that it knows of.
+    /// The highest term that it knows.
     #[prost(uint64, tag = "3")]
     pub term: u64,
     /// The index of the last change it has applied; the maximum if the gateway must not count as up to date.
@@ -345,13 +345,14 @@
     /// The term in which it is the counter.
     #[prost(uint64, tag = "4")]
     pub term: u64,
-    /// How long ago the agent heard the leader, in ms; negative if never.
+    /// Time since the agent sent the latest report that the leader answered while the agent's replica was up
+    /// to date, in ms; negative if there is none.
     #[prost(double, tag = "5")]
     pub leader_contact_age_ms: f64,
     /// The index of the agent's replica.
     #[prost(uint64, tag = "6")]
     pub index: u64,
-    /// Its digest.
+    /// The digest of that replica; zero if not given.
     #[prost(fixed64, tag = "7")]
     pub digest: u64,
     /// A repair of the proxy's replica.
@@ -360,7 +361,7 @@
     /// The `sent_at` of the last message that the agent received from the proxy before it sent this.
     #[prost(double, optional, tag = "9")]
     pub request_sent_at: Option<f64>,
-    /// Not every backend had sent the leader a heartbeat when it was last heard; see
+    /// Not every backend had sent the leader a heartbeat at its last contact with the agent; see
     /// [`HeartbeatReply::unsettled`].
     #[prost(bool, tag = "10")]
     pub unsettled: bool,
@@ -372,7 +373,7 @@
     /// The address at which it takes client connections.
     #[prost(string, tag = "1")]
     pub client_addr: String,
-    /// It accepts clients.
+    /// The proxy is ready for new clients.
     #[prost(bool, tag = "2")]
     pub ready: bool,
     /// The index of the last change that it has applied.
@@ -502,7 +503,7 @@
     /// The range digests of a replica that differs from the leader's.
     #[prost(message, tag = "7")]
     Differs(RangeDigests),
-    /// A repair of that replica.
+    /// A repair of a replica that differs.
     #[prost(message, tag = "8")]
     Repair(Repair),
 }
@@ -513,7 +514,7 @@
     /// Matches an answer to its call.
     #[prost(uint64, tag = "1")]
     pub call_id: u64,
-    /// The call's path; empty in an answer.
+    /// The call's method and path, separated by a space; empty in an answer.
     #[prost(string, tag = "2")]
     pub path: String,
     /// The body of the call or answer.
@@ -526,7 +527,7 @@
     #[prost(uint64, tag = "5")]
     pub term: u64,
     /// Of a call: when the leader sent its last message that the sender had received, on the leader's clock,
-    /// in ms. An upper bound on the age of the call.
+    /// in ms. The call is not older than that message.
     #[prost(double, tag = "6")]
     pub leader_sent_at: f64,
 }
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -75,7 +75,7 @@
 const OTHER_REGION_COST: f64 = 6.0;
 /// Distance cost of a backend in another zone of the region, in the same unit.
 const OTHER_ZONE_COST: f64 = 0.15;
-/// Used share of the retry budget that all gateways share: some gateways may be unknown here.
+/// Fraction of the retry budget of all gateways that is used; the rest covers gateways that are unknown here.
 const RETRY_BUDGET_SHARE: f64 = 0.8;
 /// Share of the grace period in which clients are still accepted, as their discovery data may be stale.
 const ACCEPT_OF_GRACE: f64 = 0.45;
@@ -88,7 +88,7 @@
 const EARLY_REFUSAL_OF_TARGET: f64 = 1.2;
 /// Maximum wait of a request for the initial state during startup, as a share of the client's timeout.
 const STARTUP_WAIT_OF_TIMEOUT: f64 = 0.4;
-/// Interval of leader contact checks without the full rate; shorter than a contact stays valid.
+/// Interval of checks for leader contact while the full rate is not allowed; shorter than `FULL_RATE_MS`.
 const FULL_RATE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay before reconnecting to another process.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
@@ -107,7 +107,7 @@
     Serving,
     /// Accepts clients, but responses carry `connection: close`.
     Draining,
-    /// Closes idle connections.
+    /// Accepts no clients and closes idle connections.
     ClosingIdle,
     /// Requests in flight get their final response now.
     Aborting,
@@ -314,8 +314,8 @@
         Ok(())
     }
 
-    /// Waits until all client connections are closed; false on timeout. Waiting for requests in flight would
-    /// not do: a large response is still being written after its request is decided.
+    /// Waits until all client connections are closed; false on timeout. Waiting for requests in flight is not
+    /// enough: a large response is still being written after its request has ended.
     async fn wait_for_connections(&self, deadline: Instant) -> bool {
         let all = u32::try_from(self.max_connections).unwrap_or(u32::MAX);
         timeout_at(deadline, self.connection_slots.acquire_many(all)).await.is_ok()
@@ -399,7 +399,7 @@
         }
     }
 
-    /// Updates the backends once the last contact of an up-to-date leader is too old to allow the full rate.
+    /// Updates the backends once the last contact with a settled leader is too old to allow the full rate.
     async fn watch_full_rate(self: Rc<Self>) {
         loop {
             let left = self.replica.borrow().full_rate_until() - self.now();
@@ -510,7 +510,7 @@
         self.driver.discovery_synced();
     }
 
-    /// Whether the lease still allows the proxy to accept its tenant keys.
+    /// Whether the lease still allows the proxy to accept tenants' keys.
     fn lease_is_valid(&self) -> bool {
         self.replica.borrow().lease_is_valid(self.now())
     }
@@ -875,7 +875,7 @@
         if let (Some(tenant), false) =
             (&tenant, course.may_have_run || matches!(answer, FinalResponse::Served { .. }))
         {
-            // A request that never ran is not charged.
+            // The charge of a request that never ran is refunded.
             self.tally.borrow_mut().refund(&tenant.name);
         }
         match (client_response(route.at_most_once, &answer, &course), answer) {
--- a/overland/src/routes.rs
+++ b/overland/src/routes.rs
@@ -32,7 +32,7 @@
     pub class: u32,
     /// IDs and weights of the services that it forwards to.
     pub pools: Vec<(u32, f64)>,
-    /// Deadline of a request.
+    /// Timeout of a request.
     pub timeout: Duration,
     /// Latency target: faster responses have their full value.
     pub target: Duration,
--- a/overland/src/settings.rs
+++ b/overland/src/settings.rs
@@ -96,9 +96,9 @@
         self.ack_timeout.mul_f64(ACK_WAIT_FRACTION)
     }
 
-    /// How long a gateway may use its keys after sending a query that the leader answered. The leader
-    /// acknowledges a revocation no earlier than `ack_wait` after such an answer, so every gateway drops
-    /// revoked keys within `revocation_timeout` of the acknowledgement.
+    /// How long a gateway may use its keys after sending a report that the leader answered. The leader
+    /// acknowledges a revocation no earlier than `ack_wait` after its last answer to a gateway with an older
+    /// state, so every gateway drops revoked keys within `revocation_timeout` of the acknowledgement.
     pub fn lease(&self) -> Duration {
         self.ack_wait() + self.revocation_timeout.mul_f64(REVOCATION_FRACTION)
     }
@@ -235,7 +235,7 @@
         Self::read(&text).wrap_err_with(|| path.display().to_string())
     }
 
-    /// The address to dial for the inner port of the process on this machine.
+    /// The address to dial for the first inner port of the machine at `ip`.
     pub fn inner_addr(&self, ip: IpAddr) -> SocketAddr {
         self.dial_addr(SocketAddr::new(ip, self.inner_ports.0))
     }
--- a/overland/src/start.rs
+++ b/overland/src/start.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// The entry point of a program: runs its command, and `run` for the default one.
+/// The entry point of a program: executes the command line; `run` is the default command.
 pub fn main<F: Future<Output = Result<()>>>(
     program: &str, about: &str, run: impl FnOnce(Settings, Watch) -> F,
 ) -> ExitCode {
--- a/overland/src/state.rs
+++ b/overland/src/state.rs
@@ -39,8 +39,8 @@
     pub config: Option<ConfigRevision>,
     /// Zones being evacuated.
     pub evacuated: BTreeSet<String>,
-    /// Zones whose evacuation ended recently, and when, on the clock of the replica's owner. The start of the
-    /// evacuation may never have been committed; the zone's backends may be cold all the same.
+    /// Zones whose evacuation ended recently, and when, on the clock of the replica's owner. Recorded even if
+    /// no start was committed: the zone's backends may still be cold.
     pub evacuation_ends: BTreeMap<String, Millis>,
     /// Backends by id.
     pub backends: BTreeMap<String, RegisteredBackend>,
@@ -148,7 +148,7 @@
 pub enum Touched {
     /// The configuration.
     Config,
-    /// Backends or zones.
+    /// Backends, or zones being evacuated.
     Backends,
     /// Gateways.
     Gateways,
--- a/overland/src/status.rs
+++ b/overland/src/status.rs
@@ -91,9 +91,9 @@
     /// Address for client traffic.
     #[serde(rename = "front")]
     pub client_addr: String,
-    /// It accepts clients.
+    /// Its proxy is ready for new clients.
     pub ready: bool,
-    /// Index of the last change that its agent received.
+    /// Index of the last change that its agent applied.
     #[serde(rename = "held")]
     pub received_index: u64,
     /// Index of the last change that its proxy applied.
--- a/overland/src/tally.rs
+++ b/overland/src/tally.rs
@@ -16,8 +16,8 @@
 /// Fraction of its part of a burst that a share accumulates. It is small, as the counter may have granted
 /// units just before.
 const SHARE_BURST_FRACTION: f64 = 0.1;
-/// Fraction of its part of the slack that a share accumulates, for the uneven arrivals of a tenant with few
-/// requests.
+/// Fraction of an even split of the slack that a share also accumulates, for the uneven arrivals of a tenant
+/// with few requests.
 const SHARE_SLACK_FRACTION: f64 = 0.4;
 /// A share that was unused for this long restarts within its cap, as the counter granted units meanwhile.
 const SHARE_RESET_MS: Millis = 1500.0;
@@ -44,8 +44,8 @@
 /// Shortest window: charges take time to arrive.
 const MIN_WINDOW_MS: f64 = 200.0;
 const MAX_WINDOW_MS: f64 = 60_000.0;
-/// A gateway that the counter has not heard from for this long is assumed to use its local share. Until then
-/// it may use both its share and units granted by the counter.
+/// A gateway without contact to the counter for this long is assumed to use its local share. Until then it
+/// may use both its share and units granted by the counter.
 const CONTACT_TIMEOUT_MS: Millis = 900.0;
 /// Bits of a window number that count windows within a term.
 const WINDOW_NUMBER_BITS: u32 = 40;
@@ -122,14 +122,14 @@
     pub units: i64,
     /// Units that the window allows to the gateways in contact with the counter.
     pub limit: i64,
-    /// Time until the window ends.
+    /// Time until the window ends or, if that is earlier, until refused units may be requested again.
     pub left_ms: f64,
     /// Number of the window, unique across leaders.
     pub window: u64,
 }
 
 /// Fraction of its share that a gateway gives up after `isolated_ms` without contact to the counter. The
-/// counter lost contact no earlier, so it assumes no more than this fraction to be unused.
+/// counter dates the last contact no earlier, so it never assumes a larger fraction to be unused.
 pub fn given_up_fraction(isolated_ms: Millis) -> f64 {
     let (from, to) = (SHARE_REDUCTION_START_MS, SHARE_REDUCTION_END_MS);
     let progress = ((isolated_ms - from) / (to - from)).clamp(0.0, 1.0);
@@ -269,7 +269,7 @@
     prepaying: bool,
     /// Moving average of requests per second at this gateway, and when it was updated.
     rate: (f64, Millis),
-    /// The count exceeded the limit: nothing is charged until then.
+    /// Until this time nothing is charged, as the count exceeded the limit.
     over_until: Millis,
     /// Units left of this gateway's local share, and when that was updated.
     share: (f64, Millis),
--- a/overland/src/units.rs
+++ b/overland/src/units.rs
@@ -1,4 +1,4 @@
-//! Text formats of durations and configuration versions.
+//! Text formats of durations and configuration editions.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     (0.0..=MAX_DURATION_MS).contains(&ms).then(|| Duration::from_secs_f64(ms / 1000.0))
 }
 
-/// Parses a configuration version: `r` followed by a number.
+/// Parses a configuration edition: `r` followed by a number.
 pub fn parse_edition(text: &str) -> Option<u64> {
     let number = text.strip_prefix('r')?;
     number.bytes().all(|b| b.is_ascii_digit()).then(|| number.parse().ok())?
