--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -868,27 +868,27 @@
             &body,
             more,
         );
-        let (id, answer) = self.driver.request(&request, work);
+        let (id, response) = self.driver.request(&request, work);
         in_flight.1 = Some(id);
-        let (answer, course) = self.driver.await_response(id, answer).await;
+        let (response, attempts) = self.driver.await_response(id, response).await;
         in_flight.1 = None;
         if let (Some(tenant), false) =
-            (&tenant, course.may_have_run || matches!(answer, FinalResponse::Served { .. }))
+            (&tenant, attempts.may_have_run || matches!(response, FinalResponse::Served { .. }))
         {
             // A request that never ran is not charged.
             self.tally.borrow_mut().refund(&tenant.name);
         }
-        match (client_response(route.at_most_once, &answer, &course), answer) {
+        match (client_response(route.at_most_once, &response, &attempts), response) {
             (ClientResponse::Served, FinalResponse::Served { head, body: content }) => {
                 response_from_backend(&head, content, parts.method == Method::HEAD)
             }
-            (ClientResponse::NotRun(after), answer) => {
-                if let FinalResponse::Refused { reason, .. } = answer {
+            (ClientResponse::NotRun(after), response) => {
+                if let FinalResponse::Refused { reason, .. } = response {
                     log::debug!(
                         "proxy: refused class {} pool {} zones {zone_mask:x}: {reason:?} after {} attempts",
                         route.class,
                         request.pool,
-                        course.attempts
+                        attempts.attempts
                     );
                 }
                 not_run_response(StatusCode::SERVICE_UNAVAILABLE, after.unwrap_or(MIN_RETRY_AFTER_MS))
--- a/overland/src/store/journal.rs
+++ b/overland/src/store/journal.rs
@@ -1,8 +1,8 @@
-//! Repairs fjall's journal after a power loss tore its last batch.
+//! Makes fjall's journal readable after a power loss during its last write.
 //!
-//! fjall drops a last batch without an end marker. A batch that has its end marker but lacks earlier sectors
-//! (the sectors of one write reach the disk in any order) it reports as corruption and refuses to open. Here
-//! such a batch loses its end marker, too, so that fjall drops it.
+//! fjall drops a last batch that has no end marker. But the sectors of one write reach the disk in any order:
+//! if the end marker is there and earlier sectors are missing, fjall reports corruption and does not open.
+//! Invalidating the end marker makes fjall drop such a batch as well.
 
 use std::ffi::OsStr;
 use std::fs::{self, File};
@@ -41,7 +41,9 @@
     Ok(0)
 }
 
-/// Truncates the end marker of the last batch in the newest journal. False if there is no such batch.
+/// Removes the last byte of the newest journal's last batch, which invalidates its end marker. Call only
+/// after fjall has reported the journal as corrupt: whether the batch is torn is not checked. False if there
+/// is no journal or nothing is written to it.
 ///
 /// # Errors
 ///
@@ -50,6 +52,7 @@
     let Some(path) = newest_journal(dir)? else { return Ok(false) };
     let file = File::options().read(true).write(true).open(path)?;
     let length = written_length(&file)?;
+    // An end marker ends with fjall's magic bytes, `FJL\x03`, of which the last is not zero.
     if length > 0 {
         file.set_len(length - 1)?;
         file.sync_all()?;
--- a/overland/src/store/mark.rs
+++ b/overland/src/store/mark.rs
@@ -15,8 +15,9 @@
     File::open(dir)?.sync_all()
 }
 
-/// The watermark file. It is synced only at the first save after a start: after a power loss it may be older
-/// than the store, never newer.
+/// The watermark file. Only the first save after a start syncs it, so that the file exists after a power
+/// loss. Its number may then be older than the store's, which hides a loss at worst, but never newer, which
+/// would report a loss that did not happen.
 pub(super) struct Watermark {
     file: File,
     dir: PathBuf,
@@ -30,7 +31,8 @@
         Ok(Watermark { file, dir: dir.to_owned(), synced: Cell::new(false) })
     }
 
-    /// None if the file is missing or its checksum is wrong: the store is then trusted without it.
+    /// The number in the file; none if the file is missing or its digest is wrong, and the store is then used
+    /// unchecked.
     pub(super) fn read(dir: &Path) -> io::Result<Option<u64>> {
         let bytes = match fs::read(dir.join(FILE_NAME)) {
             Ok(bytes) => bytes,
@@ -38,11 +40,11 @@
             Err(error) => return Err(error),
         };
         let u64_at = |offset: usize| bytes.get(offset..offset + 8)?.try_into().ok().map(u64::from_le_bytes);
-        let (save_number, checksum) = (u64_at(0), u64_at(8));
-        Ok(save_number.filter(|number| checksum == Some(digest(&number.to_le_bytes()))))
+        let (save_number, stored_digest) = (u64_at(0), u64_at(8));
+        Ok(save_number.filter(|number| stored_digest == Some(digest(&number.to_le_bytes()))))
     }
 
-    /// Must be called only once the save of this number is durable.
+    /// Writes the watermark. Call it only after the save with this number is durable.
     pub(super) fn write(&self, save_number: u64) -> io::Result<()> {
         let mut bytes = save_number.to_le_bytes().to_vec();
         bytes.extend(digest(&save_number.to_le_bytes()).to_le_bytes());
--- a/overland/src/store/pace.rs
+++ b/overland/src/store/pace.rs
@@ -2,14 +2,16 @@
 
 /// A save is slow if it takes longer than this multiple of the usual latency and longer than [`MIN_SLOW_MS`].
 const SLOW_FACTOR: f64 = 6.0;
-/// Saves below this are never slow.
+/// Latency up to which no save is slow.
 const MIN_SLOW_MS: f64 = 5.0;
 /// Slow saves in a row after which the disk counts as slow.
 const SLOW_SAVES_IN_A_ROW: u32 = 3;
-/// Smoothing weight of a save slower than the usual latency; a faster one replaces the usual latency at once.
-const USUAL_GAIN: f64 = 0.1;
+/// Weight in the moving average of a save that takes longer than usual but is not slow. A faster save becomes
+/// the usual latency at once; a slow one does not change it.
+const LONGER_SAVE_WEIGHT: f64 = 0.1;
 
-/// Tracks save latency. The owner of a slow disk should not lead, as each change waits for the leader's disk.
+/// Tracks save latency. A member with a slow disk should not lead, as each change waits for the leader's
+/// disk.
 #[derive(Debug, Default)]
 pub struct SaveLatency {
     usual_ms: Option<f64>,
@@ -24,7 +26,7 @@
             self.slow_in_a_row = self.slow_in_a_row.saturating_add(1);
         } else {
             self.slow_in_a_row = 0;
-            self.usual_ms = Some(took_ms.min(usual_ms + (took_ms - usual_ms) * USUAL_GAIN));
+            self.usual_ms = Some(took_ms.min(usual_ms + (took_ms - usual_ms) * LONGER_SAVE_WEIGHT));
         }
         self.slow_in_a_row >= SLOW_SAVES_IN_A_ROW
     }
--- a/overland/tests/bounds/mod.rs
+++ b/overland/tests/bounds/mod.rs
@@ -1,9 +1,9 @@
-//! The bounds that tests use.
+//! The system's limits ([`Bounds`]) in the share tests and in the simulation.
 
 use overland::settings::Bounds;
 use std::time::Duration;
 
-/// The bounds in randomised tests.
+/// Fixed values, with which tests may compare; some differ from the defaults.
 pub fn bounds() -> Bounds {
     Bounds {
         ack_timeout: Duration::from_millis(8000),
--- a/overland/tests/difference.rs
+++ b/overland/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Delta encoding of texts: the decoded text must equal the original one.
+//! Differences of texts: applied to the old text, a difference yields the new one.
 
 use overland::difference::{Difference, Piece};
 use prost::Message;
@@ -41,15 +41,16 @@
         let new = if rng.u32(0..8) == 0 { objects(&mut rng, 20) } else { modified(&mut rng, &old) };
         let difference = Difference::between(&old, &new);
         assert_eq!(difference.apply(&old), Some(new.clone()));
-        // Applied to any other text it fails.
+        // Applied to another text, it fails or still yields the new text.
         let other = modified(&mut rng, &old);
         assert!(difference.apply(&other).is_none_or(|text| text == new));
     });
 }
 
 #[test]
-fn change_of_one_route_encodes_in_under_200_bytes() {
+fn change_of_two_routes_encodes_in_under_200_bytes() {
     let route = |number: usize, ms: u32| format!(r#"{{"name":"r{number}","timeout":"{ms}ms"}}"#);
+    // Shaped like a configuration; only the text matters here.
     let routes = |changed: usize| {
         let all = (0..7600).map(|number| route(number, if number == changed { 900 } else { 2500 }));
         format!(r#"{{"docks":[{}],"edition":"r{changed}"}}"#, all.collect::<Vec<_>>().join(","))
@@ -61,16 +62,20 @@
     assert_eq!(difference.apply(&old), Some(new));
 }
 
-/// Malformed differences: a range beyond the old text, an integer overflow, invalid UTF-8, an oversized
-/// result.
+/// Malformed differences fail without a panic. Their digest is wrong as well, so this does not show which
+/// check rejects them.
 #[test]
 fn malformed_difference_is_rejected() {
     let piece = |offset, length, inserted: &[u8]| Piece { offset, length, inserted: inserted.to_vec() };
     for pieces in [
+        // Range beyond the old text.
         vec![piece(2, 9, b"")],
+        // Offset + length overflows.
         vec![piece(u64::MAX, 2, b"")],
         vec![piece(1, u64::MAX, b"")],
+        // Invalid UTF-8.
         vec![piece(0, 0, &[0xc3])],
+        // 8 Mi pieces of 6 bytes: more than the 32 MiB that a text may have.
         vec![piece(0, 6, b""); 8 << 20],
     ] {
         assert_eq!(Difference { pieces, digest: 0 }.apply("abcdef"), None);
--- a/overland/tests/ending.rs
+++ b/overland/tests/ending.rs
@@ -1,4 +1,5 @@
-//! A gateway that is shutting down completes every response that it has begun.
+//! A gateway that shuts down completes the responses in progress, and answers 502 to requests that no backend
+//! has answered.
 
 mod processes;
 
@@ -10,12 +11,12 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// How long the client pauses after SIGTERM: longer than the 2.7 s for which the gateway still accepts
-/// clients, and within its grace of 6 s.
+/// How long the client pauses after SIGTERM: longer than the gateway accepts clients (0.45 of its grace of
+/// 6 s), and shorter than until it ends the requests still in flight (0.92 of it).
 const CLIENT_PAUSE: Duration = Duration::from_millis(3500);
 
-/// Starts one core process, a backend and a gateway.
-fn start_gateway() -> (Fleet, Process, Gateway) {
+/// Starts one core process, a backend and a gateway, with a configuration.
+fn start_system() -> (Fleet, Process, Gateway) {
     let fleet = Fleet::new(1);
     let core = fleet.core(0, true);
     let control = fleet.seeds[0].as_str();
@@ -42,17 +43,17 @@
     stream
 }
 
-/// Guards against a gateway that exits while a slow client is still reading a response.
+/// The gateway must not exit while a slow client is still reading.
 #[test]
 fn shutdown_completes_a_response_in_progress() {
-    let (_fleet, _core, mut gateway) = start_gateway();
+    let (_fleet, _core, mut gateway) = start_system();
     let mut stream = send_request(&gateway, "/s/large");
     let mut received = vec![0; 1024];
     stream.read_exact(&mut received).expect("the start of the response");
-    let head = received.windows(4).position(|bytes| bytes == b"\r\n\r\n").expect("a complete head") + 4;
+    let head_bytes = received.windows(4).position(|bytes| bytes == b"\r\n\r\n").expect("a complete head") + 4;
 
     signal(&gateway.proxy, "-TERM");
-    // By the end of the pause it accepts no clients and has no other requests.
+    // By the end of the pause, only this response keeps the gateway from exiting.
     let signalled = Instant::now();
     while signalled.elapsed() < CLIENT_PAUSE {
         let exited = gateway.proxy.0.try_wait().expect("the status of the process");
@@ -63,7 +64,7 @@
         );
         std::thread::yield_now();
     }
-    let mut remaining = LARGE_RESPONSE_BYTES - (received.len() - head);
+    let mut remaining = LARGE_RESPONSE_BYTES - (received.len() - head_bytes);
     let mut buffer = vec![0; 1 << 20];
     while remaining > 0 {
         let read = stream.read(&mut buffer).unwrap_or(0);
@@ -73,11 +74,11 @@
     assert!(gateway.proxy.0.wait().expect("an exit status").success());
 }
 
-/// Guards against a gateway that exits without a response to requests, also pipelined ones, that its backend
-/// has not answered.
+/// Requests in flight, pipelined ones included, get a 502 before the gateway exits if the backend has not
+/// answered them.
 #[test]
 fn shutdown_answers_502_to_unanswered_requests() {
-    let (_fleet, _core, mut gateway) = start_gateway();
+    let (_fleet, _core, mut gateway) = start_system();
     let mut stream = send_request(&gateway, "/s/silent");
     stream.write_all(request("/s/silent").as_bytes()).expect("the request is sent");
     let metrics = || call(&gateway.ready, "GET", "/metrics", "", "");
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -141,22 +141,22 @@
 
 #[test]
 fn a_not_run_status_reaches_the_client_only_if_the_request_cannot_have_run() {
-    let course = |attempts, ran| AttemptSummary { attempts, may_have_run: ran, ..AttemptSummary::default() };
+    let summary = |attempts, ran| AttemptSummary { attempts, may_have_run: ran, ..AttemptSummary::default() };
     let served = |status| FinalResponse::Served { head: head(status, ""), body: ResponseBody::buffered("") };
     let refused = || FinalResponse::Refused { retry_after_ms: 5.0, reason: Reason::Unsent };
     for status in NOT_RUN_STATUSES {
         assert_eq!(
-            client_response(true, &served(status), &course(1, true)),
+            client_response(true, &served(status), &summary(1, true)),
             ClientResponse::MayHaveRun,
             "{status}"
         );
         assert_eq!(
-            client_response(false, &served(status), &course(1, true)),
+            client_response(false, &served(status), &summary(1, true)),
             ClientResponse::Served,
             "{status}"
         );
     }
-    for (answer, attempts, ran, once, expected) in [
+    for (response, attempts, ran, once, expected) in [
         (served(500), 1, true, true, ClientResponse::Served),
         (served(200), 1, true, true, ClientResponse::Served),
         (refused(), 2, false, true, ClientResponse::NotRun(Some(5.0))),
@@ -171,7 +171,7 @@
         (FinalResponse::IncompleteBody(BodyError::TooLarge), 1, true, true, ClientResponse::TooLarge),
     ] {
         assert_eq!(
-            client_response(once, &answer, &course(attempts, ran)),
+            client_response(once, &response, &summary(attempts, ran)),
             expected,
             "{attempts} {ran} {once}"
         );
--- a/overland/tests/readers.rs
+++ b/overland/tests/readers.rs
@@ -397,23 +397,23 @@
     let mut choices = Choices(generated, 0);
     let (mut pending, mut connection) = (PendingCharges::<(u32, u64)>::default(), 0);
     // The model: the waiters of the current connection, by number.
-    let (mut waiters, mut last_number) = (std::collections::BTreeMap::new(), 0);
+    let (mut waiters, mut last_sequence) = (std::collections::BTreeMap::new(), 0);
     while choices.has_more() {
         match choices.next() {
             0..=119 => {
-                let number = pending.register((connection, last_number + 1)).expect("room");
-                last_number += 1;
-                assert_eq!(number, last_number, "numbers are consecutive on each connection");
-                waiters.insert(number, (connection, number));
+                let sequence = pending.register((connection, last_sequence + 1)).expect("room");
+                last_sequence += 1;
+                assert_eq!(sequence, last_sequence, "numbers are consecutive on each connection");
+                waiters.insert(sequence, (connection, sequence));
             }
             120..=239 => {
-                let number = u64::from(choices.next()) % (last_number + 3);
-                let expected = waiters.remove(&number);
-                waiters.retain(|sent, _| *sent > number);
-                assert_eq!(pending.complete(number), expected, "matched by the number alone");
+                let sequence = u64::from(choices.next()) % (last_sequence + 3);
+                let expected = waiters.remove(&sequence);
+                waiters.retain(|sent, _| *sent > sequence);
+                assert_eq!(pending.complete(sequence), expected, "matched by the number alone");
             }
             _ => {
-                (pending, waiters, last_number, connection) =
+                (pending, waiters, last_sequence, connection) =
                     (PendingCharges::default(), Default::default(), 0, connection + 1);
             }
         }
--- a/src/plane/http.rs
+++ b/src/plane/http.rs
@@ -4,7 +4,7 @@
 use std::io::{self, ErrorKind};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Maximum size of a response head, of a chunk-size line or of the trailers.
+/// Maximum size of a response head, a chunk-size line or one trailer line.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// Maximum number of headers.
@@ -18,7 +18,8 @@
 
 /// Read buffer size; holds a typical response.
 const READ_BYTES: usize = 2048;
-/// Maximum read buffer size within a large body, to save system calls.
+/// Maximum read buffer size within a large body, which saves system calls, and maximum size of a piece of a
+/// framed body.
 const MAX_READ_BYTES: usize = 32 * 1024;
 
 /// The head of a response.
@@ -26,13 +27,14 @@
 pub struct Head {
     /// Status code.
     pub status: u16,
-    /// Length of the body, if the head gives it.
+    /// Length of the body that follows, if Content-Length frames it; `None` if it is framed otherwise or
+    /// there is none.
     pub length: Option<u64>,
     /// The connection stays open after the response.
     pub keep_alive: bool,
-    /// The backend states that the request was not executed.
+    /// `X-Turned-Away: 1`: the request was not executed.
     pub not_executed: bool,
-    /// Units that the backend charged for the request.
+    /// `X-Units-Charged`: the units that the backend charged for the request.
     pub units: Option<f64>,
     /// Media type of the body.
     pub content_type: Option<Bytes>,
@@ -90,17 +92,19 @@
         }
     }
 
-    /// Sets whether the next response is to a HEAD request and thus has no body, whatever its headers say.
+    /// Sets whether the following responses, until the next call, are to HEAD requests and thus have no body,
+    /// whatever their headers say.
     pub fn expect_no_body(&mut self, no_body: bool) {
         self.no_body = no_body;
     }
 
-    /// True if unparsed bytes are buffered; after a complete response these are unrequested.
+    /// True if unparsed bytes are buffered. After a complete response, such bytes belong to no request.
     pub fn has_buffered_bytes(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// True if part of a response has been received.
+    /// True if a peeked head has not been taken, or unparsed bytes are buffered. False in the middle of a body
+    /// once the head is taken and the buffer is empty.
     pub fn has_partial_response(&self) -> bool {
         self.head.is_some() || self.has_buffered_bytes()
     }
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Reads the head of the next response; the body follows by `next_bytes`.
+    /// Reads the head of the next response. Its body is to be read with `next_bytes` or `read_body`.
     pub async fn read_head(&mut self) -> io::Result<Head> {
         let mut interim_responses = 0;
         loop {
@@ -200,7 +204,7 @@
                         continue;
                     }
                     if self.buf.len() > MAX_HEAD_BYTES {
-                        return Err(invalid("invalid response: trailers too long"));
+                        return Err(invalid("invalid response: trailer line too long"));
                     }
                 }
                 BodyState::UntilClose if !self.buf.is_empty() => return Ok(Some(self.buf.split().freeze())),
@@ -320,7 +324,8 @@
     text.first().is_some_and(u8::is_ascii_hexdigit) && !text.iter().any(|b| matches!(b, b'\r' | b'\n'))
 }
 
-/// Parses a head; returns it with the state for its body and its length, or `None` if it is incomplete.
+/// Parses the head at the start of `buf`. Returns it, the initial state of its body and the number of bytes
+/// parsed, or `None` if it is incomplete.
 fn parse_head(buf: &[u8], no_body: bool) -> io::Result<Option<(Head, BodyState, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
