--- a/overland/src/ahead.rs
+++ b/overland/src/ahead.rs
@@ -8,7 +8,7 @@
 //! starts no more requests.
 
 use bytes::{Buf, BytesMut};
-use cherrytally::plane::http::has_bare_lf;
+use cherrytally::plane::http::has_ambiguous_line_ends;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, Uri};
 use std::cell::{Cell, RefCell};
@@ -171,7 +171,7 @@
         Err(_) => return HeadParse::Unknown,
     };
     // An empty line before a request is allowed. A bare CR or LF is not: parsers disagree on it.
-    if has_bare_lf(bytes[..head].strip_prefix(b"\r\n").unwrap_or(&bytes[..head])) {
+    if has_ambiguous_line_ends(bytes[..head].strip_prefix(b"\r\n").unwrap_or(&bytes[..head])) {
         return HeadParse::Unknown;
     }
     // The library closes the connection after an HTTP/1.0 request and tunnels what follows CONNECT.
--- a/overland/src/charging.rs
+++ b/overland/src/charging.rs
@@ -8,18 +8,18 @@
 const MAX_IN_FLIGHT: usize = 4096;
 
 /// The unanswered messages of one connection, in the order sent, each with the waiters for its response.
-pub struct PendingCharges<T> {
+pub struct PendingMessages<T> {
     last_sequence: u64,
     in_flight: VecDeque<(u64, T)>,
 }
 
-impl<T> Default for PendingCharges<T> {
+impl<T> Default for PendingMessages<T> {
     fn default() -> Self {
-        PendingCharges { last_sequence: 0, in_flight: VecDeque::new() }
+        PendingMessages { last_sequence: 0, in_flight: VecDeque::new() }
     }
 }
 
-impl<T> PendingCharges<T> {
+impl<T> PendingMessages<T> {
     /// Records a message about to be sent. Returns its sequence number, or `None` if too many are unanswered.
     pub fn register(&mut self, waiter: T) -> Option<u64> {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::{self, proxy_listen_address};
 use crate::ahead::{PendingResponse, Pipeline, PipelinedStream};
-use crate::charging::PendingCharges;
+use crate::charging::PendingMessages;
 use crate::copy::{Effects, StateReplica};
 use crate::figures::{Gauges, Metrics};
 use crate::invariants::{self, Invariant};
@@ -600,8 +600,8 @@
         outgoing.send(&Hello { purpose: Purpose::Counter as i32 });
         self.tally.borrow_mut().counter_connected();
         let mut incoming = MessageReader::<Totals>::new(read);
-        let mut waiting: PendingCharges<Vec<oneshot::Sender<Option<ChargeTotal>>>> =
-            PendingCharges::default();
+        let mut waiting: PendingMessages<Vec<oneshot::Sender<Option<ChargeTotal>>>> =
+            PendingMessages::default();
         loop {
             tokio::select! {
                 _ = counter.changed() => break,
@@ -893,9 +893,9 @@
                 }
                 not_run_response(StatusCode::SERVICE_UNAVAILABLE, after.unwrap_or(MIN_RETRY_AFTER_MS))
             }
-            (ClientResponse::TooLarge, _) => body_error(BodyError::TooLarge),
-            (ClientResponse::Broken, _) => body_error(BodyError::Broken),
-            (ClientResponse::Slow, _) => body_error(BodyError::Slow),
+            (ClientResponse::BodyTooLarge, _) => body_error(BodyError::TooLarge),
+            (ClientResponse::BodyBroken, _) => body_error(BodyError::Broken),
+            (ClientResponse::BodySlow, _) => body_error(BodyError::Slow),
             (ClientResponse::MayHaveRun | ClientResponse::Served, _) => {
                 text_response(StatusCode::BAD_GATEWAY, "failed; it may have run\n")
             }
--- a/overland/src/store/journal.rs
+++ b/overland/src/store/journal.rs
@@ -48,7 +48,7 @@
 /// # Errors
 ///
 /// The journal can't be read or written.
-pub(super) fn drop_torn_batch(dir: &Path) -> io::Result<bool> {
+pub(super) fn invalidate_last_batch(dir: &Path) -> io::Result<bool> {
     let Some(path) = newest_journal(dir)? else { return Ok(false) };
     let file = File::options().read(true).write(true).open(path)?;
     let length = written_length(&file)?;
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -302,7 +302,7 @@
             OpenedFiles::Readable(database, keyspace) => Ok(Ok((database, keyspace))),
             OpenedFiles::Unavailable(error) => Err(error).wrap_err("the disk is unavailable"),
             OpenedFiles::TornJournal(why) => {
-                if !journal::drop_torn_batch(path)? {
+                if !journal::invalidate_last_batch(path)? {
                     return Ok(Err(why));
                 }
                 log::warn!("store: the save that was under way is torn and dropped: {why}");
--- a/overland/src/told.rs
+++ b/overland/src/told.rs
@@ -18,11 +18,11 @@
     /// 502: the request may have run.
     MayHaveRun,
     /// 413: the request body is too large.
-    TooLarge,
+    BodyTooLarge,
     /// 400: the connection closed before the end of the request body, or the body's framing is invalid.
-    Broken,
+    BodyBroken,
     /// 408: the request body was not received in time.
-    Slow,
+    BodySlow,
 }
 
 /// The response to the client. With `at_most_once` (at most one execution) a status that promises "not run"
@@ -41,12 +41,12 @@
         }
         FinalResponse::Failed if attempts.attempts == 0 => ClientResponse::NotRun(None),
         FinalResponse::Refused { .. } | FinalResponse::Failed => ClientResponse::MayHaveRun,
-        FinalResponse::IncompleteBody(BodyError::TooLarge) => ClientResponse::TooLarge,
-        FinalResponse::IncompleteBody(BodyError::Broken) => ClientResponse::Broken,
+        FinalResponse::IncompleteBody(BodyError::TooLarge) => ClientResponse::BodyTooLarge,
+        FinalResponse::IncompleteBody(BodyError::Broken) => ClientResponse::BodyBroken,
         // A backend received part of the body and may have started.
         FinalResponse::IncompleteBody(BodyError::Slow) if at_most_once && attempts.may_have_run => {
             ClientResponse::MayHaveRun
         }
-        FinalResponse::IncompleteBody(BodyError::Slow) => ClientResponse::Slow,
+        FinalResponse::IncompleteBody(BodyError::Slow) => ClientResponse::BodySlow,
     }
 }
--- a/overland/tests/ending.rs
+++ b/overland/tests/ending.rs
@@ -37,7 +37,7 @@
 }
 
 fn send_request(gateway: &Gateway, path: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(&gateway.front).expect("a connection");
+    let mut stream = TcpStream::connect(&gateway.client_addr).expect("a connection");
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a read timeout");
     stream.write_all(request(path).as_bytes()).expect("the request is sent");
     stream
@@ -81,7 +81,7 @@
     let (_fleet, _core, mut gateway) = start_system();
     let mut stream = send_request(&gateway, "/s/silent");
     stream.write_all(request("/s/silent").as_bytes()).expect("the request is sent");
-    let metrics = || call(&gateway.ready, "GET", "/metrics", "", "");
+    let metrics = || call(&gateway.ready_addr, "GET", "/metrics", "", "");
     until("both requests in flight", || metrics().filter(|response| response.body.contains("pelion_open 2")));
 
     signal(&gateway.proxy, "-TERM");
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -102,7 +102,7 @@
 
 fn head(status: u16, lines: &str) -> Head {
     let raw = Bytes::from(format!("HTTP/1.1 {status} Some\r\n{lines}\r\n"));
-    Head { status, length: None, keep_alive: true, not_executed: false, units: None, content_type: None, raw }
+    Head { status, length: None, keep_alive: true, not_run: false, units: None, content_type: None, raw }
 }
 
 #[test]
@@ -164,11 +164,11 @@
         (refused(), 2, true, false, ClientResponse::MayHaveRun),
         (FinalResponse::Failed, 0, false, true, ClientResponse::NotRun(None)),
         (FinalResponse::Failed, 1, false, true, ClientResponse::MayHaveRun),
-        (FinalResponse::IncompleteBody(BodyError::Slow), 0, false, true, ClientResponse::Slow),
+        (FinalResponse::IncompleteBody(BodyError::Slow), 0, false, true, ClientResponse::BodySlow),
         (FinalResponse::IncompleteBody(BodyError::Slow), 1, true, true, ClientResponse::MayHaveRun),
-        (FinalResponse::IncompleteBody(BodyError::Slow), 1, true, false, ClientResponse::Slow),
-        (FinalResponse::IncompleteBody(BodyError::Broken), 1, true, true, ClientResponse::Broken),
-        (FinalResponse::IncompleteBody(BodyError::TooLarge), 1, true, true, ClientResponse::TooLarge),
+        (FinalResponse::IncompleteBody(BodyError::Slow), 1, true, false, ClientResponse::BodySlow),
+        (FinalResponse::IncompleteBody(BodyError::Broken), 1, true, true, ClientResponse::BodyBroken),
+        (FinalResponse::IncompleteBody(BodyError::TooLarge), 1, true, true, ClientResponse::BodyTooLarge),
     ] {
         assert_eq!(
             client_response(once, &response, &summary(attempts, ran)),
--- a/overland/tests/processes/mod.rs
+++ b/overland/tests/processes/mod.rs
@@ -158,8 +158,8 @@
 pub struct Gateway {
     pub agent: Process,
     pub proxy: Process,
-    pub front: String,
-    pub ready: String,
+    pub client_addr: String,
+    pub ready_addr: String,
 }
 
 /// The body of a backend's heartbeat.
@@ -185,13 +185,16 @@
 
     /// Starts a gateway at this address and waits until it is ready.
     pub fn gateway(&self, name: &str, ip: &str) -> Gateway {
-        let (front, ready) = (format!("{ip}:{}", free_port(ip)), format!("{ip}:{}", free_port(ip)));
-        let docks = format!("    front: \"{front}\"\n    ready: \"{ready}\"\n");
+        let (client_addr, ready_addr) =
+            (format!("{ip}:{}", free_port(ip)), format!("{ip}:{}", free_port(ip)));
+        let docks = format!("    front: \"{client_addr}\"\n    ready: \"{ready_addr}\"\n");
         let settings = self.settings(name, ip, "counter", &docks, true);
         let agent = start(env!("CARGO_BIN_EXE_windermere"), &settings);
         let proxy = start(env!("CARGO_BIN_EXE_pelion"), &settings);
-        until("a ready gateway", || call(&ready, "GET", "/api/ready", "", "").filter(|r| r.status == 200));
-        Gateway { agent, proxy, front, ready }
+        until("a ready gateway", || {
+            call(&ready_addr, "GET", "/api/ready", "", "").filter(|r| r.status == 200)
+        });
+        Gateway { agent, proxy, client_addr, ready_addr }
     }
 
     /// Writes the settings of a node and returns their file. `docks` are the lines of `network.docks_at`.
--- a/overland/tests/readers.rs
+++ b/overland/tests/readers.rs
@@ -4,7 +4,7 @@
 
 use cherrytally::plane::http::Reader;
 use overland::ahead::Splitter;
-use overland::charging::PendingCharges;
+use overland::charging::PendingMessages;
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
@@ -395,7 +395,7 @@
 
 fn check_pending(generated: &[u8]) {
     let mut choices = Choices(generated, 0);
-    let (mut pending, mut connection) = (PendingCharges::<(u32, u64)>::default(), 0);
+    let (mut pending, mut connection) = (PendingMessages::<(u32, u64)>::default(), 0);
     // The model: the waiters of the current connection, by number.
     let (mut waiters, mut last_sequence) = (std::collections::BTreeMap::new(), 0);
     while choices.has_more() {
@@ -414,7 +414,7 @@
             }
             _ => {
                 (pending, waiters, last_sequence, connection) =
-                    (PendingCharges::default(), Default::default(), 0, connection + 1);
+                    (PendingMessages::default(), Default::default(), 0, connection + 1);
             }
         }
     }
@@ -424,6 +424,6 @@
 fn responses_to_charges_are_matched_by_connection_and_number() {
     run_generated(check_pending);
     // The number of charges in flight is bounded.
-    let mut pending = PendingCharges::default();
+    let mut pending = PendingMessages::default();
     assert!((0..100_000).any(|n| pending.register(n).is_none()));
 }
--- a/overland/tests/system.rs
+++ b/overland/tests/system.rs
@@ -45,10 +45,10 @@
     until("the backend's acknowledgement", heartbeat);
 
     // Once ready, the gateway is listed to clients.
-    let Gateway { agent: _agent, mut proxy, front, ready } = fleet.gateway("gateway", "127.0.0.5");
+    let Gateway { agent: _agent, mut proxy, client_addr, ready_addr } = fleet.gateway("gateway", "127.0.0.5");
     let resolve = "/api/resolve?name=a.example&region=r&zone=a";
     until("the gateway's address", || {
-        call(control(2), "GET", resolve, "", "").filter(|response| response.body.contains(&front))
+        call(control(2), "GET", resolve, "", "").filter(|response| response.body.contains(&client_addr))
     });
 
     // Every core process reports the status of all: core processes, replicas, gateway and backend.
@@ -72,7 +72,7 @@
 
     // Invalid bytes at every port do no harm.
     let inner = format!("127.0.0.2:{}", fleet.inner_port);
-    for addr in [control(0), inner.as_str(), front.as_str(), ready.as_str()] {
+    for addr in [control(0), inner.as_str(), client_addr.as_str(), ready_addr.as_str()] {
         let mut stream = TcpStream::connect(addr).expect("a connection");
         // The peer may close the connection early.
         let _ = stream.write_all(&(0..65_536u32).map(|n| ((n * 7919) >> 3) as u8).collect::<Vec<_>>());
@@ -82,7 +82,7 @@
         let headers = format!(
             "Host: a.example\r\nRequest-Id: id-1\r\nDeadline-Ms: 5000\r\nTenant: somebody\r\nAuthorization: Bearer {key}\r\n"
         );
-        call(&front, "POST", path, &headers, "body")
+        call(&client_addr, "POST", path, &headers, "body")
     };
     let response = until("a response", || request("/x/1?q=2", "k1").filter(|r| r.status == 200));
     assert!(response.head.contains("stamp: s.1") && response.head.contains("x-own: 7"), "{}", response.head);
@@ -95,7 +95,7 @@
     assert_eq!(request("/y/1", "k1").map(|response| response.status), Some(404));
 
     // Two pipelined requests are at the backend concurrently, and are answered in order.
-    let mut stream = TcpStream::connect(&front).expect("a connection");
+    let mut stream = TcpStream::connect(&client_addr).expect("a connection");
     let pair_request = |id: u32| {
         format!("GET /s/pair HTTP/1.1\r\nHost: a.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 30000\r\n\r\n")
     };
@@ -114,7 +114,7 @@
     (0..2).for_each(|_| drop(received.recv_timeout(WAIT_TIMEOUT)));
 
     // The metrics count all this.
-    let metrics = call(&ready, "GET", "/metrics", "", "").expect("metrics");
+    let metrics = call(&ready_addr, "GET", "/metrics", "", "").expect("metrics");
     assert_eq!(metrics.status, 200);
     for line in [
         "pelion_answers_total{status=\"401\"} 1",
@@ -146,7 +146,9 @@
     signal(&cores[0], "-HUP");
     until("a response after SIGHUP", || request("/x/3", "k1").filter(|r| r.status == 200));
     signal(&proxy, "-TERM");
-    until("an unready gateway", || call(&ready, "GET", "/api/ready", "", "").filter(|r| r.status == 503));
+    until("an unready gateway", || {
+        call(&ready_addr, "GET", "/api/ready", "", "").filter(|r| r.status == 503)
+    });
     until("the gateway's delisting", || call(control(0), "GET", resolve, "", "").filter(|r| r.status == 503));
     assert!(proxy.0.wait().expect("an exit status").success());
 }
--- a/src/bin/heronstage/speech.rs
+++ b/src/bin/heronstage/speech.rs
@@ -60,7 +60,7 @@
         match head.status {
             200 => CallResult::Ok,
             // Only with this header do these statuses prove that the request was not executed.
-            503 | 504 if head.not_executed => CallResult::Rejected,
+            503 | 504 if head.not_run => CallResult::Rejected,
             _ => CallResult::Error,
         }
     }
--- a/src/plane/backends.rs
+++ b/src/plane/backends.rs
@@ -209,7 +209,7 @@
     }
     exchange.apply(ExchangeEvent::ResponseHead { keep_alive: false });
     match attempt.protocol().classify_response(&head) {
-        _ if head.not_executed => (CallResult::Rejected, None),
+        _ if head.not_run => (CallResult::Rejected, None),
         // Backends that wait for the whole body have not executed anything.
         _ if !may_start_early => (CallResult::ConnectFailed, None),
         CallResult::Rejected => (CallResult::Rejected, None),
--- a/src/plane/http.rs
+++ b/src/plane/http.rs
@@ -33,7 +33,7 @@
     /// The connection stays open after the response.
     pub keep_alive: bool,
     /// `X-Turned-Away: 1`: the request was not executed.
-    pub not_executed: bool,
+    pub not_run: bool,
     /// `X-Units-Charged`: the units that the backend charged for the request.
     pub units: Option<f64>,
     /// Media type of the body.
@@ -285,7 +285,7 @@
 }
 
 /// Whether a head contains an LF without a CR, or starts with an empty line. Parsers disagree on both.
-pub fn has_bare_lf(head: &[u8]) -> bool {
+pub fn has_ambiguous_line_ends(head: &[u8]) -> bool {
     let mut previous = 0;
     head.iter().any(|byte| std::mem::replace(&mut previous, *byte) != b'\r' && *byte == b'\n')
         || matches!(head, [b'\r' | b'\n', ..])
@@ -334,7 +334,7 @@
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(invalid("invalid response: malformed head")),
     };
-    if has_bare_lf(&buf[..used]) {
+    if has_ambiguous_line_ends(&buf[..used]) {
         return Err(invalid("invalid response: bare LF or leading empty line"));
     }
     if has_embedded_status_line(&buf[..used]) {
@@ -348,7 +348,7 @@
         status,
         length: None,
         keep_alive: response.version == Some(1),
-        not_executed: false,
+        not_run: false,
         units: None,
         content_type: None,
         raw: Bytes::new(),
@@ -378,7 +378,7 @@
                 head.keep_alive |= option.eq_ignore_ascii_case("keep-alive");
             }
         } else if is("x-turned-away") {
-            head.not_executed = value == "1";
+            head.not_run = value == "1";
         } else if is("x-units-charged") {
             head.units = value.parse().ok().filter(|units: &f64| units.is_finite() && *units >= 0.0);
         } else if is("content-type") {
