--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::{self, proxy_listen_address};
 use crate::ahead::{PendingResponse, Pipeline, PipelinedStream};
-use crate::charging::PendingCharges;
+use crate::charging::PendingMessages;
 use crate::copy::{Effects, StateReplica};
 use crate::figures::{Gauges, Metrics};
 use crate::invariants::{self, Invariant};
@@ -600,8 +600,8 @@
         outgoing.send(&Hello { purpose: Purpose::Counter as i32 });
         self.tally.borrow_mut().counter_connected();
         let mut incoming = MessageReader::<Totals>::new(read);
-        let mut waiting: PendingCharges<Vec<oneshot::Sender<Option<ChargeTotal>>>> =
-            PendingCharges::default();
+        let mut waiting: PendingMessages<Vec<oneshot::Sender<Option<ChargeTotal>>>> =
+            PendingMessages::default();
         loop {
             tokio::select! {
                 _ = counter.changed() => break,
@@ -868,34 +868,34 @@
             &body,
             more,
         );
-        let (id, answer) = self.driver.request(&request, work);
+        let (id, response) = self.driver.request(&request, work);
         in_flight.1 = Some(id);
-        let (answer, course) = self.driver.await_response(id, answer).await;
+        let (response, attempts) = self.driver.await_response(id, response).await;
         in_flight.1 = None;
         if let (Some(tenant), false) =
-            (&tenant, course.may_have_run || matches!(answer, FinalResponse::Served { .. }))
+            (&tenant, attempts.may_have_run || matches!(response, FinalResponse::Served { .. }))
         {
             // The charge of a request that never ran is refunded.
             self.tally.borrow_mut().refund(&tenant.name);
         }
-        match (client_response(route.at_most_once, &answer, &course), answer) {
+        match (client_response(route.at_most_once, &response, &attempts), response) {
             (ClientResponse::Served, FinalResponse::Served { head, body: content }) => {
                 response_from_backend(&head, content, parts.method == Method::HEAD)
             }
-            (ClientResponse::NotRun(after), answer) => {
-                if let FinalResponse::Refused { reason, .. } = answer {
+            (ClientResponse::NotRun(after), response) => {
+                if let FinalResponse::Refused { reason, .. } = response {
                     log::debug!(
                         "proxy: refused class {} pool {} zones {zone_mask:x}: {reason:?} after {} attempts",
                         route.class,
                         request.pool,
-                        course.attempts
+                        attempts.attempts
                     );
                 }
                 not_run_response(StatusCode::SERVICE_UNAVAILABLE, after.unwrap_or(MIN_RETRY_AFTER_MS))
             }
-            (ClientResponse::TooLarge, _) => body_error(BodyError::TooLarge),
-            (ClientResponse::Broken, _) => body_error(BodyError::Broken),
-            (ClientResponse::Slow, _) => body_error(BodyError::Slow),
+            (ClientResponse::BodyTooLarge, _) => body_error(BodyError::TooLarge),
+            (ClientResponse::BodyBroken, _) => body_error(BodyError::Broken),
+            (ClientResponse::BodySlow, _) => body_error(BodyError::Slow),
             (ClientResponse::MayHaveRun | ClientResponse::Served, _) => {
                 text_response(StatusCode::BAD_GATEWAY, "failed; it may have run\n")
             }
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -102,7 +102,7 @@
 
 fn head(status: u16, lines: &str) -> Head {
     let raw = Bytes::from(format!("HTTP/1.1 {status} Some\r\n{lines}\r\n"));
-    Head { status, length: None, keep_alive: true, not_executed: false, units: None, content_type: None, raw }
+    Head { status, length: None, keep_alive: true, not_run: false, units: None, content_type: None, raw }
 }
 
 #[test]
@@ -141,22 +141,22 @@
 
 #[test]
 fn a_not_run_status_reaches_the_client_only_if_the_request_cannot_have_run() {
-    let course = |attempts, ran| AttemptSummary { attempts, may_have_run: ran, ..AttemptSummary::default() };
+    let summary = |attempts, ran| AttemptSummary { attempts, may_have_run: ran, ..AttemptSummary::default() };
     let served = |status| FinalResponse::Served { head: head(status, ""), body: ResponseBody::buffered("") };
     let refused = || FinalResponse::Refused { retry_after_ms: 5.0, reason: Reason::Unsent };
     for status in NOT_RUN_STATUSES {
         assert_eq!(
-            client_response(true, &served(status), &course(1, true)),
+            client_response(true, &served(status), &summary(1, true)),
             ClientResponse::MayHaveRun,
             "{status}"
         );
         assert_eq!(
-            client_response(false, &served(status), &course(1, true)),
+            client_response(false, &served(status), &summary(1, true)),
             ClientResponse::Served,
             "{status}"
         );
     }
-    for (answer, attempts, ran, once, expected) in [
+    for (response, attempts, ran, once, expected) in [
         (served(500), 1, true, true, ClientResponse::Served),
         (served(200), 1, true, true, ClientResponse::Served),
         (refused(), 2, false, true, ClientResponse::NotRun(Some(5.0))),
@@ -164,14 +164,14 @@
         (refused(), 2, true, false, ClientResponse::MayHaveRun),
         (FinalResponse::Failed, 0, false, true, ClientResponse::NotRun(None)),
         (FinalResponse::Failed, 1, false, true, ClientResponse::MayHaveRun),
-        (FinalResponse::IncompleteBody(BodyError::Slow), 0, false, true, ClientResponse::Slow),
+        (FinalResponse::IncompleteBody(BodyError::Slow), 0, false, true, ClientResponse::BodySlow),
         (FinalResponse::IncompleteBody(BodyError::Slow), 1, true, true, ClientResponse::MayHaveRun),
-        (FinalResponse::IncompleteBody(BodyError::Slow), 1, true, false, ClientResponse::Slow),
-        (FinalResponse::IncompleteBody(BodyError::Broken), 1, true, true, ClientResponse::Broken),
-        (FinalResponse::IncompleteBody(BodyError::TooLarge), 1, true, true, ClientResponse::TooLarge),
+        (FinalResponse::IncompleteBody(BodyError::Slow), 1, true, false, ClientResponse::BodySlow),
+        (FinalResponse::IncompleteBody(BodyError::Broken), 1, true, true, ClientResponse::BodyBroken),
+        (FinalResponse::IncompleteBody(BodyError::TooLarge), 1, true, true, ClientResponse::BodyTooLarge),
     ] {
         assert_eq!(
-            client_response(once, &answer, &course(attempts, ran)),
+            client_response(once, &response, &summary(attempts, ran)),
             expected,
             "{attempts} {ran} {once}"
         );
--- a/overland/tests/system.rs
+++ b/overland/tests/system.rs
@@ -45,7 +45,8 @@
     until("the backend's acknowledgement", heartbeat);
 
     // Once ready, the gateway is listed to clients.
-    let Gateway { agent: _agent, mut proxy, front, ready } = fleet.gateway("gateway", "127.0.0.5");
+    let Gateway { agent: _agent, mut proxy, client_addr: front, ready_addr: ready } =
+        fleet.gateway("gateway", "127.0.0.5");
     let resolve = "/api/resolve?name=a.example&region=r&zone=a";
     until("the gateway's address", || {
         call(control(2), "GET", resolve, "", "").filter(|response| response.body.contains(&front))
