--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -430,7 +430,7 @@
             .iter()
             .any(|m| m["name"] == "n2" && m["addr"] == rival.to_string())
     });
-    let line = fleet.gateway(2).log.iter().find(|line| line.contains("two processes bear the name n2"));
+    let line = fleet.gateway(2).log.iter().find(|line| line.contains("two processes use the member name n2"));
     assert!(line.is_some_and(|line| line.contains("WARN")));
     assert_eq!(fleet.gateway(2).get(1, 1).status(), 200);
     assert!(fleet.present(&[0, 1, 3], 3));
