--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,151 +1,154 @@
-//! Checkers: what the ledger of a run shows to be broken, and the figures it comes to.
+//! Checks the ledger of a run against the rules and the plan's expectations, and computes its metrics.
 
 use crate::ledger::{End, Fate, Ledger, Try};
-use crate::load::{self, Even};
-use crate::plan::{Kind, LinkAct, Plan, Step, AIM_MS};
+use crate::load::{self, LoadBalance};
+use crate::plan::{Kind, LinkAction, Plan, Step, AIM_MS};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 
-/// Slack of all times on real sockets, in s, as on the platform.
+/// Tolerance for timing on real sockets, in s.
 pub const SLACK_S: f64 = 0.05;
-/// A gateway has so long from SIGTERM to answer what it had taken; what comes later it need not take.
-pub const LEAVE_S: f64 = 0.7;
-/// Service is back once it is at this share of what it was before for so many seconds in a row.
-const BACK: f64 = 0.95;
-const BACK_WINDOWS: usize = 3;
-/// Cases of a broken rule that are named.
-const NAMED: usize = 5;
-/// Longest latency that is told apart, in us.
-const LATENCY_MOST_US: u64 = 60_000_000;
+/// Time after SIGTERM during which a gateway must still accept requests, in s.
+pub const SHUTDOWN_GRACE_S: f64 = 0.7;
+/// Share of the level before the first fault that the service must reach to count as recovered.
+const RECOVERED_SHARE: f64 = 0.95;
+/// Number of consecutive seconds for which the service must stay at that level.
+const RECOVERED_SECONDS: usize = 3;
+/// Maximum number of cases listed for a violated rule.
+const MAX_LISTED_CASES: usize = 5;
+/// Upper bound of the latency histogram, in us.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// A rule that was broken.
+/// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Broken {
-    /// The rule.
+pub struct Violation {
+    /// Name of the rule.
     pub rule: &'static str,
-    /// How often.
+    /// Number of cases.
     pub times: usize,
-    /// The first cases.
+    /// Descriptions of the first cases.
     pub cases: Vec<String>,
 }
 
-/// What a run came to.
+/// Metrics of a run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
-    /// Works that clients began.
+pub struct Metrics {
+    /// Number of requests that clients sent.
     pub works: usize,
-    /// Share whose client got a good answer in the end.
+    /// Share of requests that were served in the end.
     pub served: f64,
-    /// Share that got it within the aim.
+    /// Share of requests that were served within the target latency.
     pub in_time: f64,
-    /// Share of tries that were refused, failed, found no gateway, broke off, or had no answer in time.
+    /// Share of tries that were refused.
     pub refused: f64,
-    /// Failed.
+    /// Share of tries that failed with another status.
     pub failed: f64,
-    /// No gateway was reached.
+    /// Share of tries that did not reach a gateway.
     pub unreached: f64,
-    /// The connection broke.
+    /// Share of tries whose connection was closed without an answer.
     pub broken: f64,
-    /// No answer came in time.
+    /// Share of tries that timed out.
     pub silent: f64,
-    /// Share of tries that a living gateway took and left without an answer.
+    /// Share of tries that a running gateway accepted but did not answer.
     pub unanswered: f64,
-    /// Tries for each work, and attempts at servers for each work.
+    /// Tries per request.
     pub tries: f64,
-    /// Attempts.
+    /// Attempts at servers per request.
     pub attempts: f64,
-    /// Time to the good answer from when the work was due, in ms: median, 90th, 99th percentile and worst.
+    /// Latency of served requests from their due times, in ms: median, 90th and 99th percentile, and maximum.
     pub latency_ms: [f64; 4],
-    /// Share of the units sent on that were beyond quotas.
+    /// Share of forwarded units that exceeded quotas.
     pub beyond_quota: f64,
-    /// Share of tries refused within the quota while a server had a core free.
+    /// Share of tries that were refused within the quota while a server had an idle core.
     pub refused_needlessly: f64,
-    /// How even the load was.
-    pub even: Even,
-    /// Seconds after the last step's end until the service was back; none if it never was, or was never away.
+    /// Load balance metrics.
+    #[serde(rename = "even")]
+    pub load_balance: LoadBalance,
+    /// Time from the end of the last step until the service recovered, in s, or none if it did not recover or the plan
+    /// has no steps.
     pub recovery_s: Option<f64>,
-    /// New connections to servers, for each work.
+    /// New connections to servers per request.
     pub connections: f64,
-    /// Probes, for each work.
+    /// Probes of servers per request.
     pub probes: f64,
-    /// Calls to the counter, for each work, and the share of them that was turned away.
+    /// Calls to the quota counter per request.
     pub calls: f64,
-    /// Turned away.
+    /// Share of calls that the quota counter rejected.
     pub calls_turned_away: f64,
 }
 
-/// What a run came to, and what was broken in it.
+/// Metrics and violated rules of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// Figures.
-    pub figures: Figures,
-    /// Broken rules.
-    pub broken: Vec<Broken>,
+    /// Metrics.
+    pub figures: Metrics,
+    /// Violated rules.
+    pub broken: Vec<Violation>,
 }
 
 impl Verdict {
-    /// Whether all held.
+    /// Whether no rule was violated.
     pub fn held(&self) -> bool {
         self.broken.is_empty()
     }
 }
 
-/// Cases against one rule.
+/// Cases in which a rule was violated.
 #[derive(Default)]
 struct Cases {
-    times: usize,
-    named: Vec<String>,
+    count: usize,
+    listed: Vec<String>,
 }
 
 impl Cases {
-    fn add(&mut self, case: impl FnOnce() -> String) {
-        self.times += 1;
-        if self.named.len() < NAMED {
-            self.named.push(case());
+    fn add(&mut self, description: impl FnOnce() -> String) {
+        self.count += 1;
+        if self.listed.len() < MAX_LISTED_CASES {
+            self.listed.push(description());
         }
     }
 }
 
-/// Judges a run.
+/// Checks a run against the rules and the plan's expectations.
 pub fn judge(plan: &Plan, ledger: &Ledger) -> Verdict {
-    let mut figures = figures(plan, ledger);
-    let mut broken = Vec::new();
-    let mut rule = |rule: &'static str, cases: Cases| {
-        if cases.times > 0 {
-            broken.push(Broken { rule, times: cases.times, cases: cases.named });
+    let mut metrics = compute_metrics(plan, ledger);
+    let mut violations = Vec::new();
+    let mut check_rule = |rule: &'static str, cases: Cases| {
+        if cases.count > 0 {
+            violations.push(Violation { rule, times: cases.count, cases: cases.listed });
         }
     };
-    let (answers, unanswered) = answers(plan, ledger);
-    figures.unanswered = unanswered.times as f64 / ledger.tries.len().max(1) as f64;
-    rule("each request has one answer, the right one", answers);
-    if figures.unanswered > plan.hold.unanswered {
-        rule("a request that a living gateway took has its answer", unanswered);
+    let (wrong_answers, unanswered) = find_answer_violations(plan, ledger);
+    metrics.unanswered = unanswered.count as f64 / ledger.tries.len().max(1) as f64;
+    check_rule("each request has one answer, the right one", wrong_answers);
+    if metrics.unanswered > plan.hold.unanswered {
+        check_rule("a request that a living gateway took has its answer", unanswered);
     }
-    rule("no unsafe request runs twice", twice(ledger));
-    rule("nothing new to a server that drains or is gone", drains(plan, ledger));
-    rule("servers get what clients sent", strays(ledger));
-    rule("a gateway does not end by itself", crashes(ledger));
-    let mut holds = Cases::default();
-    let mut most = |name: &str, value: f64, most: Option<f64>| {
-        if let Some(most) = most.filter(|most| value > *most) {
-            holds.add(|| format!("{name} is {value:.4}, over {most}"));
+    check_rule("no unsafe request runs twice", find_repeated_unsafe_requests(ledger));
+    check_rule("nothing new to a server that drains or is gone", find_drain_violations(plan, ledger));
+    check_rule("servers get what clients sent", find_unknown_requests(ledger));
+    check_rule("a gateway does not end by itself", find_crashes(ledger));
+    let mut unmet = Cases::default();
+    let mut check_maximum = |name: &str, value: f64, maximum: Option<f64>| {
+        if let Some(maximum) = maximum.filter(|maximum| value > *maximum) {
+            unmet.add(|| format!("{name} is {value:.4}, over {maximum}"));
         }
     };
-    most("beyond_quota", figures.beyond_quota, plan.hold.beyond_quota);
-    most("refused_needlessly", figures.refused_needlessly, plan.hold.refused_needlessly);
-    most("idle", figures.even.idle, plan.hold.idle);
-    most("max_to_mean", figures.even.max_to_mean, plan.hold.max_to_mean);
-    most("recovery_s", figures.recovery_s.unwrap_or(f64::INFINITY), plan.hold.recovery_s);
-    if figures.served < plan.hold.served {
-        holds.add(|| format!("served is {:.4}, under {}", figures.served, plan.hold.served));
+    check_maximum("beyond_quota", metrics.beyond_quota, plan.hold.beyond_quota);
+    check_maximum("refused_needlessly", metrics.refused_needlessly, plan.hold.refused_needlessly);
+    check_maximum("idle", metrics.load_balance.idle, plan.hold.idle);
+    check_maximum("max_to_mean", metrics.load_balance.max_to_mean, plan.hold.max_to_mean);
+    check_maximum("recovery_s", metrics.recovery_s.unwrap_or(f64::INFINITY), plan.hold.recovery_s);
+    if metrics.served < plan.hold.served {
+        unmet.add(|| format!("served is {:.4}, under {}", metrics.served, plan.hold.served));
     }
-    rule("what the plan says must hold", holds);
-    Verdict { figures, broken }
+    check_rule("what the plan says must hold", unmet);
+    Verdict { figures: metrics, broken: violations }
 }
 
-/// Whether a step does something to the link between clients and a gateway in that time.
-fn client_link(plan: &Plan, gateway: usize, from: f64, until: f64) -> bool {
+/// Whether a step affects the link between clients and a gateway in a period.
+fn is_client_link_faulty(plan: &Plan, gateway: usize, from: f64, until: f64) -> bool {
     plan.step.iter().enumerate().any(|(number, step)| {
         let Some(on) = step.link.as_ref().filter(|on| [on.from.kind, on.to.kind].contains(&Kind::Clients))
         else {
@@ -156,91 +159,94 @@
     })
 }
 
-/// Answers that are wrong or too many; and requests that a living gateway took and left without one.
-fn answers(plan: &Plan, ledger: &Ledger) -> (Cases, Cases) {
-    let (mut wrong, mut without) = (Cases::default(), Cases::default());
-    let ran: HashSet<u64> = ledger.runs.iter().filter(|run| run.began).map(|run| run.txn).collect();
-    for one in &ledger.tries {
-        let Try { txn, gateway, at, until, .. } = *one;
-        let name = || format!("{txn:016x} at gateway {gateway}, asked at {at:.3} s");
-        if one.extra > 0 {
-            wrong.add(|| format!("{}: {} answers too many", name(), one.extra));
+/// Returns the tries with wrong or duplicate answers, and the tries that a running gateway accepted but did not answer.
+fn find_answer_violations(plan: &Plan, ledger: &Ledger) -> (Cases, Cases) {
+    let (mut wrong, mut unanswered) = (Cases::default(), Cases::default());
+    let processed: HashSet<u64> = ledger.runs.iter().filter(|run| run.began).map(|run| run.txn).collect();
+    for client_try in &ledger.tries {
+        let Try { txn, gateway, at, until, .. } = *client_try;
+        let name = || format!("{txn:016x} at gateway {gateway}, sent at {at:.3} s");
+        if client_try.extra > 0 {
+            wrong.add(|| format!("{}: {} duplicate answers", name(), client_try.extra));
         }
-        match one.end {
-            Some((_, End::Wrong)) => wrong.add(|| format!("{}: 200 with another body", name())),
-            Some((_, End::Served)) if !ran.contains(&txn) => {
-                wrong.add(|| format!("{}: served, but no server had it", name()));
+        match client_try.end {
+            Some((_, End::Wrong)) => wrong.add(|| format!("{}: status 200 with a wrong body", name())),
+            Some((_, End::Served)) if !processed.contains(&txn) => {
+                wrong.add(|| format!("{}: served, but no server processed it", name()));
             }
             Some((ended, End::Broken | End::Silent)) => {
-                let lived = ledger.lived(gateway, at, ended.max(until), LEAVE_S);
-                if lived && !client_link(plan, gateway, at, ended) {
-                    without.add(|| format!("{}: no answer by {ended:.3} s", name()));
+                let was_running = ledger.was_running(gateway, at, ended.max(until), SHUTDOWN_GRACE_S);
+                if was_running && !is_client_link_faulty(plan, gateway, at, ended) {
+                    unanswered.add(|| format!("{}: no answer by {ended:.3} s", name()));
                 }
             }
-            None => without.add(|| format!("{}: never ended", name())),
+            None => unanswered.add(|| format!("{}: never ended", name())),
             _ => {}
         }
     }
-    (wrong, without)
+    (wrong, unanswered)
 }
 
-/// Unsafe requests that ran twice, under one number or under two, or were refused though they may have run.
-fn twice(ledger: &Ledger) -> Cases {
+/// Returns the unsafe requests that were processed twice, in the same try or in two, and the unsafe tries that were
+/// refused although a server may have processed them.
+fn find_repeated_unsafe_requests(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
-    let unsafe_class = |work: usize| ledger.works[work].class == 1;
+    let is_unsafe = |work: usize| ledger.works[work].class == 1;
     let mut by_work: HashMap<usize, Vec<u64>> = HashMap::new();
     for run in ledger.runs.iter().filter(|run| run.began) {
-        if let Some(work) = ledger.work_of(run.txn).filter(|work| unsafe_class(*work)) {
+        if let Some(work) = ledger.work_of(run.txn).filter(|work| is_unsafe(*work)) {
             by_work.entry(work).or_default().push(run.txn);
         }
     }
     for (work, txns) in &by_work {
         if txns.len() > 1 {
-            cases.add(|| format!("work {work} ran as {txns:x?}"));
+            cases.add(|| format!("request {work} ran as {txns:x?}"));
         }
     }
-    for one in &ledger.tries {
-        let ran = || by_work.get(&one.work).is_some_and(|txns| txns.contains(&one.txn));
-        if matches!(one.end, Some((_, End::Refused(_)))) && unsafe_class(one.work) && ran() {
-            cases.add(|| format!("{:016x} was refused, but may have run", one.txn));
+    for client_try in &ledger.tries {
+        let processed = || by_work.get(&client_try.work).is_some_and(|txns| txns.contains(&client_try.txn));
+        if matches!(client_try.end, Some((_, End::Refused(_)))) && is_unsafe(client_try.work) && processed() {
+            cases.add(|| format!("{:016x} was refused, but may have run", client_try.txn));
         }
     }
     cases
 }
 
-/// What can be late on the way from gateways to servers by the plan, in s.
-fn delayed(plan: &Plan) -> f64 {
+/// Returns the maximum delay that the plan's link faults can add between gateways and servers, in s.
+fn max_link_delay_s(plan: &Plan) -> f64 {
     let links = plan.step.iter().filter_map(|step: &Step| Some((step, step.link.as_ref()?)));
-    let late = links.filter(|(_, on)| [on.from.kind, on.to.kind].contains(&Kind::Servers));
-    late.map(|(step, on)| match on.act {
-        LinkAct::Delay => (on.by + on.spread + on.grows * (step.ends(plan) - step.at)) / 1000.0,
-        // What was stopped passes when the link heals.
-        LinkAct::Cut | LinkAct::Loss | LinkAct::Throttle => step.ends(plan) - step.at,
-        _ => 0.0,
-    })
-    .sum()
+    let server_links = links.filter(|(_, on)| [on.from.kind, on.to.kind].contains(&Kind::Servers));
+    server_links
+        .map(|(step, on)| match on.act {
+            LinkAction::Delay => (on.by + on.spread + on.grows * (step.ends(plan) - step.at)) / 1000.0,
+            // Held-back data is delivered when the fault ends.
+            LinkAction::Cut | LinkAction::Loss | LinkAction::Throttle => step.ends(plan) - step.at,
+            _ => 0.0,
+        })
+        .sum()
 }
 
-fn drains(plan: &Plan, ledger: &Ledger) -> Cases {
+/// Returns the attempts at a server after the gateway was notified that it is draining or gone.
+fn find_drain_violations(plan: &Plan, ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
-    let mut told: HashMap<(usize, usize), Vec<(f64, bool)>> = HashMap::new();
+    let mut notifications: HashMap<(usize, usize), Vec<(f64, bool)>> = HashMap::new();
     for (at, gateway, server, leaves) in &ledger.told {
-        told.entry((*gateway, *server)).or_default().push((*at, *leaves));
+        notifications.entry((*gateway, *server)).or_default().push((*at, *leaves));
     }
-    let grace = plan.hold.drain_grace_ms / 1000.0 + SLACK_S + delayed(plan);
+    let grace_s = plan.hold.drain_grace_ms / 1000.0 + SLACK_S + max_link_delay_s(plan);
     for run in &ledger.runs {
-        let Some(told) = told.get(&(run.gateway, run.server)) else { continue };
-        let Some((at, true)) = told.iter().rev().find(|(at, _)| *at <= run.first) else { continue };
-        // A gateway that stood still meanwhile, or has only just started, heard of it when it went on.
-        let woke = ledger.lives.iter().filter(|(_, gateway, life)| {
+        let Some(notifications) = notifications.get(&(run.gateway, run.server)) else { continue };
+        let Some((at, true)) = notifications.iter().rev().find(|(at, _)| *at <= run.first) else { continue };
+        // A gateway that was paused or not running at that time reads the notification once it runs.
+        let resumed = ledger.lives.iter().filter(|(_, gateway, event)| {
             *gateway == run.gateway
-                && matches!(life, crate::ledger::Life::Resumed | crate::ledger::Life::Ready)
+                && matches!(event, crate::ledger::Life::Resumed | crate::ledger::Life::Ready)
         });
-        let at = woke.map(|(woke, _, _)| *woke).filter(|woke| *woke <= run.first).fold(*at, f64::max);
-        if run.first > at + grace {
+        let at = resumed.map(|(at, _, _)| *at).filter(|at| *at <= run.first).fold(*at, f64::max);
+        if run.first > at + grace_s {
             cases.add(|| {
                 format!(
-                    "{:016x} from gateway {} to server {} {:.0} ms after it was told",
+                    "{:016x} from gateway {} to server {} {:.0} ms after the notification",
                     run.txn,
                     run.gateway,
                     run.server,
@@ -252,7 +258,7 @@
     cases
 }
 
-fn strays(ledger: &Ledger) -> Cases {
+fn find_unknown_requests(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
     if ledger.strays > 0 {
         cases.add(|| format!("{} requests that no client sent", ledger.strays));
@@ -260,143 +266,153 @@
     cases
 }
 
-fn crashes(ledger: &Ledger) -> Cases {
+fn find_crashes(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
-    for (at, gateway, _) in ledger.lives.iter().filter(|(_, _, life)| *life == crate::ledger::Life::Crashed) {
-        cases.add(|| format!("gateway {gateway} ended at {at:.3} s"));
+    for (at, gateway, _) in ledger.lives.iter().filter(|(_, _, event)| *event == crate::ledger::Life::Crashed)
+    {
+        cases.add(|| format!("gateway {gateway} exited at {at:.3} s"));
     }
     cases
 }
 
-/// A customer's store of units.
-struct Store {
-    units: f64,
-    at: f64,
+/// Token bucket of a customer's quota.
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: f64,
 }
 
-/// Units sent on beyond quotas as a share of all, and the share of tries that were refused within the quota while a
-/// server had a core free.
-fn quotas(plan: &Plan, ledger: &Ledger) -> (f64, f64) {
-    enum Mark {
-        Sent,
+/// Returns the share of forwarded units that exceeded quotas, and the share of tries that were refused within the quota
+/// while a server had an idle core.
+fn quota_metrics(plan: &Plan, ledger: &Ledger) -> (f64, f64) {
+    enum Event {
+        /// The estimated units are charged.
+        Forwarded,
+        /// The difference between the estimated and the actual units is refunded.
         Settled(f64),
         Refused,
     }
-    let mut marks: Vec<(f64, usize, Mark)> = Vec::new();
-    let (mut first, mut settled) = (HashSet::new(), HashSet::new());
+    let mut events: Vec<(f64, usize, Event)> = Vec::new();
+    let (mut forwarded, mut settled) = (HashSet::new(), HashSet::new());
     for run in &ledger.runs {
         let Some(work) = ledger.work_of(run.txn) else { continue };
-        if first.insert(run.txn) {
-            marks.push((run.came, work, Mark::Sent));
+        if forwarded.insert(run.txn) {
+            events.push((run.came, work, Event::Forwarded));
         }
         if run.end.1 == Fate::Done && settled.insert(run.txn) {
-            marks.push((run.end.0, work, Mark::Settled(ledger.works[work].guess - ledger.works[work].units)));
+            let refund = ledger.works[work].guess - ledger.works[work].units;
+            events.push((run.end.0, work, Event::Settled(refund)));
         }
     }
-    for one in &ledger.tries {
-        if let Some((at, End::Refused(_))) = one.end {
-            marks.push((at, one.work, Mark::Refused));
+    for client_try in &ledger.tries {
+        if let Some((at, End::Refused(_))) = client_try.end {
+            events.push((at, client_try.work, Event::Refused));
         }
     }
-    marks.sort_by(|a, b| a.0.total_cmp(&b.0));
+    events.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut needless: Vec<f64> = ledger.needless.clone();
     needless.sort_by(f64::total_cmp);
-    let mut stores: HashMap<u32, Store> = HashMap::new();
-    let (mut sent, mut beyond, mut turned) = (0.0, 0.0, 0usize);
-    for (at, work, mark) in marks {
+    let mut buckets: HashMap<u32, TokenBucket> = HashMap::new();
+    let (mut units, mut units_beyond_quota, mut needless_refusals) = (0.0, 0.0, 0usize);
+    for (at, work, event) in events {
         let arrival = ledger.works[work];
-        let plan_of = arrival.plan() as usize;
-        let (rate, burst) =
-            (plan.traffic.rate[plan_of], plan.traffic.rate[plan_of] * plan.traffic.burst_s[plan_of]);
-        let store = stores.entry(arrival.customer).or_insert(Store { units: burst, at });
-        store.units = (store.units + rate * (at - store.at).max(0.0)).min(burst);
-        store.at = at;
-        let room = rate == 0.0 || store.units >= arrival.guess;
-        match mark {
-            Mark::Sent => {
-                sent += arrival.guess;
-                if room {
-                    store.units -= arrival.guess;
+        let customer_plan = arrival.plan() as usize;
+        let rate = plan.traffic.rate[customer_plan];
+        let burst = rate * plan.traffic.burst_s[customer_plan];
+        let bucket =
+            buckets.entry(arrival.customer).or_insert(TokenBucket { tokens: burst, refilled_at: at });
+        bucket.tokens = (bucket.tokens + rate * (at - bucket.refilled_at).max(0.0)).min(burst);
+        bucket.refilled_at = at;
+        let within_quota = rate == 0.0 || bucket.tokens >= arrival.guess;
+        match event {
+            Event::Forwarded => {
+                units += arrival.guess;
+                if within_quota {
+                    bucket.tokens -= arrival.guess;
                 } else {
-                    beyond += arrival.guess;
+                    units_beyond_quota += arrival.guess;
                 }
             }
-            Mark::Settled(back) => store.units = (store.units + back).min(burst),
-            Mark::Refused => {
-                let noted = needless.binary_search_by(|then| then.total_cmp(&at)).is_ok();
-                turned += usize::from(room && noted);
+            Event::Settled(refund) => bucket.tokens = (bucket.tokens + refund).min(burst),
+            Event::Refused => {
+                let server_was_idle = needless.binary_search_by(|then| then.total_cmp(&at)).is_ok();
+                needless_refusals += usize::from(within_quota && server_was_idle);
             }
         }
     }
-    (if sent > 0.0 { beyond / sent } else { 0.0 }, turned as f64 / ledger.tries.len().max(1) as f64)
+    (
+        if units > 0.0 { units_beyond_quota / units } else { 0.0 },
+        needless_refusals as f64 / ledger.tries.len().max(1) as f64,
+    )
 }
 
-/// Served works by the second in which they were due, as shares; none where none was due.
-fn service(ledger: &Ledger) -> Vec<Option<f64>> {
+/// Returns the share of requests that were served, for each second in which they were due. None if none was due.
+fn served_per_second(ledger: &Ledger) -> Vec<Option<f64>> {
     let seconds = ledger.ended.floor() as usize;
-    let mut of = vec![(0usize, 0usize); seconds];
-    for (work, served) in ledger.served().iter().enumerate() {
-        if let Some((due, good)) = of.get_mut(ledger.works[work].at as usize) {
+    let mut counts = vec![(0usize, 0usize); seconds];
+    for (work, served_at) in ledger.served().iter().enumerate() {
+        if let Some((due, served)) = counts.get_mut(ledger.works[work].at as usize) {
             *due += 1;
-            *good += usize::from(served.is_some());
+            *served += usize::from(served_at.is_some());
         }
     }
-    of.into_iter().map(|(due, good)| (due > 0).then(|| good as f64 / due as f64)).collect()
+    counts.into_iter().map(|(due, served)| (due > 0).then(|| served as f64 / due as f64)).collect()
 }
 
-/// Seconds after the last step's end until the service is back for good.
-fn recovery(plan: &Plan, ledger: &Ledger) -> Option<f64> {
-    let (begins, ends) = plan.trouble()?;
-    let service = service(ledger);
-    let before: Vec<_> = service.iter().take(begins.floor() as usize).skip(1).flatten().copied().collect();
+/// Returns the time from the end of the last step until the service recovers, in s.
+fn recovery_time_s(plan: &Plan, ledger: &Ledger) -> Option<f64> {
+    let (start, end) = plan.fault_window()?;
+    let served = served_per_second(ledger);
+    let before: Vec<_> = served.iter().take(start.floor() as usize).skip(1).flatten().copied().collect();
     let before = before.iter().sum::<f64>() / before.len().max(1) as f64;
-    let after: Vec<_> = service.iter().skip(ends.ceil() as usize).map(|share| share.unwrap_or(1.0)).collect();
-    let back = after.windows(BACK_WINDOWS).position(|row| row.iter().all(|share| *share >= BACK * before))?;
-    Some(ends.ceil() - ends + back as f64)
+    let after: Vec<_> = served.iter().skip(end.ceil() as usize).map(|share| share.unwrap_or(1.0)).collect();
+    let is_recovered = |shares: &[f64]| shares.iter().all(|share| *share >= RECOVERED_SHARE * before);
+    let recovered = after.windows(RECOVERED_SECONDS).position(is_recovered)?;
+    Some(end.ceil() - end + recovered as f64)
 }
 
-fn figures(plan: &Plan, ledger: &Ledger) -> Figures {
+fn compute_metrics(plan: &Plan, ledger: &Ledger) -> Metrics {
     let tries = ledger.tries.len().max(1) as f64;
     let works = ledger.began.iter().flatten().count().max(1) as f64;
-    let share = |is: &dyn Fn(&End) -> bool| {
-        ledger.tries.iter().filter(|one| one.end.is_some_and(|(_, end)| is(&end))).count() as f64 / tries
+    let share_of_tries = |matches: &dyn Fn(&End) -> bool| {
+        let ended = ledger.tries.iter().filter_map(|client_try| client_try.end);
+        ended.filter(|(_, end)| matches(end)).count() as f64 / tries
     };
     let mut latency =
-        Histogram::<u64>::new_with_bounds(1, LATENCY_MOST_US, 3).expect("bounds of a histogram");
+        Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid histogram bounds");
     let served = ledger.served();
     let mut in_time = 0;
-    for (arrival, served) in ledger.works.iter().zip(&served) {
-        if let Some(at) = served {
-            // From when it was due: what a late client adds is not hidden.
-            let took = ((at - arrival.at).max(0.0) * 1e6) as u64;
-            latency.saturating_record(took.clamp(1, LATENCY_MOST_US));
-            in_time += usize::from(took as f64 <= AIM_MS * 1000.0);
+    for (arrival, served_at) in ledger.works.iter().zip(&served) {
+        if let Some(at) = served_at {
+            // Measured from the due time, so that delays of the client are included (coordinated omission).
+            let latency_us = ((at - arrival.at).max(0.0) * 1e6) as u64;
+            latency.saturating_record(latency_us.clamp(1, MAX_LATENCY_US));
+            in_time += usize::from(latency_us as f64 <= AIM_MS * 1000.0);
         }
     }
-    let at = |quantile: f64| latency.value_at_quantile(quantile) as f64 / 1000.0;
-    let (beyond_quota, refused_needlessly) = quotas(plan, ledger);
-    let (calls, turned_away) = ledger.calls;
-    Figures {
+    let latency_ms_at = |quantile: f64| latency.value_at_quantile(quantile) as f64 / 1000.0;
+    let (beyond_quota, refused_needlessly) = quota_metrics(plan, ledger);
+    let (calls, calls_turned_away) = ledger.calls;
+    Metrics {
         works: ledger.began.iter().flatten().count(),
         served: served.iter().flatten().count() as f64 / works,
         in_time: in_time as f64 / works,
-        refused: share(&|end| matches!(end, End::Refused(_))),
-        failed: share(&|end| matches!(end, End::Failed(_))),
-        unreached: share(&|end| *end == End::Unreached),
-        broken: share(&|end| *end == End::Broken),
-        silent: share(&|end| *end == End::Silent),
-        unanswered: 0.0,
+        refused: share_of_tries(&|end| matches!(end, End::Refused(_))),
+        failed: share_of_tries(&|end| matches!(end, End::Failed(_))),
+        unreached: share_of_tries(&|end| *end == End::Unreached),
+        broken: share_of_tries(&|end| *end == End::Broken),
+        silent: share_of_tries(&|end| *end == End::Silent),
+        unanswered: 0.0, // set by the rule check
         tries: ledger.tries.len() as f64 / works,
         attempts: ledger.runs.len() as f64 / works,
-        latency_ms: [at(0.5), at(0.9), at(0.99), at(1.0)],
+        latency_ms: [latency_ms_at(0.5), latency_ms_at(0.9), latency_ms_at(0.99), latency_ms_at(1.0)],
         beyond_quota,
         refused_needlessly,
-        even: load::even(plan, ledger),
-        recovery_s: recovery(plan, ledger),
+        load_balance: load::measure(plan, ledger),
+        recovery_s: recovery_time_s(plan, ledger),
         connections: ledger.connections.len() as f64 / works,
         probes: ledger.probes as f64 / works,
         calls: calls as f64 / works,
-        calls_turned_away: turned_away as f64 / calls.max(1) as f64,
+        calls_turned_away: calls_turned_away as f64 / calls.max(1) as f64,
     }
 }
 
@@ -413,8 +429,8 @@
         .unwrap()
     }
 
-    /// Ten seconds in which all goes well: ten works a second, each of a customer of its own, every other one unsafe.
-    fn good() -> Ledger {
+    /// Ten seconds without faults: ten requests per second, each by a different customer and every second one unsafe.
+    fn faultless_ledger() -> Ledger {
         let mut ledger = Ledger { ended: 10.0, speeds: vec![1.0; 2], ..Ledger::default() };
         ledger.standings = vec![(0.0, 0, Standing::Up), (0.0, 1, Standing::Up)];
         ledger.lives = (0..3).map(|gateway| (-1.0, gateway, Life::Ready)).collect();
@@ -442,35 +458,38 @@
         ledger
     }
 
-    fn rules(plan: &Plan, ledger: &Ledger) -> Vec<&'static str> {
-        judge(plan, ledger).broken.iter().map(|broken| broken.rule).collect()
+    fn violated_rules(plan: &Plan, ledger: &Ledger) -> Vec<&'static str> {
+        judge(plan, ledger).broken.iter().map(|violation| violation.rule).collect()
     }
 
     #[test]
-    fn a_good_run_breaks_nothing() {
+    fn faultless_run_violates_no_rule() {
         let hold = "[hold]\nserved = 1.0\nbeyond_quota = 0.0\nrefused_needlessly = 0.0\nidle = 0.0\nmax_to_mean = 1.5";
-        let verdict = judge(&plan(hold), &good());
-        assert!(verdict.held(), "{verdict:?}");
-        let figures = verdict.figures;
-        assert_eq!((figures.works, figures.served, figures.in_time, figures.refused), (100, 1.0, 1.0, 0.0));
-        assert!((59.0..61.0).contains(&figures.latency_ms[0]), "{figures:?}");
+        let verdict = judge(&plan(hold), &faultless_ledger());
+        assert!(verdict.held(), "expected no violation: {verdict:?}");
+        let metrics = verdict.figures;
+        assert_eq!((metrics.works, metrics.served, metrics.in_time, metrics.refused), (100, 1.0, 1.0, 0.0));
+        assert!(
+            (59.0..61.0).contains(&metrics.latency_ms[0]),
+            "expected a median latency of 60 ms: {metrics:?}"
+        );
     }
 
-    /// Each checker catches a ledger that was broken in its way, and no other one does.
+    /// Guards against checks that miss a violation or attribute it to another rule.
     #[test]
-    fn each_broken_ledger_is_caught_by_its_checker() {
+    fn each_kind_of_violation_is_reported_under_its_rule_only() {
         const ANSWER: &str = "each request has one answer, the right one";
-        const TAKEN: &str = "a request that a living gateway took has its answer";
+        const UNANSWERED: &str = "a request that a living gateway took has its answer";
         const TWICE: &str = "no unsafe request runs twice";
         const DRAIN: &str = "nothing new to a server that drains or is gone";
-        type Breaks = fn(&mut Ledger);
-        let cases: [(&str, Breaks); 13] = [
+        type Damage = fn(&mut Ledger);
+        let cases: [(&str, Damage); 13] = [
             (ANSWER, |l| l.tries[4].extra = 1),
             (ANSWER, |l| l.tries[4].end = Some((0.5, End::Wrong))),
             (ANSWER, |l| l.runs.retain(|run| run.txn != txn(4, 0))),
-            (TAKEN, |l| l.tries[4].end = Some((2.5, End::Silent))),
-            (TAKEN, |l| l.tries[4].end = Some((0.5, End::Broken))),
-            (TAKEN, |l| l.tries[4].end = None),
+            (UNANSWERED, |l| l.tries[4].end = Some((2.5, End::Silent))),
+            (UNANSWERED, |l| l.tries[4].end = Some((0.5, End::Broken))),
+            (UNANSWERED, |l| l.tries[4].end = None),
             (TWICE, |l| l.runs.push(Run { server: 1, ..l.runs[5] })),
             (TWICE, |l| l.runs.push(Run { txn: txn(5, 1), ..l.runs[5] })),
             (TWICE, |l| l.tries[5].end = Some((0.6, End::Refused(None)))),
@@ -478,44 +497,52 @@
             ("servers get what clients sent", |l| l.strays = 1),
             ("a gateway does not end by itself", |l| l.lives.push((9.9, 0, Life::Crashed))),
             ("what the plan says must hold", |l| {
-                l.tries.iter_mut().take(9).for_each(|one| one.end = Some((0.1, End::Failed(502))));
+                l.tries
+                    .iter_mut()
+                    .take(9)
+                    .for_each(|client_try| client_try.end = Some((0.1, End::Failed(502))));
             }),
         ];
         let plan = plan("[hold]\nserved = 0.95");
-        for (number, (rule, breaks)) in cases.into_iter().enumerate() {
-            let mut ledger = good();
-            breaks(&mut ledger);
-            assert_eq!(rules(&plan, &ledger), [rule], "case {number}");
+        for (number, (rule, damage)) in cases.into_iter().enumerate() {
+            let mut ledger = faultless_ledger();
+            damage(&mut ledger);
+            assert_eq!(violated_rules(&plan, &ledger), [rule], "case {number}");
         }
     }
 
     #[test]
-    fn what_died_with_its_gateway_or_its_link_is_not_held_against_a_living_one() {
-        let mut ledger = good();
+    fn allowed_effects_of_faults_violate_no_rule() {
+        // The gateway was killed before it could answer.
+        let mut ledger = faultless_ledger();
         ledger.tries[4].end = Some((0.5, End::Broken));
         ledger.lives.push((0.45, 1, Life::Killed));
-        assert!(rules(&plan(""), &ledger).is_empty());
+        assert_eq!(violated_rules(&plan(""), &ledger), [""; 0]);
+        // The link to the client was cut.
         ledger.lives.pop();
         let cut =
             "[[step]]\nat = 0.1\nfor = 1\nlink = { from = \"clients\", to = \"gateways 1\", do = \"cut\" }";
-        assert!(rules(&plan(cut), &ledger).is_empty());
-        // A safe one may run twice, and what is told again as ready takes work again.
-        ledger = good();
+        assert_eq!(violated_rules(&plan(cut), &ledger), [""; 0]);
+        // A safe request may run twice, and a server may be used again once it is ready again.
+        ledger = faultless_ledger();
         ledger.runs.push(Run { server: 1, ..ledger.runs[4] });
         ledger.told = vec![(5.0, 0, 0, true), (5.2, 0, 0, false)];
-        assert!(rules(&plan(""), &ledger).is_empty());
+        assert_eq!(violated_rules(&plan(""), &ledger), [""; 0]);
     }
 
     #[test]
     fn units_beyond_a_quota_and_needless_refusals_are_counted() {
-        let mut ledger = good();
-        // One customer of 4 units a second that holds 20 asks for 20 a second: after the first 25 or so units,
-        // four in five are beyond.
+        let mut ledger = faultless_ledger();
+        // A quota of 4 units per second with a burst of 20 against a demand of 20 units per second.
         ledger.works.iter_mut().for_each(|work| work.customer = 0);
         let verdict = judge(&plan("[hold]\nbeyond_quota = 0.5"), &ledger);
-        assert!((0.65..0.8).contains(&verdict.figures.beyond_quota), "{:?}", verdict.figures);
+        assert!(
+            (0.65..0.8).contains(&verdict.figures.beyond_quota),
+            "expected 65% to 80% of units beyond the quota: {:?}",
+            verdict.figures
+        );
         assert_eq!(verdict.broken[0].rule, "what the plan says must hold");
-        let mut ledger = good();
+        let mut ledger = faultless_ledger();
         for number in [10, 20, 30] {
             let at = ledger.tries[number].at;
             ledger.tries[number].end = Some((at, End::Refused(Some(100))));
@@ -527,15 +554,18 @@
     }
 
     #[test]
-    fn the_time_until_the_service_is_back_is_told() {
+    fn recovery_time_is_measured_from_the_end_of_the_last_step() {
         let step = "[[step]]\nat = 2\nfor = 2\ncounter = { do = \"out\" }\n[hold]\nrecovery_s = 1.5";
-        let mut ledger = good();
+        let mut ledger = faultless_ledger();
         assert_eq!(judge(&plan(step), &ledger).figures.recovery_s, Some(0.0));
         for work in 20..60 {
             ledger.tries[work].end = Some((ledger.tries[work].at + 0.1, End::Failed(502)));
         }
         let verdict = judge(&plan(step), &ledger);
         assert_eq!(verdict.figures.recovery_s, Some(2.0));
-        assert!(verdict.broken[0].cases[0].contains("recovery_s is 2"), "{verdict:?}");
+        assert!(
+            verdict.broken[0].cases[0].contains("recovery_s is 2"),
+            "expected a recovery of 2 s: {verdict:?}"
+        );
     }
 }
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,47 +1,47 @@
-//! What is wrong with links, by direction and by pair. Faults that overlap add up.
+//! Faults of links, per direction and pair of nodes. The effects of overlapping faults combine.
 
-use crate::plan::{Kind, LinkAct, OnLink, Plan};
+use crate::plan::{Kind, LinkAction, OnLink, Plan};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::RwLock;
 
-/// A party at one end of a link.
+/// A node at one end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Node {
-    /// The gateway at this place.
+    /// The gateway with this index.
     Gateway(usize),
-    /// The server at this place.
+    /// The server with this index.
     Server(usize),
-    /// The counter.
+    /// The quota counter.
     Counter,
-    /// A gateway's agent of discovery.
+    /// The discovery agent of a gateway.
     Discovery,
-    /// Clients.
+    /// All clients.
     Client,
 }
 
-/// All that is wrong with a link in one direction.
+/// The combined effect of all faults on a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Effect {
-    /// Nothing passes.
+    /// Whether all packets are dropped.
     pub cut: bool,
-    /// All comes so much later, in s ...
+    /// Delay, in s.
     pub delay_s: f64,
-    /// ... and up to so much on top.
+    /// Maximum jitter on top of the delay, in s.
     pub spread_s: f64,
-    /// Share that is lost.
+    /// Share of packets that are lost.
     pub loss: f64,
-    /// Share that comes twice.
+    /// Share of datagrams that are delivered twice.
     pub twice: f64,
-    /// Share that comes after later ones.
+    /// Share of datagrams that are delivered out of order.
     pub disorder: f64,
-    /// Bytes a second.
+    /// Throughput limit of a connection, in bytes per second.
     pub throttle: f64,
-    /// A connection is reset after so many bytes.
+    /// Number of bytes after which a connection is reset.
     pub reset_at: Option<u64>,
-    /// New connections are reset as they come up.
+    /// Whether new connections are refused.
     pub refuse: bool,
-    /// New connections never come up.
+    /// Whether new connections time out.
     pub hang: bool,
 }
 
@@ -59,46 +59,46 @@
         hang: false,
     };
 
-    /// Whether there is nothing wrong.
+    /// Whether the link works normally.
     pub fn none(&self) -> bool {
         *self == Effect::NONE
     }
 }
 
 #[derive(Clone, Copy)]
-struct Rule {
-    act: LinkAct,
+struct LinkRule {
+    act: LinkAction,
     by: f64,
     spread: f64,
     grows: f64,
     since: f64,
 }
 
-/// A rule and the links on which it holds.
-struct Placed {
-    key: u64,
+/// A rule with the senders and receivers that it applies to.
+struct ActiveRule {
+    id: u64,
     from: HashSet<Node>,
     to: HashSet<Node>,
-    rule: Rule,
+    rule: LinkRule,
 }
 
-/// What is wrong with links now.
+/// The active faults of all links.
 #[derive(Default)]
 pub struct Links {
-    rules: RwLock<Vec<Placed>>,
-    keys: AtomicU64,
+    rules: RwLock<Vec<ActiveRule>>,
+    next_id: AtomicU64,
 }
 
-/// A fault that was put in.
+/// Handle of an injected fault.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    keys: Vec<u64>,
-    /// Whom it touches beside gateways.
+    rule_ids: Vec<u64>,
+    /// The affected nodes, without gateways.
     pub touches: Vec<Node>,
 }
 
 impl Links {
-    /// Puts in a fault of a plan's step.
+    /// Injects the link fault of a plan's step.
     pub fn put(&self, plan: &Plan, step: usize, on: &OnLink, now: f64) -> Fault {
         let nodes = |end: &crate::plan::End| match end.kind {
             Kind::Gateways => plan.gateways(end.who, step).into_iter().map(Node::Gateway).collect(),
@@ -110,63 +110,64 @@
         let (from, to): (Vec<Node>, Vec<Node>) = (nodes(&on.from), nodes(&on.to));
         let others = from.iter().chain(&to).filter(|node| !matches!(node, Node::Gateway(_)));
         let touches = others.copied().collect();
-        let rule = Rule { act: on.act, by: on.by, spread: on.spread, grows: on.grows, since: now };
-        let mut keys = vec![self.rule(&from, &to, rule)];
+        let rule = LinkRule { act: on.act, by: on.by, spread: on.spread, grows: on.grows, since: now };
+        let mut rule_ids = vec![self.add_rule(&from, &to, rule)];
         if on.both {
-            keys.push(self.rule(&to, &from, rule));
+            rule_ids.push(self.add_rule(&to, &from, rule));
         }
-        Fault { keys, touches }
+        Fault { rule_ids, touches }
     }
 
-    /// Nothing passes between one and all gateways, either way.
+    /// Cuts the links between a node and all gateways in both directions.
     pub fn cut_off(&self, node: Node, gateways: usize, now: f64) -> Fault {
         let all: Vec<_> = (0..gateways).map(Node::Gateway).collect();
-        let cut = Rule { act: LinkAct::Cut, by: 0.0, spread: 0.0, grows: 0.0, since: now };
-        let keys = vec![self.rule(&all, &[node], cut), self.rule(&[node], &all, cut)];
-        Fault { keys, touches: vec![node] }
+        let cut = LinkRule { act: LinkAction::Cut, by: 0.0, spread: 0.0, grows: 0.0, since: now };
+        let rule_ids = vec![self.add_rule(&all, &[node], cut), self.add_rule(&[node], &all, cut)];
+        Fault { rule_ids, touches: vec![node] }
     }
 
-    fn rule(&self, from: &[Node], to: &[Node], rule: Rule) -> u64 {
-        let key = self.keys.fetch_add(1, Ordering::Relaxed);
+    fn add_rule(&self, from: &[Node], to: &[Node], rule: LinkRule) -> u64 {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (from, to) = (from.iter().copied().collect(), to.iter().copied().collect());
-        self.rules.write().unwrap_or_else(|e| e.into_inner()).push(Placed { key, from, to, rule });
-        key
+        self.rules.write().unwrap_or_else(|e| e.into_inner()).push(ActiveRule { id, from, to, rule });
+        id
     }
 
-    /// Heals a fault.
+    /// Removes a fault.
     pub fn heal(&self, fault: &Fault) {
         let mut rules = self.rules.write().unwrap_or_else(|e| e.into_inner());
-        rules.retain(|rule| !fault.keys.contains(&rule.key));
+        rules.retain(|rule| !fault.rule_ids.contains(&rule.id));
     }
 
-    /// What is wrong from one to the other.
+    /// Returns the combined effect on traffic from one node to another at a time.
     pub fn on(&self, from: Node, to: Node, now: f64) -> Effect {
         let rules = self.rules.read().unwrap_or_else(|e| e.into_inner());
         let mut effect = Effect::NONE;
-        let holds = |placed: &&Placed| placed.from.contains(&from) && placed.to.contains(&to);
-        for Placed { rule, .. } in rules.iter().filter(holds) {
+        let applies = |active: &&ActiveRule| active.from.contains(&from) && active.to.contains(&to);
+        for ActiveRule { rule, .. } in rules.iter().filter(applies) {
+            // Probability of at least one of two independent events.
             let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
             match rule.act {
-                LinkAct::Cut => effect.cut = true,
-                LinkAct::Delay => {
+                LinkAction::Cut => effect.cut = true,
+                LinkAction::Delay => {
                     effect.delay_s += (rule.by + rule.grows * (now - rule.since).max(0.0)) / 1000.0;
                     effect.spread_s += rule.spread / 1000.0;
                 }
-                LinkAct::Loss => effect.loss = either(effect.loss, rule.by),
-                LinkAct::Duplicate => effect.twice = either(effect.twice, rule.by),
-                LinkAct::Reorder => effect.disorder = either(effect.disorder, rule.by),
-                LinkAct::Throttle => effect.throttle = effect.throttle.min(rule.by),
-                LinkAct::Reset => {
+                LinkAction::Loss => effect.loss = either(effect.loss, rule.by),
+                LinkAction::Duplicate => effect.twice = either(effect.twice, rule.by),
+                LinkAction::Reorder => effect.disorder = either(effect.disorder, rule.by),
+                LinkAction::Throttle => effect.throttle = effect.throttle.min(rule.by),
+                LinkAction::Reset => {
                     effect.reset_at = Some(effect.reset_at.unwrap_or(u64::MAX).min(rule.by as u64));
                 }
-                LinkAct::Refuse => effect.refuse = true,
-                LinkAct::Hang => effect.hang = true,
+                LinkAction::Refuse => effect.refuse = true,
+                LinkAction::Hang => effect.hang = true,
             }
         }
         effect
     }
 
-    /// Whether a new connection between the two comes up: a handshake needs both directions.
+    /// Whether a new connection between two nodes can be established. The handshake needs both directions.
     pub fn comes_up(&self, one: Node, other: Node, now: f64) -> bool {
         let effects = [self.on(one, other, now), self.on(other, one, now)];
         !effects.iter().any(|effect| effect.cut || effect.hang)
@@ -178,7 +179,7 @@
     use super::*;
 
     #[test]
-    fn faults_that_overlap_add_up_and_each_heals_alone() {
+    fn overlapping_faults_combine_and_are_removed_independently() {
         let plan = Plan::read(
             "name = \"a\"\nseconds = 9\n[fleet]\ngateways = 4\nservers = 2\nzones = 2\n[traffic]\n\
              [[step]]\nat = 1\nlink = { from = \"gateways 0-1\", to = \"servers\", do = \"delay\", by = 50, grows = 10 }\n\
@@ -201,7 +202,7 @@
         links.heal(&faults[1]);
         assert_eq!(links.on(gateway, server, 3.0).loss, 0.5);
         assert!(links.on(server, gateway, 3.0).none());
-        // One direction is cut: what was up is half open, and nothing new comes up.
+        // A cut in one direction leaves connections half-open and prevents new ones.
         let (gateway, server) = (Node::Gateway(3), Node::Server(0));
         assert!(links.on(server, gateway, 3.0).cut && !links.on(gateway, server, 3.0).cut);
         assert!(!links.comes_up(gateway, server, 3.0) && links.comes_up(Node::Gateway(2), server, 3.0));
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -1,194 +1,199 @@
-//! What became of each request, by one clock outside all gateways: what clients asked and heard, what servers were
-//! sent, began and finished, and what happened meanwhile.
+//! Records of a run on a single clock outside the gateways: the tries of clients, the attempts at servers, and the
+//! events of gateways and servers.
+//!
+//! A client sends a request in one or more tries, each through one gateway. A gateway forwards a try to servers in any
+//! number of attempts.
 
 use crate::model::front::Arrival;
 
-/// A request's number on the wire: the work's number and that of its try.
-pub fn txn(work: usize, attempt: u32) -> u64 {
-    ((work as u64) << 8) | u64::from(attempt.min(255))
+/// Returns the transaction ID of a try: the index of its request and the number of the try.
+pub fn txn(work: usize, try_number: u32) -> u64 {
+    ((work as u64) << 8) | u64::from(try_number.min(255))
 }
 
-/// The work of a request's number, if it is one of so many.
+/// Returns the index of the request of a transaction ID, or none if it is not below `works`.
 pub fn work_of(txn: u64, works: usize) -> Option<usize> {
     usize::try_from(txn >> 8).ok().filter(|work| *work < works)
 }
 
-/// How a try ended, as its client saw it.
+/// Result of a try, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// 200 with the body that a server made for this request.
+    /// Status 200 with the body that a server returned for this request.
     Served,
-    /// 200 with anything else.
+    /// Status 200 with a different body.
     Wrong,
-    /// 429 or 503, with the time to come back in ms.
+    /// Status 429 or 503, with the Retry-After in ms.
     Refused(Option<u32>),
-    /// Any other answer.
+    /// Any other status.
     Failed(u16),
-    /// No connection came up, or it was closed before the request was whole.
+    /// No connection was established, or it was closed before the whole request was written.
     Unreached,
-    /// The connection ended without an answer.
+    /// The connection was closed without an answer.
     Broken,
-    /// No answer came until the client left.
+    /// The client timed out waiting for an answer.
     Silent,
 }
 
-/// One request on its way through one gateway.
+/// One try of a request, through one gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
-    /// Its number on the wire.
+    /// Transaction ID on the wire.
     pub txn: u64,
-    /// Whose.
+    /// Index of the request.
     pub work: usize,
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When its last byte was written, in s; when it was begun if that never was.
+    /// When the last byte was written, in s, or when the try started if it was not written completely.
     pub at: f64,
-    /// Its last byte was written.
+    /// Whether the last byte was written.
     pub written: bool,
-    /// The client waits until then.
+    /// Deadline of the client, in s.
     pub until: f64,
-    /// How it ended and when; none while it is open.
+    /// Time and result, or none while the try is in progress.
     pub end: Option<(f64, End)>,
-    /// Answers beyond the one that is owed.
+    /// Number of answers beyond the first.
     pub extra: u32,
 }
 
-/// How an attempt at a server ended there.
+/// Result of an attempt at a server, as seen by the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// Still there.
+    /// In progress.
     Open,
-    /// It ran and its answer was written.
+    /// The request was processed and its answer was written.
     Done,
-    /// It ran, and its answer was lost on purpose, spoilt or found nobody.
+    /// The request was processed, but its answer was dropped or corrupted by a fault or could not be delivered.
     Unheard,
-    /// Answered with an error, without having run.
+    /// The server returned an error without processing the request.
     Error,
-    /// Turned away unseen.
+    /// The server rejected the request without processing it.
     Turned,
-    /// Its gateway let go of it, or the server died.
+    /// The gateway closed the connection, or the server died.
     Dropped,
 }
 
-/// One attempt at a server.
+/// One attempt of a gateway at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
-    /// The request's number on the wire.
+    /// Transaction ID on the wire.
     pub txn: u64,
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When its first byte came.
+    /// When the first byte arrived, in s.
     pub first: f64,
-    /// When its last byte came.
+    /// When the last byte arrived, in s.
     pub came: f64,
-    /// It was let into work or the waiting room.
+    /// Whether the server accepted the request for processing or into its queue.
     pub began: bool,
-    /// When it ended there, and how.
+    /// Time and result.
     pub end: (f64, Fate),
 }
 
-/// What happened to a gateway's process.
+/// An event of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Life {
-    /// It answers that it is ready.
+    /// The process reported that it is ready.
     Ready,
-    /// SIGKILL.
+    /// SIGKILL was sent.
     Killed,
-    /// SIGSTOP.
+    /// SIGSTOP was sent.
     Paused,
-    /// SIGCONT.
+    /// SIGCONT was sent.
     Resumed,
-    /// SIGTERM.
+    /// SIGTERM was sent.
     Terminated,
-    /// It ended by itself after SIGTERM.
+    /// The process exited after SIGTERM.
     Ended,
-    /// It ended without being told to.
+    /// The process exited without a signal from the lab.
     Crashed,
 }
 
-/// A server's state as the whole fleet's list has it.
+/// State of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Listed and up.
+    /// Listed and running.
     Up,
-    /// Drains, or is about to go.
+    /// Draining before its removal.
     Leaving,
-    /// Dead, vanished, gone or not yet there.
+    /// Not running, unreachable or not listed.
     Away,
 }
 
-/// All that was noted of one run.
+/// All records of a run.
 #[derive(Default)]
 pub struct Ledger {
-    /// First tries as they were drawn; a work is a place in here.
+    /// All planned requests, in order of their due times. Other records refer to a request by its index here.
     pub works: Vec<Arrival>,
-    /// When each work began to be asked for; none if the run ended before.
+    /// When each request was first sent, in s, or none if the run ended before.
     pub began: Vec<Option<f64>>,
-    /// All tries, in order of time.
+    /// All tries, in order of their start.
     pub tries: Vec<Try>,
-    /// All attempts at servers, in order of their last byte.
+    /// All attempts at servers, in order of arrival.
     pub runs: Vec<Run>,
-    /// What servers were asked for that no client sent.
+    /// Number of attempts with a transaction ID that no client sent.
     pub strays: u64,
-    /// When a gateway was told that a server drains or is gone, and when it was told that it is ready again.
+    /// Notifications of gateways by discovery: time, gateway, server, and whether the server is draining or gone
+    /// (true) or ready (false).
     pub told: Vec<(f64, usize, usize, bool)>,
-    /// What happened to gateways' processes.
+    /// Events of gateways: time, gateway, event.
     pub lives: Vec<(f64, usize, Life)>,
-    /// What happened to servers.
+    /// State changes of servers: time, server, new state.
     pub standings: Vec<(f64, usize, Standing)>,
-    /// Speed of each server beside the usual one.
+    /// Relative speed of each server. The average is 1.
     pub speeds: Vec<f64>,
-    /// Requests turned away or refused while a server had a core free: when.
+    /// Times of tries that were refused while a server had an idle core.
     pub needless: Vec<f64>,
-    /// Connections that servers accepted, by when and which; and probes that they answered.
+    /// Connections that servers accepted: time, server.
     pub connections: Vec<(f64, usize)>,
-    /// Probes that servers answered.
+    /// Number of probes that servers answered.
     pub probes: u64,
-    /// Calls to the counter, and how many of them it turned away.
+    /// Number of calls to the quota counter, and how many of them it rejected.
     pub calls: (u64, u64),
-    /// When load ended, in s.
+    /// When the load ended, in s.
     pub ended: f64,
 }
 
 impl Ledger {
-    /// The times within which a gateway's process took requests and then went on to answer them: from ready until
-    /// it was killed, paused or crashed. SIGTERM leaves it `leave` seconds to answer what it took.
-    pub fn lived(&self, gateway: usize, from: f64, until: f64, leave: f64) -> bool {
-        let harmed = |life: &Life| matches!(life, Life::Killed | Life::Paused | Life::Crashed);
-        !self.lives.iter().any(|(at, which, life)| {
+    /// Whether a gateway ran without interruption from `from` until `until`, so that it had to answer a request received
+    /// at `from`. After SIGTERM it accepts requests for another `shutdown_grace` seconds.
+    pub fn was_running(&self, gateway: usize, from: f64, until: f64, shutdown_grace: f64) -> bool {
+        let interrupts = |event: &Life| matches!(event, Life::Killed | Life::Paused | Life::Crashed);
+        !self.lives.iter().any(|(at, which, event)| {
             *which == gateway
-                && ((harmed(life) && (from..=until).contains(at))
-                    // What came long after SIGTERM came too late.
-                    || (*life == Life::Terminated && *at + leave < from && from < *at + 60.0))
-        }) && !self.away_at(gateway, from)
+                && ((interrupts(event) && (from..=until).contains(at))
+                    // The gateway need not accept requests received after the grace period.
+                    || (*event == Life::Terminated && *at + shutdown_grace < from && from < *at + 60.0))
+        }) && !self.was_stopped_at(gateway, from)
     }
 
-    /// Whether a gateway's process was dead or stood still at a time.
-    fn away_at(&self, gateway: usize, at: f64) -> bool {
+    /// Whether a gateway's process was dead or paused at a time.
+    fn was_stopped_at(&self, gateway: usize, at: f64) -> bool {
         let mut before = self.lives.iter().filter(|(then, which, _)| *which == gateway && *then <= at);
-        before.next_back().is_some_and(|(_, _, life)| {
-            matches!(life, Life::Killed | Life::Paused | Life::Crashed | Life::Ended)
+        before.next_back().is_some_and(|(_, _, event)| {
+            matches!(event, Life::Killed | Life::Paused | Life::Crashed | Life::Ended)
         })
     }
 
-    /// A server's standing at a time.
-    pub fn standing(&self, server: usize, at: f64) -> Standing {
+    /// Returns the state of a server at a time.
+    pub fn server_state(&self, server: usize, at: f64) -> Standing {
         let mut before = self.standings.iter().filter(|(then, which, _)| *which == server && *then <= at);
-        before.next_back().map_or(Standing::Away, |(_, _, standing)| *standing)
+        before.next_back().map_or(Standing::Away, |(_, _, state)| *state)
     }
 
-    /// The work of a request's number, if a client could have sent it.
+    /// Returns the index of the request of a transaction ID, or none for an ID that no client can have sent.
     pub fn work_of(&self, txn: u64) -> Option<usize> {
         work_of(txn, self.works.len())
     }
 
-    /// For each work the first good answer: when it came.
+    /// Returns for each request the time of its first `Served` result.
     pub fn served(&self) -> Vec<Option<f64>> {
         let mut served = vec![None; self.works.len()];
-        for one in &self.tries {
-            if let (Some((at, End::Served)), Some(first)) = (one.end, served.get_mut(one.work)) {
+        for client_try in &self.tries {
+            if let (Some((at, End::Served)), Some(first)) = (client_try.end, served.get_mut(client_try.work))
+            {
                 *first = first.or(Some(at));
             }
         }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,8 +1,9 @@
-//! The fleet stage: three to three hundred gateways as real processes on loopback, the servers, counter, discovery
-//! and clients round them, faults on every link, and a ledger of what became of each request.
+//! Fault-injection tests for a fleet of gateways. Gateways are real processes on loopback. Servers, the quota counter,
+//! service discovery and clients are simulated behind real sockets, and faults can be injected on every link.
 //!
-//! A [`plan::Plan`] says what is played; [`stage::play`] plays it; the [`ledger::Ledger`] it leaves is judged by
-//! [`check::judge`]. The models under [`model`] have neither sockets nor clocks.
+//! [`stage::play`] runs a [`plan::Plan`] and records all requests in a [`ledger::Ledger`], which [`check::judge`] checks
+//! against the plan. The models under [`model`] use neither sockets nor clocks. [`scale`] tests the control plane at
+//! larger sizes.
 
 pub mod check;
 pub mod fault;
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,137 +1,146 @@
-//! How even the load on servers is: in windows, by server, weighed by what each can bear.
+//! Load balance metrics: how evenly the load is distributed over the servers, relative to their speeds.
 
 use crate::ledger::{Ledger, Standing};
 use crate::plan::Plan;
 use serde::Serialize;
 
-/// Arrivals at one server within this, in s, ...
-const HERD_S: f64 = 0.05;
-/// ... beyond so many times its even part, and at least so many, are a herd.
-const HERD_TIMES: f64 = 3.0;
-const HERD_LEAST: usize = 4;
-/// A server is idle if nothing came to it for so long, in s, while the fleet was used by this share.
-const IDLE_S: f64 = 1.0;
-const IDLE_USE: f64 = 0.3;
-/// In a window with fewer arrivals for each server than this chance alone makes the load uneven.
-const ARRIVALS_LEAST: f64 = 1.0;
+/// Length of the windows in which herds are detected, in s.
+const HERD_WINDOW_S: f64 = 0.05;
+/// A herd is a number of arrivals at a server within a window that exceeds this multiple of the mean over servers.
+const HERD_MIN_RATIO: f64 = 3.0;
+/// Minimum number of arrivals of a herd.
+const HERD_MIN_ARRIVALS: usize = 4;
+/// Length of the windows of all other metrics, in s.
+const WINDOW_S: f64 = 1.0;
+/// Minimum utilization of the fleet at which servers without requests count as idle.
+const IDLE_MIN_UTILIZATION: f64 = 0.3;
+/// Minimum number of arrivals per server in a window. With fewer, random variation dominates the ratios.
+const MIN_ARRIVALS_PER_SERVER: f64 = 1.0;
 
-/// How even it was.
+/// Load balance metrics of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Even {
-    /// Busiest server's arrivals over the mean, in windows of a second: mean over windows.
+pub struct LoadBalance {
+    /// Ratio of the busiest server's arrivals to the mean, averaged over windows of a second.
     pub max_to_mean: f64,
-    /// The same, 99th percentile over windows.
+    /// 99th percentile of that ratio over windows.
     pub max_to_mean_p99: f64,
-    /// The same of work in hand, time-weighed.
+    /// Ratio of the busiest server's concurrent requests to the mean, averaged over windows.
     pub in_hand_max_to_mean: f64,
-    /// Jain's index of arrivals, mean over windows: 1 is even.
+    /// Jain's fairness index of arrivals, averaged over windows. 1 means an even load.
     pub jain: f64,
-    /// Largest share of listed servers that were idle in a window, while the fleet was used.
+    /// Maximum share of listed servers that were idle during a window.
     pub idle: f64,
-    /// Herds.
+    /// Number of herds.
     pub herds: usize,
-    /// Mean number of gateways that a herd came from.
+    /// Average number of gateways that contributed to a herd.
     pub herd_gateways: f64,
-    /// Mean share of the fleet's cores in use.
+    /// Average share of the fleet's cores that were busy.
     pub used: f64,
 }
 
-fn ratio(values: &[f64]) -> Option<(f64, f64)> {
+/// Returns the ratio of the maximum to the mean, and Jain's fairness index. None if all values are 0.
+fn max_to_mean_and_jain(values: &[f64]) -> Option<(f64, f64)> {
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     let squares = values.iter().map(|v| v * v).sum::<f64>() / values.len() as f64;
     (mean > 0.0).then(|| (values.iter().copied().fold(0.0, f64::max) / mean, mean * mean / squares))
 }
 
-/// Measures a run.
-pub fn even(plan: &Plan, ledger: &Ledger) -> Even {
+/// Computes the load balance metrics of a run.
+pub fn measure(plan: &Plan, ledger: &Ledger) -> LoadBalance {
     let servers = ledger.speeds.len();
-    let windows = (ledger.ended / IDLE_S).floor() as usize;
+    let windows = (ledger.ended / WINDOW_S).floor() as usize;
     let mut arrivals = vec![vec![0.0f64; servers]; windows];
     let mut in_hand = vec![vec![0.0f64; servers]; windows];
     for run in &ledger.runs {
-        let window = (run.came / IDLE_S) as usize;
+        let window = (run.came / WINDOW_S) as usize;
         if window < windows {
             arrivals[window][run.server] += 1.0 / ledger.speeds[run.server];
         }
         if !run.began {
             continue;
         }
-        // Its time in hand, window by window.
+        // Adds the time that the request spent at the server to each window that it overlaps.
         let (from, until) = (run.came, run.end.0.max(run.came).min(ledger.ended));
-        let last = ((until / IDLE_S) as usize).min(windows.saturating_sub(1));
-        for (window, held) in in_hand.iter_mut().enumerate().take(last + 1).skip(window) {
-            let (begins, ends) = (window as f64 * IDLE_S, (window + 1) as f64 * IDLE_S);
-            held[run.server] += (until.min(ends) - from.max(begins)).max(0.0) / ledger.speeds[run.server];
+        let last = ((until / WINDOW_S) as usize).min(windows.saturating_sub(1));
+        for (window, concurrent) in in_hand.iter_mut().enumerate().take(last + 1).skip(window) {
+            let (starts, ends) = (window as f64 * WINDOW_S, (window + 1) as f64 * WINDOW_S);
+            concurrent[run.server] +=
+                (until.min(ends) - from.max(starts)).max(0.0) / ledger.speeds[run.server];
         }
     }
     let cores = plan.fleet.cores as f64;
-    let (mut ratios, mut jains, mut held, mut idle, mut used) = (vec![], vec![], vec![], 0.0f64, vec![]);
+    let (mut ratios, mut jains, mut in_hand_ratios) = (vec![], vec![], vec![]);
+    let (mut idle, mut utilizations) = (0.0f64, vec![]);
     for window in 0..windows {
-        let (begins, ends) = (window as f64 * IDLE_S, (window + 1) as f64 * IDLE_S);
-        // Those that were listed and up all through the window.
+        let (starts, ends) = (window as f64 * WINDOW_S, (window + 1) as f64 * WINDOW_S);
+        // Servers that were up during the whole window.
         let up: Vec<_> = (0..servers)
             .filter(|server| {
-                ledger.standing(*server, begins) == Standing::Up
+                ledger.server_state(*server, starts) == Standing::Up
                     && !ledger
                         .standings
                         .iter()
-                        .any(|(at, which, _)| which == server && (begins..ends).contains(at))
+                        .any(|(at, which, _)| which == server && (starts..ends).contains(at))
             })
             .collect();
         if up.is_empty() {
             continue;
         }
-        let of = |table: &[Vec<f64>]| up.iter().map(|server| table[window][*server]).collect::<Vec<_>>();
-        let (came, hand) = (of(&arrivals), of(&in_hand));
-        let share = hand.iter().map(|h| h.min(cores)).sum::<f64>() / (up.len() as f64 * cores);
-        used.push(share);
-        if came.iter().sum::<f64>() >= ARRIVALS_LEAST * up.len() as f64 {
-            if let Some((most, jain)) = ratio(&came) {
-                ratios.push(most);
+        let of_window =
+            |table: &[Vec<f64>]| up.iter().map(|server| table[window][*server]).collect::<Vec<_>>();
+        let (arrived, concurrent) = (of_window(&arrivals), of_window(&in_hand));
+        let utilization =
+            concurrent.iter().map(|count| count.min(cores)).sum::<f64>() / (up.len() as f64 * cores);
+        utilizations.push(utilization);
+        if arrived.iter().sum::<f64>() >= MIN_ARRIVALS_PER_SERVER * up.len() as f64 {
+            if let Some((ratio, jain)) = max_to_mean_and_jain(&arrived) {
+                ratios.push(ratio);
                 jains.push(jain);
             }
-            held.extend(ratio(&hand).map(|(most, _)| most));
+            in_hand_ratios.extend(max_to_mean_and_jain(&concurrent).map(|(ratio, _)| ratio));
         }
-        if share >= IDLE_USE {
-            let empty = came.iter().zip(&hand).filter(|(came, hand)| **came == 0.0 && **hand == 0.0).count();
-            idle = idle.max(empty as f64 / up.len() as f64);
+        if utilization >= IDLE_MIN_UTILIZATION {
+            let servers = arrived.iter().zip(&concurrent);
+            let idle_servers =
+                servers.filter(|(arrived, concurrent)| **arrived == 0.0 && **concurrent == 0.0).count();
+            idle = idle.max(idle_servers as f64 / up.len() as f64);
         }
     }
-    let (herds, herd_gateways) = herds(ledger, servers);
+    let (herds, herd_gateways) = count_herds(ledger, servers);
     let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
     ratios.sort_by(f64::total_cmp);
     let p99 = ratios.get((ratios.len() * 99 / 100).min(ratios.len().saturating_sub(1))).copied();
-    Even {
+    LoadBalance {
         max_to_mean: mean(&ratios),
         max_to_mean_p99: p99.unwrap_or(0.0),
-        in_hand_max_to_mean: mean(&held),
+        in_hand_max_to_mean: mean(&in_hand_ratios),
         jain: mean(&jains),
         idle,
         herds,
         herd_gateways,
-        used: mean(&used),
+        used: mean(&utilizations),
     }
 }
 
-/// Arrivals that come together: how often, and from how many gateways on average.
-fn herds(ledger: &Ledger, servers: usize) -> (usize, f64) {
-    let slots = (ledger.ended / HERD_S).ceil() as usize + 1;
-    let mut came: Vec<Vec<(usize, usize)>> = vec![Vec::new(); slots];
+/// Returns the number of herds, and the average number of gateways that contributed to one.
+fn count_herds(ledger: &Ledger, servers: usize) -> (usize, f64) {
+    let windows = (ledger.ended / HERD_WINDOW_S).ceil() as usize + 1;
+    let mut arrivals: Vec<Vec<(usize, usize)>> = vec![Vec::new(); windows];
     for run in &ledger.runs {
-        if let Some(slot) = came.get_mut((run.came / HERD_S) as usize) {
-            slot.push((run.server, run.gateway));
+        if let Some(window) = arrivals.get_mut((run.came / HERD_WINDOW_S) as usize) {
+            window.push((run.server, run.gateway));
         }
     }
     let (mut herds, mut gateways) = (0, 0);
-    for slot in &came {
-        let even = slot.len() as f64 / servers.max(1) as f64;
-        let mut by = vec![Vec::new(); servers];
-        slot.iter().for_each(|(server, gateway)| by[*server].push(*gateway));
-        for mut from in by {
-            if from.len() >= HERD_LEAST && from.len() as f64 > HERD_TIMES * even.max(1.0) {
-                from.sort_unstable();
-                from.dedup();
-                (herds, gateways) = (herds + 1, gateways + from.len());
+    for window in &arrivals {
+        let mean = window.len() as f64 / servers.max(1) as f64;
+        let mut by_server = vec![Vec::new(); servers];
+        window.iter().for_each(|(server, gateway)| by_server[*server].push(*gateway));
+        for mut senders in by_server {
+            if senders.len() >= HERD_MIN_ARRIVALS && senders.len() as f64 > HERD_MIN_RATIO * mean.max(1.0) {
+                senders.sort_unstable();
+                senders.dedup();
+                (herds, gateways) = (herds + 1, gateways + senders.len());
             }
         }
     }
@@ -143,15 +152,15 @@
     use super::*;
     use crate::ledger::{Fate, Run};
 
-    /// Ten seconds of four servers, to which so many requests a second come.
-    fn ledger(came: [usize; 4], together: bool) -> Ledger {
+    /// Ten seconds of four servers with these numbers of arrivals per second, spread over the second or all at once.
+    fn ledger(arrivals_per_s: [usize; 4], all_at_once: bool) -> Ledger {
         let mut ledger = Ledger { ended: 10.0, speeds: vec![1.0; 4], ..Ledger::default() };
         ledger.standings = (0..4).map(|server| (0.0, server, Standing::Up)).collect();
         for second in 0..10 {
-            for (server, count) in came.into_iter().enumerate() {
+            for (server, count) in arrivals_per_s.into_iter().enumerate() {
                 for number in 0..count {
-                    let part = if together { 0.5 } else { number as f64 / count as f64 };
-                    let came = f64::from(second) + part;
+                    let fraction = if all_at_once { 0.5 } else { number as f64 / count as f64 };
+                    let came = f64::from(second) + fraction;
                     let run = Run {
                         txn: 0,
                         server,
@@ -174,25 +183,29 @@
     }
 
     #[test]
-    fn an_even_load_is_told_from_an_uneven_one_idle_servers_and_herds() {
-        let even_one = even(&plan(), &ledger([10; 4], false));
-        assert_eq!((even_one.max_to_mean, even_one.jain, even_one.idle, even_one.herds), (1.0, 1.0, 0.0, 0));
-        assert!((0.95..=1.0).contains(&even_one.used), "{even_one:?}");
-        let uneven = even(&plan(), &ledger([30, 10, 0, 0], false));
+    fn metrics_show_imbalance_idle_servers_and_herds() {
+        let even = measure(&plan(), &ledger([10; 4], false));
+        assert_eq!((even.max_to_mean, even.jain, even.idle, even.herds), (1.0, 1.0, 0.0, 0));
+        assert!((0.95..=1.0).contains(&even.used), "expected full utilization: {even:?}");
+        let uneven = measure(&plan(), &ledger([30, 10, 0, 0], false));
         assert_eq!((uneven.max_to_mean, uneven.idle), (3.0, 0.5));
-        assert!((uneven.jain - 0.4).abs() < 1e-9 && uneven.in_hand_max_to_mean > 2.9, "{uneven:?}");
-        let herd = even(&plan(), &ledger([10, 1, 1, 1], true));
+        assert!(
+            (uneven.jain - 0.4).abs() < 1e-9 && uneven.in_hand_max_to_mean > 2.9,
+            "expected an uneven load: {uneven:?}"
+        );
+        let herd = measure(&plan(), &ledger([10, 1, 1, 1], true));
         assert_eq!((herd.herds, herd.herd_gateways), (10, 10.0));
     }
 
     #[test]
-    fn a_server_counts_for_what_it_can_bear_and_only_while_it_is_up() {
-        let mut twice = ledger([20, 10, 10, 10], false);
-        twice.speeds[0] = 2.0;
-        assert_eq!(even(&plan(), &twice).max_to_mean, 1.0);
-        let mut away = ledger([10, 10, 10, 0], false);
-        assert!(even(&plan(), &away).max_to_mean > 1.3);
-        away.standings[3].2 = Standing::Away;
-        assert_eq!(even(&plan(), &away).max_to_mean, 1.0);
+    fn load_is_relative_to_speed_and_ignores_servers_that_are_down() {
+        let mut fast_server = ledger([20, 10, 10, 10], false);
+        fast_server.speeds[0] = 2.0;
+        assert_eq!(measure(&plan(), &fast_server).max_to_mean, 1.0);
+        let mut idle_server = ledger([10, 10, 10, 0], false);
+        let max_to_mean = measure(&plan(), &idle_server).max_to_mean;
+        assert!(max_to_mean > 1.3, "expected more than 1.3 with an idle server: {max_to_mean}");
+        idle_server.standings[3].2 = Standing::Away;
+        assert_eq!(measure(&plan(), &idle_server).max_to_mean, 1.0);
     }
 }
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -1,51 +1,50 @@
-//! Plans of faults: the fleet, its traffic, what goes wrong and when, and what must hold. TOML, one format for all
-//! that plays them.
+//! Fault-injection plans in TOML: the fleet, its traffic, the faults with their times, and the expected results.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Most gateways of a fleet, servers of a fleet, seconds of a run and requests a second: a plan past these is a slip.
-pub const GATEWAYS_MOST: usize = 2_000;
-const SERVERS_MOST: usize = 1_000;
-const SECONDS_MOST: f64 = 3_600.0;
-const RATE_MOST: f64 = 100_000.0;
-const STEPS_MOST: usize = 1_000;
-/// Deadlines of the two classes, in ms, from the site's page.
+/// Maximum number of gateways in a plan. This and the following limits catch typing errors.
+pub const MAX_GATEWAYS: usize = 2_000;
+const MAX_SERVERS: usize = 1_000;
+const MAX_DURATION_S: f64 = 3_600.0;
+const MAX_REQUESTS_PER_S: f64 = 100_000.0;
+const MAX_STEPS: usize = 1_000;
+/// Deadlines of the safe and the unsafe request class, in ms.
 pub const DEADLINES_MS: [f64; 2] = [1_500.0, 2_000.0];
-/// An answer within this earns its whole worth, in ms.
+/// Target latency, in ms. Answers within it count as in time.
 pub const AIM_MS: f64 = 600.0;
 
-/// What is played.
+/// A fault-injection plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan, 1 to 64 characters.
     pub name: String,
-    /// What it asks, in a sentence.
+    /// Description in one sentence.
     #[serde(default)]
     pub about: String,
-    /// All chance comes from it.
-    #[serde(default = "seed")]
+    /// Seed of the plan's random numbers.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long requests come, in seconds.
+    /// Duration of the load, in s.
     pub seconds: f64,
-    /// The gateways and the servers.
+    /// Gateways and servers.
     pub fleet: Fleet,
-    /// The requests.
+    /// Requests and their clients.
     pub traffic: Traffic,
-    /// The shared counter.
+    /// The shared quota counter.
     #[serde(default)]
     pub counter: Counter,
-    /// What goes wrong.
+    /// Faults, each with its time.
     #[serde(default)]
     pub step: Vec<Step>,
-    /// What must hold.
+    /// Expected results.
     #[serde(default)]
-    pub hold: Hold,
+    pub hold: Expectations,
 }
 
-fn seed() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
@@ -53,39 +52,39 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Servers listed from the start.
+    /// Number of servers that are listed from the start.
     pub servers: usize,
-    /// Servers that run but are not listed until a step has them join.
+    /// Number of servers that are listed only once a step has them join.
     pub spare: usize,
-    /// Zones; gateways and servers are dealt out to them in turn.
+    /// Number of zones. Gateways and servers are assigned to them round-robin.
     pub zones: usize,
-    /// Gateways are members of one cluster.
+    /// Whether the gateways form one cluster.
     pub cluster: bool,
     /// Processor cores of a server.
     pub cores: usize,
-    /// Requests in work at a server at most, for each core.
+    /// Maximum number of requests that a server processes concurrently, per core.
     pub slots_per_core: usize,
-    /// Requests that wait at a server at most, for each core.
+    /// Maximum number of requests in a server's queue, per core.
     pub queue_per_core: usize,
-    /// Spread of the servers' speed (coefficient of variation).
+    /// Coefficient of variation of the servers' speeds.
     pub speed_cv: f64,
-    /// A server begins at this share of its capacity ...
+    /// Share of its capacity that a cold server starts with.
     pub cold_from: f64,
-    /// ... and is warm after so long, in s.
+    /// Warm-up time of a server, in s.
     pub cold_s: f64,
-    /// A cold server that is sent this multiple of its capacity ...
+    /// Load that makes a cold server crash, as a multiple of its current capacity.
     pub fall_multiple: f64,
-    /// ... within so long falls over, in ms.
+    /// Window over which the load of a cold server is measured, in ms.
     pub fall_ms: f64,
-    /// Connections that a server holds.
+    /// Maximum number of connections of a server.
     pub connections: usize,
-    /// Share of answers that are errors at any time.
+    /// Share of requests that a server without a fault answers with an error.
     pub errors: f64,
-    /// Time from an event to discovery's word of it, in s.
+    /// Delay from a change of a server to its publication by discovery, in s.
     pub notice_s: f64,
-    /// Descriptors that a gateway may hold.
+    /// Limit of file descriptors of a gateway.
     pub descriptors: usize,
 }
 
@@ -113,37 +112,37 @@
     }
 }
 
-/// The requests and those who make them.
+/// The requests and the clients that send them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// First tries a second over the whole fleet.
+    /// Requests per second over the whole fleet, without retries.
     pub per_s: f64,
-    /// Share of requests that must not run twice.
+    /// Share of unsafe requests, which must not run twice.
     pub orders: f64,
-    /// Mean work of a request on an idle core, in ms.
+    /// Mean processing time of a request on an idle core, in ms.
     pub work_ms: f64,
-    /// Its spread (coefficient of variation, lognormal).
+    /// Coefficient of variation of the processing time, which is lognormal.
     pub work_cv: f64,
-    /// Customers, half of them of each plan.
+    /// Number of customers, half of them with each of the two customer plans.
     pub customers: usize,
-    /// How unequal customers are: Zipf's exponent.
+    /// Zipf exponent of the customers' request rates.
     pub skew: f64,
-    /// Gateways that a customer comes through.
+    /// Number of gateways over which the requests of a customer are distributed.
     pub spread: usize,
-    /// How unequal gateways are: the busiest gets so many times what the least one does.
+    /// Maximum ratio between the request rates of two gateways.
     pub uneven: f64,
-    /// Tries after the first, at most.
+    /// Maximum number of retries of a request.
     pub retries: u32,
-    /// Wait before such a try, in ms, doubled with each.
+    /// Delay before the first retry, in ms. It doubles with each retry.
     pub backoff_ms: f64,
-    /// Share of clients that wait as long as a refusal says.
+    /// Share of clients that honour the Retry-After of a refusal.
     pub honour: f64,
-    /// The front notices after so long that a gateway is dead or back, in s.
+    /// Time until the front detects that a gateway is down or up again, in s.
     pub notice_s: f64,
-    /// Units a second of a customer's quota, for each plan; 0 for none.
+    /// Quota of a customer in units per second, for each customer plan. 0 means unlimited.
     pub rate: [f64; 2],
-    /// Seconds of the rate that the store holds, for each plan.
+    /// Burst size of the quota in seconds of its rate, for each customer plan.
     pub burst_s: [f64; 2],
 }
 
@@ -168,17 +167,17 @@
     }
 }
 
-/// The shared counter.
+/// Settings of the shared quota counter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Counter {
-    /// Parts that it lies on.
+    /// Number of partitions.
     pub parts: usize,
-    /// Calls a second that a part serves.
+    /// Calls per second that a partition serves.
     pub per_s: f64,
-    /// Time of an answer beside its turn, in ms.
+    /// Latency of a call without its time in the queue, in ms.
     pub answer_ms: f64,
-    /// Calls that wait at a part at most; more are turned away.
+    /// Maximum number of calls in the queue of a partition. Further calls are rejected.
     pub queue: usize,
 }
 
@@ -188,45 +187,45 @@
     }
 }
 
-/// One thing that goes wrong. Exactly one of the kinds stands in it.
+/// A fault and its time. Exactly one of `gateways`, `servers`, `link`, `counter`, `discovery` and `traffic` is set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// When, in s from the first request.
+    /// Start time, in s after the start of the load.
     pub at: f64,
-    /// For how long, in s; without it to the end.
+    /// Duration, in s. Without it the fault stays until the end of the plan.
     #[serde(rename = "for", skip_serializing_if = "Option::is_none")]
     pub lasts: Option<f64>,
-    /// Gateways as processes.
+    /// Fault of gateway processes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub gateways: Option<OnGateways>,
-    /// Servers.
+    /// Fault of servers.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub servers: Option<OnServers>,
-    /// Links.
+    /// Fault of links.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub link: Option<OnLink>,
-    /// The counter.
+    /// Fault of the quota counter.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub counter: Option<OnCounter>,
-    /// Discovery.
+    /// Fault of service discovery.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<OnDiscovery>,
-    /// The requests.
+    /// Change of the traffic.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub traffic: Option<OnTraffic>,
+    pub traffic: Option<TrafficChange>,
 }
 
-/// What happens to gateways.
+/// A fault of gateway processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnGateways {
-    /// Which.
-    pub who: Who,
-    /// What.
+    /// The affected gateways.
+    pub who: Selector,
+    /// The kind of fault.
     #[serde(rename = "do")]
     pub act: GatewayAct,
-    /// Time between one and the next, in s.
+    /// Delay between the fault's start at one gateway and at the next, in s.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub every: f64,
 }
@@ -235,221 +234,222 @@
     *value == 0.0
 }
 
-/// What can happen to a gateway.
+/// The kinds of gateway faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GatewayAct {
-    /// SIGKILL; started again when the step ends.
+    /// Sends SIGKILL and starts the gateway again when the step ends.
     Kill,
-    /// SIGSTOP; let go when the step ends.
+    /// Sends SIGSTOP, and SIGCONT when the step ends.
     Pause,
-    /// SIGTERM, and started again once it has ended.
+    /// Sends SIGTERM and starts the gateway again once its process has exited.
     Restart,
-    /// A second process beside it, then SIGTERM to the first.
+    /// Starts a second process beside the first, then sends SIGTERM to the first.
     Upgrade,
-    /// SIGHUP, with the same configuration.
+    /// Sends SIGHUP. The configuration is unchanged.
     Reload,
 }
 
-/// What happens to servers.
+/// A fault of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnServers {
-    /// Which; places past the fleet's own are the spare ones.
-    pub who: Who,
-    /// What.
+    /// The affected servers. Spare servers are numbered after the listed ones.
+    pub who: Selector,
+    /// The kind of fault.
     #[serde(rename = "do")]
     pub act: ServerAct,
-    /// How much: a factor or a share, by what is done.
+    /// Strength of the fault. Its unit depends on the kind.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
-    /// Time between one and the next, in s.
+    /// Delay between the fault's start at one server and at the next, in s.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub every: f64,
 }
 
-/// What can happen to a server.
+/// The kinds of server faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerAct {
-    /// The process dies: connections are reset, new ones refused. It is back cold when the step ends.
+    /// The process dies: its connections are reset and new ones are refused. It restarts cold when the step ends.
     Kill,
-    /// The machine vanishes: all is silent, and new connections never come up.
+    /// The machine drops all packets: connections stay open without traffic, and new ones time out.
     Vanish,
-    /// It finishes what it has; discovery tells so at once, and that it is gone when the step ends.
+    /// Discovery publishes the server as draining at once, and as gone when the step ends.
     Drain,
-    /// A spare one is listed, and starts cold.
+    /// A spare server starts cold and is listed.
     Join,
-    /// It takes `by` times as long.
+    /// Requests take `by` times as long.
     Slow,
-    /// A share `by` of requests is answered with an error at once.
+    /// A share `by` of requests gets an error at once.
     Errors,
-    /// A share `by` of requests is turned away unseen.
+    /// A share `by` of requests is rejected without being processed.
     TurnAway,
-    /// A share `by` of requests ends in a reset after it ran.
+    /// A share `by` of requests ends with a connection reset after it was processed.
     Reset,
-    /// A share `by` of answers can't be read.
+    /// A share `by` of answers is malformed.
     Spoil,
-    /// Its load reports say `by` requests in hand, whatever is true.
+    /// Load reports claim `by` requests in progress, regardless of the real number.
     Report,
 }
 
-/// What happens to links.
+/// A fault of links.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnLink {
-    /// Those who send.
+    /// The senders.
     pub from: End,
-    /// Those who would hear.
+    /// The receivers.
     pub to: End,
-    /// The other direction as well.
+    /// Whether the fault also applies in the other direction.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub both: bool,
-    /// What.
+    /// The kind of fault.
     #[serde(rename = "do")]
-    pub act: LinkAct,
-    /// How much: ms, a share, bytes a second or bytes, by what is done.
+    pub act: LinkAction,
+    /// Strength of the fault in ms, as a share, in bytes per second or in bytes, depending on the kind.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
-    /// For a delay: spread beside it, in ms.
+    /// Maximum jitter on top of a delay, in ms.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub spread: f64,
-    /// For a delay: what it grows by, in ms a second.
+    /// Growth of a delay, in ms per second.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub grows: f64,
 }
 
-/// What can happen to a link.
+/// The kinds of link faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LinkAct {
-    /// Nothing passes. Connections stay up and silent, and new ones never come up.
+pub enum LinkAction {
+    /// All packets are dropped: connections stay open without traffic, and new ones time out.
     Cut,
-    /// All comes `by` ms later, with `spread` and `grows`.
+    /// Traffic is delayed by `by` ms plus jitter (`spread`) and growth (`grows`).
     Delay,
-    /// A share `by` is lost: of datagrams for good, of a connection's pieces until they are sent again.
+    /// A share `by` is lost. Lost datagrams are gone, lost segments of a connection are retransmitted.
     Loss,
-    /// A share `by` of datagrams comes twice.
+    /// A share `by` of datagrams is delivered twice.
     Duplicate,
-    /// A share `by` of datagrams comes after later ones.
+    /// A share `by` of datagrams is delivered out of order.
     Reorder,
-    /// `by` bytes a second pass, for each connection.
+    /// The throughput of each connection is limited to `by` bytes per second.
     Throttle,
-    /// A connection is reset once `by` bytes have passed.
+    /// A connection is reset after `by` bytes.
     Reset,
-    /// New connections are reset as they come up.
+    /// New connections are refused.
     Refuse,
-    /// New connections never come up; those that are up go on.
+    /// New connections time out. Established connections are unaffected.
     Hang,
 }
 
-/// What happens to the counter.
+/// A fault of the quota counter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnCounter {
-    /// What.
+    /// The kind of fault.
     #[serde(rename = "do")]
     pub act: CounterAct,
-    /// How much.
+    /// Delay in ms, or share of calls.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
 }
 
-/// What can happen to the counter.
+/// The kinds of counter faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CounterAct {
-    /// Each answer comes `by` ms later.
+    /// Answers are delayed by `by` ms.
     Slow,
-    /// It is gone; back empty when the step ends.
+    /// The counter is unreachable. It is back with no counts when the step ends.
     Out,
-    /// All counts are forgotten at once.
+    /// All counts are lost.
     Flush,
-    /// A share `by` of calls is turned away.
+    /// A share `by` of calls is rejected.
     TurnAway,
 }
 
-/// What happens to discovery.
+/// A fault of service discovery.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnDiscovery {
-    /// The gateways whose agent it is.
-    pub who: Who,
-    /// What.
+    /// The gateways whose discovery agents are affected.
+    pub who: Selector,
+    /// The kind of fault.
     #[serde(rename = "do")]
     pub act: DiscoveryAct,
-    /// How much, in s.
+    /// Delay, in s.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
 }
 
-/// What can happen to discovery.
+/// The kinds of discovery faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoveryAct {
-    /// The agent says nothing and its connections end.
+    /// The agent closes its connections and does not respond.
     Silent,
-    /// Its news is `by` s late.
+    /// The agent publishes changes `by` s late.
     Late,
-    /// It goes on as if nothing had changed since the step began.
+    /// The agent publishes no changes from the start of the step on.
     Stale,
 }
 
-/// What happens to the requests.
+/// A change of the traffic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OnTraffic {
-    /// What.
+pub struct TrafficChange {
+    /// The kind of change.
     #[serde(rename = "do")]
     pub act: TrafficAct,
-    /// How much.
+    /// A factor, requests per second or a number of retries, depending on the kind.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
 }
 
-/// What can happen to the requests.
+/// The kinds of traffic changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TrafficAct {
-    /// `by` times as many.
+    /// The request rate is multiplied by `by`.
     Burst,
-    /// One customer asks for `by` requests a second on top.
+    /// One additional customer sends `by` requests per second.
     Hot,
-    /// Clients try again `by` times more, without a wait.
+    /// Clients send `by` additional retries, and all retries without a delay.
     Storm,
 }
 
-/// What must hold. One answer for each request, no unsafe one run twice and nothing new for a drained server hold
-/// always; the rest where it is named.
+/// Expected results of a run, in addition to the rules that are always checked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Hold {
-    /// Share of first tries whose client got a good answer in the end, at least.
+pub struct Expectations {
+    /// Minimum share of requests that were served in the end.
     pub served: f64,
-    /// Share of tries that a living gateway took and left without an answer, at most.
+    /// Maximum share of tries that a running gateway accepted but did not answer.
     pub unanswered: f64,
-    /// Units sent on beyond quotas as a share of all, at most.
+    /// Maximum share of forwarded units that exceeded quotas.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub beyond_quota: Option<f64>,
-    /// Share of tries refused while a listed server of the fleet stood idle, at most.
+    /// Maximum share of tries that were refused within the quota while a server had an idle core.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub refused_needlessly: Option<f64>,
-    /// Largest share of servers that had no work for a second while the fleet was used by 30% or more.
+    /// Maximum share of servers without requests during a second in which the fleet's utilization is 30% or more.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idle: Option<f64>,
-    /// Mean over windows of a second of the busiest server's arrivals over the mean, at most.
+    /// Maximum ratio of the busiest server's arrivals to the mean, averaged over windows of a second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_to_mean: Option<f64>,
-    /// After the last step's end the service is back at 95% of that before the first one, within so long, in s.
+    /// Maximum time from the end of the last step until the service is back at 95% of its level before the first
+    /// step, in s.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub recovery_s: Option<f64>,
-    /// From a step's word on a drain, nothing new may come past this, in ms.
+    /// Time for which a gateway may still send requests to a server after it was notified that the server is draining
+    /// or gone, in ms.
     pub drain_grace_ms: f64,
 }
 
-impl Default for Hold {
+impl Default for Expectations {
     fn default() -> Self {
-        Hold {
+        Expectations {
             served: 0.0,
             unanswered: 0.0,
             beyond_quota: None,
@@ -462,98 +462,99 @@
     }
 }
 
-/// Some of a row of gateways or servers: `all`, `3`, `0-4`, `70%` (drawn by the plan's seed) or `zone 1`.
+/// Selects gateways or servers: `all`, `3`, `0-4`, `70%` (a random sample) or `zone 1`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub enum Who {
-    /// All of them.
+pub enum Selector {
+    /// All that are listed from the start.
     All,
-    /// From one place to another, both included.
+    /// A range of indices, both ends inclusive.
     Places(usize, usize),
-    /// A share of them, in percent.
+    /// A random sample of this size in percent.
     Percent(f64),
-    /// Those of a zone.
+    /// All in a zone.
     Zone(usize),
 }
 
-impl fmt::Display for Who {
+impl fmt::Display for Selector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Who::All => f.write_str("all"),
-            Who::Places(first, last) if first == last => write!(f, "{first}"),
-            Who::Places(first, last) => write!(f, "{first}-{last}"),
-            Who::Percent(share) => write!(f, "{share}%"),
-            Who::Zone(zone) => write!(f, "zone {zone}"),
+            Selector::All => f.write_str("all"),
+            Selector::Places(first, last) if first == last => write!(f, "{first}"),
+            Selector::Places(first, last) => write!(f, "{first}-{last}"),
+            Selector::Percent(share) => write!(f, "{share}%"),
+            Selector::Zone(zone) => write!(f, "zone {zone}"),
         }
     }
 }
 
-impl FromStr for Who {
+impl FromStr for Selector {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Who, String> {
-        let bad = || format!("`{text}` is none of: all, 3, 0-4, 70%, zone 1");
-        let number = |text: &str| text.trim().parse::<usize>().map_err(|_| bad());
+    fn from_str(text: &str) -> Result<Selector, String> {
+        let invalid = || format!("`{text}` is none of: all, 3, 0-4, 70%, zone 1");
+        let number = |text: &str| text.trim().parse::<usize>().map_err(|_| invalid());
         Ok(if text == "all" {
-            Who::All
+            Selector::All
         } else if let Some(zone) = text.strip_prefix("zone ") {
-            Who::Zone(number(zone)?)
+            Selector::Zone(number(zone)?)
         } else if let Some(share) = text.strip_suffix('%') {
             let share = share.parse::<f64>().ok().filter(|share| (0.0..=100.0).contains(share));
-            Who::Percent(share.ok_or_else(bad)?)
+            Selector::Percent(share.ok_or_else(invalid)?)
         } else if let Some((first, last)) = text.split_once('-') {
             let (first, last) = (number(first)?, number(last)?);
             if first > last {
-                return Err(bad());
+                return Err(invalid());
             }
-            Who::Places(first, last)
+            Selector::Places(first, last)
         } else {
-            let place = number(text)?;
-            Who::Places(place, place)
+            let index = number(text)?;
+            Selector::Places(index, index)
         })
     }
 }
 
-impl TryFrom<String> for Who {
+impl TryFrom<String> for Selector {
     type Error = String;
 
-    fn try_from(text: String) -> Result<Who, String> {
+    fn try_from(text: String) -> Result<Selector, String> {
         text.parse()
     }
 }
 
-impl From<Who> for String {
-    fn from(who: Who) -> String {
+impl From<Selector> for String {
+    fn from(who: Selector) -> String {
         who.to_string()
     }
 }
 
-/// One end of a link: `gateways`, `servers`, `counter`, `discovery` or `clients`, with whom after a space.
+/// One end of a link: `gateways`, `servers`, `counter`, `discovery` or `clients`. The first two may be followed by a
+/// space and a selector, as in `gateways zone 1`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct End {
-    /// Of which kind.
+    /// The kind of node.
     pub kind: Kind,
-    /// Which of them.
-    pub who: Who,
+    /// The selected nodes of this kind.
+    pub who: Selector,
 }
 
-/// The kinds of parties.
+/// The kinds of nodes at the end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Gateways.
     Gateways,
     /// Servers.
     Servers,
-    /// The counter.
+    /// The quota counter.
     Counter,
-    /// Discovery.
+    /// The discovery agents.
     Discovery,
-    /// Clients, which come through one front.
+    /// All clients.
     Clients,
 }
 
-const KINDS: [(Kind, &str); 5] = [
+const KIND_NAMES: [(Kind, &str); 5] = [
     (Kind::Gateways, "gateways"),
     (Kind::Servers, "servers"),
     (Kind::Counter, "counter"),
@@ -563,9 +564,10 @@
 
 impl fmt::Display for End {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = KINDS.iter().find_map(|(kind, name)| (*kind == self.kind).then_some(*name)).unwrap_or("");
+        let name =
+            KIND_NAMES.iter().find_map(|(kind, name)| (*kind == self.kind).then_some(*name)).unwrap_or("");
         match self.who {
-            Who::All => f.write_str(name),
+            Selector::All => f.write_str(name),
             who => write!(f, "{name} {who}"),
         }
     }
@@ -576,12 +578,12 @@
 
     fn try_from(text: String) -> Result<End, String> {
         let (name, who) = text.split_once(' ').unwrap_or((&text, "all"));
-        let kind = KINDS.iter().find_map(|(kind, known)| (*known == name).then_some(*kind));
+        let kind = KIND_NAMES.iter().find_map(|(kind, known)| (*known == name).then_some(*kind));
         let kind = kind
             .ok_or_else(|| format!("`{name}` is none of: gateways, servers, counter, discovery, clients"))?;
-        let who: Who = who.parse()?;
-        if who != Who::All && !matches!(kind, Kind::Gateways | Kind::Servers) {
-            return Err(format!("there is one of `{name}`: `{who}` says nothing"));
+        let who: Selector = who.parse()?;
+        if who != Selector::All && !matches!(kind, Kind::Gateways | Kind::Servers) {
+            return Err(format!("`{name}` takes no selector, but has `{who}`"));
         }
         Ok(End { kind, who })
     }
@@ -594,172 +596,185 @@
 }
 
 impl Plan {
-    /// Reads a plan; an error says what is wrong with it, all of it.
+    /// Parses and validates a plan. The error lists all validation errors, one per line.
     pub fn read(text: &str) -> Result<Plan, String> {
         let plan: Plan = toml::from_str(text).map_err(|e| e.to_string())?;
-        let faults = plan.faults();
-        if faults.is_empty() {
+        let errors = plan.faults();
+        if errors.is_empty() {
             Ok(plan)
         } else {
-            Err(faults.join("\n"))
+            Err(errors.join("\n"))
         }
     }
 
-    /// What contradicts itself or can't be played.
+    /// Returns all validation errors.
     pub fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut is = |right: bool, what: &str| {
-            if !right {
-                faults.push(what.to_owned());
+        let mut errors = Vec::new();
+        let mut require = |valid: bool, message: &str| {
+            if !valid {
+                errors.push(message.to_owned());
             }
         };
         let (fleet, traffic, counter) = (&self.fleet, &self.traffic, &self.counter);
-        let share = |value: f64| (0.0..=1.0).contains(&value);
-        let above = |value: f64| value.is_finite() && value > 0.0;
-        let from_0 = |value: f64| value.is_finite() && value >= 0.0;
-        is(
+        let is_share = |value: f64| (0.0..=1.0).contains(&value);
+        let is_positive = |value: f64| value.is_finite() && value > 0.0;
+        let is_non_negative = |value: f64| value.is_finite() && value >= 0.0;
+        require(
             (1..=64).contains(&self.name.len()) && !self.name.contains(['/', '\n']),
             "name: 1 to 64 letters, no /",
         );
-        is(above(self.seconds) && self.seconds <= SECONDS_MOST, "seconds: above 0, 3600 at most");
-        is((1..=GATEWAYS_MOST).contains(&fleet.gateways), "fleet.gateways: 1 to 2000");
-        is((1..=SERVERS_MOST).contains(&fleet.servers), "fleet.servers: 1 to 1000");
-        is(fleet.spare <= SERVERS_MOST, "fleet.spare: 1000 at most");
-        is((1..=16).contains(&fleet.zones), "fleet.zones: 1 to 16");
-        is((1..=64).contains(&fleet.cores), "fleet.cores: 1 to 64");
-        is((1..=64).contains(&fleet.slots_per_core), "fleet.slots_per_core: 1 to 64");
-        is(fleet.queue_per_core <= 10_000, "fleet.queue_per_core: 10000 at most");
-        is(from_0(fleet.speed_cv) && fleet.speed_cv <= 1.0, "fleet.speed_cv: 0 to 1");
-        is(fleet.cold_from > 0.0 && fleet.cold_from <= 1.0, "fleet.cold_from: above 0, 1 at most");
-        is(from_0(fleet.cold_s), "fleet.cold_s: 0 or more");
-        is(
-            fleet.fall_multiple >= 1.0 && above(fleet.fall_ms),
+        require(
+            is_positive(self.seconds) && self.seconds <= MAX_DURATION_S,
+            "seconds: above 0, 3600 at most",
+        );
+        require((1..=MAX_GATEWAYS).contains(&fleet.gateways), "fleet.gateways: 1 to 2000");
+        require((1..=MAX_SERVERS).contains(&fleet.servers), "fleet.servers: 1 to 1000");
+        require(fleet.spare <= MAX_SERVERS, "fleet.spare: 1000 at most");
+        require((1..=16).contains(&fleet.zones), "fleet.zones: 1 to 16");
+        require((1..=64).contains(&fleet.cores), "fleet.cores: 1 to 64");
+        require((1..=64).contains(&fleet.slots_per_core), "fleet.slots_per_core: 1 to 64");
+        require(fleet.queue_per_core <= 10_000, "fleet.queue_per_core: 10000 at most");
+        require(is_non_negative(fleet.speed_cv) && fleet.speed_cv <= 1.0, "fleet.speed_cv: 0 to 1");
+        require(fleet.cold_from > 0.0 && fleet.cold_from <= 1.0, "fleet.cold_from: above 0, 1 at most");
+        require(is_non_negative(fleet.cold_s), "fleet.cold_s: 0 or more");
+        require(
+            fleet.fall_multiple >= 1.0 && is_positive(fleet.fall_ms),
             "fleet.fall_multiple: 1 or more, fall_ms above 0",
         );
-        is((1..=100_000).contains(&fleet.connections), "fleet.connections: 1 to 100000");
-        is(share(fleet.errors), "fleet.errors: 0 to 1");
-        is(from_0(fleet.notice_s), "fleet.notice_s: 0 or more");
-        is((256..=1024).contains(&fleet.descriptors), "fleet.descriptors: 256 to 1024");
-        is(above(traffic.per_s) && traffic.per_s <= RATE_MOST, "traffic.per_s: above 0, 100000 at most");
-        is(share(traffic.orders), "traffic.orders: 0 to 1");
-        is(above(traffic.work_ms) && from_0(traffic.work_cv), "traffic.work_ms: above 0, work_cv 0 or more");
-        is((1..=1_000_000).contains(&traffic.customers), "traffic.customers: 1 to 1000000");
-        is(from_0(traffic.skew) && traffic.skew <= 3.0, "traffic.skew: 0 to 3");
-        is((1..=fleet.gateways.max(1)).contains(&traffic.spread), "traffic.spread: 1 to fleet.gateways");
-        is(traffic.uneven >= 1.0 && traffic.uneven <= 100.0, "traffic.uneven: 1 to 100");
-        is(traffic.retries <= 10, "traffic.retries: 10 at most");
-        is(
-            from_0(traffic.backoff_ms) && share(traffic.honour),
+        require((1..=100_000).contains(&fleet.connections), "fleet.connections: 1 to 100000");
+        require(is_share(fleet.errors), "fleet.errors: 0 to 1");
+        require(is_non_negative(fleet.notice_s), "fleet.notice_s: 0 or more");
+        require((256..=1024).contains(&fleet.descriptors), "fleet.descriptors: 256 to 1024");
+        require(
+            is_positive(traffic.per_s) && traffic.per_s <= MAX_REQUESTS_PER_S,
+            "traffic.per_s: above 0, 100000 at most",
+        );
+        require(is_share(traffic.orders), "traffic.orders: 0 to 1");
+        require(
+            is_positive(traffic.work_ms) && is_non_negative(traffic.work_cv),
+            "traffic.work_ms: above 0, work_cv 0 or more",
+        );
+        require((1..=1_000_000).contains(&traffic.customers), "traffic.customers: 1 to 1000000");
+        require(is_non_negative(traffic.skew) && traffic.skew <= 3.0, "traffic.skew: 0 to 3");
+        require((1..=fleet.gateways.max(1)).contains(&traffic.spread), "traffic.spread: 1 to fleet.gateways");
+        require(traffic.uneven >= 1.0 && traffic.uneven <= 100.0, "traffic.uneven: 1 to 100");
+        require(traffic.retries <= 10, "traffic.retries: 10 at most");
+        require(
+            is_non_negative(traffic.backoff_ms) && is_share(traffic.honour),
             "traffic.backoff_ms: 0 or more, honour 0 to 1",
         );
-        is(from_0(traffic.notice_s), "traffic.notice_s: 0 or more");
-        is(
-            traffic.rate.iter().chain(&traffic.burst_s).all(|v| from_0(*v)),
+        require(is_non_negative(traffic.notice_s), "traffic.notice_s: 0 or more");
+        require(
+            traffic.rate.iter().chain(&traffic.burst_s).all(|v| is_non_negative(*v)),
             "traffic.rate, burst_s: 0 or more",
         );
-        is(
-            (1..=64).contains(&counter.parts) && above(counter.per_s),
+        require(
+            (1..=64).contains(&counter.parts) && is_positive(counter.per_s),
             "counter.parts: 1 to 64, per_s above 0",
         );
-        is(from_0(counter.answer_ms), "counter.answer_ms: 0 or more");
-        is(share(self.hold.served) && share(self.hold.unanswered), "hold.served, unanswered: 0 to 1");
-        is(from_0(self.hold.drain_grace_ms), "hold.drain_grace_ms: 0 or more");
-        is(self.step.len() <= STEPS_MOST, "step: 1000 at most");
+        require(is_non_negative(counter.answer_ms), "counter.answer_ms: 0 or more");
+        require(
+            is_share(self.hold.served) && is_share(self.hold.unanswered),
+            "hold.served, unanswered: 0 to 1",
+        );
+        require(is_non_negative(self.hold.drain_grace_ms), "hold.drain_grace_ms: 0 or more");
+        require(self.step.len() <= MAX_STEPS, "step: 1000 at most");
         for (number, step) in self.step.iter().enumerate() {
-            faults.extend(step.faults(self).into_iter().map(|what| format!("step {}: {what}", number + 1)));
+            let step_errors = step.validation_errors(self).into_iter();
+            errors.extend(step_errors.map(|message| format!("step {}: {message}", number + 1)));
         }
-        faults.extend(self.contradictions());
-        faults
+        errors.extend(self.conflicts());
+        errors
     }
 
-    /// Steps that can't both be.
-    fn contradictions(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let gone = |step: &Step| match &step.gateways {
+    /// Returns an error for each pair of steps that control the same gateway process at the same time.
+    fn conflicts(&self) -> Vec<String> {
+        let mut errors = Vec::new();
+        let process_fault = |step: &Step| match &step.gateways {
             Some(on) if on.act != GatewayAct::Reload => Some((on.who, on.act)),
             _ => None,
         };
         for (first, one) in self.step.iter().enumerate() {
             for (second, other) in self.step.iter().enumerate().skip(first + 1) {
-                let (Some(a), Some(b)) = (gone(one), gone(other)) else { continue };
-                // A pause may fall into an upgrade; a process that is dead can't be paused or ended.
+                let (Some(a), Some(b)) = (process_fault(one), process_fault(other)) else { continue };
+                // A pause may overlap a restart or an upgrade, but not a kill.
                 let both_end = a.1 != GatewayAct::Pause && b.1 != GatewayAct::Pause;
                 let killed = a.1 == GatewayAct::Kill || b.1 == GatewayAct::Kill;
-                if one.overlaps(other) && (both_end || killed) && self.share_a_gateway(a.0, b.0) {
-                    faults.push(format!(
-                        "steps {} and {} both end the same gateway at one time",
+                if one.overlaps(other) && (both_end || killed) && self.may_share_gateway(a.0, b.0) {
+                    errors.push(format!(
+                        "steps {} and {} overlap and affect the same gateway process",
                         first + 1,
                         second + 1
                     ));
                 }
             }
         }
-        faults
+        errors
     }
 
-    /// Whether two choices name the same gateway. Shares are drawn once a step, so that they may.
-    fn share_a_gateway(&self, one: Who, other: Who) -> bool {
-        let sure = |who: Who| !matches!(who, Who::Percent(_));
+    /// Whether two selectors can match the same gateway. Samples are drawn per step, so they may always overlap.
+    fn may_share_gateway(&self, one: Selector, other: Selector) -> bool {
+        let is_fixed = |who: Selector| !matches!(who, Selector::Percent(_));
         let (a, b) = (self.gateways(one, 0), self.gateways(other, 0));
-        !sure(one) || !sure(other) || a.iter().any(|place| b.contains(place))
+        !is_fixed(one) || !is_fixed(other) || a.iter().any(|index| b.contains(index))
     }
 
-    /// The zone of a gateway or server at this place.
-    pub fn zone(&self, place: usize) -> usize {
-        place % self.fleet.zones
+    /// The zone of the gateway or server with this index.
+    pub fn zone(&self, index: usize) -> usize {
+        index % self.fleet.zones
     }
 
-    /// The gateways that are named; shares are drawn by the plan's seed and the step's number.
-    pub fn gateways(&self, who: Who, step: usize) -> Vec<usize> {
-        self.places(who, self.fleet.gateways, self.fleet.gateways, step)
+    /// Returns the indices of the selected gateways. Samples depend on the plan's seed and the index of the step.
+    pub fn gateways(&self, who: Selector, step: usize) -> Vec<usize> {
+        self.select(who, self.fleet.gateways, self.fleet.gateways, step)
     }
 
-    /// The servers that are named, spare ones only by their place.
-    pub fn servers(&self, who: Who, step: usize) -> Vec<usize> {
-        self.places(who, self.fleet.servers, self.fleet.servers + self.fleet.spare, step)
+    /// Returns the indices of the selected servers. Only `Selector::Places` selects spare ones.
+    pub fn servers(&self, who: Selector, step: usize) -> Vec<usize> {
+        self.select(who, self.fleet.servers, self.fleet.servers + self.fleet.spare, step)
     }
 
-    fn places(&self, who: Who, listed: usize, all: usize, step: usize) -> Vec<usize> {
+    fn select(&self, who: Selector, listed: usize, all: usize, step: usize) -> Vec<usize> {
         match who {
-            Who::All => (0..listed).collect(),
-            Who::Places(first, last) => (first..=last.min(all.saturating_sub(1))).collect(),
-            Who::Zone(zone) => (0..listed).filter(|place| self.zone(*place) == zone).collect(),
-            Who::Percent(share) => {
+            Selector::All => (0..listed).collect(),
+            Selector::Places(first, last) => (first..=last.min(all.saturating_sub(1))).collect(),
+            Selector::Zone(zone) => (0..listed).filter(|index| self.zone(*index) == zone).collect(),
+            Selector::Percent(share) => {
                 use rand::seq::SliceRandom;
-                let mut places: Vec<_> = (0..listed).collect();
-                places.shuffle(&mut self.rng(0x57E9 + step as u64));
-                places.truncate((listed as f64 * share / 100.0).round() as usize);
-                places.sort_unstable();
-                places
+                let mut indices: Vec<_> = (0..listed).collect();
+                indices.shuffle(&mut self.rng(0x57E9 + step as u64));
+                indices.truncate((listed as f64 * share / 100.0).round() as usize);
+                indices.sort_unstable();
+                indices
             }
         }
     }
 
-    /// A source of chance of its own for each use.
+    /// Returns the random number generator of a stream, seeded by the plan's seed.
     pub fn rng(&self, stream: u64) -> rand_pcg::Pcg64 {
         use rand::SeedableRng;
         rand_pcg::Pcg64::seed_from_u64(self.seed ^ stream.wrapping_mul(0x9E37_79B9_7F4A_7C15))
     }
 
-    /// When the first step begins and the last one ends, in s; none without steps.
-    pub fn trouble(&self) -> Option<(f64, f64)> {
+    /// Returns the start of the first step and the end of the last one, in s, or none without steps.
+    pub fn fault_window(&self) -> Option<(f64, f64)> {
         let first = self.step.iter().map(|step| step.at).reduce(f64::min)?;
         Some((first, self.step.iter().map(|step| step.ends(self)).fold(0.0, f64::max)))
     }
 }
 
 impl Step {
-    /// When it is over, in s: at the latest with the plan.
+    /// Returns the time at which the step ends, in s.
     pub fn ends(&self, plan: &Plan) -> f64 {
-        let every = self.gateways.as_ref().map_or(0.0, |on| on.every * plan.fleet.gateways as f64);
+        let stagger = self.gateways.as_ref().map_or(0.0, |on| on.every * plan.fleet.gateways as f64);
         self.lasts.map_or_else(
-            || if self.once() { self.at + every } else { plan.seconds },
-            |lasts| self.at + lasts + every,
+            || if self.is_instantaneous() { self.at + stagger } else { plan.seconds },
+            |lasts| self.at + lasts + stagger,
         )
     }
 
-    /// Whether it is over as soon as it is done.
-    fn once(&self) -> bool {
+    /// Whether the step's fault has no duration of its own.
+    fn is_instantaneous(&self) -> bool {
         let gateways = self.gateways.as_ref().is_some_and(|on| {
             matches!(on.act, GatewayAct::Restart | GatewayAct::Upgrade | GatewayAct::Reload)
         });
@@ -772,11 +787,11 @@
         self.at < end(other) && other.at < end(self)
     }
 
-    fn faults(&self, plan: &Plan) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut is = |right: bool, what: &str| {
-            if !right {
-                faults.push(what.to_owned());
+    fn validation_errors(&self, plan: &Plan) -> Vec<String> {
+        let mut errors = Vec::new();
+        let mut require = |valid: bool, message: &str| {
+            if !valid {
+                errors.push(message.to_owned());
             }
         };
         let kinds = [
@@ -787,76 +802,94 @@
             self.discovery.is_some(),
             self.traffic.is_some(),
         ];
-        is(
-            kinds.iter().filter(|is| **is).count() == 1,
-            "exactly one of gateways, servers, link, counter, discovery, traffic",
+        require(
+            kinds.iter().filter(|is_set| **is_set).count() == 1,
+            "exactly one of gateways, servers, link, counter, discovery, traffic is required",
         );
-        is(self.at >= 0.0 && self.at <= plan.seconds, "at: within the plan's seconds");
-        is(self.lasts.is_none_or(|lasts| lasts > 0.0 && lasts.is_finite()), "for: above 0");
-        let by_share = |by: f64| by > 0.0 && by <= 1.0;
-        let some = |places: Vec<usize>| !places.is_empty();
+        require(self.at >= 0.0 && self.at <= plan.seconds, "at: within the plan's seconds");
+        require(self.lasts.is_none_or(|lasts| lasts > 0.0 && lasts.is_finite()), "for: above 0");
+        let is_share = |by: f64| by > 0.0 && by <= 1.0;
+        let matches_any = |indices: Vec<usize>| !indices.is_empty();
         if let Some(on) = &self.gateways {
-            is(some(plan.gateways(on.who, 0)), "who: no such gateway");
-            is(on.act != GatewayAct::Pause || self.lasts.is_some(), "a pause needs its `for`");
-            is(on.every >= 0.0 && on.every.is_finite(), "every: 0 or more");
+            require(matches_any(plan.gateways(on.who, 0)), "who: no such gateway");
+            require(
+                on.act != GatewayAct::Pause || self.lasts.is_some(),
+                "do: a pause needs a duration, `for`",
+            );
+            require(on.every >= 0.0 && on.every.is_finite(), "every: 0 or more");
         }
         if let Some(on) = &self.servers {
-            is(some(plan.servers(on.who, 0)), "who: no such server");
-            let spare = plan.servers(on.who, 0).iter().all(|place| *place >= plan.fleet.servers);
-            is(spare || on.act != ServerAct::Join, "who: only spare servers can join");
-            is(on.every >= 0.0 && on.every.is_finite(), "every: 0 or more");
+            require(matches_any(plan.servers(on.who, 0)), "who: no such server");
+            let spare = plan.servers(on.who, 0).iter().all(|index| *index >= plan.fleet.servers);
+            require(spare || on.act != ServerAct::Join, "who: only spare servers can join");
+            require(on.every >= 0.0 && on.every.is_finite(), "every: 0 or more");
             match on.act {
-                ServerAct::Slow => is(on.by >= 1.0, "by: a factor of 1 or more"),
+                ServerAct::Slow => require(on.by >= 1.0, "by: a factor of 1 or more"),
                 ServerAct::Errors | ServerAct::TurnAway | ServerAct::Reset | ServerAct::Spoil => {
-                    is(by_share(on.by), "by: a share above 0, 1 at most");
+                    require(is_share(on.by), "by: a share above 0 and at most 1");
                 }
-                ServerAct::Report => is(on.by >= 0.0, "by: 0 or more"),
-                _ => is(on.by == 0.0, "by: says nothing here"),
+                ServerAct::Report => require(on.by >= 0.0, "by: 0 or more"),
+                _ => require(on.by == 0.0, "by: not used by this kind of fault"),
             }
         }
         if let Some(on) = &self.link {
-            let ends = |end: &End| match end.kind {
-                Kind::Gateways => some(plan.gateways(end.who, 0)),
-                Kind::Servers => some(plan.servers(end.who, 0)),
+            let endpoint_exists = |end: &End| match end.kind {
+                Kind::Gateways => matches_any(plan.gateways(end.who, 0)),
+                Kind::Servers => matches_any(plan.servers(end.who, 0)),
                 _ => true,
             };
-            is(ends(&on.from) && ends(&on.to), "from, to: nobody is there");
+            require(
+                endpoint_exists(&on.from) && endpoint_exists(&on.to),
+                "from, to: no such gateway or server",
+            );
             let gateways = [on.from.kind, on.to.kind].iter().filter(|kind| **kind == Kind::Gateways).count();
-            is(gateways > 0, "from, to: each link has a gateway at one end");
-            is(gateways < 2 || plan.fleet.cluster, "gateways tell each other something only in a cluster");
+            require(gateways > 0, "from, to: a link needs a gateway at one end");
+            require(gateways < 2 || plan.fleet.cluster, "from, to: gateways are linked only in a cluster");
             let datagrams = gateways == 2;
             match on.act {
-                LinkAct::Cut | LinkAct::Refuse | LinkAct::Hang => is(on.by == 0.0, "by: says nothing here"),
-                LinkAct::Delay => is(
+                LinkAction::Cut | LinkAction::Refuse | LinkAction::Hang => {
+                    require(on.by == 0.0, "by: not used by this kind of fault")
+                }
+                LinkAction::Delay => require(
                     on.by >= 0.0 && on.by + on.spread + on.grows > 0.0 && on.spread >= 0.0 && on.grows >= 0.0,
-                    "by, spread, grows: ms, one of them above 0",
+                    "by, spread, grows: 0 or more, with a delay above 0",
                 ),
-                LinkAct::Loss => is(by_share(on.by), "by: a share above 0, 1 at most"),
-                LinkAct::Duplicate | LinkAct::Reorder => {
-                    is(datagrams, "only datagrams between gateways can be doubled or come out of order");
-                    is(by_share(on.by), "by: a share above 0, 1 at most");
+                LinkAction::Loss => require(is_share(on.by), "by: a share above 0 and at most 1"),
+                LinkAction::Duplicate | LinkAction::Reorder => {
+                    require(datagrams, "do: duplicate and reorder apply only to links between gateways");
+                    require(is_share(on.by), "by: a share above 0 and at most 1");
                 }
-                LinkAct::Throttle | LinkAct::Reset => is(on.by >= 1.0, "by: bytes, 1 or more"),
+                LinkAction::Throttle | LinkAction::Reset => require(on.by >= 1.0, "by: 1 byte or more"),
             }
-            let of_connections =
-                matches!(on.act, LinkAct::Throttle | LinkAct::Reset | LinkAct::Refuse | LinkAct::Hang);
-            is(!(of_connections && datagrams), "between gateways there are no connections");
+            let needs_connections = matches!(
+                on.act,
+                LinkAction::Throttle | LinkAction::Reset | LinkAction::Refuse | LinkAction::Hang
+            );
+            require(
+                !(needs_connections && datagrams),
+                "do: throttle, reset, refuse and hang do not apply to links between gateways, which have no connections",
+            );
         }
         if let Some(on) = &self.counter {
             match on.act {
-                CounterAct::Slow => is(on.by > 0.0, "by: ms above 0"),
-                CounterAct::TurnAway => is(by_share(on.by), "by: a share above 0, 1 at most"),
-                CounterAct::Out | CounterAct::Flush => is(on.by == 0.0, "by: says nothing here"),
+                CounterAct::Slow => require(on.by > 0.0, "by: above 0, in ms"),
+                CounterAct::TurnAway => require(is_share(on.by), "by: a share above 0 and at most 1"),
+                CounterAct::Out | CounterAct::Flush => {
+                    require(on.by == 0.0, "by: not used by this kind of fault")
+                }
             }
         }
         if let Some(on) = &self.discovery {
-            is(some(plan.gateways(on.who, 0)), "who: no such gateway");
-            is((on.act == DiscoveryAct::Late) == (on.by > 0.0), "by: s above 0 for `late`, nothing else");
+            require(matches_any(plan.gateways(on.who, 0)), "who: no such gateway");
+            require(
+                (on.act == DiscoveryAct::Late) == (on.by > 0.0),
+                "by: above 0, in s, for `late`, otherwise not used",
+            );
         }
         if let Some(on) = &self.traffic {
-            is(on.by > 0.0 && on.by <= 10_000.0, "by: above 0");
+            require(on.by > 0.0 && on.by <= 10_000.0, "by: above 0, 10000 at most");
         }
-        faults
+        errors
     }
 }
 
@@ -871,27 +904,27 @@
     }
 
     #[test]
-    fn a_plan_is_written_as_it_is_read() {
+    fn serialized_plan_parses_to_the_same_plan() {
         let text = "[[step]]\nat = 1\nfor = 2\ngateways = { who = \"70%\", do = \"kill\" }\n\
             [[step]]\nat = 2\nlink = { from = \"gateways zone 1\", to = \"servers 0-2\", do = \"cut\", both = true }";
         let plan = plan(text).unwrap();
         assert_eq!(Plan::read(&toml::to_string(&plan).unwrap()).unwrap(), plan);
-        assert_eq!(plan.gateways(Who::Zone(1), 0), [1, 3, 5]);
-        assert_eq!(plan.gateways(Who::Percent(70.0), 3).len(), 4);
-        assert_eq!(plan.gateways(Who::Percent(70.0), 3), plan.gateways(Who::Percent(70.0), 3));
-        assert_eq!(plan.servers(Who::Places(3, 9), 0), [3, 4, 5]);
-        assert_eq!(plan.trouble(), Some((1.0, 10.0)));
+        assert_eq!(plan.gateways(Selector::Zone(1), 0), [1, 3, 5]);
+        assert_eq!(plan.gateways(Selector::Percent(70.0), 3).len(), 4);
+        assert_eq!(plan.gateways(Selector::Percent(70.0), 3), plan.gateways(Selector::Percent(70.0), 3));
+        assert_eq!(plan.servers(Selector::Places(3, 9), 0), [3, 4, 5]);
+        assert_eq!(plan.fault_window(), Some((1.0, 10.0)));
     }
 
     #[test]
-    fn what_contradicts_itself_is_told_with_its_step() {
-        for (steps, told) in [
+    fn invalid_plan_is_rejected_with_a_specific_error() {
+        for (steps, expected) in [
             ("[[step]]\nat = 1", "exactly one of"),
             ("[[step]]\nat = 11\ncounter = { do = \"out\" }", "within the plan's seconds"),
             ("[[step]]\nat = 1\ngateways = { who = \"9\", do = \"kill\" }", "no such gateway"),
-            ("[[step]]\nat = 1\ngateways = { who = \"1\", do = \"pause\" }", "needs its `for`"),
+            ("[[step]]\nat = 1\ngateways = { who = \"1\", do = \"pause\" }", "needs a duration"),
             ("[[step]]\nat = 1\nservers = { who = \"1\", do = \"join\" }", "only spare servers"),
-            ("[[step]]\nat = 1\nservers = { who = \"1\", do = \"errors\", by = 2 }", "a share"),
+            ("[[step]]\nat = 1\nservers = { who = \"1\", do = \"errors\", by = 2 }", "a share above 0"),
             (
                 "[[step]]\nat = 1\nlink = { from = \"servers\", to = \"counter\", do = \"cut\" }",
                 "a gateway at one end",
@@ -902,7 +935,7 @@
             ),
             (
                 "[[step]]\nat = 1\nlink = { from = \"counter 3\", to = \"gateways\", do = \"cut\" }",
-                "says nothing",
+                "takes no selector",
             ),
             ("[[step]]\nat = 1\nlink = { from = \"moon\", to = \"gateways\", do = \"cut\" }", "none of"),
             ("[[step]]\nat = 1\ncolour = 1\ncounter = { do = \"out\" }", "colour"),
@@ -913,17 +946,17 @@
             ),
         ] {
             let error = plan(steps).unwrap_err();
-            assert!(error.contains(told), "{steps}\n{error}");
+            assert!(error.contains(expected), "expected {expected:?} for:\n{steps}\n{error}");
         }
         for (from, to) in [("servers = 4", "servers = 0"), ("gateways = 6", "gateways = 0")] {
             let text = "name = \"a\"\nseconds = 10\n[fleet]\ngateways = 6\nservers = 4\n[traffic]\n";
             let error = Plan::read(&text.replace(from, to)).unwrap_err();
-            assert!(error.contains("fleet."), "{error}");
+            assert!(error.contains("fleet."), "expected an error of the fleet: {error}");
         }
     }
 
     #[test]
-    fn a_pause_may_fall_into_an_upgrade() {
+    fn pause_may_overlap_an_upgrade() {
         let text = "[[step]]\nat = 1\ngateways = { who = \"2\", do = \"upgrade\" }\n\
             [[step]]\nat = 1.2\nfor = 1\ngateways = { who = \"2\", do = \"pause\" }";
         plan(text).unwrap();
--- a/lab/src/plans.rs
+++ b/lab/src/plans.rs
@@ -1,6 +1,6 @@
 //! The plans that come with the program.
 
-/// Names and texts.
+/// Names and TOML texts of the plans.
 pub const PLANS: &[(&str, &str)] = &[
     ("black-hole", include_str!("../plans/black-hole.toml")),
     ("burst", include_str!("../plans/burst.toml")),
@@ -37,7 +37,7 @@
     ("upgrade", include_str!("../plans/upgrade.toml")),
 ];
 
-/// The text of the plan of that name.
+/// Returns the text of the plan with this name.
 pub fn plan(name: &str) -> Option<&'static str> {
     PLANS.iter().find_map(|(known, text)| (*known == name).then_some(*text))
 }
@@ -48,10 +48,11 @@
     use crate::plan::Plan;
 
     #[test]
-    fn each_plan_is_sound_and_bears_its_name() {
+    fn each_plan_is_valid_and_has_the_name_of_its_file() {
         for (name, text) in PLANS {
             let plan = Plan::read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
-            assert!(plan.name == *name && !plan.about.is_empty(), "{name}");
+            assert_eq!(plan.name, *name);
+            assert!(!plan.about.is_empty(), "{name} has no description");
         }
     }
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,63 +1,62 @@
-//! What a run came to, for people and for programs.
+//! Reports of a run as text and as JSON.
 
 use crate::stage::Outcome;
 use std::fmt::Write;
 
-/// A share as people read it.
 fn percent(share: f64) -> String {
     format!("{:.2}%", share * 100.0)
 }
 
-/// A few lines for people.
+/// Returns a summary of several lines.
 pub fn text(outcome: &Outcome) -> String {
-    let (figures, machine) = (&outcome.verdict.figures, &outcome.machine);
+    let (metrics, machine) = (&outcome.verdict.figures, &outcome.machine);
     let mut text = String::new();
-    let mut line = |what: String| {
-        // Writing into a string can't fail.
-        let _ = writeln!(text, "{what}");
+    let mut line = |line: String| {
+        // Writing to a string cannot fail.
+        let _ = writeln!(text, "{line}");
     };
-    let [median, ninety, last, worst] = figures.latency_ms;
-    line(format!("{}, seed {}: {} requests", outcome.plan, outcome.seed, figures.works));
+    let [median, p90, p99, max] = metrics.latency_ms;
+    line(format!("{}, seed {}: {} requests", outcome.plan, outcome.seed, metrics.works));
     line(format!(
-        "  served {}, {} in time; median {median:.0} ms, 90th {ninety:.0}, 99th {last:.0}, worst {worst:.0}",
-        percent(figures.served),
-        percent(figures.in_time),
+        "  served {}, {} in time; median {median:.0} ms, 90th {p90:.0}, 99th {p99:.0}, worst {max:.0}",
+        percent(metrics.served),
+        percent(metrics.in_time),
     ));
     line(format!(
         "  of the tries refused {}, failed {}, no gateway reached {}, broken {}, silent {}; left unanswered by a \
          living gateway {}",
-        percent(figures.refused),
-        percent(figures.failed),
-        percent(figures.unreached),
-        percent(figures.broken),
-        percent(figures.silent),
-        percent(figures.unanswered),
+        percent(metrics.refused),
+        percent(metrics.failed),
+        percent(metrics.unreached),
+        percent(metrics.broken),
+        percent(metrics.silent),
+        percent(metrics.unanswered),
     ));
     line(format!(
         "  beyond quotas {}, refused needlessly {}; for each request {:.2} tries, {:.2} attempts, {:.3} connections, \
          {:.3} probes, {:.2} counter calls",
-        percent(figures.beyond_quota),
-        percent(figures.refused_needlessly),
-        figures.tries,
-        figures.attempts,
-        figures.connections,
-        figures.probes,
-        figures.calls,
+        percent(metrics.beyond_quota),
+        percent(metrics.refused_needlessly),
+        metrics.tries,
+        metrics.attempts,
+        metrics.connections,
+        metrics.probes,
+        metrics.calls,
     ));
-    let even = &figures.even;
+    let load = &metrics.load_balance;
     line(format!(
         "  servers used {}; busiest to mean {:.2} (99th {:.2}), in hand {:.2}, Jain {:.3}, idle at most {}, herds {} \
          from {:.1} gateways",
-        percent(even.used),
-        even.max_to_mean,
-        even.max_to_mean_p99,
-        even.in_hand_max_to_mean,
-        even.jain,
-        percent(even.idle),
-        even.herds,
-        even.herd_gateways,
+        percent(load.used),
+        load.max_to_mean,
+        load.max_to_mean_p99,
+        load.in_hand_max_to_mean,
+        load.jain,
+        percent(load.idle),
+        load.herds,
+        load.herd_gateways,
     ));
-    if let Some(after) = figures.recovery_s {
+    if let Some(after) = metrics.recovery_s {
         line(format!("  service back {after:.1} s after the last step's end"));
     }
     line(format!(
@@ -77,9 +76,9 @@
     for why in &outcome.not_valid {
         line(format!("  NOT VALID: {why}"));
     }
-    for broken in &outcome.verdict.broken {
-        line(format!("  BROKEN, {} times: {}", broken.times, broken.rule));
-        for case in &broken.cases {
+    for violation in &outcome.verdict.broken {
+        line(format!("  BROKEN, {} times: {}", violation.times, violation.rule));
+        for case in &violation.cases {
             line(format!("    {case}"));
         }
     }
@@ -87,8 +86,8 @@
     text
 }
 
-/// One line of JSON.
+/// Returns the outcome as one line of JSON.
 pub fn json(outcome: &Outcome) -> String {
-    // Plain numbers and texts: there is nothing in it that JSON can't say.
+    // Serializing numbers and strings cannot fail.
     serde_json::to_string(outcome).unwrap_or_default()
 }
