--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `granite-lab`: plays plans of faults on a fleet of real gateways.
+//! Command line of `granite-lab`, which runs fault-injection plans and scale tests against real gateways.
 
 use clap::{Parser, Subcommand};
 use granite_lab::plan::Plan;
@@ -13,13 +13,13 @@
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 
-/// Counts what this process holds, for `slopes`.
+/// Tracks heap usage for `slopes`.
 #[global_allocator]
 static HEAP: peak_alloc::PeakAlloc = peak_alloc::PeakAlloc;
 
-struct Counted;
+struct TrackedHeap;
 
-impl Heap for Counted {
+impl Heap for TrackedHeap {
     fn now(&self) -> usize {
         HEAP.current_usage()
     }
@@ -38,11 +38,11 @@
     #[arg(long, global = true, value_name = "FILE")]
     gateway: Option<PathBuf>,
     #[command(subcommand)]
-    command: Verb,
+    command: LabCommand,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum LabCommand {
     /// Five gateways, ten servers, faults and load: what was served, refused and lost, in under 30 s.
     Demo,
     /// Plays plans, each in turn: names of those that come with the program, or files.
@@ -128,7 +128,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    match act(&cli) {
+    match run_command(&cli) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
@@ -138,7 +138,8 @@
     }
 }
 
-fn read(name: &str) -> Result<Plan, String> {
+/// Reads the plan of this name that comes with the program, or else the file at this path.
+fn read_plan(name: &str) -> Result<Plan, String> {
     let text = match plans::plan(name) {
         Some(text) => text.to_owned(),
         None => std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
@@ -146,22 +147,23 @@
     Plan::read(&text).map_err(|e| format!("{name}: {e}"))
 }
 
-fn act(cli: &Cli) -> Result<bool, String> {
+/// Runs the command. Returns whether all runs passed.
+fn run_command(cli: &Cli) -> Result<bool, String> {
     match &cli.command {
-        Verb::Plans { name: None } => {
+        LabCommand::Plans { name: None } => {
             for (name, text) in PLANS {
                 println!("{name:20} {}", Plan::read(text)?.about);
             }
             Ok(true)
         }
-        Verb::Plans { name: Some(name) } => {
+        LabCommand::Plans { name: Some(name) } => {
             let text = plans::plan(name).ok_or_else(|| format!("no plan `{name}` comes with the program"))?;
             print!("{text}");
             Ok(true)
         }
-        Verb::Slopes { seed, json } => {
-            let said = |what: &str| eprintln!("weighs: {what}");
-            let slopes = weigh::weigh(*seed, &Counted, &said)?;
+        LabCommand::Slopes { seed, json } => {
+            let log_progress = |what: &str| eprintln!("measuring: {what}");
+            let slopes = weigh::weigh(*seed, &TrackedHeap, &log_progress)?;
             print!("{}", weigh::text(&slopes));
             if let Some(file) = json {
                 let text = serde_json::to_string(&slopes).map_err(|e| e.to_string())?;
@@ -169,54 +171,55 @@
             }
             Ok(true)
         }
-        Verb::Scale { gateways, percent, backends, seed, changes, programs, slopes, out } => {
-            let own = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
-            let beside = own.parent().unwrap_or(Path::new(".")).to_owned();
-            let programs = programs.clone().unwrap_or(beside);
+        LabCommand::Scale { gateways, percent, backends, seed, changes, programs, slopes, out } => {
+            let lab = std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?;
+            let lab_folder = lab.parent().unwrap_or(Path::new(".")).to_owned();
+            let programs = programs.clone().unwrap_or(lab_folder);
             let options = run::Options { programs, seed: *seed, changes: *changes };
             let size = |gateways, percent| {
                 let size = Size::of(gateways, percent);
                 Size { backends: backends.unwrap_or(size.backends), ..size }
             };
-            let sizes =
-                percent.iter().flat_map(|percent| gateways.iter().map(|of| (*percent, size(*of, *percent))));
+            let sizes = percent
+                .iter()
+                .flat_map(|percent| gateways.iter().map(|gateways| (*percent, size(*gateways, *percent))));
             let sizes: Vec<_> = sizes.collect();
-            end_with_signals()?;
-            scale(&options, &sizes, slopes.as_deref(), out.as_deref())
+            exit_on_signals()?;
+            run_scale_tests(&options, &sizes, slopes.as_deref(), out.as_deref())
         }
-        Verb::Check { plans } => {
+        LabCommand::Check { plans } => {
             for name in plans {
-                read(name)?;
+                read_plan(name)?;
                 println!("{name}: no mistake");
             }
             Ok(true)
         }
-        Verb::Demo => {
-            let plan = read("demo")?;
-            let options = Options::new(program(cli)?);
+        LabCommand::Demo => {
+            let plan = read_plan("demo")?;
+            let options = Options::new(gateway_program(cli)?);
             println!("starting {} gateways before {} servers ...", plan.fleet.gateways, plan.fleet.servers);
-            let outcome = play_watched(&plan, &options, stopped(), |gateways| {
+            let outcome = play_watched(&plan, &options, stop_signal(), |gateways| {
                 println!(
                     "load runs for {} s; meanwhile, in another shell:\n\n    {}\n",
                     plan.seconds,
-                    curl(gateways[0])
+                    curl_command(gateways[0])
                 );
                 println!("at 4 s gateway 1 is killed, at 5 s gateway 2 loses its link to half of the servers; at 9 s all heals");
             })?;
             print!("{}", report::text(&outcome));
             Ok(outcome.held())
         }
-        Verb::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
+        LabCommand::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
             let ready = Duration::try_from_secs_f64(*ready_s).map_err(|e| format!("--ready-s: {e}"))?;
-            let options = Options { keep: keep.clone(), ready, ..Options::new(program(cli)?) };
-            let mut file = json.as_deref().map(append).transpose()?;
-            let mut held = true;
+            let options = Options { keep: keep.clone(), ready, ..Options::new(gateway_program(cli)?) };
+            let mut file = json.as_deref().map(open_for_append).transpose()?;
+            let mut passed = true;
             for name in plans {
-                let mut plan = read(name)?;
+                let mut plan = read_plan(name)?;
                 plan.fleet.gateways = gateways.unwrap_or(plan.fleet.gateways);
                 plan.fleet.servers = servers.unwrap_or(plan.fleet.servers);
                 if let Some(per_s) = per_s {
-                    // Each customer goes on asking as much as before.
+                    // The request rate of each customer stays the same.
                     let customers = plan.traffic.customers as f64 * per_s / plan.traffic.per_s;
                     plan.traffic.customers = (customers.round() as usize).max(1);
                     plan.traffic.per_s = *per_s;
@@ -225,26 +228,26 @@
                 let seeds = if seeds.is_empty() { vec![plan.seed] } else { seeds.clone() };
                 for seed in seeds {
                     plan.seed = seed;
-                    let outcome = play(&plan, &options, stopped())?;
+                    let outcome = play(&plan, &options, stop_signal())?;
                     print!("{}", report::text(&outcome));
                     if let Some(file) = &mut file {
                         writeln!(file, "{}", report::json(&outcome))
-                            .map_err(|e| format!("the results: {e}"))?;
+                            .map_err(|e| format!("writing the results: {e}"))?;
                     }
-                    held &= outcome.held();
+                    passed &= outcome.held();
                 }
             }
-            Ok(held)
+            Ok(passed)
         }
     }
 }
 
-/// Ctrl-C and SIGTERM end the processes of a run, and this one. The folder of the run stays.
-fn end_with_signals() -> Result<(), String> {
+/// Kills the processes of a scale test and exits on SIGINT and SIGTERM. The folder of the run is kept.
+fn exit_on_signals() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("signals: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("signal handlers: {e}"))?;
     std::thread::spawn(move || {
-        runtime.block_on(stopped());
+        runtime.block_on(stop_signal());
         run::kill();
         eprintln!("granite-lab: stopped");
         std::process::exit(2);
@@ -252,8 +255,8 @@
     Ok(())
 }
 
-/// Plays all sizes, each in turn. True if all were played to their end.
-fn scale(
+/// Runs a scale test for each size, one after the other. Returns whether all completed.
+fn run_scale_tests(
     options: &run::Options, sizes: &[(f64, Size)], slopes: Option<&Path>, out: Option<&Path>,
 ) -> Result<bool, String> {
     if let Some((bad, _)) = sizes.iter().find(|(percent, _)| !(0.01..=100.0).contains(percent)) {
@@ -269,10 +272,10 @@
         }
         None => Vec::new(),
     };
-    let mut played = true;
+    let mut completed = true;
     for (percent, size) in sizes {
-        let said = |what: &str| eprintln!("{} x {percent}: {what}", size.gateways);
-        let outcome = run::play(options, *size, *percent, &said)?;
+        let log_progress = |what: &str| eprintln!("{} x {percent}: {what}", size.gateways);
+        let outcome = run::play(options, *size, *percent, &log_progress)?;
         print!("{}", scale::report::text(&outcome));
         if outcome.failed.is_none() && !slopes.is_empty() {
             print!("{}", forecast::text(&forecast::Model(&slopes).beside(&outcome)));
@@ -280,34 +283,34 @@
         if let Some(folder) = out {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
             let line = serde_json::to_string(&outcome).map_err(|e| e.to_string())?;
-            writeln!(append(&folder.join("runs.jsonl"))?, "{line}")
-                .map_err(|e| format!("the results: {e}"))?;
+            writeln!(open_for_append(&folder.join("runs.jsonl"))?, "{line}")
+                .map_err(|e| format!("writing the results: {e}"))?;
         }
-        played &= outcome.failed.is_none();
+        completed &= outcome.failed.is_none();
     }
-    Ok(played)
+    Ok(completed)
 }
 
-/// A request that a person can send while the demo runs.
-fn curl(gateway: std::net::SocketAddr) -> String {
+/// Returns a command line that sends a request to a gateway of the demo.
+fn curl_command(gateway: std::net::SocketAddr) -> String {
     format!(
         "curl -i -H 'X-Txn: f000000000000001' -H 'X-Lane: status-read' -H 'X-Plan: basic' -H 'X-Remaining-Ms: 1500' \
          -H 'X-Quota: units=1,spread=1,first=0' 'http://{gateway}/status-read?account=0000000000000007'"
     )
 }
 
-fn append(path: &Path) -> Result<std::fs::File, String> {
+fn open_for_append(path: &Path) -> Result<std::fs::File, String> {
     let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
     file.map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Ctrl-C or SIGTERM.
-async fn stopped() {
+/// Waits for SIGINT or SIGTERM.
+async fn stop_signal() {
     use tokio::signal::unix::{signal, SignalKind};
     let wait = |kind| async move {
         match signal(kind) {
             Ok(mut signal) => drop(signal.recv().await),
-            // Without a handler the signal ends the process.
+            // Without a handler the signal terminates the process.
             Err(_) => std::future::pending().await,
         }
     };
@@ -317,28 +320,29 @@
     }
 }
 
-/// The gateway's program: as named, or the one beside this program, which a checkout builds first.
-fn program(cli: &Cli) -> Result<PathBuf, String> {
+/// Returns the path of the gateway program: the one given, or the one in this program's folder. The latter is built
+/// first if the source is present.
+fn gateway_program(cli: &Cli) -> Result<PathBuf, String> {
     if let Some(program) = &cli.gateway {
         return Ok(program.clone());
     }
-    let own = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
-    let beside = own.with_file_name("heronstage");
+    let lab = std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?;
+    let gateway = lab.with_file_name("heronstage");
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap_or(Path::new("."));
     if root.join("Cargo.toml").is_file() {
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
         build.current_dir(root).args(["build", "--quiet", "--locked", "--bin", "heronstage"]);
-        if own.parent().is_some_and(|folder| folder.ends_with("release")) {
+        if lab.parent().is_some_and(|folder| folder.ends_with("release")) {
             build.arg("--release");
         }
-        let built = build.status().map_err(|e| format!("cargo build: {e}"))?;
-        if !built.success() {
-            return Err("the gateway does not build".to_owned());
+        let status = build.status().map_err(|e| format!("cargo build: {e}"))?;
+        if !status.success() {
+            return Err("cargo build of the gateway failed".to_owned());
         }
     }
-    if beside.is_file() {
-        Ok(beside)
+    if gateway.is_file() {
+        Ok(gateway)
     } else {
-        Err(format!("no gateway at {}: name one by --gateway", beside.display()))
+        Err(format!("no gateway program at {}: set one with --gateway", gateway.display()))
     }
 }
