--- a/lab/tests/command.rs
+++ b/lab/tests/command.rs
@@ -1,4 +1,4 @@
-//! The program as a command, with gateways that do not start, hang or die, and its end by a signal.
+//! Tests of the `granite-lab` command line: gateways that fail to start, invalid input, and shutdown by a signal.
 #![allow(missing_docs)]
 
 use std::os::unix::fs::PermissionsExt;
@@ -6,14 +6,15 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// Waits are on conditions; this only ends a test that has failed.
-const LONG: Duration = Duration::from_secs(30);
+/// Maximum time to wait for a condition before a test fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-struct Place(tempfile::TempDir);
+/// A temporary folder for the files of a test.
+struct TestFolder(tempfile::TempDir);
 
-impl Place {
-    fn new() -> Place {
-        Place(tempfile::tempdir().unwrap())
+impl TestFolder {
+    fn new() -> TestFolder {
+        TestFolder(tempfile::tempdir().unwrap())
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
@@ -22,10 +23,10 @@
         path
     }
 
-    /// A program in place of a gateway. Each of its processes notes its number first.
-    fn program(&self, does: &str) -> PathBuf {
+    /// Writes a shell script that replaces the gateway program. Each of its processes first records its PID.
+    fn gateway_script(&self, commands: &str) -> PathBuf {
         let pids = self.0.path().join("pids");
-        let path = self.file("gateway", &format!("#!/bin/sh\necho $$ >> {}\n{does}\n", pids.display()));
+        let path = self.file("gateway", &format!("#!/bin/sh\necho $$ >> {}\n{commands}\n", pids.display()));
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
         path
     }
@@ -40,8 +41,8 @@
         self.file("small.toml", text)
     }
 
-    /// Its own folder for what a run writes.
-    fn folder(&self) -> PathBuf {
+    /// The folder in which the lab creates temporary files.
+    fn lab_tmpdir(&self) -> PathBuf {
         let folder = self.0.path().join("tmp");
         std::fs::create_dir_all(&folder).unwrap();
         folder
@@ -49,110 +50,120 @@
 
     fn lab(&self, gateway: &Path, arguments: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_granite-lab"));
-        command.arg("--gateway").arg(gateway).args(arguments).env("TMPDIR", self.folder());
+        command.arg("--gateway").arg(gateway).args(arguments).env("TMPDIR", self.lab_tmpdir());
         command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
         command
     }
 
-    /// No process that was started is left, and no file.
-    fn assert_clean(&self) {
-        assert!(!self.pids().is_empty(), "something was started");
+    /// Asserts that gateway processes were started, and that none of them and no temporary file is left.
+    fn assert_cleaned_up(&self) {
+        assert!(!self.pids().is_empty(), "expected gateway processes to be started");
         let start = Instant::now();
         while self.pids().iter().any(|pid| Path::new(&format!("/proc/{pid}")).exists()) {
-            assert!(start.elapsed() < LONG, "left: {:?}", self.pids());
+            assert!(start.elapsed() < WAIT_TIMEOUT, "expected all processes to end: {:?}", self.pids());
             std::thread::sleep(Duration::from_millis(20));
         }
-        let left: Vec<_> = std::fs::read_dir(self.folder()).unwrap().collect();
-        assert!(left.is_empty(), "{left:?}");
+        let files: Vec<_> = std::fs::read_dir(self.lab_tmpdir()).unwrap().collect();
+        assert!(files.is_empty(), "expected no temporary files: {files:?}");
+    }
+
+    fn assert_nothing_started(&self) {
+        assert!(self.pids().is_empty(), "expected no gateway process to be started: {:?}", self.pids());
     }
 }
 
-fn told(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn until(what: &str, mut is: impl FnMut() -> bool) {
+fn assert_stderr_contains(output: &Output, expected: &str) {
+    let stderr = stderr(output);
+    assert!(stderr.contains(expected), "expected {expected:?} on stderr: {stderr}");
+}
+
+fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !is() {
-        assert!(start.elapsed() < LONG, "never: {what}");
+    while !is_met() {
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting until {condition}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn ends(mut child: Child) -> Output {
-    until("it ends", || child.try_wait().unwrap().is_some());
+fn wait_for_exit(mut child: Child) -> Output {
+    wait_until("the lab exits", || child.try_wait().unwrap().is_some());
     child.wait_with_output().unwrap()
 }
 
 #[test]
-fn a_gateway_that_dies_at_its_start_is_told_with_its_last_words() {
-    let place = Place::new();
-    let (program, plan) = (place.program("echo no such luck >&2; exit 3"), place.plan());
-    let output = place.lab(&program, &["run", plan.to_str().unwrap()]).output().unwrap();
-    let told = told(&output);
-    assert_eq!(output.status.code(), Some(2), "{told}");
-    assert!(told.contains("ended at its start") && told.contains("no such luck"), "{told}");
-    place.assert_clean();
+fn gateway_that_exits_at_start_is_reported_with_its_log() {
+    let folder = TestFolder::new();
+    let (program, plan) = (folder.gateway_script("echo no such luck >&2; exit 3"), folder.plan());
+    let output = folder.lab(&program, &["run", plan.to_str().unwrap()]).output().unwrap();
+    assert_eq!(output.status.code(), Some(2), "{}", stderr(&output));
+    assert_stderr_contains(&output, "ended at its start");
+    assert_stderr_contains(&output, "no such luck");
+    folder.assert_cleaned_up();
 }
 
 #[test]
-fn one_that_hangs_is_told_and_killed() {
-    let place = Place::new();
-    let (program, plan) = (place.program("trap '' TERM INT; exec sleep 1000"), place.plan());
+fn gateway_that_hangs_at_start_is_reported_and_killed() {
+    let folder = TestFolder::new();
+    let (program, plan) = (folder.gateway_script("trap '' TERM INT; exec sleep 1000"), folder.plan());
     let arguments = ["run", plan.to_str().unwrap(), "--ready-s", "0.5"];
-    let output = place.lab(&program, &arguments).output().unwrap();
-    let told = told(&output);
-    assert_eq!(output.status.code(), Some(2), "{told}");
-    assert!(told.contains("is not ready after 0.5 s"), "{told}");
-    place.assert_clean();
+    let output = folder.lab(&program, &arguments).output().unwrap();
+    assert_eq!(output.status.code(), Some(2), "{}", stderr(&output));
+    assert_stderr_contains(&output, "is not ready after 0.5 s");
+    folder.assert_cleaned_up();
 }
 
 #[test]
-fn a_program_that_is_none_is_told() {
-    let place = Place::new();
-    let (program, plan) = (place.file("gateway", "no program"), place.plan());
-    let output = place.lab(&program, &["run", plan.to_str().unwrap()]).output().unwrap();
-    let told = told(&output);
-    assert!(told.contains("ended at its start") && told.contains("Permission denied"), "{told}");
+fn gateway_file_that_is_not_executable_is_reported() {
+    let folder = TestFolder::new();
+    let (program, plan) = (folder.file("gateway", "no program"), folder.plan());
+    let output = folder.lab(&program, &["run", plan.to_str().unwrap()]).output().unwrap();
+    assert_stderr_contains(&output, "ended at its start");
+    assert_stderr_contains(&output, "Permission denied");
     assert_eq!(output.status.code(), Some(2));
 }
 
-/// Also processes that turn a deaf ear to signals, and one that stands still.
+/// The gateway processes ignore signals, and one of them is stopped (SIGSTOP).
 #[test]
-fn nothing_is_left_when_it_is_told_to_stop() {
+fn signal_stops_the_lab_without_leaving_processes_or_files() {
     for name in ["INT", "TERM"] {
-        let place = Place::new();
-        let program = place.program(
+        let folder = TestFolder::new();
+        let program = folder.gateway_script(
             "trap '' TERM INT HUP; [ $(wc -l < $(dirname $0)/pids) = 2 ] && kill -STOP $$; exec sleep 1000",
         );
-        let plan = place.plan();
-        let child = place.lab(&program, &["run", plan.to_str().unwrap()]).spawn().unwrap();
-        until("three are started", || place.pids().len() == 3);
+        let plan = folder.plan();
+        let child = folder.lab(&program, &["run", plan.to_str().unwrap()]).spawn().unwrap();
+        wait_until("three gateways are started", || folder.pids().len() == 3);
         let signal = format!("-{name}");
         assert!(Command::new("kill").args([&signal, &child.id().to_string()]).status().unwrap().success());
-        let output = ends(child);
-        assert!(told(&output).contains("stopped"), "{}", told(&output));
-        place.assert_clean();
+        let output = wait_for_exit(child);
+        assert_stderr_contains(&output, "stopped");
+        folder.assert_cleaned_up();
     }
 }
 
 #[test]
-fn mistakes_in_a_plan_and_a_folder_that_can_not_be_written_are_told_before_anything_starts() {
-    let place = Place::new();
-    let program = place.program("exec sleep 1000");
-    let plan = place
+fn invalid_input_is_reported_before_any_gateway_starts() {
+    let folder = TestFolder::new();
+    let program = folder.gateway_script("exec sleep 1000");
+    // An invalid plan.
+    let plan = folder
         .file("bad.toml", "name = \"bad\"\nseconds = 2\n[fleet]\ngateways = 0\nservers = 0\n[traffic]\n");
-    let output = place.lab(&program, &["check", plan.to_str().unwrap()]).output().unwrap();
-    let said = told(&output);
-    assert!(said.contains("fleet.gateways") && said.contains("fleet.servers"), "{said}");
-    let plan = place.plan();
+    let output = folder.lab(&program, &["check", plan.to_str().unwrap()]).output().unwrap();
+    assert_stderr_contains(&output, "fleet.gateways");
+    assert_stderr_contains(&output, "fleet.servers");
+    // A log folder that cannot be created.
+    let plan = folder.plan();
     let output =
-        place.lab(&program, &["run", plan.to_str().unwrap(), "--keep", "/proc/none"]).output().unwrap();
-    assert_eq!(output.status.code(), Some(2), "{}", told(&output));
-    assert!(place.pids().is_empty());
-    // More than any limit on descriptors allows.
+        folder.lab(&program, &["run", plan.to_str().unwrap(), "--keep", "/proc/none"]).output().unwrap();
+    assert_eq!(output.status.code(), Some(2), "{}", stderr(&output));
+    folder.assert_nothing_started();
+    // A plan that needs more file descriptors than the limit.
     let big = "name = \"big\"\nseconds = 2\n[fleet]\ngateways = 2000\nservers = 1000\n[traffic]\nper_s = 100000.0\n";
-    let plan = place.file("big.toml", big);
+    let plan = folder.file("big.toml", big);
     let run = format!(
         "ulimit -n 256; exec {} --gateway {} run {}",
         env!("CARGO_BIN_EXE_granite-lab"),
@@ -160,17 +171,18 @@
         plan.display()
     );
     let output = Command::new("/bin/sh").args(["-c", &run]).output().unwrap();
-    assert!(told(&output).contains("descriptors and may open 256"), "{}", told(&output));
-    assert!(place.pids().is_empty());
+    assert_stderr_contains(&output, "descriptors and may open 256");
+    folder.assert_nothing_started();
 }
 
 #[test]
-fn plans_are_listed_and_printed() {
-    let place = Place::new();
-    let output = place.lab(Path::new("none"), &["plans"]).output().unwrap();
+fn plans_command_lists_plans_and_prints_a_valid_one() {
+    let folder = TestFolder::new();
+    let output = folder.lab(Path::new("none"), &["plans"]).output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
-    assert!(text.lines().count() > 15 && text.contains("mass-kill"), "{text}");
-    let output = place.lab(Path::new("none"), &["plans", "calm"]).output().unwrap();
-    let plan = place.file("again.toml", &String::from_utf8(output.stdout).unwrap());
-    assert!(place.lab(Path::new("none"), &["check", plan.to_str().unwrap()]).status().unwrap().success());
+    assert!(text.lines().count() > 15 && text.contains("mass-kill"), "expected a list of plans: {text}");
+    let output = folder.lab(Path::new("none"), &["plans", "calm"]).output().unwrap();
+    let plan = folder.file("again.toml", &String::from_utf8(output.stdout).unwrap());
+    let status = folder.lab(Path::new("none"), &["check", plan.to_str().unwrap()]).status().unwrap();
+    assert!(status.success(), "expected the printed plan to be valid");
 }
