--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -18,13 +18,13 @@
     let [median, p90, p99, max] = metrics.latency_ms;
     line(format!("{}, seed {}: {} requests", outcome.plan, outcome.seed, metrics.works));
     line(format!(
-        "  served {}, {} in time; median {median:.0} ms, 90th {p90:.0}, 99th {p99:.0}, worst {max:.0}",
+        "  served {}, {} in time; latency: median {median:.0} ms, 90th {p90:.0}, 99th {p99:.0}, max {max:.0}",
         percent(metrics.served),
         percent(metrics.in_time),
     ));
     line(format!(
-        "  of the tries refused {}, failed {}, no gateway reached {}, broken {}, silent {}; left unanswered by a \
-         living gateway {}",
+        "  tries: refused {}, failed {}, gateway not reached {}, connection closed {}, timed out {}; not answered by a \
+         running gateway {}",
         percent(metrics.refused),
         percent(metrics.failed),
         percent(metrics.unreached),
@@ -33,8 +33,8 @@
         percent(metrics.unanswered),
     ));
     line(format!(
-        "  beyond quotas {}, refused needlessly {}; for each request {:.2} tries, {:.2} attempts, {:.3} connections, \
-         {:.3} probes, {:.2} counter calls",
+        "  units beyond quotas {}, tries refused needlessly {}; per request: {:.2} tries, {:.2} attempts, {:.3} server \
+         connections, {:.3} probes, {:.2} counter calls",
         percent(metrics.beyond_quota),
         percent(metrics.refused_needlessly),
         metrics.tries,
@@ -45,8 +45,8 @@
     ));
     let load = &metrics.load_balance;
     line(format!(
-        "  servers used {}; busiest to mean {:.2} (99th {:.2}), in hand {:.2}, Jain {:.3}, idle at most {}, herds {} \
-         from {:.1} gateways",
+        "  server utilization {}; busiest to mean: arrivals {:.2} (99th {:.2}), concurrent requests {:.2}; Jain index \
+         {:.3}; idle servers at most {}; {} herds, from {:.1} gateways on average",
         percent(load.used),
         load.max_to_mean,
         load.max_to_mean_p99,
@@ -57,11 +57,12 @@
         load.herd_gateways,
     ));
     if let Some(after) = metrics.recovery_s {
-        line(format!("  service back {after:.1} s after the last step's end"));
+        line(format!("  service recovered {after:.1} s after the end of the last step"));
     }
     line(format!(
-        "  all ready in {:.1} s; a gateway {:.1} MB, {:.1} ms of CPU a second, {:.0} us a request; the stage {:.0} ms of \
-         CPU a second, {:.0} MB, {} threads, {} descriptors, timers {:.1} ms and clients {:.1} ms late (99th)",
+        "  all gateways ready in {:.1} s; per gateway: {:.1} MB, {:.1} ms of CPU per second, {:.0} us of CPU per request; \
+         lab: {:.0} ms of CPU per second, {:.0} MB, {} threads, {} descriptors, timers {:.1} ms and clients {:.1} ms \
+         late (99th)",
         machine.start_s,
         machine.gateway_mb[0],
         machine.gateway_cpu_ms_per_s,
@@ -77,12 +78,12 @@
         line(format!("  NOT VALID: {why}"));
     }
     for violation in &outcome.verdict.broken {
-        line(format!("  BROKEN, {} times: {}", violation.times, violation.rule));
+        line(format!("  VIOLATED, {} times: {}", violation.times, violation.rule));
         for case in &violation.cases {
             line(format!("    {case}"));
         }
     }
-    line(if outcome.held() { "  all held".to_owned() } else { "  did NOT hold".to_owned() });
+    line(if outcome.held() { "  passed".to_owned() } else { "  FAILED".to_owned() });
     text
 }
 
