--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of `granite-lab`, which runs fault-injection plans and scale tests against real gateways.
+//! Command line of `granite-lab`, which runs fault-injection plans and scale tests on a fleet of gateways.
 
 use clap::{Parser, Subcommand};
 use granite_lab::plan::Plan;
@@ -32,9 +32,9 @@
 }
 
 #[derive(Parser)]
-#[command(version, about = "Plays plans of faults on a fleet of real gateways")]
+#[command(version, about = "Runs fault-injection plans and scale tests on a fleet of gateways")]
 struct Cli {
-    /// The gateway's program; without it the one beside this program, built first in a checkout.
+    /// Gateway program. Default: heronstage in the folder of this program, built first in a source checkout.
     #[arg(long, global = true, value_name = "FILE")]
     gateway: Option<PathBuf>,
     #[command(subcommand)]
@@ -43,85 +43,85 @@
 
 #[derive(Subcommand)]
 enum LabCommand {
-    /// Five gateways, ten servers, faults and load: what was served, refused and lost, in under 30 s.
+    /// Runs the plan `demo` with five gateways, ten servers, faults and load, in under 30 s.
     Demo,
-    /// Plays plans, each in turn: names of those that come with the program, or files.
+    /// Runs plans, one after the other.
     Run {
-        /// Plans.
+        /// Names of plans that come with the program, or paths of plan files.
         #[arg(required = true)]
         plans: Vec<String>,
-        /// Other seeds than the plan's own, each played in turn.
+        /// Seeds to run each plan with, instead of its own.
         #[arg(long, value_delimiter = ',', value_name = "N,N")]
         seeds: Vec<u64>,
-        /// Appends each outcome to a file, a line of JSON each.
+        /// Appends the outcome of each run to a file, as a line of JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// A gateway that is not ready by then is taken to hang.
+        /// Timeout for a gateway to become ready.
         #[arg(long, default_value_t = 30.0, value_name = "SECONDS")]
         ready_s: f64,
-        /// Another size: gateways, listed servers, first tries a second, seconds.
+        /// Number of gateways, instead of the plan's.
         #[arg(long, value_name = "N")]
         gateways: Option<usize>,
-        /// Listed servers.
+        /// Number of servers listed from the start, instead of the plan's.
         #[arg(long, value_name = "N")]
         servers: Option<usize>,
-        /// First tries a second; as many more or fewer customers.
+        /// Requests per second, instead of the plan's. The number of customers changes in proportion.
         #[arg(long, value_name = "N")]
         per_s: Option<f64>,
-        /// Seconds of load.
+        /// Duration of the load in seconds, instead of the plan's.
         #[arg(long, value_name = "N")]
         seconds: Option<f64>,
-        /// Keeps logs and configurations of the gateways in a folder.
+        /// Keeps the logs and configurations of the gateways in this folder.
         #[arg(long, value_name = "DIR")]
         keep: Option<PathBuf>,
     },
-    /// Measures what each message and each part of the state costs, in this process alone, in under three minutes.
+    /// Measures the cost of each message and each part of the state, in a single process, in under three minutes.
     Slopes {
-        /// Of what is drawn.
+        /// Seed of the generated configuration and load.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Writes all points to a file as JSON.
+        /// Writes all measurements to a file as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Real core processes before hollow gateways: how long changes take, and what they cost, by size.
+    /// Measures the duration and the cost of configuration changes by size, with real core processes.
     ///
-    /// Hollow gateways carry no traffic, and loopback has no distance.
+    /// The gateways are simulated: they carry no traffic. Loopback adds no network latency.
     Scale {
-        /// Numbers of gateways, each played with each part of the table.
+        /// Numbers of gateways. Each is run with each value of --percent.
         #[arg(long, value_delimiter = ',', default_value = "30,100,300,930", value_name = "N,N")]
         gateways: Vec<usize>,
-        /// Routes and tenants, in 100 of 7,600 and 29,000.
+        /// Numbers of routes and tenants, as percentages of 7,600 and 29,000.
         #[arg(long, value_delimiter = ',', default_value = "1,10,100", value_name = "N,N")]
         percent: Vec<f64>,
-        /// Backends, whatever the number of gateways; without it 6,900 for 930 gateways, and as many for each.
+        /// Number of backends. Default: in proportion to the gateways, 6,900 for 930.
         #[arg(long, value_name = "N")]
         backends: Option<usize>,
-        /// Of what is drawn.
+        /// Seed of the generated configuration and load.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Changes of the configuration in each run.
+        /// Number of configuration changes per run.
         #[arg(long, default_value_t = 20)]
         changes: u64,
-        /// The folder with the system's programs; without it that of this program.
+        /// Folder with the programs of the system. Default: the folder of this program.
         #[arg(long, value_name = "DIR")]
         programs: Option<PathBuf>,
-        /// What `slopes --json` wrote: its forecast stands beside each run.
+        /// Output of `slopes --json`, from which a forecast is printed for each run.
         #[arg(long, value_name = "FILE")]
         slopes: Option<PathBuf>,
-        /// A folder for `runs.jsonl`, to which a line is added for each run, and for the plots of all that stand in it.
+        /// Folder for results. Each run appends a line to `runs.jsonl`.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Reads plans and says what is wrong with them.
+    /// Validates plans.
     Check {
-        /// Plans.
+        /// Names of plans that come with the program, or paths of plan files.
         #[arg(required = true)]
         plans: Vec<String>,
     },
     /// Lists the plans that come with the program, or prints one.
     Plans {
-        /// Its name.
+        /// Name of the plan to print.
         name: Option<String>,
     },
 }
@@ -157,7 +157,8 @@
             Ok(true)
         }
         LabCommand::Plans { name: Some(name) } => {
-            let text = plans::plan(name).ok_or_else(|| format!("no plan `{name}` comes with the program"))?;
+            let text = plans::plan(name)
+                .ok_or_else(|| format!("unknown plan `{name}`: `granite-lab plans` lists the known ones"))?;
             print!("{text}");
             Ok(true)
         }
@@ -190,21 +191,21 @@
         LabCommand::Check { plans } => {
             for name in plans {
                 read_plan(name)?;
-                println!("{name}: no mistake");
+                println!("{name}: valid");
             }
             Ok(true)
         }
         LabCommand::Demo => {
             let plan = read_plan("demo")?;
             let options = Options::new(gateway_program(cli)?);
-            println!("starting {} gateways before {} servers ...", plan.fleet.gateways, plan.fleet.servers);
+            println!("starting {} gateways and {} servers ...", plan.fleet.gateways, plan.fleet.servers);
             let outcome = play_watched(&plan, &options, stop_signal(), |gateways| {
                 println!(
-                    "load runs for {} s; meanwhile, in another shell:\n\n    {}\n",
+                    "the load runs for {} s; meanwhile, send a request from another shell:\n\n    {}\n",
                     plan.seconds,
                     curl_command(gateways[0])
                 );
-                println!("at 4 s gateway 1 is killed, at 5 s gateway 2 loses its link to half of the servers; at 9 s all heals");
+                println!("at 4 s gateway 1 is killed, at 5 s gateway 2 loses its link to half of the servers, and at 9 s both faults end");
             })?;
             print!("{}", report::text(&outcome));
             Ok(outcome.held())
@@ -260,10 +261,10 @@
     options: &run::Options, sizes: &[(f64, Size)], slopes: Option<&Path>, out: Option<&Path>,
 ) -> Result<bool, String> {
     if let Some((bad, _)) = sizes.iter().find(|(percent, _)| !(0.01..=100.0).contains(percent)) {
-        return Err(format!("--percent {bad}: from 0.01 to 100"));
+        return Err(format!("--percent {bad}: must be from 0.01 to 100"));
     }
     if sizes.iter().any(|(_, size)| size.gateways == 0 || size.backends == 0) || options.changes == 0 {
-        return Err("--gateways, --backends and --changes: 1 at least".to_owned());
+        return Err("--gateways, --backends and --changes: must be 1 or more".to_owned());
     }
     let slopes: Vec<weigh::Slope> = match slopes {
         Some(file) => {
