--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,14 +1,14 @@
 //! Checks the ledger of a run against the rules and the plan's expectations, and computes its metrics.
 
-use crate::ledger::{End, Fate, Ledger, Try};
+use crate::ledger::{AttemptOutcome, Ledger, Try, TryOutcome};
 use crate::load::{self, LoadBalance};
-use crate::plan::{Kind, LinkAction, Plan, Step, AIM_MS};
+use crate::plan::{EndpointKind, LinkAction, Plan, Step, TARGET_LATENCY_MS};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 
 /// Tolerance for timing on real sockets, in s.
-pub const SLACK_S: f64 = 0.05;
+pub const TIMING_SLACK_S: f64 = 0.05;
 /// Time after SIGTERM during which a gateway must still accept requests, in s.
 pub const SHUTDOWN_GRACE_S: f64 = 0.7;
 /// Share of the level before the first fault that the service must reach to count as recovered.
@@ -34,8 +34,9 @@
 /// Metrics of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Metrics {
-    /// Number of requests that clients sent.
-    pub works: usize,
+    /// Number of requests that clients sent, without retries.
+    #[serde(rename = "works")]
+    pub requests: usize,
     /// Share of requests that were served in the end.
     pub served: f64,
     /// Share of requests that were served within the target latency.
@@ -47,9 +48,11 @@
     /// Share of tries that did not reach a gateway.
     pub unreached: f64,
     /// Share of tries whose connection was closed without an answer.
-    pub broken: f64,
+    #[serde(rename = "broken")]
+    pub disconnected: f64,
     /// Share of tries that timed out.
-    pub silent: f64,
+    #[serde(rename = "silent")]
+    pub timed_out: f64,
     /// Share of tries that a running gateway accepted but did not answer.
     pub unanswered: f64,
     /// Tries per request.
@@ -111,7 +114,7 @@
 }
 
 /// Checks a run against the rules and the plan's expectations.
-pub fn judge(plan: &Plan, ledger: &Ledger) -> Verdict {
+pub fn check_run(plan: &Plan, ledger: &Ledger) -> Verdict {
     let mut metrics = compute_metrics(plan, ledger);
     let mut violations = Vec::new();
     let mut check_rule = |rule: &'static str, cases: Cases| {
@@ -150,33 +153,39 @@
 /// Whether a step affects the link between clients and a gateway in a period.
 fn is_client_link_faulty(plan: &Plan, gateway: usize, from: f64, until: f64) -> bool {
     plan.step.iter().enumerate().any(|(number, step)| {
-        let Some(on) = step.link.as_ref().filter(|on| [on.from.kind, on.to.kind].contains(&Kind::Clients))
+        let Some(fault) = step
+            .link
+            .as_ref()
+            .filter(|fault| [fault.from.kind, fault.to.kind].contains(&EndpointKind::Clients))
         else {
             return false;
         };
-        let other = if on.from.kind == Kind::Clients { on.to } else { on.from };
-        step.at <= until && step.ends(plan) >= from && plan.gateways(other.who, number).contains(&gateway)
+        let other = if fault.from.kind == EndpointKind::Clients { fault.to } else { fault.from };
+        step.at <= until && step.end_s(plan) >= from && plan.gateways(other.who, number).contains(&gateway)
     })
 }
 
 /// Returns the tries with wrong or duplicate answers, and the tries that a running gateway accepted but did not answer.
 fn find_answer_violations(plan: &Plan, ledger: &Ledger) -> (Cases, Cases) {
     let (mut wrong, mut unanswered) = (Cases::default(), Cases::default());
-    let processed: HashSet<u64> = ledger.runs.iter().filter(|run| run.began).map(|run| run.txn).collect();
+    let accepted: HashSet<u64> =
+        ledger.attempts.iter().filter(|attempt| attempt.accepted).map(|attempt| attempt.txn).collect();
     for client_try in &ledger.tries {
-        let Try { txn, gateway, at, until, .. } = *client_try;
-        let name = || format!("{txn:016x} at gateway {gateway}, sent at {at:.3} s");
-        if client_try.extra > 0 {
-            wrong.add(|| format!("{}: {} duplicate answers", name(), client_try.extra));
+        let Try { txn, gateway, sent_at, deadline, .. } = *client_try;
+        let name = || format!("{txn:016x} at gateway {gateway}, sent at {sent_at:.3} s");
+        if client_try.extra_answers > 0 {
+            wrong.add(|| format!("{}: {} duplicate answers", name(), client_try.extra_answers));
         }
-        match client_try.end {
-            Some((_, End::Wrong)) => wrong.add(|| format!("{}: status 200 with a wrong body", name())),
-            Some((_, End::Served)) if !processed.contains(&txn) => {
-                wrong.add(|| format!("{}: served, but no server processed it", name()));
+        match client_try.outcome {
+            Some((_, TryOutcome::WrongBody)) => {
+                wrong.add(|| format!("{}: status 200 with a wrong body", name()))
             }
-            Some((ended, End::Broken | End::Silent)) => {
-                let was_running = ledger.was_running(gateway, at, ended.max(until), SHUTDOWN_GRACE_S);
-                if was_running && !is_client_link_faulty(plan, gateway, at, ended) {
+            Some((_, TryOutcome::Served)) if !accepted.contains(&txn) => {
+                wrong.add(|| format!("{}: served, but no server accepted it", name()));
+            }
+            Some((ended, TryOutcome::Disconnected | TryOutcome::TimedOut)) => {
+                let was_running = ledger.was_running(gateway, sent_at, ended.max(deadline), SHUTDOWN_GRACE_S);
+                if was_running && !is_client_link_faulty(plan, gateway, sent_at, ended) {
                     unanswered.add(|| format!("{}: no answer by {ended:.3} s", name()));
                 }
             }
@@ -187,25 +196,29 @@
     (wrong, unanswered)
 }
 
-/// Returns the unsafe requests that were processed twice, in the same try or in two, and the unsafe tries that were
-/// refused although a server may have processed them.
+/// Returns the unsafe requests that were accepted twice, in the same try or in two, and the unsafe tries that were
+/// refused although a server may have accepted them.
 fn find_repeated_unsafe_requests(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
-    let is_unsafe = |work: usize| ledger.works[work].class == 1;
-    let mut by_work: HashMap<usize, Vec<u64>> = HashMap::new();
-    for run in ledger.runs.iter().filter(|run| run.began) {
-        if let Some(work) = ledger.work_of(run.txn).filter(|work| is_unsafe(*work)) {
-            by_work.entry(work).or_default().push(run.txn);
+    let is_unsafe = |request: usize| ledger.requests[request].class == 1;
+    let mut by_request: HashMap<usize, Vec<u64>> = HashMap::new();
+    for attempt in ledger.attempts.iter().filter(|attempt| attempt.accepted) {
+        if let Some(request) = ledger.request_of(attempt.txn).filter(|request| is_unsafe(*request)) {
+            by_request.entry(request).or_default().push(attempt.txn);
         }
     }
-    for (work, txns) in &by_work {
+    for (request, txns) in &by_request {
         if txns.len() > 1 {
-            cases.add(|| format!("request {work} ran as {txns:x?}"));
+            cases.add(|| format!("request {request} ran as {txns:x?}"));
         }
     }
     for client_try in &ledger.tries {
-        let processed = || by_work.get(&client_try.work).is_some_and(|txns| txns.contains(&client_try.txn));
-        if matches!(client_try.end, Some((_, End::Refused(_)))) && is_unsafe(client_try.work) && processed() {
+        let accepted =
+            || by_request.get(&client_try.request).is_some_and(|txns| txns.contains(&client_try.txn));
+        if matches!(client_try.outcome, Some((_, TryOutcome::Refused(_))))
+            && is_unsafe(client_try.request)
+            && accepted()
+        {
             cases.add(|| format!("{:016x} was refused, but may have run", client_try.txn));
         }
     }
@@ -215,12 +228,15 @@
 /// Returns the maximum delay that the plan's link faults can add between gateways and servers, in s.
 fn max_link_delay_s(plan: &Plan) -> f64 {
     let links = plan.step.iter().filter_map(|step: &Step| Some((step, step.link.as_ref()?)));
-    let server_links = links.filter(|(_, on)| [on.from.kind, on.to.kind].contains(&Kind::Servers));
+    let server_links =
+        links.filter(|(_, fault)| [fault.from.kind, fault.to.kind].contains(&EndpointKind::Servers));
     server_links
-        .map(|(step, on)| match on.act {
-            LinkAction::Delay => (on.by + on.spread + on.grows * (step.ends(plan) - step.at)) / 1000.0,
+        .map(|(step, fault)| match fault.action {
+            LinkAction::Delay => {
+                (fault.by + fault.spread + fault.grows * (step.end_s(plan) - step.at)) / 1000.0
+            }
             // Held-back data is delivered when the fault ends.
-            LinkAction::Cut | LinkAction::Loss | LinkAction::Throttle => step.ends(plan) - step.at,
+            LinkAction::Cut | LinkAction::Loss | LinkAction::Throttle => step.end_s(plan) - step.at,
             _ => 0.0,
         })
         .sum()
@@ -230,27 +246,29 @@
 fn find_drain_violations(plan: &Plan, ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
     let mut notifications: HashMap<(usize, usize), Vec<(f64, bool)>> = HashMap::new();
-    for (at, gateway, server, leaves) in &ledger.told {
-        notifications.entry((*gateway, *server)).or_default().push((*at, *leaves));
+    for (at, gateway, server, draining_or_gone) in &ledger.notifications {
+        notifications.entry((*gateway, *server)).or_default().push((*at, *draining_or_gone));
     }
-    let grace_s = plan.hold.drain_grace_ms / 1000.0 + SLACK_S + max_link_delay_s(plan);
-    for run in &ledger.runs {
-        let Some(notifications) = notifications.get(&(run.gateway, run.server)) else { continue };
-        let Some((at, true)) = notifications.iter().rev().find(|(at, _)| *at <= run.first) else { continue };
+    let grace_s = plan.hold.drain_grace_ms / 1000.0 + TIMING_SLACK_S + max_link_delay_s(plan);
+    for attempt in &ledger.attempts {
+        let Some(notifications) = notifications.get(&(attempt.gateway, attempt.server)) else { continue };
+        let Some((at, true)) = notifications.iter().rev().find(|(at, _)| *at <= attempt.first_byte_at) else {
+            continue;
+        };
         // A gateway that was paused or not running at that time reads the notification once it runs.
-        let resumed = ledger.lives.iter().filter(|(_, gateway, event)| {
-            *gateway == run.gateway
-                && matches!(event, crate::ledger::Life::Resumed | crate::ledger::Life::Ready)
+        let resumed = ledger.gateway_events.iter().filter(|(_, gateway, event)| {
+            *gateway == attempt.gateway
+                && matches!(event, crate::ledger::GatewayEvent::Resumed | crate::ledger::GatewayEvent::Ready)
         });
-        let at = resumed.map(|(at, _, _)| *at).filter(|at| *at <= run.first).fold(*at, f64::max);
-        if run.first > at + grace_s {
+        let at = resumed.map(|(at, _, _)| *at).filter(|at| *at <= attempt.first_byte_at).fold(*at, f64::max);
+        if attempt.first_byte_at > at + grace_s {
             cases.add(|| {
                 format!(
                     "{:016x} from gateway {} to server {} {:.0} ms after the notification",
-                    run.txn,
-                    run.gateway,
-                    run.server,
-                    (run.first - at) * 1000.0
+                    attempt.txn,
+                    attempt.gateway,
+                    attempt.server,
+                    (attempt.first_byte_at - at) * 1000.0
                 )
             });
         }
@@ -260,15 +278,16 @@
 
 fn find_unknown_requests(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
-    if ledger.strays > 0 {
-        cases.add(|| format!("{} requests that no client sent", ledger.strays));
+    if ledger.unknown_requests > 0 {
+        cases.add(|| format!("{} requests that no client sent", ledger.unknown_requests));
     }
     cases
 }
 
 fn find_crashes(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
-    for (at, gateway, _) in ledger.lives.iter().filter(|(_, _, event)| *event == crate::ledger::Life::Crashed)
+    for (at, gateway, _) in
+        ledger.gateway_events.iter().filter(|(_, _, event)| *event == crate::ledger::GatewayEvent::Crashed)
     {
         cases.add(|| format!("gateway {gateway} exited at {at:.3} s"));
     }
@@ -293,28 +312,28 @@
     }
     let mut events: Vec<(f64, usize, Event)> = Vec::new();
     let (mut forwarded, mut settled) = (HashSet::new(), HashSet::new());
-    for run in &ledger.runs {
-        let Some(work) = ledger.work_of(run.txn) else { continue };
-        if forwarded.insert(run.txn) {
-            events.push((run.came, work, Event::Forwarded));
+    for attempt in &ledger.attempts {
+        let Some(request) = ledger.request_of(attempt.txn) else { continue };
+        if forwarded.insert(attempt.txn) {
+            events.push((attempt.received_at, request, Event::Forwarded));
         }
-        if run.end.1 == Fate::Done && settled.insert(run.txn) {
-            let refund = ledger.works[work].guess - ledger.works[work].units;
-            events.push((run.end.0, work, Event::Settled(refund)));
+        if attempt.outcome.1 == AttemptOutcome::Done && settled.insert(attempt.txn) {
+            let refund = ledger.requests[request].guess - ledger.requests[request].units;
+            events.push((attempt.outcome.0, request, Event::Settled(refund)));
         }
     }
     for client_try in &ledger.tries {
-        if let Some((at, End::Refused(_))) = client_try.end {
-            events.push((at, client_try.work, Event::Refused));
+        if let Some((at, TryOutcome::Refused(_))) = client_try.outcome {
+            events.push((at, client_try.request, Event::Refused));
         }
     }
     events.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut needless: Vec<f64> = ledger.needless.clone();
+    let mut needless: Vec<f64> = ledger.needless_refusals.clone();
     needless.sort_by(f64::total_cmp);
     let mut buckets: HashMap<u32, TokenBucket> = HashMap::new();
     let (mut units, mut units_beyond_quota, mut needless_refusals) = (0.0, 0.0, 0usize);
-    for (at, work, event) in events {
-        let arrival = ledger.works[work];
+    for (at, request, event) in events {
+        let arrival = ledger.requests[request];
         let customer_plan = arrival.plan() as usize;
         let rate = plan.traffic.rate[customer_plan];
         let burst = rate * plan.traffic.burst_s[customer_plan];
@@ -334,6 +353,7 @@
             }
             Event::Settled(refund) => bucket.tokens = (bucket.tokens + refund).min(burst),
             Event::Refused => {
+                // The client records a needless refusal with the same time as the outcome of the try.
                 let server_was_idle = needless.binary_search_by(|then| then.total_cmp(&at)).is_ok();
                 needless_refusals += usize::from(within_quota && server_was_idle);
             }
@@ -347,10 +367,10 @@
 
 /// Returns the share of requests that were served, for each second in which they were due. None if none was due.
 fn served_per_second(ledger: &Ledger) -> Vec<Option<f64>> {
-    let seconds = ledger.ended.floor() as usize;
+    let seconds = ledger.load_end.floor() as usize;
     let mut counts = vec![(0usize, 0usize); seconds];
-    for (work, served_at) in ledger.served().iter().enumerate() {
-        if let Some((due, served)) = counts.get_mut(ledger.works[work].at as usize) {
+    for (request, served_at) in ledger.served().iter().enumerate() {
+        if let Some((due, served)) = counts.get_mut(ledger.requests[request].at as usize) {
             *due += 1;
             *served += usize::from(served_at.is_some());
         }
@@ -372,46 +392,46 @@
 
 fn compute_metrics(plan: &Plan, ledger: &Ledger) -> Metrics {
     let tries = ledger.tries.len().max(1) as f64;
-    let works = ledger.began.iter().flatten().count().max(1) as f64;
-    let share_of_tries = |matches: &dyn Fn(&End) -> bool| {
-        let ended = ledger.tries.iter().filter_map(|client_try| client_try.end);
+    let requests = ledger.first_sent.iter().flatten().count().max(1) as f64;
+    let share_of_tries = |matches: &dyn Fn(&TryOutcome) -> bool| {
+        let ended = ledger.tries.iter().filter_map(|client_try| client_try.outcome);
         ended.filter(|(_, end)| matches(end)).count() as f64 / tries
     };
     let mut latency =
         Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid histogram bounds");
     let served = ledger.served();
     let mut in_time = 0;
-    for (arrival, served_at) in ledger.works.iter().zip(&served) {
+    for (arrival, served_at) in ledger.requests.iter().zip(&served) {
         if let Some(at) = served_at {
             // Measured from the due time, so that delays of the client are included (coordinated omission).
             let latency_us = ((at - arrival.at).max(0.0) * 1e6) as u64;
             latency.saturating_record(latency_us.clamp(1, MAX_LATENCY_US));
-            in_time += usize::from(latency_us as f64 <= AIM_MS * 1000.0);
+            in_time += usize::from(latency_us as f64 <= TARGET_LATENCY_MS * 1000.0);
         }
     }
     let latency_ms_at = |quantile: f64| latency.value_at_quantile(quantile) as f64 / 1000.0;
     let (beyond_quota, refused_needlessly) = quota_metrics(plan, ledger);
-    let (calls, calls_turned_away) = ledger.calls;
+    let (calls, calls_turned_away) = ledger.counter_calls;
     Metrics {
-        works: ledger.began.iter().flatten().count(),
-        served: served.iter().flatten().count() as f64 / works,
-        in_time: in_time as f64 / works,
-        refused: share_of_tries(&|end| matches!(end, End::Refused(_))),
-        failed: share_of_tries(&|end| matches!(end, End::Failed(_))),
-        unreached: share_of_tries(&|end| *end == End::Unreached),
-        broken: share_of_tries(&|end| *end == End::Broken),
-        silent: share_of_tries(&|end| *end == End::Silent),
+        requests: ledger.first_sent.iter().flatten().count(),
+        served: served.iter().flatten().count() as f64 / requests,
+        in_time: in_time as f64 / requests,
+        refused: share_of_tries(&|end| matches!(end, TryOutcome::Refused(_))),
+        failed: share_of_tries(&|end| matches!(end, TryOutcome::Failed(_))),
+        unreached: share_of_tries(&|end| *end == TryOutcome::Unreached),
+        disconnected: share_of_tries(&|end| *end == TryOutcome::Disconnected),
+        timed_out: share_of_tries(&|end| *end == TryOutcome::TimedOut),
         unanswered: 0.0, // set by the rule check
-        tries: ledger.tries.len() as f64 / works,
-        attempts: ledger.runs.len() as f64 / works,
+        tries: ledger.tries.len() as f64 / requests,
+        attempts: ledger.attempts.len() as f64 / requests,
         latency_ms: [latency_ms_at(0.5), latency_ms_at(0.9), latency_ms_at(0.99), latency_ms_at(1.0)],
         beyond_quota,
         refused_needlessly,
         load_balance: load::measure(plan, ledger),
         recovery_s: recovery_time_s(plan, ledger),
-        connections: ledger.connections.len() as f64 / works,
-        probes: ledger.probes as f64 / works,
-        calls: calls as f64 / works,
+        connections: ledger.connections.len() as f64 / requests,
+        probes: ledger.probes as f64 / requests,
+        calls: calls as f64 / requests,
         calls_turned_away: calls_turned_away as f64 / calls.max(1) as f64,
     }
 }
@@ -419,7 +439,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::ledger::{txn, Life, Run, Standing};
+    use crate::ledger::{transaction_id, Attempt, GatewayEvent, ServerState};
     use crate::model::front::Arrival;
 
     fn plan(rest: &str) -> Plan {
@@ -431,44 +451,60 @@
 
     /// Ten seconds without faults: ten requests per second, each by a different customer and every second one unsafe.
     fn faultless_ledger() -> Ledger {
-        let mut ledger = Ledger { ended: 10.0, speeds: vec![1.0; 2], ..Ledger::default() };
-        ledger.standings = vec![(0.0, 0, Standing::Up), (0.0, 1, Standing::Up)];
-        ledger.lives = (0..3).map(|gateway| (-1.0, gateway, Life::Ready)).collect();
-        for work in 0..100 {
-            let at = work as f64 / 10.0;
-            let class = (work % 2) as u8;
-            ledger.works.push(Arrival {
+        let mut ledger = Ledger { load_end: 10.0, speeds: vec![1.0; 2], ..Ledger::default() };
+        ledger.server_states = vec![(0.0, 0, ServerState::Up), (0.0, 1, ServerState::Up)];
+        ledger.gateway_events = (0..3).map(|gateway| (-1.0, gateway, GatewayEvent::Ready)).collect();
+        for request in 0..100 {
+            let at = request as f64 / 10.0;
+            let class = (request % 2) as u8;
+            ledger.requests.push(Arrival {
                 at,
-                customer: work as u32,
+                customer: request as u32,
                 class,
                 work_ms: 50.0,
                 guess: 2.0,
                 units: 2.0,
                 honours: true,
             });
-            ledger.began.push(Some(at));
-            let (txn, gateway) = (txn(work, 0), work % 3);
-            let end = Some((at + 0.06, End::Served));
-            let (until, written) = (at + 2.0, true);
-            ledger.tries.push(Try { txn, work, gateway, at, written, until, end, extra: 0 });
-            let end = (at + 0.055, Fate::Done);
-            let (first, came) = (at + 0.001, at + 0.002);
-            ledger.runs.push(Run { txn, server: work / 2 % 2, gateway, first, came, began: true, end });
+            ledger.first_sent.push(Some(at));
+            let (txn, gateway) = (transaction_id(request, 0), request % 3);
+            ledger.tries.push(Try {
+                txn,
+                request,
+                gateway,
+                sent_at: at,
+                written: true,
+                deadline: at + 2.0,
+                outcome: Some((at + 0.06, TryOutcome::Served)),
+                extra_answers: 0,
+            });
+            ledger.attempts.push(Attempt {
+                txn,
+                server: request / 2 % 2,
+                gateway,
+                first_byte_at: at + 0.001,
+                received_at: at + 0.002,
+                accepted: true,
+                outcome: (at + 0.055, AttemptOutcome::Done),
+            });
         }
         ledger
     }
 
     fn violated_rules(plan: &Plan, ledger: &Ledger) -> Vec<&'static str> {
-        judge(plan, ledger).broken.iter().map(|violation| violation.rule).collect()
+        check_run(plan, ledger).broken.iter().map(|violation| violation.rule).collect()
     }
 
     #[test]
     fn faultless_run_violates_no_rule() {
         let hold = "[hold]\nserved = 1.0\nbeyond_quota = 0.0\nrefused_needlessly = 0.0\nidle = 0.0\nmax_to_mean = 1.5";
-        let verdict = judge(&plan(hold), &faultless_ledger());
+        let verdict = check_run(&plan(hold), &faultless_ledger());
         assert!(verdict.held(), "expected no violation: {verdict:?}");
         let metrics = verdict.figures;
-        assert_eq!((metrics.works, metrics.served, metrics.in_time, metrics.refused), (100, 1.0, 1.0, 0.0));
+        assert_eq!(
+            (metrics.requests, metrics.served, metrics.in_time, metrics.refused),
+            (100, 1.0, 1.0, 0.0)
+        );
         assert!(
             (59.0..61.0).contains(&metrics.latency_ms[0]),
             "expected a median latency of 60 ms: {metrics:?}"
@@ -484,23 +520,23 @@
         const DRAIN: &str = "nothing new to a server that drains or is gone";
         type Damage = fn(&mut Ledger);
         let cases: [(&str, Damage); 13] = [
-            (ANSWER, |l| l.tries[4].extra = 1),
-            (ANSWER, |l| l.tries[4].end = Some((0.5, End::Wrong))),
-            (ANSWER, |l| l.runs.retain(|run| run.txn != txn(4, 0))),
-            (UNANSWERED, |l| l.tries[4].end = Some((2.5, End::Silent))),
-            (UNANSWERED, |l| l.tries[4].end = Some((0.5, End::Broken))),
-            (UNANSWERED, |l| l.tries[4].end = None),
-            (TWICE, |l| l.runs.push(Run { server: 1, ..l.runs[5] })),
-            (TWICE, |l| l.runs.push(Run { txn: txn(5, 1), ..l.runs[5] })),
-            (TWICE, |l| l.tries[5].end = Some((0.6, End::Refused(None)))),
-            (DRAIN, |l| l.told = vec![(5.0, 0, 0, true)]),
-            ("servers get what clients sent", |l| l.strays = 1),
-            ("a gateway does not end by itself", |l| l.lives.push((9.9, 0, Life::Crashed))),
+            (ANSWER, |l| l.tries[4].extra_answers = 1),
+            (ANSWER, |l| l.tries[4].outcome = Some((0.5, TryOutcome::WrongBody))),
+            (ANSWER, |l| l.attempts.retain(|attempt| attempt.txn != transaction_id(4, 0))),
+            (UNANSWERED, |l| l.tries[4].outcome = Some((2.5, TryOutcome::TimedOut))),
+            (UNANSWERED, |l| l.tries[4].outcome = Some((0.5, TryOutcome::Disconnected))),
+            (UNANSWERED, |l| l.tries[4].outcome = None),
+            (TWICE, |l| l.attempts.push(Attempt { server: 1, ..l.attempts[5] })),
+            (TWICE, |l| l.attempts.push(Attempt { txn: transaction_id(5, 1), ..l.attempts[5] })),
+            (TWICE, |l| l.tries[5].outcome = Some((0.6, TryOutcome::Refused(None)))),
+            (DRAIN, |l| l.notifications = vec![(5.0, 0, 0, true)]),
+            ("servers get what clients sent", |l| l.unknown_requests = 1),
+            ("a gateway does not end by itself", |l| l.gateway_events.push((9.9, 0, GatewayEvent::Crashed))),
             ("what the plan says must hold", |l| {
                 l.tries
                     .iter_mut()
                     .take(9)
-                    .for_each(|client_try| client_try.end = Some((0.1, End::Failed(502))));
+                    .for_each(|client_try| client_try.outcome = Some((0.1, TryOutcome::Failed(502))));
             }),
         ];
         let plan = plan("[hold]\nserved = 0.95");
@@ -515,18 +551,18 @@
     fn allowed_effects_of_faults_violate_no_rule() {
         // The gateway was killed before it could answer.
         let mut ledger = faultless_ledger();
-        ledger.tries[4].end = Some((0.5, End::Broken));
-        ledger.lives.push((0.45, 1, Life::Killed));
+        ledger.tries[4].outcome = Some((0.5, TryOutcome::Disconnected));
+        ledger.gateway_events.push((0.45, 1, GatewayEvent::Killed));
         assert_eq!(violated_rules(&plan(""), &ledger), [""; 0]);
         // The link to the client was cut.
-        ledger.lives.pop();
+        ledger.gateway_events.pop();
         let cut =
             "[[step]]\nat = 0.1\nfor = 1\nlink = { from = \"clients\", to = \"gateways 1\", do = \"cut\" }";
         assert_eq!(violated_rules(&plan(cut), &ledger), [""; 0]);
         // A safe request may run twice, and a server may be used again once it is ready again.
         ledger = faultless_ledger();
-        ledger.runs.push(Run { server: 1, ..ledger.runs[4] });
-        ledger.told = vec![(5.0, 0, 0, true), (5.2, 0, 0, false)];
+        ledger.attempts.push(Attempt { server: 1, ..ledger.attempts[4] });
+        ledger.notifications = vec![(5.0, 0, 0, true), (5.2, 0, 0, false)];
         assert_eq!(violated_rules(&plan(""), &ledger), [""; 0]);
     }
 
@@ -534,8 +570,8 @@
     fn units_beyond_a_quota_and_needless_refusals_are_counted() {
         let mut ledger = faultless_ledger();
         // A quota of 4 units per second with a burst of 20 against a demand of 20 units per second.
-        ledger.works.iter_mut().for_each(|work| work.customer = 0);
-        let verdict = judge(&plan("[hold]\nbeyond_quota = 0.5"), &ledger);
+        ledger.requests.iter_mut().for_each(|request| request.customer = 0);
+        let verdict = check_run(&plan("[hold]\nbeyond_quota = 0.5"), &ledger);
         assert!(
             (0.65..0.8).contains(&verdict.figures.beyond_quota),
             "expected 65% to 80% of units beyond the quota: {:?}",
@@ -544,24 +580,25 @@
         assert_eq!(verdict.broken[0].rule, "what the plan says must hold");
         let mut ledger = faultless_ledger();
         for number in [10, 20, 30] {
-            let at = ledger.tries[number].at;
-            ledger.tries[number].end = Some((at, End::Refused(Some(100))));
-            ledger.runs.retain(|run| run.txn != txn(number, 0));
+            let at = ledger.tries[number].sent_at;
+            ledger.tries[number].outcome = Some((at, TryOutcome::Refused(Some(100))));
+            ledger.attempts.retain(|attempt| attempt.txn != transaction_id(number, 0));
         }
-        assert_eq!(judge(&plan(""), &ledger).figures.refused_needlessly, 0.0);
-        ledger.needless = vec![ledger.tries[10].at, ledger.tries[30].at];
-        assert_eq!(judge(&plan(""), &ledger).figures.refused_needlessly, 0.02);
+        assert_eq!(check_run(&plan(""), &ledger).figures.refused_needlessly, 0.0);
+        ledger.needless_refusals = vec![ledger.tries[10].sent_at, ledger.tries[30].sent_at];
+        assert_eq!(check_run(&plan(""), &ledger).figures.refused_needlessly, 0.02);
     }
 
     #[test]
     fn recovery_time_is_measured_from_the_end_of_the_last_step() {
         let step = "[[step]]\nat = 2\nfor = 2\ncounter = { do = \"out\" }\n[hold]\nrecovery_s = 1.5";
         let mut ledger = faultless_ledger();
-        assert_eq!(judge(&plan(step), &ledger).figures.recovery_s, Some(0.0));
-        for work in 20..60 {
-            ledger.tries[work].end = Some((ledger.tries[work].at + 0.1, End::Failed(502)));
+        assert_eq!(check_run(&plan(step), &ledger).figures.recovery_s, Some(0.0));
+        for request in 20..60 {
+            ledger.tries[request].outcome =
+                Some((ledger.tries[request].sent_at + 0.1, TryOutcome::Failed(502)));
         }
-        let verdict = judge(&plan(step), &ledger);
+        let verdict = check_run(&plan(step), &ledger);
         assert_eq!(verdict.figures.recovery_s, Some(2.0));
         assert!(
             verdict.broken[0].cases[0].contains("recovery_s is 2"),
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,6 +1,6 @@
 //! Faults of links, per direction and pair of nodes. The effects of overlapping faults combine.
 
-use crate::plan::{Kind, LinkAction, OnLink, Plan};
+use crate::plan::{EndpointKind, LinkAction, LinkFault, Plan};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::RwLock;
@@ -28,13 +28,13 @@
     /// Delay, in s.
     pub delay_s: f64,
     /// Maximum jitter on top of the delay, in s.
-    pub spread_s: f64,
+    pub jitter_s: f64,
     /// Share of packets that are lost.
     pub loss: f64,
     /// Share of datagrams that are delivered twice.
-    pub twice: f64,
+    pub duplicate: f64,
     /// Share of datagrams that are delivered out of order.
-    pub disorder: f64,
+    pub reorder: f64,
     /// Throughput limit of a connection, in bytes per second.
     pub throttle: f64,
     /// Number of bytes after which a connection is reset.
@@ -49,10 +49,10 @@
     const NONE: Effect = Effect {
         cut: false,
         delay_s: 0.0,
-        spread_s: 0.0,
+        jitter_s: 0.0,
         loss: 0.0,
-        twice: 0.0,
-        disorder: 0.0,
+        duplicate: 0.0,
+        reorder: 0.0,
         throttle: f64::INFINITY,
         reset_at: None,
         refuse: false,
@@ -60,14 +60,14 @@
     };
 
     /// Whether the link works normally.
-    pub fn none(&self) -> bool {
+    pub fn is_none(&self) -> bool {
         *self == Effect::NONE
     }
 }
 
 #[derive(Clone, Copy)]
 struct LinkRule {
-    act: LinkAction,
+    action: LinkAction,
     by: f64,
     spread: f64,
     grows: f64,
@@ -91,39 +91,45 @@
 
 /// Handle of an injected fault.
 #[derive(Clone, Debug)]
-pub struct Fault {
+pub struct FaultHandle {
     rule_ids: Vec<u64>,
     /// The affected nodes, without gateways.
-    pub touches: Vec<Node>,
+    pub affected: Vec<Node>,
 }
 
 impl Links {
     /// Injects the link fault of a plan's step.
-    pub fn put(&self, plan: &Plan, step: usize, on: &OnLink, now: f64) -> Fault {
-        let nodes = |end: &crate::plan::End| match end.kind {
-            Kind::Gateways => plan.gateways(end.who, step).into_iter().map(Node::Gateway).collect(),
-            Kind::Servers => plan.servers(end.who, step).into_iter().map(Node::Server).collect(),
-            Kind::Counter => vec![Node::Counter],
-            Kind::Discovery => vec![Node::Discovery],
-            Kind::Clients => vec![Node::Client],
+    pub fn inject(&self, plan: &Plan, step: usize, fault: &LinkFault, now: f64) -> FaultHandle {
+        let nodes = |end: &crate::plan::Endpoint| match end.kind {
+            EndpointKind::Gateways => plan.gateways(end.who, step).into_iter().map(Node::Gateway).collect(),
+            EndpointKind::Servers => plan.servers(end.who, step).into_iter().map(Node::Server).collect(),
+            EndpointKind::Counter => vec![Node::Counter],
+            EndpointKind::Discovery => vec![Node::Discovery],
+            EndpointKind::Clients => vec![Node::Client],
         };
-        let (from, to): (Vec<Node>, Vec<Node>) = (nodes(&on.from), nodes(&on.to));
+        let (from, to): (Vec<Node>, Vec<Node>) = (nodes(&fault.from), nodes(&fault.to));
         let others = from.iter().chain(&to).filter(|node| !matches!(node, Node::Gateway(_)));
-        let touches = others.copied().collect();
-        let rule = LinkRule { act: on.act, by: on.by, spread: on.spread, grows: on.grows, since: now };
+        let affected = others.copied().collect();
+        let rule = LinkRule {
+            action: fault.action,
+            by: fault.by,
+            spread: fault.spread,
+            grows: fault.grows,
+            since: now,
+        };
         let mut rule_ids = vec![self.add_rule(&from, &to, rule)];
-        if on.both {
+        if fault.both {
             rule_ids.push(self.add_rule(&to, &from, rule));
         }
-        Fault { rule_ids, touches }
+        FaultHandle { rule_ids, affected }
     }
 
     /// Cuts the links between a node and all gateways in both directions.
-    pub fn cut_off(&self, node: Node, gateways: usize, now: f64) -> Fault {
+    pub fn isolate(&self, node: Node, gateways: usize, now: f64) -> FaultHandle {
         let all: Vec<_> = (0..gateways).map(Node::Gateway).collect();
-        let cut = LinkRule { act: LinkAction::Cut, by: 0.0, spread: 0.0, grows: 0.0, since: now };
+        let cut = LinkRule { action: LinkAction::Cut, by: 0.0, spread: 0.0, grows: 0.0, since: now };
         let rule_ids = vec![self.add_rule(&all, &[node], cut), self.add_rule(&[node], &all, cut)];
-        Fault { rule_ids, touches: vec![node] }
+        FaultHandle { rule_ids, affected: vec![node] }
     }
 
     fn add_rule(&self, from: &[Node], to: &[Node], rule: LinkRule) -> u64 {
@@ -134,28 +140,28 @@
     }
 
     /// Removes a fault.
-    pub fn heal(&self, fault: &Fault) {
+    pub fn heal(&self, fault: &FaultHandle) {
         let mut rules = self.rules.write().unwrap_or_else(|e| e.into_inner());
         rules.retain(|rule| !fault.rule_ids.contains(&rule.id));
     }
 
     /// Returns the combined effect on traffic from one node to another at a time.
-    pub fn on(&self, from: Node, to: Node, now: f64) -> Effect {
+    pub fn effect(&self, from: Node, to: Node, now: f64) -> Effect {
         let rules = self.rules.read().unwrap_or_else(|e| e.into_inner());
         let mut effect = Effect::NONE;
         let applies = |active: &&ActiveRule| active.from.contains(&from) && active.to.contains(&to);
         for ActiveRule { rule, .. } in rules.iter().filter(applies) {
             // Probability of at least one of two independent events.
             let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
-            match rule.act {
+            match rule.action {
                 LinkAction::Cut => effect.cut = true,
                 LinkAction::Delay => {
                     effect.delay_s += (rule.by + rule.grows * (now - rule.since).max(0.0)) / 1000.0;
-                    effect.spread_s += rule.spread / 1000.0;
+                    effect.jitter_s += rule.spread / 1000.0;
                 }
                 LinkAction::Loss => effect.loss = either(effect.loss, rule.by),
-                LinkAction::Duplicate => effect.twice = either(effect.twice, rule.by),
-                LinkAction::Reorder => effect.disorder = either(effect.disorder, rule.by),
+                LinkAction::Duplicate => effect.duplicate = either(effect.duplicate, rule.by),
+                LinkAction::Reorder => effect.reorder = either(effect.reorder, rule.by),
                 LinkAction::Throttle => effect.throttle = effect.throttle.min(rule.by),
                 LinkAction::Reset => {
                     effect.reset_at = Some(effect.reset_at.unwrap_or(u64::MAX).min(rule.by as u64));
@@ -168,8 +174,8 @@
     }
 
     /// Whether a new connection between two nodes can be established. The handshake needs both directions.
-    pub fn comes_up(&self, one: Node, other: Node, now: f64) -> bool {
-        let effects = [self.on(one, other, now), self.on(other, one, now)];
+    pub fn can_connect(&self, one: Node, other: Node, now: f64) -> bool {
+        let effects = [self.effect(one, other, now), self.effect(other, one, now)];
         !effects.iter().any(|effect| effect.cut || effect.hang)
     }
 }
@@ -193,20 +199,20 @@
             .step
             .iter()
             .enumerate()
-            .map(|(number, step)| links.put(&plan, number, step.link.as_ref().unwrap(), 1.0))
+            .map(|(number, step)| links.inject(&plan, number, step.link.as_ref().unwrap(), 1.0))
             .collect();
         let (gateway, server) = (Node::Gateway(0), Node::Server(1));
-        let effect = links.on(gateway, server, 3.0);
+        let effect = links.effect(gateway, server, 3.0);
         assert_eq!((effect.delay_s, effect.loss), (0.07, 0.75));
-        assert_eq!(links.on(server, gateway, 3.0).loss, 0.5);
+        assert_eq!(links.effect(server, gateway, 3.0).loss, 0.5);
         links.heal(&faults[1]);
-        assert_eq!(links.on(gateway, server, 3.0).loss, 0.5);
-        assert!(links.on(server, gateway, 3.0).none());
+        assert_eq!(links.effect(gateway, server, 3.0).loss, 0.5);
+        assert!(links.effect(server, gateway, 3.0).is_none());
         // A cut in one direction leaves connections half-open and prevents new ones.
         let (gateway, server) = (Node::Gateway(3), Node::Server(0));
-        assert!(links.on(server, gateway, 3.0).cut && !links.on(gateway, server, 3.0).cut);
-        assert!(!links.comes_up(gateway, server, 3.0) && links.comes_up(Node::Gateway(2), server, 3.0));
+        assert!(links.effect(server, gateway, 3.0).cut && !links.effect(gateway, server, 3.0).cut);
+        assert!(!links.can_connect(gateway, server, 3.0) && links.can_connect(Node::Gateway(2), server, 3.0));
         faults.iter().for_each(|fault| links.heal(fault));
-        assert!(links.comes_up(gateway, server, 3.0));
+        assert!(links.can_connect(gateway, server, 3.0));
     }
 }
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -7,22 +7,22 @@
 use crate::model::front::Arrival;
 
 /// Returns the transaction ID of a try: the index of its request and the number of the try.
-pub fn txn(work: usize, try_number: u32) -> u64 {
-    ((work as u64) << 8) | u64::from(try_number.min(255))
+pub fn transaction_id(request: usize, try_number: u32) -> u64 {
+    ((request as u64) << 8) | u64::from(try_number.min(255))
 }
 
-/// Returns the index of the request of a transaction ID, or none if it is not below `works`.
-pub fn work_of(txn: u64, works: usize) -> Option<usize> {
-    usize::try_from(txn >> 8).ok().filter(|work| *work < works)
+/// Returns the index of the request of a transaction ID, or none if it is not below `requests`.
+pub fn request_of(txn: u64, requests: usize) -> Option<usize> {
+    usize::try_from(txn >> 8).ok().filter(|request| *request < requests)
 }
 
 /// Result of a try, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum TryOutcome {
     /// Status 200 with the body that a server returned for this request.
     Served,
     /// Status 200 with a different body.
-    Wrong,
+    WrongBody,
     /// Status 429 or 503, with the Retry-After in ms.
     Refused(Option<u32>),
     /// Any other status.
@@ -30,9 +30,9 @@
     /// No connection was established, or it was closed before the whole request was written.
     Unreached,
     /// The connection was closed without an answer.
-    Broken,
+    Disconnected,
     /// The client timed out waiting for an answer.
-    Silent,
+    TimedOut,
 }
 
 /// One try of a request, through one gateway.
@@ -41,41 +41,41 @@
     /// Transaction ID on the wire.
     pub txn: u64,
     /// Index of the request.
-    pub work: usize,
+    pub request: usize,
     /// Index of the gateway.
     pub gateway: usize,
     /// When the last byte was written, in s, or when the try started if it was not written completely.
-    pub at: f64,
+    pub sent_at: f64,
     /// Whether the last byte was written.
     pub written: bool,
     /// Deadline of the client, in s.
-    pub until: f64,
+    pub deadline: f64,
     /// Time and result, or none while the try is in progress.
-    pub end: Option<(f64, End)>,
+    pub outcome: Option<(f64, TryOutcome)>,
     /// Number of answers beyond the first.
-    pub extra: u32,
+    pub extra_answers: u32,
 }
 
 /// Result of an attempt at a server, as seen by the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// In progress.
-    Open,
-    /// The request was processed and its answer was written.
+    InProgress,
+    /// The request was processed and its answer was sent.
     Done,
-    /// The request was processed, but its answer was dropped or corrupted by a fault or could not be delivered.
-    Unheard,
+    /// The request was processed, but a fault dropped or corrupted its answer.
+    AnswerLost,
     /// The server returned an error without processing the request.
     Error,
     /// The server rejected the request without processing it.
-    Turned,
+    Rejected,
     /// The gateway closed the connection, or the server died.
-    Dropped,
+    Aborted,
 }
 
 /// One attempt of a gateway at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
+pub struct Attempt {
     /// Transaction ID on the wire.
     pub txn: u64,
     /// Index of the server.
@@ -83,18 +83,18 @@
     /// Index of the gateway.
     pub gateway: usize,
     /// When the first byte arrived, in s.
-    pub first: f64,
+    pub first_byte_at: f64,
     /// When the last byte arrived, in s.
-    pub came: f64,
+    pub received_at: f64,
     /// Whether the server accepted the request for processing or into its queue.
-    pub began: bool,
+    pub accepted: bool,
     /// Time and result.
-    pub end: (f64, Fate),
+    pub outcome: (f64, AttemptOutcome),
 }
 
 /// An event of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum GatewayEvent {
     /// The process reported that it is ready.
     Ready,
     /// SIGKILL was sent.
@@ -106,93 +106,100 @@
     /// SIGTERM was sent.
     Terminated,
     /// The process exited after SIGTERM.
-    Ended,
+    Exited,
     /// The process exited without a signal from the lab.
     Crashed,
 }
 
 /// State of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerState {
     /// Listed and running.
     Up,
     /// Draining before its removal.
-    Leaving,
+    Draining,
     /// Not running, unreachable or not listed.
-    Away,
+    Unavailable,
 }
 
 /// All records of a run.
 #[derive(Default)]
 pub struct Ledger {
     /// All planned requests, in order of their due times. Other records refer to a request by its index here.
-    pub works: Vec<Arrival>,
+    pub requests: Vec<Arrival>,
     /// When each request was first sent, in s, or none if the run ended before.
-    pub began: Vec<Option<f64>>,
+    pub first_sent: Vec<Option<f64>>,
     /// All tries, in order of their start.
     pub tries: Vec<Try>,
     /// All attempts at servers, in order of arrival.
-    pub runs: Vec<Run>,
+    pub attempts: Vec<Attempt>,
     /// Number of attempts with a transaction ID that no client sent.
-    pub strays: u64,
+    pub unknown_requests: u64,
     /// Notifications of gateways by discovery: time, gateway, server, and whether the server is draining or gone
     /// (true) or ready (false).
-    pub told: Vec<(f64, usize, usize, bool)>,
+    pub notifications: Vec<(f64, usize, usize, bool)>,
     /// Events of gateways: time, gateway, event.
-    pub lives: Vec<(f64, usize, Life)>,
+    pub gateway_events: Vec<(f64, usize, GatewayEvent)>,
     /// State changes of servers: time, server, new state.
-    pub standings: Vec<(f64, usize, Standing)>,
+    pub server_states: Vec<(f64, usize, ServerState)>,
     /// Relative speed of each server. The average is 1.
     pub speeds: Vec<f64>,
     /// Times of tries that were refused while a server had an idle core.
-    pub needless: Vec<f64>,
+    pub needless_refusals: Vec<f64>,
     /// Connections that servers accepted: time, server.
     pub connections: Vec<(f64, usize)>,
     /// Number of probes that servers answered.
     pub probes: u64,
     /// Number of calls to the quota counter, and how many of them it rejected.
-    pub calls: (u64, u64),
+    pub counter_calls: (u64, u64),
     /// When the load ended, in s.
-    pub ended: f64,
+    pub load_end: f64,
 }
 
 impl Ledger {
     /// Whether a gateway ran without interruption from `from` until `until`, so that it had to answer a request received
     /// at `from`. After SIGTERM it accepts requests for another `shutdown_grace` seconds.
     pub fn was_running(&self, gateway: usize, from: f64, until: f64, shutdown_grace: f64) -> bool {
-        let interrupts = |event: &Life| matches!(event, Life::Killed | Life::Paused | Life::Crashed);
-        !self.lives.iter().any(|(at, which, event)| {
+        let interrupts = |event: &GatewayEvent| {
+            matches!(event, GatewayEvent::Killed | GatewayEvent::Paused | GatewayEvent::Crashed)
+        };
+        !self.gateway_events.iter().any(|(at, which, event)| {
             *which == gateway
                 && ((interrupts(event) && (from..=until).contains(at))
                     // The gateway need not accept requests received after the grace period.
-                    || (*event == Life::Terminated && *at + shutdown_grace < from && from < *at + 60.0))
+                    || (*event == GatewayEvent::Terminated && *at + shutdown_grace < from && from < *at + 60.0))
         }) && !self.was_stopped_at(gateway, from)
     }
 
     /// Whether a gateway's process was dead or paused at a time.
     fn was_stopped_at(&self, gateway: usize, at: f64) -> bool {
-        let mut before = self.lives.iter().filter(|(then, which, _)| *which == gateway && *then <= at);
+        let mut before =
+            self.gateway_events.iter().filter(|(then, which, _)| *which == gateway && *then <= at);
         before.next_back().is_some_and(|(_, _, event)| {
-            matches!(event, Life::Killed | Life::Paused | Life::Crashed | Life::Ended)
+            matches!(
+                event,
+                GatewayEvent::Killed | GatewayEvent::Paused | GatewayEvent::Crashed | GatewayEvent::Exited
+            )
         })
     }
 
     /// Returns the state of a server at a time.
-    pub fn server_state(&self, server: usize, at: f64) -> Standing {
-        let mut before = self.standings.iter().filter(|(then, which, _)| *which == server && *then <= at);
-        before.next_back().map_or(Standing::Away, |(_, _, state)| *state)
+    pub fn server_state(&self, server: usize, at: f64) -> ServerState {
+        let mut before = self.server_states.iter().filter(|(then, which, _)| *which == server && *then <= at);
+        before.next_back().map_or(ServerState::Unavailable, |(_, _, state)| *state)
     }
 
     /// Returns the index of the request of a transaction ID, or none for an ID that no client can have sent.
-    pub fn work_of(&self, txn: u64) -> Option<usize> {
-        work_of(txn, self.works.len())
+    pub fn request_of(&self, txn: u64) -> Option<usize> {
+        request_of(txn, self.requests.len())
     }
 
     /// Returns for each request the time of its first `Served` result.
     pub fn served(&self) -> Vec<Option<f64>> {
-        let mut served = vec![None; self.works.len()];
+        let mut served = vec![None; self.requests.len()];
         for client_try in &self.tries {
-            if let (Some((at, End::Served)), Some(first)) = (client_try.end, served.get_mut(client_try.work))
+            if let (Some((at, TryOutcome::Served)), Some(first)) =
+                (client_try.outcome, served.get_mut(client_try.request))
             {
                 *first = first.or(Some(at));
             }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,6 +1,6 @@
 //! Load balance metrics: how evenly the load is distributed over the servers, relative to their speeds.
 
-use crate::ledger::{Ledger, Standing};
+use crate::ledger::{Ledger, ServerState};
 use crate::plan::Plan;
 use serde::Serialize;
 
@@ -48,24 +48,25 @@
 /// Computes the load balance metrics of a run.
 pub fn measure(plan: &Plan, ledger: &Ledger) -> LoadBalance {
     let servers = ledger.speeds.len();
-    let windows = (ledger.ended / WINDOW_S).floor() as usize;
+    let windows = (ledger.load_end / WINDOW_S).floor() as usize;
     let mut arrivals = vec![vec![0.0f64; servers]; windows];
     let mut in_hand = vec![vec![0.0f64; servers]; windows];
-    for run in &ledger.runs {
-        let window = (run.came / WINDOW_S) as usize;
+    for attempt in &ledger.attempts {
+        let window = (attempt.received_at / WINDOW_S) as usize;
         if window < windows {
-            arrivals[window][run.server] += 1.0 / ledger.speeds[run.server];
+            arrivals[window][attempt.server] += 1.0 / ledger.speeds[attempt.server];
         }
-        if !run.began {
+        if !attempt.accepted {
             continue;
         }
         // Adds the time that the request spent at the server to each window that it overlaps.
-        let (from, until) = (run.came, run.end.0.max(run.came).min(ledger.ended));
+        let (from, until) =
+            (attempt.received_at, attempt.outcome.0.max(attempt.received_at).min(ledger.load_end));
         let last = ((until / WINDOW_S) as usize).min(windows.saturating_sub(1));
         for (window, concurrent) in in_hand.iter_mut().enumerate().take(last + 1).skip(window) {
             let (starts, ends) = (window as f64 * WINDOW_S, (window + 1) as f64 * WINDOW_S);
-            concurrent[run.server] +=
-                (until.min(ends) - from.max(starts)).max(0.0) / ledger.speeds[run.server];
+            concurrent[attempt.server] +=
+                (until.min(ends) - from.max(starts)).max(0.0) / ledger.speeds[attempt.server];
         }
     }
     let cores = plan.fleet.cores as f64;
@@ -76,9 +77,9 @@
         // Servers that were up during the whole window.
         let up: Vec<_> = (0..servers)
             .filter(|server| {
-                ledger.server_state(*server, starts) == Standing::Up
+                ledger.server_state(*server, starts) == ServerState::Up
                     && !ledger
-                        .standings
+                        .server_states
                         .iter()
                         .any(|(at, which, _)| which == server && (starts..ends).contains(at))
             })
@@ -124,11 +125,11 @@
 
 /// Returns the number of herds, and the average number of gateways that contributed to one.
 fn count_herds(ledger: &Ledger, servers: usize) -> (usize, f64) {
-    let windows = (ledger.ended / HERD_WINDOW_S).ceil() as usize + 1;
+    let windows = (ledger.load_end / HERD_WINDOW_S).ceil() as usize + 1;
     let mut arrivals: Vec<Vec<(usize, usize)>> = vec![Vec::new(); windows];
-    for run in &ledger.runs {
-        if let Some(window) = arrivals.get_mut((run.came / HERD_WINDOW_S) as usize) {
-            window.push((run.server, run.gateway));
+    for attempt in &ledger.attempts {
+        if let Some(window) = arrivals.get_mut((attempt.received_at / HERD_WINDOW_S) as usize) {
+            window.push((attempt.server, attempt.gateway));
         }
     }
     let (mut herds, mut gateways) = (0, 0);
@@ -150,27 +151,27 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::ledger::{Fate, Run};
+    use crate::ledger::{Attempt, AttemptOutcome};
 
     /// Ten seconds of four servers with these numbers of arrivals per second, spread over the second or all at once.
     fn ledger(arrivals_per_s: [usize; 4], all_at_once: bool) -> Ledger {
-        let mut ledger = Ledger { ended: 10.0, speeds: vec![1.0; 4], ..Ledger::default() };
-        ledger.standings = (0..4).map(|server| (0.0, server, Standing::Up)).collect();
+        let mut ledger = Ledger { load_end: 10.0, speeds: vec![1.0; 4], ..Ledger::default() };
+        ledger.server_states = (0..4).map(|server| (0.0, server, ServerState::Up)).collect();
         for second in 0..10 {
             for (server, count) in arrivals_per_s.into_iter().enumerate() {
                 for number in 0..count {
                     let fraction = if all_at_once { 0.5 } else { number as f64 / count as f64 };
-                    let came = f64::from(second) + fraction;
-                    let run = Run {
+                    let received_at = f64::from(second) + fraction;
+                    let attempt = Attempt {
                         txn: 0,
                         server,
                         gateway: number,
-                        first: came,
-                        came,
-                        began: true,
-                        end: (came + 0.1, Fate::Done),
+                        first_byte_at: received_at,
+                        received_at,
+                        accepted: true,
+                        outcome: (received_at + 0.1, AttemptOutcome::Done),
                     };
-                    ledger.runs.push(run);
+                    ledger.attempts.push(attempt);
                 }
             }
         }
@@ -205,7 +206,7 @@
         let mut idle_server = ledger([10, 10, 10, 0], false);
         let max_to_mean = measure(&plan(), &idle_server).max_to_mean;
         assert!(max_to_mean > 1.3, "expected more than 1.3 with an idle server: {max_to_mean}");
-        idle_server.standings[3].2 = Standing::Away;
+        idle_server.server_states[3].2 = ServerState::Unavailable;
         assert_eq!(measure(&plan(), &idle_server).max_to_mean, 1.0);
     }
 }
--- a/lab/src/model/front.rs
+++ b/lab/src/model/front.rs
@@ -1,6 +1,6 @@
 //! Clients and the front before the gateways: who asks for what and when, drawn ahead, and through which gateway.
 
-use crate::plan::{Plan, TrafficAct};
+use crate::plan::{Plan, TrafficAction};
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 
@@ -76,11 +76,11 @@
         }
     };
     let steps: Vec<_> = plan.step.iter().filter_map(|step| Some((step, step.traffic.as_ref()?))).collect();
-    let within = |at: f64, act: TrafficAct| {
-        steps.iter().filter(move |(step, on)| on.act == act && (step.at..step.ends(plan)).contains(&at))
+    let within = |at: f64, act: TrafficAction| {
+        steps.iter().filter(move |(step, on)| on.action == act && (step.at..step.end_s(plan)).contains(&at))
     };
     let mut all = Vec::new();
-    let most = steps.iter().filter(|(_, on)| on.act == TrafficAct::Burst).map(|(_, on)| on.by.max(1.0));
+    let most = steps.iter().filter(|(_, on)| on.action == TrafficAction::Burst).map(|(_, on)| on.by.max(1.0));
     let most = traffic.per_s * most.product::<f64>();
     let mut at = 0.0;
     loop {
@@ -89,17 +89,17 @@
         if at >= plan.seconds {
             break;
         }
-        let rate = traffic.per_s * within(at, TrafficAct::Burst).map(|(_, on)| on.by).product::<f64>();
+        let rate = traffic.per_s * within(at, TrafficAction::Burst).map(|(_, on)| on.by).product::<f64>();
         if rng.random_bool((rate / most).min(1.0)) {
             all.push(draw(at, false, &mut rng));
         }
     }
-    for (step, on) in steps.iter().filter(|(_, on)| on.act == TrafficAct::Hot) {
+    for (step, on) in steps.iter().filter(|(_, on)| on.action == TrafficAction::Hot) {
         let mut at = step.at;
         loop {
             let gap: f64 = Exp1.sample(&mut rng);
             at += gap / on.by;
-            if at >= step.ends(plan).min(plan.seconds) {
+            if at >= step.end_s(plan).min(plan.seconds) {
                 break;
             }
             all.push(draw(at, true, &mut rng));
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -13,7 +13,7 @@
 /// Deadlines of the safe and the unsafe request class, in ms.
 pub const DEADLINES_MS: [f64; 2] = [1_500.0, 2_000.0];
 /// Target latency, in ms. Answers within it count as in time.
-pub const AIM_MS: f64 = 600.0;
+pub const TARGET_LATENCY_MS: f64 = 600.0;
 
 /// A fault-injection plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -195,22 +195,22 @@
     pub at: f64,
     /// Duration, in s. Without it the fault stays until the end of the plan.
     #[serde(rename = "for", skip_serializing_if = "Option::is_none")]
-    pub lasts: Option<f64>,
+    pub duration_s: Option<f64>,
     /// Fault of gateway processes.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub gateways: Option<OnGateways>,
+    pub gateways: Option<GatewayFault>,
     /// Fault of servers.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub servers: Option<OnServers>,
+    pub servers: Option<ServerFault>,
     /// Fault of links.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub link: Option<OnLink>,
+    pub link: Option<LinkFault>,
     /// Fault of the quota counter.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub counter: Option<OnCounter>,
+    pub counter: Option<CounterFault>,
     /// Fault of service discovery.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub discovery: Option<OnDiscovery>,
+    pub discovery: Option<DiscoveryFault>,
     /// Change of the traffic.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub traffic: Option<TrafficChange>,
@@ -219,12 +219,12 @@
 /// A fault of gateway processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OnGateways {
+pub struct GatewayFault {
     /// The affected gateways.
     pub who: Selector,
     /// The kind of fault.
     #[serde(rename = "do")]
-    pub act: GatewayAct,
+    pub action: GatewayAction,
     /// Delay between the fault's start at one gateway and at the next, in s.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub every: f64,
@@ -237,7 +237,7 @@
 /// The kinds of gateway faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum GatewayAct {
+pub enum GatewayAction {
     /// Sends SIGKILL and starts the gateway again when the step ends.
     Kill,
     /// Sends SIGSTOP, and SIGCONT when the step ends.
@@ -253,12 +253,12 @@
 /// A fault of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OnServers {
+pub struct ServerFault {
     /// The affected servers. Spare servers are numbered after the listed ones.
     pub who: Selector,
     /// The kind of fault.
     #[serde(rename = "do")]
-    pub act: ServerAct,
+    pub action: ServerAction,
     /// Strength of the fault. Its unit depends on the kind.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
@@ -270,7 +270,7 @@
 /// The kinds of server faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ServerAct {
+pub enum ServerAction {
     /// The process dies: its connections are reset and new ones are refused. It restarts cold when the step ends.
     Kill,
     /// The machine drops all packets: connections stay open without traffic, and new ones time out.
@@ -296,17 +296,17 @@
 /// A fault of links.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OnLink {
+pub struct LinkFault {
     /// The senders.
-    pub from: End,
+    pub from: Endpoint,
     /// The receivers.
-    pub to: End,
+    pub to: Endpoint,
     /// Whether the fault also applies in the other direction.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub both: bool,
     /// The kind of fault.
     #[serde(rename = "do")]
-    pub act: LinkAction,
+    pub action: LinkAction,
     /// Strength of the fault in ms, as a share, in bytes per second or in bytes, depending on the kind.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
@@ -345,10 +345,10 @@
 /// A fault of the quota counter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OnCounter {
+pub struct CounterFault {
     /// The kind of fault.
     #[serde(rename = "do")]
-    pub act: CounterAct,
+    pub action: CounterAction,
     /// Delay in ms, or share of calls.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
@@ -357,7 +357,7 @@
 /// The kinds of counter faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CounterAct {
+pub enum CounterAction {
     /// Answers are delayed by `by` ms.
     Slow,
     /// The counter is unreachable. It is back with no counts when the step ends.
@@ -371,12 +371,12 @@
 /// A fault of service discovery.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct OnDiscovery {
+pub struct DiscoveryFault {
     /// The gateways whose discovery agents are affected.
     pub who: Selector,
     /// The kind of fault.
     #[serde(rename = "do")]
-    pub act: DiscoveryAct,
+    pub action: DiscoveryAction,
     /// Delay, in s.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
@@ -385,7 +385,7 @@
 /// The kinds of discovery faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum DiscoveryAct {
+pub enum DiscoveryAction {
     /// The agent closes its connections and does not respond.
     Silent,
     /// The agent publishes changes `by` s late.
@@ -400,7 +400,7 @@
 pub struct TrafficChange {
     /// The kind of change.
     #[serde(rename = "do")]
-    pub act: TrafficAct,
+    pub action: TrafficAction,
     /// A factor, requests per second or a number of retries, depending on the kind.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub by: f64,
@@ -409,7 +409,7 @@
 /// The kinds of traffic changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TrafficAct {
+pub enum TrafficAction {
     /// The request rate is multiplied by `by`.
     Burst,
     /// One additional customer sends `by` requests per second.
@@ -532,16 +532,16 @@
 /// space and a selector, as in `gateways zone 1`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct End {
+pub struct Endpoint {
     /// The kind of node.
-    pub kind: Kind,
+    pub kind: EndpointKind,
     /// The selected nodes of this kind.
     pub who: Selector,
 }
 
 /// The kinds of nodes at the end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum EndpointKind {
     /// Gateways.
     Gateways,
     /// Servers.
@@ -554,15 +554,15 @@
     Clients,
 }
 
-const KIND_NAMES: [(Kind, &str); 5] = [
-    (Kind::Gateways, "gateways"),
-    (Kind::Servers, "servers"),
-    (Kind::Counter, "counter"),
-    (Kind::Discovery, "discovery"),
-    (Kind::Clients, "clients"),
+const KIND_NAMES: [(EndpointKind, &str); 5] = [
+    (EndpointKind::Gateways, "gateways"),
+    (EndpointKind::Servers, "servers"),
+    (EndpointKind::Counter, "counter"),
+    (EndpointKind::Discovery, "discovery"),
+    (EndpointKind::Clients, "clients"),
 ];
 
-impl fmt::Display for End {
+impl fmt::Display for Endpoint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name =
             KIND_NAMES.iter().find_map(|(kind, name)| (*kind == self.kind).then_some(*name)).unwrap_or("");
@@ -573,24 +573,24 @@
     }
 }
 
-impl TryFrom<String> for End {
+impl TryFrom<String> for Endpoint {
     type Error = String;
 
-    fn try_from(text: String) -> Result<End, String> {
+    fn try_from(text: String) -> Result<Endpoint, String> {
         let (name, who) = text.split_once(' ').unwrap_or((&text, "all"));
         let kind = KIND_NAMES.iter().find_map(|(kind, known)| (*known == name).then_some(*kind));
         let kind = kind
             .ok_or_else(|| format!("`{name}` is none of: gateways, servers, counter, discovery, clients"))?;
         let who: Selector = who.parse()?;
-        if who != Selector::All && !matches!(kind, Kind::Gateways | Kind::Servers) {
+        if who != Selector::All && !matches!(kind, EndpointKind::Gateways | EndpointKind::Servers) {
             return Err(format!("`{name}` takes no selector, but has `{who}`"));
         }
-        Ok(End { kind, who })
+        Ok(Endpoint { kind, who })
     }
 }
 
-impl From<End> for String {
-    fn from(end: End) -> String {
+impl From<Endpoint> for String {
+    fn from(end: Endpoint) -> String {
         end.to_string()
     }
 }
@@ -599,7 +599,7 @@
     /// Parses and validates a plan. The error lists all validation errors, one per line.
     pub fn read(text: &str) -> Result<Plan, String> {
         let plan: Plan = toml::from_str(text).map_err(|e| e.to_string())?;
-        let errors = plan.faults();
+        let errors = plan.validation_errors();
         if errors.is_empty() {
             Ok(plan)
         } else {
@@ -608,7 +608,7 @@
     }
 
     /// Returns all validation errors.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut errors = Vec::new();
         let mut require = |valid: bool, message: &str| {
             if !valid {
@@ -687,19 +687,19 @@
         errors
     }
 
-    /// Returns an error for each pair of steps that control the same gateway process at the same time.
+    /// Returns an error for each pair of overlapping steps whose faults of the same gateway process conflict.
     fn conflicts(&self) -> Vec<String> {
         let mut errors = Vec::new();
         let process_fault = |step: &Step| match &step.gateways {
-            Some(on) if on.act != GatewayAct::Reload => Some((on.who, on.act)),
+            Some(fault) if fault.action != GatewayAction::Reload => Some((fault.who, fault.action)),
             _ => None,
         };
         for (first, one) in self.step.iter().enumerate() {
             for (second, other) in self.step.iter().enumerate().skip(first + 1) {
                 let (Some(a), Some(b)) = (process_fault(one), process_fault(other)) else { continue };
                 // A pause may overlap a restart or an upgrade, but not a kill.
-                let both_end = a.1 != GatewayAct::Pause && b.1 != GatewayAct::Pause;
-                let killed = a.1 == GatewayAct::Kill || b.1 == GatewayAct::Kill;
+                let both_end = a.1 != GatewayAction::Pause && b.1 != GatewayAction::Pause;
+                let killed = a.1 == GatewayAction::Kill || b.1 == GatewayAction::Kill;
                 if one.overlaps(other) && (both_end || killed) && self.may_share_gateway(a.0, b.0) {
                     errors.push(format!(
                         "steps {} and {} overlap and affect the same gateway process",
@@ -759,31 +759,31 @@
     /// Returns the start of the first step and the end of the last one, in s, or none without steps.
     pub fn fault_window(&self) -> Option<(f64, f64)> {
         let first = self.step.iter().map(|step| step.at).reduce(f64::min)?;
-        Some((first, self.step.iter().map(|step| step.ends(self)).fold(0.0, f64::max)))
+        Some((first, self.step.iter().map(|step| step.end_s(self)).fold(0.0, f64::max)))
     }
 }
 
 impl Step {
     /// Returns the time at which the step ends, in s.
-    pub fn ends(&self, plan: &Plan) -> f64 {
-        let stagger = self.gateways.as_ref().map_or(0.0, |on| on.every * plan.fleet.gateways as f64);
-        self.lasts.map_or_else(
+    pub fn end_s(&self, plan: &Plan) -> f64 {
+        let stagger = self.gateways.as_ref().map_or(0.0, |fault| fault.every * plan.fleet.gateways as f64);
+        self.duration_s.map_or_else(
             || if self.is_instantaneous() { self.at + stagger } else { plan.seconds },
-            |lasts| self.at + lasts + stagger,
+            |duration_s| self.at + duration_s + stagger,
         )
     }
 
-    /// Whether the step's fault has no duration of its own.
+    /// Whether the step's fault is a single event without a duration.
     fn is_instantaneous(&self) -> bool {
-        let gateways = self.gateways.as_ref().is_some_and(|on| {
-            matches!(on.act, GatewayAct::Restart | GatewayAct::Upgrade | GatewayAct::Reload)
+        let gateways = self.gateways.as_ref().is_some_and(|fault| {
+            matches!(fault.action, GatewayAction::Restart | GatewayAction::Upgrade | GatewayAction::Reload)
         });
-        let joins = self.servers.as_ref().is_some_and(|on| on.act == ServerAct::Join);
-        gateways || joins || self.counter.as_ref().is_some_and(|on| on.act == CounterAct::Flush)
+        let joins = self.servers.as_ref().is_some_and(|fault| fault.action == ServerAction::Join);
+        gateways || joins || self.counter.as_ref().is_some_and(|fault| fault.action == CounterAction::Flush)
     }
 
     fn overlaps(&self, other: &Step) -> bool {
-        let end = |step: &Step| step.lasts.map_or(f64::INFINITY, |lasts| step.at + lasts);
+        let end = |step: &Step| step.duration_s.map_or(f64::INFINITY, |duration_s| step.at + duration_s);
         self.at < end(other) && other.at < end(self)
     }
 
@@ -807,62 +807,71 @@
             "exactly one of gateways, servers, link, counter, discovery, traffic is required",
         );
         require(self.at >= 0.0 && self.at <= plan.seconds, "at: within the plan's seconds");
-        require(self.lasts.is_none_or(|lasts| lasts > 0.0 && lasts.is_finite()), "for: above 0");
+        require(
+            self.duration_s.is_none_or(|duration_s| duration_s > 0.0 && duration_s.is_finite()),
+            "for: above 0",
+        );
         let is_share = |by: f64| by > 0.0 && by <= 1.0;
         let matches_any = |indices: Vec<usize>| !indices.is_empty();
-        if let Some(on) = &self.gateways {
-            require(matches_any(plan.gateways(on.who, 0)), "who: no such gateway");
+        if let Some(fault) = &self.gateways {
+            require(matches_any(plan.gateways(fault.who, 0)), "who: no such gateway");
             require(
-                on.act != GatewayAct::Pause || self.lasts.is_some(),
+                fault.action != GatewayAction::Pause || self.duration_s.is_some(),
                 "do: a pause needs a duration, `for`",
             );
-            require(on.every >= 0.0 && on.every.is_finite(), "every: 0 or more");
+            require(fault.every >= 0.0 && fault.every.is_finite(), "every: 0 or more");
         }
-        if let Some(on) = &self.servers {
-            require(matches_any(plan.servers(on.who, 0)), "who: no such server");
-            let spare = plan.servers(on.who, 0).iter().all(|index| *index >= plan.fleet.servers);
-            require(spare || on.act != ServerAct::Join, "who: only spare servers can join");
-            require(on.every >= 0.0 && on.every.is_finite(), "every: 0 or more");
-            match on.act {
-                ServerAct::Slow => require(on.by >= 1.0, "by: a factor of 1 or more"),
-                ServerAct::Errors | ServerAct::TurnAway | ServerAct::Reset | ServerAct::Spoil => {
-                    require(is_share(on.by), "by: a share above 0 and at most 1");
+        if let Some(fault) = &self.servers {
+            require(matches_any(plan.servers(fault.who, 0)), "who: no such server");
+            let spare = plan.servers(fault.who, 0).iter().all(|index| *index >= plan.fleet.servers);
+            require(spare || fault.action != ServerAction::Join, "who: only spare servers can join");
+            require(fault.every >= 0.0 && fault.every.is_finite(), "every: 0 or more");
+            match fault.action {
+                ServerAction::Slow => require(fault.by >= 1.0, "by: a factor of 1 or more"),
+                ServerAction::Errors | ServerAction::TurnAway | ServerAction::Reset | ServerAction::Spoil => {
+                    require(is_share(fault.by), "by: a share above 0 and at most 1");
                 }
-                ServerAct::Report => require(on.by >= 0.0, "by: 0 or more"),
-                _ => require(on.by == 0.0, "by: not used by this kind of fault"),
+                ServerAction::Report => require(fault.by >= 0.0, "by: 0 or more"),
+                _ => require(fault.by == 0.0, "by: not used by this kind of fault"),
             }
         }
-        if let Some(on) = &self.link {
-            let endpoint_exists = |end: &End| match end.kind {
-                Kind::Gateways => matches_any(plan.gateways(end.who, 0)),
-                Kind::Servers => matches_any(plan.servers(end.who, 0)),
+        if let Some(fault) = &self.link {
+            let endpoint_exists = |end: &Endpoint| match end.kind {
+                EndpointKind::Gateways => matches_any(plan.gateways(end.who, 0)),
+                EndpointKind::Servers => matches_any(plan.servers(end.who, 0)),
                 _ => true,
             };
             require(
-                endpoint_exists(&on.from) && endpoint_exists(&on.to),
+                endpoint_exists(&fault.from) && endpoint_exists(&fault.to),
                 "from, to: no such gateway or server",
             );
-            let gateways = [on.from.kind, on.to.kind].iter().filter(|kind| **kind == Kind::Gateways).count();
+            let gateways = [fault.from.kind, fault.to.kind]
+                .iter()
+                .filter(|kind| **kind == EndpointKind::Gateways)
+                .count();
             require(gateways > 0, "from, to: a link needs a gateway at one end");
             require(gateways < 2 || plan.fleet.cluster, "from, to: gateways are linked only in a cluster");
             let datagrams = gateways == 2;
-            match on.act {
+            match fault.action {
                 LinkAction::Cut | LinkAction::Refuse | LinkAction::Hang => {
-                    require(on.by == 0.0, "by: not used by this kind of fault")
+                    require(fault.by == 0.0, "by: not used by this kind of fault")
                 }
                 LinkAction::Delay => require(
-                    on.by >= 0.0 && on.by + on.spread + on.grows > 0.0 && on.spread >= 0.0 && on.grows >= 0.0,
+                    fault.by >= 0.0
+                        && fault.by + fault.spread + fault.grows > 0.0
+                        && fault.spread >= 0.0
+                        && fault.grows >= 0.0,
                     "by, spread, grows: 0 or more, with a delay above 0",
                 ),
-                LinkAction::Loss => require(is_share(on.by), "by: a share above 0 and at most 1"),
+                LinkAction::Loss => require(is_share(fault.by), "by: a share above 0 and at most 1"),
                 LinkAction::Duplicate | LinkAction::Reorder => {
                     require(datagrams, "do: duplicate and reorder apply only to links between gateways");
-                    require(is_share(on.by), "by: a share above 0 and at most 1");
+                    require(is_share(fault.by), "by: a share above 0 and at most 1");
                 }
-                LinkAction::Throttle | LinkAction::Reset => require(on.by >= 1.0, "by: 1 byte or more"),
+                LinkAction::Throttle | LinkAction::Reset => require(fault.by >= 1.0, "by: 1 byte or more"),
             }
             let needs_connections = matches!(
-                on.act,
+                fault.action,
                 LinkAction::Throttle | LinkAction::Reset | LinkAction::Refuse | LinkAction::Hang
             );
             require(
@@ -870,24 +879,24 @@
                 "do: throttle, reset, refuse and hang do not apply to links between gateways, which have no connections",
             );
         }
-        if let Some(on) = &self.counter {
-            match on.act {
-                CounterAct::Slow => require(on.by > 0.0, "by: above 0, in ms"),
-                CounterAct::TurnAway => require(is_share(on.by), "by: a share above 0 and at most 1"),
-                CounterAct::Out | CounterAct::Flush => {
-                    require(on.by == 0.0, "by: not used by this kind of fault")
+        if let Some(fault) = &self.counter {
+            match fault.action {
+                CounterAction::Slow => require(fault.by > 0.0, "by: above 0, in ms"),
+                CounterAction::TurnAway => require(is_share(fault.by), "by: a share above 0 and at most 1"),
+                CounterAction::Out | CounterAction::Flush => {
+                    require(fault.by == 0.0, "by: not used by this kind of fault")
                 }
             }
         }
-        if let Some(on) = &self.discovery {
-            require(matches_any(plan.gateways(on.who, 0)), "who: no such gateway");
+        if let Some(fault) = &self.discovery {
+            require(matches_any(plan.gateways(fault.who, 0)), "who: no such gateway");
             require(
-                (on.act == DiscoveryAct::Late) == (on.by > 0.0),
+                (fault.action == DiscoveryAction::Late) == (fault.by > 0.0),
                 "by: above 0, in s, for `late`, otherwise not used",
             );
         }
-        if let Some(on) = &self.traffic {
-            require(on.by > 0.0 && on.by <= 10_000.0, "by: above 0, 10000 at most");
+        if let Some(change) = &self.traffic {
+            require(change.by > 0.0 && change.by <= 10_000.0, "by: above 0, 10000 at most");
         }
         errors
     }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -16,7 +16,7 @@
         let _ = writeln!(text, "{line}");
     };
     let [median, p90, p99, max] = metrics.latency_ms;
-    line(format!("{}, seed {}: {} requests", outcome.plan, outcome.seed, metrics.works));
+    line(format!("{}, seed {}: {} requests", outcome.plan, outcome.seed, metrics.requests));
     line(format!(
         "  served {}, {} in time; latency: median {median:.0} ms, 90th {p90:.0}, 99th {p99:.0}, max {max:.0}",
         percent(metrics.served),
@@ -28,8 +28,8 @@
         percent(metrics.refused),
         percent(metrics.failed),
         percent(metrics.unreached),
-        percent(metrics.broken),
-        percent(metrics.silent),
+        percent(metrics.disconnected),
+        percent(metrics.timed_out),
         percent(metrics.unanswered),
     ));
     line(format!(
--- a/lab/src/stage/clients.rs
+++ b/lab/src/stage/clients.rs
@@ -1,11 +1,11 @@
 //! Clients: each work is asked for when it is due, whatever became of the others, and again as its client's patience
 //! and the protocol allow.
 
-use crate::check::SLACK_S;
+use crate::check::TIMING_SLACK_S;
 use crate::fault::Node;
-use crate::ledger::{txn, End, Try};
+use crate::ledger::{transaction_id, Try, TryOutcome};
 use crate::model::front::{Arrival, CLASSES, PLANS};
-use crate::plan::{TrafficAct, DEADLINES_MS};
+use crate::plan::{TrafficAction, DEADLINES_MS};
 use crate::stage::servers::made_for;
 use crate::stage::wire::{Http, Io};
 use crate::stage::World;
@@ -55,20 +55,20 @@
         let arrival = world.works[self.work];
         let began = world.now();
         world.late(began - world.begin() - arrival.at);
-        world.ledger().began[self.work] = Some(began);
+        world.ledger().first_sent[self.work] = Some(began);
         let ends = began + DEADLINES_MS[usize::from(arrival.class)] / 1000.0;
         let (more, mut wait_s) = (self.storm(), world.plan.traffic.backoff_ms / 1000.0);
         for number in 0..=world.plan.traffic.retries + more {
             let gateway = world.front().deal(arrival.customer, &mut self.rng);
             let end = self.ask(gateway, number, &arrival, ends).await;
             let again = match end {
-                End::Served => return,
-                End::Refused(_) | End::Unreached => true,
+                TryOutcome::Served => return,
+                TryOutcome::Refused(_) | TryOutcome::Unreached => true,
                 // An unsafe one may have run.
                 _ => arrival.class == 0,
             };
             let advice = match end {
-                End::Refused(Some(ms)) if arrival.honours => f64::from(ms) / 1000.0,
+                TryOutcome::Refused(Some(ms)) if arrival.honours => f64::from(ms) / 1000.0,
                 _ => 0.0,
             };
             let wait = if more > 0 { 0.0 } else { advice.max(wait_s * self.rng.random_range(0.5..1.5)) };
@@ -83,38 +83,48 @@
     /// Tries on top, while clients storm.
     fn storm(&self) -> u32 {
         let (world, at) = (self.world, self.world.works[self.work].at);
-        let steps = world.plan.step.iter().filter(|step| (step.at..step.ends(&world.plan)).contains(&at));
-        let more = steps.filter_map(|step| step.traffic.as_ref().filter(|on| on.act == TrafficAct::Storm));
+        let steps = world.plan.step.iter().filter(|step| (step.at..step.end_s(&world.plan)).contains(&at));
+        let more =
+            steps.filter_map(|step| step.traffic.as_ref().filter(|on| on.action == TrafficAction::Storm));
         more.map(|on| on.by as u32).max().unwrap_or(0)
     }
 
     /// One try through one gateway, noted from its beginning to its end.
-    async fn ask(&mut self, gateway: usize, number: u32, arrival: &Arrival, until: f64) -> End {
-        let (world, txn) = (self.world, txn(self.work, number));
+    async fn ask(&mut self, gateway: usize, number: u32, arrival: &Arrival, until: f64) -> TryOutcome {
+        let (world, txn) = (self.world, transaction_id(self.work, number));
         let place = {
             let mut ledger = world.ledger();
             let at = world.now();
             let (work, written, end) = (self.work, false, None);
-            ledger.tries.push(Try { txn, work, gateway, at, written, until, end, extra: 0 });
+            ledger.tries.push(Try {
+                txn,
+                request: work,
+                gateway,
+                sent_at: at,
+                written,
+                deadline: until,
+                outcome: end,
+                extra_answers: 0,
+            });
             ledger.tries.len() - 1
         };
         // What the gateway owes until the client leaves may come a little later.
         let end = tokio::select! {
             end = self.talk(gateway, place, arrival, until) => end,
-            () = world.sleep_until(until + SLACK_S) => None,
+            () = world.sleep_until(until + TIMING_SLACK_S) => None,
         };
         let (end, kept) = match end {
             Some((end, kept)) => (end, kept),
-            None => (self.unless_written(place, End::Silent), None),
+            None => (self.unless_written(place, TryOutcome::TimedOut), None),
         };
-        if matches!(end, End::Refused(_)) && world.some_idle(gateway) {
+        if matches!(end, TryOutcome::Refused(_)) && world.some_idle(gateway) {
             // Its moment is its refusal's, by which it is found again.
             let mut ledger = world.ledger();
             let at = world.now();
-            ledger.tries[place].end = Some((at, end));
-            ledger.needless.push(at);
+            ledger.tries[place].outcome = Some((at, end));
+            ledger.needless_refusals.push(at);
         } else {
-            world.ledger().tries[place].end = Some((world.now(), end));
+            world.ledger().tries[place].outcome = Some((world.now(), end));
         }
         if let Some(kept) = kept {
             let mut idle = world.kept(gateway);
@@ -126,17 +136,17 @@
     }
 
     /// What becomes of a try without an answer: if its last byte was never written, no gateway was reached.
-    fn unless_written(&self, place: usize, end: End) -> End {
+    fn unless_written(&self, place: usize, end: TryOutcome) -> TryOutcome {
         if self.world.ledger().tries[place].written {
             end
         } else {
-            End::Unreached
+            TryOutcome::Unreached
         }
     }
 
     async fn talk(
         &self, gateway: usize, place: usize, arrival: &Arrival, until: f64,
-    ) -> Option<(End, Option<Kept>)> {
+    ) -> Option<(TryOutcome, Option<Kept>)> {
         let world = self.world;
         let txn = world.ledger().tries[place].txn;
         let mut reused = true;
@@ -148,19 +158,19 @@
                 Some(http) => http,
                 None => match self.connect(gateway).await {
                     Ok(http) => http,
-                    Err(_) => return Some((End::Unreached, None)),
+                    Err(_) => return Some((TryOutcome::Unreached, None)),
                 },
             };
             let now = world.now();
             if now >= until {
                 // Its time went by while the link was down: it asks nobody any more, and nobody owes it an answer.
-                return Some((End::Unreached, None));
+                return Some((TryOutcome::Unreached, None));
             }
             let text = request(txn, arrival, until - now, world);
             let written = http.write(text.as_bytes()).await;
             if written.is_ok() {
                 let (mut ledger, at) = (world.ledger(), world.now());
-                (ledger.tries[place].at, ledger.tries[place].written) = (at, true);
+                (ledger.tries[place].sent_at, ledger.tries[place].written) = (at, true);
             }
             let answered = match written {
                 Ok(()) => http.read(true).await,
@@ -169,13 +179,13 @@
             let broke = match answered {
                 Ok(Some((head, body))) => {
                     let end = match head.status {
-                        200 if made_for(&body, txn) => End::Served,
-                        200 => End::Wrong,
-                        429 | 503 => End::Refused(head.retry_after_ms),
-                        status => End::Failed(status),
+                        200 if made_for(&body, txn) => TryOutcome::Served,
+                        200 => TryOutcome::WrongBody,
+                        429 | 503 => TryOutcome::Refused(head.retry_after_ms),
+                        status => TryOutcome::Failed(status),
                     };
                     if http.has_more() {
-                        world.ledger().tries[place].extra += 1;
+                        world.ledger().tries[place].extra_answers += 1;
                     }
                     let kept = (!head.close).then_some(Kept { http, last: place, process });
                     return Some((end, kept));
@@ -190,7 +200,7 @@
                 && world.link_sound(Node::Client, Node::Gateway(gateway))
                 && broke != io::ErrorKind::InvalidData;
             if !crossed {
-                return Some((self.unless_written(place, End::Broken), None));
+                return Some((self.unless_written(place, TryOutcome::Disconnected), None));
             }
             world.ledger().tries[place].written = false;
         }
@@ -207,7 +217,7 @@
             match &kept.http.io {
                 Io::Plain(stream) => match stream.try_read(&mut [0]) {
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Some(kept.http),
-                    Ok(1..) => world.ledger().tries[kept.last].extra += 1,
+                    Ok(1..) => world.ledger().tries[kept.last].extra_answers += 1,
                     _ => {}
                 },
                 Io::Piped(..) => return Some(kept.http),
@@ -219,11 +229,11 @@
         let world = self.world;
         let (own, other) = (Node::Client, Node::Gateway(gateway));
         // Packets of a cut link get nowhere: the handshake waits until it is whole again.
-        while !world.links.comes_up(own, other, world.now()) {
+        while !world.links.can_connect(own, other, world.now()) {
             world.sleep_until(world.now() + 0.02).await;
         }
         let now = world.now();
-        if world.links.on(own, other, now).refuse || world.links.on(other, own, now).refuse {
+        if world.links.effect(own, other, now).refuse || world.links.effect(other, own, now).refuse {
             return Err(io::ErrorKind::ConnectionRefused.into());
         }
         let stream = TcpStream::connect(world.gateways[gateway].address()).await?;
--- a/lab/src/stage/counter.rs
+++ b/lab/src/stage/counter.rs
@@ -1,6 +1,6 @@
 //! The counter: the model behind a real socket.
 
-use crate::fault::{Fault, Node};
+use crate::fault::{FaultHandle, Node};
 use crate::model::counter::{Counter, Reply};
 use crate::stage::wire::{answer, Door, Http};
 use crate::stage::World;
@@ -18,7 +18,7 @@
     model: Mutex<Counter>,
     /// Rises when it is lost: its connections are reset.
     lives: watch::Sender<u64>,
-    gone: Mutex<Option<Fault>>,
+    gone: Mutex<Option<FaultHandle>>,
 }
 
 impl Seat {
@@ -41,7 +41,7 @@
     pub fn out(&self, world: &World, out: bool) {
         let mut gone = self.gone.lock().unwrap_or_else(|e| e.into_inner());
         let fault = if out {
-            let fault = world.links.cut_off(Node::Counter, world.plan.fleet.gateways, world.now());
+            let fault = world.links.isolate(Node::Counter, world.plan.fleet.gateways, world.now());
             *gone = Some(fault.clone());
             fault
         } else {
@@ -109,11 +109,11 @@
         let Some((name, by, life_ms)) = call else { return (now, answer(400, "", "no such call\n")) };
         let reply = self.model().call(now, name, by, life_ms / 1000.0, rand::rng().random());
         let mut ledger = world.ledger();
-        ledger.calls.0 += 1;
+        ledger.counter_calls.0 += 1;
         match reply {
             Reply::Total { at, total } => (at, answer(200, "", &format!("{total:.3}"))),
             Reply::Full { at } => {
-                ledger.calls.1 += 1;
+                ledger.counter_calls.1 += 1;
                 (at, answer(503, "", "full\n"))
             }
         }
--- a/lab/src/stage/datagrams.rs
+++ b/lab/src/stage/datagrams.rs
@@ -63,18 +63,18 @@
                 let _ = self.sockets[to].try_send_to(&buf[..length], place);
                 continue;
             };
-            let effect = world.links.on(Node::Gateway(from), Node::Gateway(to), world.now());
-            if effect.none() {
+            let effect = world.links.effect(Node::Gateway(from), Node::Gateway(to), world.now());
+            if effect.is_none() {
                 let _ = self.sockets[to].try_send_to(&buf[..length], place);
                 continue;
             }
             let (lost, copies, delay) = {
                 let mut rng = rand::rng();
-                let late = if rng.random_bool(effect.disorder) { DISORDER_S } else { 0.0 };
+                let late = if rng.random_bool(effect.reorder) { DISORDER_S } else { 0.0 };
                 (
                     effect.cut || rng.random_bool(effect.loss),
-                    1 + usize::from(rng.random_bool(effect.twice)),
-                    effect.delay_s + effect.spread_s * rng.random::<f64>() + late,
+                    1 + usize::from(rng.random_bool(effect.duplicate)),
+                    effect.delay_s + effect.jitter_s * rng.random::<f64>() + late,
                 )
             };
             if lost {
--- a/lab/src/stage/discovery.rs
+++ b/lab/src/stage/discovery.rs
@@ -98,7 +98,7 @@
         let (mut version, mut begun) = (index, false);
         loop {
             // What is written while nothing passes is not told.
-            while world.links.on(Node::Discovery, Node::Gateway(gateway), world.now()).cut {
+            while world.links.effect(Node::Discovery, Node::Gateway(gateway), world.now()).cut {
                 world.sleep_until(world.now() + LOOK_S).await;
             }
             let (has, next) = self.has(world, gateway);
@@ -128,12 +128,12 @@
 
     /// Notes what a gateway was told.
     fn told(&self, world: &World, gateway: usize, from: usize, to: usize) {
-        let effect = world.links.on(Node::Discovery, Node::Gateway(gateway), world.now());
-        let at = world.now() + effect.delay_s + effect.spread_s;
+        let effect = world.links.effect(Node::Discovery, Node::Gateway(gateway), world.now());
+        let at = world.now() + effect.delay_s + effect.jitter_s;
         let entries = world.registry().between(from, to);
         let mut ledger = world.ledger();
         for Entry { server, state, .. } in entries {
-            ledger.told.push((at, gateway, server, state != State::Ready));
+            ledger.notifications.push((at, gateway, server, state != State::Ready));
         }
     }
 }
--- a/lab/src/stage/gateways.rs
+++ b/lab/src/stage/gateways.rs
@@ -1,8 +1,8 @@
 //! Gateways: real processes, started, killed, paused, let go, upgraded and restarted.
 
-use crate::ledger::Life;
+use crate::ledger::GatewayEvent;
 use crate::model::front::{CLASSES, PLANS, UNITS_MOST};
-use crate::plan::{AIM_MS, DEADLINES_MS};
+use crate::plan::{DEADLINES_MS, TARGET_LATENCY_MS};
 use crate::stage::discovery::{object, zone_name};
 use crate::stage::machine::{used, Used};
 use crate::stage::wire::{Http, Io, Reserved};
@@ -138,7 +138,7 @@
         let known = object(world, place, version, true, &whole);
         let known: Value = serde_json::from_str(&known).unwrap_or(Value::Null);
         let class = |number: usize, effect: &str, value: f64, late: f64| {
-            json!({"name": CLASSES[number], "aim-ms": AIM_MS, "give-up-ms": DEADLINES_MS[number], "value": value,
+            json!({"name": CLASSES[number], "aim-ms": TARGET_LATENCY_MS, "give-up-ms": DEADLINES_MS[number], "value": value,
                 "late-worth": late, "effect": effect, "group": "all", "stream": false, "window-ms": 5000.0})
         };
         let tier = |number: usize, pays: f64, extra: f64, excess: f64| {
@@ -301,7 +301,7 @@
         world.nursery.pids().retain(|pid| *pid != process.pid);
         self.past.lock().unwrap_or_else(|e| e.into_inner()).cpu_s += last.cpu_s;
         if !process.told.load(Ordering::Relaxed) {
-            world.lives(self.place, Life::Crashed);
+            world.lives(self.place, GatewayEvent::Crashed);
             world.front_sees(self.place, false, world.plan.traffic.notice_s);
         }
         let _ = over.send(true);
@@ -316,7 +316,7 @@
         let process = self.spawn(world).await?;
         *self.process() = Some(process);
         self.number.fetch_add(1, Ordering::Relaxed);
-        world.lives(self.place, Life::Ready);
+        world.lives(self.place, GatewayEvent::Ready);
         world.front_sees(self.place, true, 0.0);
         Ok(())
     }
@@ -332,7 +332,7 @@
         let Some(process) = self.process().take() else { return };
         process.told.store(true, Ordering::Relaxed);
         self.number.fetch_add(1, Ordering::Relaxed);
-        world.lives(self.place, Life::Killed);
+        world.lives(self.place, GatewayEvent::Killed);
         signal(&process, Signal::KILL);
         world.front_sees(self.place, false, world.plan.traffic.notice_s);
         self.over(&process, END).await;
@@ -351,7 +351,7 @@
     /// SIGSTOP or SIGCONT.
     pub fn pause(&self, world: &World, stands: bool) {
         let Some(process) = self.process().clone() else { return };
-        world.lives(self.place, if stands { Life::Paused } else { Life::Resumed });
+        world.lives(self.place, if stands { GatewayEvent::Paused } else { GatewayEvent::Resumed });
         signal(&process, if stands { Signal::STOP } else { Signal::CONT });
         world.front_sees(self.place, !stands, world.plan.traffic.notice_s);
     }
@@ -368,14 +368,14 @@
     /// SIGTERM, and its end; one that hangs is killed.
     async fn end(&self, world: &World, process: &Process) {
         process.told.store(true, Ordering::Relaxed);
-        world.lives(self.place, Life::Terminated);
+        world.lives(self.place, GatewayEvent::Terminated);
         signal(process, Signal::TERM);
         if !self.over(process, END).await {
-            world.lives(self.place, Life::Killed);
+            world.lives(self.place, GatewayEvent::Killed);
             signal(process, Signal::KILL);
             self.over(process, END).await;
         } else if self.inherited.is_none() {
-            world.lives(self.place, Life::Ended);
+            world.lives(self.place, GatewayEvent::Exited);
         }
     }
 
@@ -397,7 +397,7 @@
         self.number.fetch_add(1, Ordering::Relaxed);
         if let Some(old) = old {
             self.end(world, &old).await;
-            world.lives(self.place, Life::Ready);
+            world.lives(self.place, GatewayEvent::Ready);
             self.learn_place(world, self.starts.load(Ordering::Relaxed) - 1).await;
         }
         Ok(())
--- a/lab/src/stage/mod.rs
+++ b/lab/src/stage/mod.rs
@@ -11,11 +11,11 @@
 mod wire;
 
 use crate::check::{self, Verdict};
-use crate::fault::{Effect, Fault, Links, Node};
-use crate::ledger::{Ledger, Life, Standing};
+use crate::fault::{Effect, FaultHandle, Links, Node};
+use crate::ledger::{GatewayEvent, Ledger, ServerState};
 use crate::model::front::{self, Arrival, Front};
 use crate::model::registry::{Entry, Registry, State};
-use crate::plan::{GatewayAct, Kind, Plan, ServerAct};
+use crate::plan::{EndpointKind, GatewayAction, Plan, ServerAction};
 use machine::{Late, Lateness};
 use rand::RngCore;
 use rand_distr::Distribution;
@@ -145,23 +145,24 @@
             let what = what.to_owned();
             move |e: std::io::Error| format!("{what}: {e}")
         };
-        let touches = |kind: Kind| {
+        let touches = |kind: EndpointKind| {
             plan.step
                 .iter()
                 .filter_map(|step| step.link.as_ref())
                 .any(|on| [on.from.kind, on.to.kind].contains(&kind))
         };
-        let acts =
-            |act: ServerAct| plan.step.iter().any(|s| s.servers.as_ref().is_some_and(|on| on.act == act));
+        let acts = |act: ServerAction| {
+            plan.step.iter().any(|s| s.servers.as_ref().is_some_and(|on| on.action == act))
+        };
         let out = plan
             .step
             .iter()
-            .any(|step| step.counter.as_ref().is_some_and(|on| on.act == crate::plan::CounterAct::Out));
+            .any(|step| step.counter.as_ref().is_some_and(|on| on.action == crate::plan::CounterAction::Out));
         let piped = [
-            touches(Kind::Servers) || acts(ServerAct::Vanish),
-            touches(Kind::Counter) || out,
-            touches(Kind::Discovery),
-            touches(Kind::Clients),
+            touches(EndpointKind::Servers) || acts(ServerAction::Vanish),
+            touches(EndpointKind::Counter) || out,
+            touches(EndpointKind::Discovery),
+            touches(EndpointKind::Clients),
         ];
         let mut rng = plan.rng(3);
         let speed = front::lognormal(1.0, plan.fleet.speed_cv);
@@ -173,7 +174,7 @@
             .map(|(place, speed)| servers::Seat::new(plan, place, *speed).map(Arc::new))
             .collect();
         let upgraded = plan.step.iter().enumerate().filter_map(|(number, step)| {
-            let on = step.gateways.as_ref().filter(|on| on.act == GatewayAct::Upgrade)?;
+            let on = step.gateways.as_ref().filter(|on| on.action == GatewayAction::Upgrade)?;
             Some(plan.gateways(on.who, number))
         });
         let upgraded: Vec<usize> = upgraded.flatten().collect();
@@ -188,7 +189,7 @@
         };
         let works = front::arrivals(plan);
         let began = vec![None; works.len()];
-        let ledger = Ledger { works: works.clone(), began, speeds, ..Ledger::default() };
+        let ledger = Ledger { requests: works.clone(), first_sent: began, speeds, ..Ledger::default() };
         Ok(Arc::new(World {
             works,
             links: Links::default(),
@@ -275,17 +276,17 @@
         self.asked.note(late_s.max(0.0));
     }
 
-    fn lives(&self, gateway: usize, life: Life) {
+    fn lives(&self, gateway: usize, life: GatewayEvent) {
         let mut ledger = self.ledger();
         let at = self.now();
-        ledger.lives.push((at, gateway, life));
+        ledger.gateway_events.push((at, gateway, life));
     }
 
-    fn stands(&self, server: usize, standing: Standing) {
+    fn stands(&self, server: usize, standing: ServerState) {
         let mut ledger = self.ledger();
         let at = self.now();
-        ledger.standings.push((at, server, standing));
-        self.servers[server].stands(standing == Standing::Up);
+        ledger.server_states.push((at, server, standing));
+        self.servers[server].stands(standing == ServerState::Up);
     }
 
     /// Something is wrong with the stage itself.
@@ -299,8 +300,8 @@
     /// Whether nothing is wrong between two, either way.
     fn link_sound(&self, one: Node, other: Node) -> bool {
         let now = self.now();
-        let sound = |effect: Effect| effect.none();
-        sound(self.links.on(one, other, now)) && sound(self.links.on(other, one, now))
+        let sound = |effect: Effect| effect.is_none();
+        sound(self.links.effect(one, other, now)) && sound(self.links.effect(other, one, now))
     }
 
     /// Whether a server that is up and that this gateway reaches has a core free.
@@ -308,7 +309,7 @@
         let now = self.now();
         self.servers.iter().enumerate().any(|(place, seat)| {
             seat.takes()
-                && self.links.comes_up(Node::Gateway(gateway), Node::Server(place), now)
+                && self.links.can_connect(Node::Gateway(gateway), Node::Server(place), now)
                 && seat.idle()
         })
     }
@@ -333,9 +334,9 @@
     }
 
     /// The listeners of those whom a fault touches drop the packets of links that do not come up.
-    fn refilter(&self, fault: &Fault) {
+    fn refilter(&self, fault: &FaultHandle) {
         let (gateways, now) = (self.plan.fleet.gateways, self.now());
-        for node in &fault.touches {
+        for node in &fault.affected {
             let door = match node {
                 Node::Server(place) => &self.servers[*place].door,
                 Node::Counter => &self.counter.door,
@@ -359,7 +360,7 @@
     plan: &Plan, options: &Options, stop: impl Future<Output = ()>,
     ready: impl FnOnce(&[std::net::SocketAddr]),
 ) -> Result<Outcome, String> {
-    let faults = plan.faults();
+    let faults = plan.validation_errors();
     if !faults.is_empty() {
         return Err(faults.join("\n"));
     }
@@ -397,7 +398,7 @@
             world
                 .registry()
                 .change(world.now(), Entry { server: place, state: State::Ready, started_ms: 0.0 });
-            world.stands(place, Standing::Up);
+            world.stands(place, ServerState::Up);
         }
     }
     world.counter.run(&world).await.map_err(here)?;
@@ -437,8 +438,8 @@
     }
     let mut ledger = std::mem::take(&mut *world.ledger());
     settle(&mut ledger, begin, plan.seconds);
-    let verdict = check::judge(plan, &ledger);
-    let works = verdict.figures.works.max(1) as f64;
+    let verdict = check::check_run(plan, &ledger);
+    let works = verdict.figures.requests.max(1) as f64;
     let machine = Machine {
         start_s,
         gateway_cpu_ms_per_s: (cpu_after - cpu_before) * 1000.0 / plan.fleet.gateways as f64 / plan.seconds,
@@ -492,26 +493,26 @@
 /// Times from load's beginning on, and attempts in order.
 fn settle(ledger: &mut Ledger, begin: f64, seconds: f64) {
     for one in &mut ledger.tries {
-        one.at -= begin;
-        one.until -= begin;
-        if let Some((at, _)) = &mut one.end {
+        one.sent_at -= begin;
+        one.deadline -= begin;
+        if let Some((at, _)) = &mut one.outcome {
             *at -= begin;
         }
     }
-    for run in &mut ledger.runs {
-        run.first -= begin;
-        run.came -= begin;
-        run.end.0 -= begin;
+    for run in &mut ledger.attempts {
+        run.first_byte_at -= begin;
+        run.received_at -= begin;
+        run.outcome.0 -= begin;
     }
-    ledger.runs.sort_by(|a, b| a.came.total_cmp(&b.came));
-    ledger.began.iter_mut().flatten().for_each(|at| *at -= begin);
-    ledger.told.iter_mut().for_each(|(at, ..)| *at -= begin);
-    ledger.lives.iter_mut().for_each(|(at, ..)| *at -= begin);
-    ledger.standings.iter_mut().for_each(|(at, ..)| *at -= begin);
-    ledger.needless.iter_mut().for_each(|at| *at -= begin);
+    ledger.attempts.sort_by(|a, b| a.received_at.total_cmp(&b.received_at));
+    ledger.first_sent.iter_mut().flatten().for_each(|at| *at -= begin);
+    ledger.notifications.iter_mut().for_each(|(at, ..)| *at -= begin);
+    ledger.gateway_events.iter_mut().for_each(|(at, ..)| *at -= begin);
+    ledger.server_states.iter_mut().for_each(|(at, ..)| *at -= begin);
+    ledger.needless_refusals.iter_mut().for_each(|at| *at -= begin);
     ledger.connections.iter_mut().for_each(|(at, _)| *at -= begin);
-    ledger.told.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.standings.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.lives.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.ended = seconds;
+    ledger.notifications.sort_by(|a, b| a.0.total_cmp(&b.0));
+    ledger.server_states.sort_by(|a, b| a.0.total_cmp(&b.0));
+    ledger.gateway_events.sort_by(|a, b| a.0.total_cmp(&b.0));
+    ledger.load_end = seconds;
 }
--- a/lab/src/stage/servers.rs
+++ b/lab/src/stage/servers.rs
@@ -1,7 +1,7 @@
 //! Servers: the model behind real sockets.
 
-use crate::fault::{Fault, Node};
-use crate::ledger::{work_of, Fate, Run, Standing};
+use crate::fault::{FaultHandle, Node};
+use crate::ledger::{request_of, Attempt, AttemptOutcome, ServerState};
 use crate::model::registry::State;
 use crate::model::server::{Server, Trouble, Verdict};
 use crate::stage::wire::{answer, Door, Http, Io};
@@ -36,7 +36,7 @@
     waits: HashMap<u64, oneshot::Sender<()>>,
     next: u64,
     held: usize,
-    vanished: Option<Fault>,
+    vanished: Option<FaultHandle>,
 }
 
 impl Inside {
@@ -51,21 +51,21 @@
 /// A request at a server; noted as dropped unless something else is said of it.
 struct Held<'a> {
     world: &'a World,
-    run: Run,
+    run: Attempt,
 }
 
 impl Held<'_> {
-    fn end(mut self, fate: Fate) {
-        self.run.end = (self.world.now(), fate);
+    fn end(mut self, fate: AttemptOutcome) {
+        self.run.outcome = (self.world.now(), fate);
     }
 }
 
 impl Drop for Held<'_> {
     fn drop(&mut self) {
-        if self.run.end.1 == Fate::Open {
-            self.run.end = (self.world.now(), Fate::Dropped);
+        if self.run.outcome.1 == AttemptOutcome::InProgress {
+            self.run.outcome = (self.world.now(), AttemptOutcome::Aborted);
         }
-        self.world.ledger().runs.push(self.run);
+        self.world.ledger().attempts.push(self.run);
     }
 }
 
@@ -145,7 +145,7 @@
     pub fn kill(&self, world: &World) {
         self.door.close();
         self.lives.send_modify(|life| *life += 1);
-        world.stands(self.place, Standing::Away);
+        world.stands(self.place, ServerState::Unavailable);
     }
 
     /// The process starts again, cold.
@@ -155,13 +155,13 @@
         if let Err(e) = self.open(world).await {
             world.fault(format!("server {}: {e}", self.place));
         }
-        world.stands(self.place, Standing::Up);
+        world.stands(self.place, ServerState::Up);
     }
 
     /// The machine vanishes, or is back.
     pub fn vanish(&self, world: &World, gone: bool) {
         let fault = if gone {
-            let fault = world.links.cut_off(Node::Server(self.place), world.plan.fleet.gateways, world.now());
+            let fault = world.links.isolate(Node::Server(self.place), world.plan.fleet.gateways, world.now());
             self.inside().vanished = Some(fault.clone());
             fault
         } else {
@@ -230,9 +230,9 @@
                 }
                 continue;
             }
-            let work = head.txn.and_then(|txn| Some((txn, world.works[work_of(txn, world.works.len())?])));
+            let work = head.txn.and_then(|txn| Some((txn, world.works[request_of(txn, world.works.len())?])));
             let Some((txn, arrival)) = work else {
-                world.ledger().strays += 1;
+                world.ledger().unknown_requests += 1;
                 let _ = http.write(&answer(404, "", "no such request\n")).await;
                 return false;
             };
@@ -252,11 +252,22 @@
             };
             self.wake.notify_one();
             let began = verdict == Verdict::Taken;
-            let end = (came, Fate::Open);
-            let held = Held { world, run: Run { txn, server: self.place, gateway, first, came, began, end } };
+            let end = (came, AttemptOutcome::InProgress);
+            let held = Held {
+                world,
+                run: Attempt {
+                    txn,
+                    server: self.place,
+                    gateway,
+                    first_byte_at: first,
+                    received_at: came,
+                    accepted: began,
+                    outcome: end,
+                },
+            };
             match verdict {
                 Verdict::Turned => {
-                    held.end(Fate::Turned);
+                    held.end(AttemptOutcome::Rejected);
                     let text = answer(503, "X-Turned-Away: 1\r\n", "no room\n");
                     if http.write(&text).await.is_err() {
                         return false;
@@ -264,7 +275,7 @@
                     continue;
                 }
                 Verdict::Error => {
-                    held.end(Fate::Error);
+                    held.end(AttemptOutcome::Error);
                     if http.write(&answer(500, "", "error\n")).await.is_err() {
                         return false;
                     }
@@ -291,16 +302,16 @@
             }
             let trouble = self.inside().model.troubles();
             if chances.0 < trouble.reset {
-                held.end(Fate::Unheard);
+                held.end(AttemptOutcome::AnswerLost);
                 return true;
             }
             if chances.1 < trouble.spoil {
-                held.end(Fate::Unheard);
+                held.end(AttemptOutcome::AnswerLost);
                 let _ = http.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nspoilt").await;
                 return true;
             }
             // Where the run is noted before its answer is heard, no client has an answer that nobody made.
-            held.end(Fate::Done);
+            held.end(AttemptOutcome::Done);
             let units = format!("X-Units-Charged: {}\r\n", arrival.units);
             if http.write(&answer(200, &units, &body(txn, self.place))).await.is_err() {
                 return false;
--- a/lab/src/stage/timeline.rs
+++ b/lab/src/stage/timeline.rs
@@ -2,7 +2,8 @@
 
 use crate::model::registry::State;
 use crate::plan::{
-    CounterAct, DiscoveryAct, GatewayAct, OnCounter, OnDiscovery, OnGateways, OnLink, OnServers, ServerAct,
+    CounterAction, CounterFault, DiscoveryAction, DiscoveryFault, GatewayAction, GatewayFault, LinkFault,
+    ServerAction, ServerFault,
 };
 use crate::stage::World;
 use std::sync::Arc;
@@ -27,7 +28,7 @@
 async fn step(world: &Arc<World>, number: usize) {
     let step = world.plan.step[number].clone();
     let at = world.begin() + step.at;
-    let ends = step.lasts.map(|lasts| at + lasts);
+    let ends = step.duration_s.map(|lasts| at + lasts);
     if let Some(on) = &step.gateways {
         gateways(world, number, on, (at, ends)).await;
     } else if let Some(on) = &step.servers {
@@ -50,8 +51,8 @@
     }
 }
 
-fn begin_link(world: &World, number: usize, on: &OnLink) -> crate::fault::Fault {
-    let fault = world.links.put(&world.plan, number, on, world.now());
+fn begin_link(world: &World, number: usize, on: &LinkFault) -> crate::fault::FaultHandle {
+    let fault = world.links.inject(&world.plan, number, on, world.now());
     world.refilter(&fault);
     fault
 }
@@ -65,15 +66,15 @@
     }
 }
 
-async fn gateways(world: &Arc<World>, number: usize, on: &OnGateways, (at, ends): (f64, Option<f64>)) {
+async fn gateways(world: &Arc<World>, number: usize, on: &GatewayFault, (at, ends): (f64, Option<f64>)) {
     let mut playing = tokio::task::JoinSet::new();
     for (turn, place) in world.plan.gateways(on.who, number).into_iter().enumerate() {
-        let (world, act, late) = (world.clone(), on.act, on.every * turn as f64);
+        let (world, act, late) = (world.clone(), on.action, on.every * turn as f64);
         playing.spawn(async move {
             world.sleep_until(at + late).await;
             let seat = world.gateways[place].clone();
             let done = match act {
-                GatewayAct::Kill => {
+                GatewayAction::Kill => {
                     seat.kill(&world).await;
                     match ends {
                         Some(ends) => {
@@ -83,15 +84,15 @@
                         None => Ok(()),
                     }
                 }
-                GatewayAct::Pause => {
+                GatewayAction::Pause => {
                     seat.pause(&world, true);
                     world.sleep_until(ends.unwrap_or(at) + late).await;
                     seat.pause(&world, false);
                     Ok(())
                 }
-                GatewayAct::Restart => seat.restart(&world).await,
-                GatewayAct::Upgrade => seat.upgrade(&world).await,
-                GatewayAct::Reload => seat.reload(&world),
+                GatewayAction::Restart => seat.restart(&world).await,
+                GatewayAction::Upgrade => seat.upgrade(&world).await,
+                GatewayAction::Reload => seat.reload(&world),
             };
             if let Err(e) = done {
                 world.fault(e);
@@ -101,7 +102,7 @@
     while playing.join_next().await.is_some() {}
 }
 
-async fn servers(world: &Arc<World>, number: usize, on: &OnServers, (at, ends): (f64, Option<f64>)) {
+async fn servers(world: &Arc<World>, number: usize, on: &ServerFault, (at, ends): (f64, Option<f64>)) {
     let mut playing = tokio::task::JoinSet::new();
     for (turn, place) in world.plan.servers(on.who, number).into_iter().enumerate() {
         let (world, on, late) = (world.clone(), on.clone(), on.every * turn as f64);
@@ -117,84 +118,84 @@
     while playing.join_next().await.is_some() {}
 }
 
-async fn server(world: &Arc<World>, place: usize, on: &OnServers, turn: Turn) {
-    use crate::ledger::Standing;
+async fn server(world: &Arc<World>, place: usize, on: &ServerFault, turn: Turn) {
+    use crate::ledger::ServerState;
     let (seat, begins) = (world.servers[place].clone(), turn == Turn::Begins);
     let share = if begins { on.by } else { 0.0 };
-    match on.act {
-        ServerAct::Kill if begins => {
+    match on.action {
+        ServerAction::Kill if begins => {
             seat.kill(world);
             world.discovery_hears(place, State::Gone, false);
         }
-        ServerAct::Kill => {
+        ServerAction::Kill => {
             seat.start(world).await;
             world.discovery_hears(place, State::Ready, true);
         }
-        ServerAct::Vanish if begins => {
+        ServerAction::Vanish if begins => {
             seat.vanish(world, true);
-            world.stands(place, Standing::Away);
+            world.stands(place, ServerState::Unavailable);
             world.discovery_hears(place, State::Gone, false);
         }
-        ServerAct::Vanish => {
+        ServerAction::Vanish => {
             // The machine is back with a new process.
             seat.kill(world);
             seat.vanish(world, false);
             seat.start(world).await;
             world.discovery_hears(place, State::Ready, true);
         }
-        ServerAct::Drain if begins => {
-            world.stands(place, Standing::Leaving);
+        ServerAction::Drain if begins => {
+            world.stands(place, ServerState::Draining);
             world.discovery_hears(place, State::Draining, false);
         }
-        ServerAct::Drain => {
+        ServerAction::Drain => {
             seat.kill(world);
             world.discovery_hears(place, State::Gone, false);
         }
-        ServerAct::Join => {
+        ServerAction::Join => {
             if begins {
                 seat.start(world).await;
                 world.discovery_hears(place, State::Ready, true);
             }
         }
-        ServerAct::Slow => seat.trouble(world, |trouble| trouble.slow = if begins { on.by } else { 1.0 }),
-        ServerAct::Errors => {
+        ServerAction::Slow => seat.trouble(world, |trouble| trouble.slow = if begins { on.by } else { 1.0 }),
+        ServerAction::Errors => {
             let usual = world.plan.fleet.errors;
             seat.trouble(world, |trouble| trouble.errors = share.max(usual));
         }
-        ServerAct::TurnAway => seat.trouble(world, |trouble| trouble.turn_away = share),
-        ServerAct::Reset => seat.trouble(world, |trouble| trouble.reset = share),
-        ServerAct::Spoil => seat.trouble(world, |trouble| trouble.spoil = share),
-        ServerAct::Report => seat.trouble(world, |trouble| trouble.report = begins.then_some(on.by)),
+        ServerAction::TurnAway => seat.trouble(world, |trouble| trouble.turn_away = share),
+        ServerAction::Reset => seat.trouble(world, |trouble| trouble.reset = share),
+        ServerAction::Spoil => seat.trouble(world, |trouble| trouble.spoil = share),
+        ServerAction::Report => seat.trouble(world, |trouble| trouble.report = begins.then_some(on.by)),
     }
 }
 
-fn counter(world: &World, on: &OnCounter, turn: Turn) {
+fn counter(world: &World, on: &CounterFault, turn: Turn) {
     let begins = turn == Turn::Begins;
-    match on.act {
-        CounterAct::Slow => {
+    match on.action {
+        CounterAction::Slow => {
             world.counter.model().slow_s = if begins { on.by / 1000.0 } else { 0.0 };
         }
-        CounterAct::Out => world.counter.out(world, begins),
-        CounterAct::Flush => {
+        CounterAction::Out => world.counter.out(world, begins),
+        CounterAction::Flush => {
             if begins {
                 world.counter.model().flush();
             }
         }
-        CounterAct::TurnAway => world.counter.model().turn_away = if begins { on.by } else { 0.0 },
+        CounterAction::TurnAway => world.counter.model().turn_away = if begins { on.by } else { 0.0 },
     }
 }
 
-fn discovery(world: &World, number: usize, on: &OnDiscovery, turn: Turn) {
+fn discovery(world: &World, number: usize, on: &DiscoveryFault, turn: Turn) {
     let begins = turn == Turn::Begins;
     for place in world.plan.gateways(on.who, number) {
         let mut agent = world.discovery.agent(place);
-        match on.act {
-            DiscoveryAct::Silent => agent.silent = begins,
-            DiscoveryAct::Late => agent.late_s = if begins { on.by } else { 0.0 },
-            DiscoveryAct::Stale => agent.stale_since = begins.then(|| world.now()),
+        match on.action {
+            DiscoveryAction::Silent => agent.silent = begins,
+            DiscoveryAction::Late => agent.late_s = if begins { on.by } else { 0.0 },
+            DiscoveryAction::Stale => agent.stale_since = begins.then(|| world.now()),
         }
     }
-    if on.act == DiscoveryAct::Silent && begins {
+    if on.action == DiscoveryAction::Silent && begins {
         world.discovery.silenced();
     }
     // Whoever waits for news looks again.
--- a/lab/src/stage/wire.rs
+++ b/lab/src/stage/wire.rs
@@ -107,7 +107,7 @@
     pub fn refilter(&self, links: &Links, gateways: usize, now: f64) -> io::Result<()> {
         let open = self.open.lock().unwrap_or_else(|e| e.into_inner()).clone();
         let Some(listener) = open else { return Ok(()) };
-        let blocked = (0..gateways).filter(|place| !links.comes_up(Node::Gateway(*place), self.node, now));
+        let blocked = (0..gateways).filter(|place| !links.can_connect(Node::Gateway(*place), self.node, now));
         SockRef::from(&*listener).attach_filter(&filter(blocked.map(view)))
     }
 
@@ -146,7 +146,7 @@
                 let (one, other) = (Node::Gateway(gateway), door.node);
                 let io = Io::new(&world, stream, other, one);
                 let now = world.now();
-                if world.links.on(one, other, now).refuse || world.links.on(other, one, now).refuse {
+                if world.links.effect(one, other, now).refuse || world.links.effect(other, one, now).refuse {
                     io.reset();
                 } else {
                     meet(gateway, io);
@@ -275,10 +275,10 @@
                 // A reset is heard as one; an end comes behind all that was sent before.
                 return if read.is_err() { Err(()) } else { Ok(()) };
             };
-            let effect = world.links.on(way.0, way.1, world.now());
+            let effect = world.links.effect(way.0, way.1, world.now());
             let (spread, lost) = {
                 let mut rng = rand::rng();
-                (effect.spread_s * rng.random::<f64>(), effect.loss > 0.0 && rng.random_bool(effect.loss))
+                (effect.jitter_s * rng.random::<f64>(), effect.loss > 0.0 && rng.random_bool(effect.loss))
             };
             let mut at = Instant::now() + Duration::from_secs_f64(effect.delay_s + spread);
             if lost {
@@ -294,10 +294,10 @@
         let mut passed = 0u64;
         while let Some((at, piece)) = due.recv().await {
             sleep_until(at).await;
-            let mut effect = world.links.on(way.0, way.1, world.now());
+            let mut effect = world.links.effect(way.0, way.1, world.now());
             while effect.cut {
                 sleep(LOOK).await;
-                effect = world.links.on(way.0, way.1, world.now());
+                effect = world.links.effect(way.0, way.1, world.now());
             }
             if effect.throttle.is_finite() {
                 sleep(Duration::from_secs_f64(piece.len() as f64 / effect.throttle)).await;
@@ -313,7 +313,7 @@
             }
         }
         // The other side hears of the end, unless the link is cut.
-        while world.links.on(way.0, way.1, world.now()).cut {
+        while world.links.effect(way.0, way.1, world.now()).cut {
             sleep(LOOK).await;
         }
         let _ = to.shutdown().await;
@@ -470,7 +470,7 @@
         )
         .unwrap();
         let links = Links::default();
-        let fault = links.put(&plan, 0, plan.step[0].link.as_ref().unwrap(), 0.0);
+        let fault = links.inject(&plan, 0, plan.step[0].link.as_ref().unwrap(), 0.0);
         door.refilter(&links, 3, 0.0).unwrap();
         let connects = |gateway| {
             tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(door.seen_by(gateway)))
