--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -1,194 +1,206 @@
-//! What became of each request, by one clock outside all gateways: what clients asked and heard, what servers were
-//! sent, began and finished, and what happened meanwhile.
+//! Records of a run on a single clock outside the gateways: the tries of clients, the attempts at servers, and the
+//! events of gateways and servers.
+//!
+//! A client sends a request in one or more tries, each through one gateway. A gateway forwards a try to servers in any
+//! number of attempts.
 
 use crate::model::front::Arrival;
 
-/// A request's number on the wire: the work's number and that of its try.
-pub fn txn(work: usize, attempt: u32) -> u64 {
-    ((work as u64) << 8) | u64::from(attempt.min(255))
+/// Returns the transaction ID of a try: the index of its request and the number of the try.
+pub fn transaction_id(request: usize, try_number: u32) -> u64 {
+    ((request as u64) << 8) | u64::from(try_number.min(255))
 }
 
-/// The work of a request's number, if it is one of so many.
-pub fn work_of(txn: u64, works: usize) -> Option<usize> {
-    usize::try_from(txn >> 8).ok().filter(|work| *work < works)
+/// Returns the index of the request of a transaction ID, or none if it is not below `requests`.
+pub fn request_of(txn: u64, requests: usize) -> Option<usize> {
+    usize::try_from(txn >> 8).ok().filter(|request| *request < requests)
 }
 
-/// How a try ended, as its client saw it.
+/// Result of a try, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// 200 with the body that a server made for this request.
+pub enum TryOutcome {
+    /// Status 200 with the body that a server returned for this request.
     Served,
-    /// 200 with anything else.
-    Wrong,
-    /// 429 or 503, with the time to come back in ms.
+    /// Status 200 with a different body.
+    WrongBody,
+    /// Status 429 or 503, with the Retry-After in ms.
     Refused(Option<u32>),
-    /// Any other answer.
+    /// Any other status.
     Failed(u16),
-    /// No connection came up, or it was closed before the request was whole.
+    /// No connection was established, or it was closed before the whole request was written.
     Unreached,
-    /// The connection ended without an answer.
-    Broken,
-    /// No answer came until the client left.
-    Silent,
+    /// The connection was closed without an answer.
+    Disconnected,
+    /// The client timed out waiting for an answer.
+    TimedOut,
 }
 
-/// One request on its way through one gateway.
+/// One try of a request, through one gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct Try {
-    /// Its number on the wire.
+    /// Transaction ID on the wire.
     pub txn: u64,
-    /// Whose.
-    pub work: usize,
-    /// The gateway.
+    /// Index of the request.
+    pub request: usize,
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When its last byte was written, in s; when it was begun if that never was.
-    pub at: f64,
-    /// Its last byte was written.
+    /// When the last byte was written, in s, or when the try started if it was not written completely.
+    pub sent_at: f64,
+    /// Whether the last byte was written.
     pub written: bool,
-    /// The client waits until then.
-    pub until: f64,
-    /// How it ended and when; none while it is open.
-    pub end: Option<(f64, End)>,
-    /// Answers beyond the one that is owed.
-    pub extra: u32,
+    /// Deadline of the client, in s.
+    pub deadline: f64,
+    /// Time and result, or none while the try is in progress.
+    pub outcome: Option<(f64, TryOutcome)>,
+    /// Number of answers beyond the first.
+    pub extra_answers: u32,
 }
 
-/// How an attempt at a server ended there.
+/// Result of an attempt at a server, as seen by the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// Still there.
-    Open,
-    /// It ran and its answer was written.
+pub enum AttemptOutcome {
+    /// In progress.
+    InProgress,
+    /// The request was processed and its answer was sent.
     Done,
-    /// It ran, and its answer was lost on purpose, spoilt or found nobody.
-    Unheard,
-    /// Answered with an error, without having run.
+    /// The request was processed, but a fault dropped or corrupted its answer.
+    AnswerLost,
+    /// The server returned an error without processing the request.
     Error,
-    /// Turned away unseen.
-    Turned,
-    /// Its gateway let go of it, or the server died.
-    Dropped,
+    /// The server rejected the request without processing it.
+    Rejected,
+    /// The gateway closed the connection, or the server died.
+    Aborted,
 }
 
-/// One attempt at a server.
+/// One attempt of a gateway at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
-    /// The request's number on the wire.
+pub struct Attempt {
+    /// Transaction ID on the wire.
     pub txn: u64,
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// When its first byte came.
-    pub first: f64,
-    /// When its last byte came.
-    pub came: f64,
-    /// It was let into work or the waiting room.
-    pub began: bool,
-    /// When it ended there, and how.
-    pub end: (f64, Fate),
+    /// When the first byte arrived, in s.
+    pub first_byte_at: f64,
+    /// When the last byte arrived, in s.
+    pub received_at: f64,
+    /// Whether the server accepted the request for processing or into its queue.
+    pub accepted: bool,
+    /// Time and result.
+    pub outcome: (f64, AttemptOutcome),
 }
 
-/// What happened to a gateway's process.
+/// An event of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
-    /// It answers that it is ready.
+pub enum GatewayEvent {
+    /// The process reported that it is ready.
     Ready,
-    /// SIGKILL.
+    /// SIGKILL was sent.
     Killed,
-    /// SIGSTOP.
+    /// SIGSTOP was sent.
     Paused,
-    /// SIGCONT.
+    /// SIGCONT was sent.
     Resumed,
-    /// SIGTERM.
+    /// SIGTERM was sent.
     Terminated,
-    /// It ended by itself after SIGTERM.
-    Ended,
-    /// It ended without being told to.
+    /// The process exited after SIGTERM.
+    Exited,
+    /// The process exited without a signal from the lab.
     Crashed,
 }
 
-/// A server's state as the whole fleet's list has it.
+/// State of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Listed and up.
+pub enum ServerState {
+    /// Listed and running.
     Up,
-    /// Drains, or is about to go.
-    Leaving,
-    /// Dead, vanished, gone or not yet there.
-    Away,
+    /// Draining before its removal.
+    Draining,
+    /// Not running, unreachable or not listed.
+    Unavailable,
 }
 
-/// All that was noted of one run.
+/// All records of a run.
 #[derive(Default)]
 pub struct Ledger {
-    /// First tries as they were drawn; a work is a place in here.
-    pub works: Vec<Arrival>,
-    /// When each work began to be asked for; none if the run ended before.
-    pub began: Vec<Option<f64>>,
-    /// All tries, in order of time.
+    /// All planned requests, in order of their due times. Other records refer to a request by its index here.
+    pub requests: Vec<Arrival>,
+    /// When each request was first sent, in s, or none if the run ended before.
+    pub first_sent: Vec<Option<f64>>,
+    /// All tries, in order of their start.
     pub tries: Vec<Try>,
-    /// All attempts at servers, in order of their last byte.
-    pub runs: Vec<Run>,
-    /// What servers were asked for that no client sent.
-    pub strays: u64,
-    /// When a gateway was told that a server drains or is gone, and when it was told that it is ready again.
-    pub told: Vec<(f64, usize, usize, bool)>,
-    /// What happened to gateways' processes.
-    pub lives: Vec<(f64, usize, Life)>,
-    /// What happened to servers.
-    pub standings: Vec<(f64, usize, Standing)>,
-    /// Speed of each server beside the usual one.
+    /// All attempts at servers, in order of arrival.
+    pub attempts: Vec<Attempt>,
+    /// Number of attempts with a transaction ID that no client sent.
+    pub unknown_requests: u64,
+    /// Notifications of gateways by discovery: time, gateway, server, and whether the server is draining or gone
+    /// (true) or ready (false).
+    pub notifications: Vec<(f64, usize, usize, bool)>,
+    /// Events of gateways: time, gateway, event.
+    pub gateway_events: Vec<(f64, usize, GatewayEvent)>,
+    /// State changes of servers: time, server, new state.
+    pub server_states: Vec<(f64, usize, ServerState)>,
+    /// Relative speed of each server. The average is 1.
     pub speeds: Vec<f64>,
-    /// Requests turned away or refused while a server had a core free: when.
-    pub needless: Vec<f64>,
-    /// Connections that servers accepted, by when and which; and probes that they answered.
+    /// Times of tries that were refused while a server had an idle core.
+    pub needless_refusals: Vec<f64>,
+    /// Connections that servers accepted: time, server.
     pub connections: Vec<(f64, usize)>,
-    /// Probes that servers answered.
+    /// Number of probes that servers answered.
     pub probes: u64,
-    /// Calls to the counter, and how many of them it turned away.
-    pub calls: (u64, u64),
-    /// When load ended, in s.
-    pub ended: f64,
+    /// Number of calls to the quota counter, and how many of them it rejected.
+    pub counter_calls: (u64, u64),
+    /// When the load ended, in s.
+    pub load_end: f64,
 }
 
 impl Ledger {
-    /// The times within which a gateway's process took requests and then went on to answer them: from ready until
-    /// it was killed, paused or crashed. SIGTERM leaves it `leave` seconds to answer what it took.
-    pub fn lived(&self, gateway: usize, from: f64, until: f64, leave: f64) -> bool {
-        let harmed = |life: &Life| matches!(life, Life::Killed | Life::Paused | Life::Crashed);
-        !self.lives.iter().any(|(at, which, life)| {
+    /// Whether a gateway ran without interruption from `from` until `until`, so that it had to answer a request received
+    /// at `from`. After SIGTERM it accepts requests for another `shutdown_grace` seconds.
+    pub fn was_running(&self, gateway: usize, from: f64, until: f64, shutdown_grace: f64) -> bool {
+        let interrupts = |event: &GatewayEvent| {
+            matches!(event, GatewayEvent::Killed | GatewayEvent::Paused | GatewayEvent::Crashed)
+        };
+        !self.gateway_events.iter().any(|(at, which, event)| {
             *which == gateway
-                && ((harmed(life) && (from..=until).contains(at))
-                    // What came long after SIGTERM came too late.
-                    || (*life == Life::Terminated && *at + leave < from && from < *at + 60.0))
-        }) && !self.away_at(gateway, from)
+                && ((interrupts(event) && (from..=until).contains(at))
+                    // The gateway need not accept requests received after the grace period.
+                    || (*event == GatewayEvent::Terminated && *at + shutdown_grace < from && from < *at + 60.0))
+        }) && !self.was_stopped_at(gateway, from)
     }
 
-    /// Whether a gateway's process was dead or stood still at a time.
-    fn away_at(&self, gateway: usize, at: f64) -> bool {
-        let mut before = self.lives.iter().filter(|(then, which, _)| *which == gateway && *then <= at);
-        before.next_back().is_some_and(|(_, _, life)| {
-            matches!(life, Life::Killed | Life::Paused | Life::Crashed | Life::Ended)
+    /// Whether a gateway's process was dead or paused at a time.
+    fn was_stopped_at(&self, gateway: usize, at: f64) -> bool {
+        let mut before =
+            self.gateway_events.iter().filter(|(then, which, _)| *which == gateway && *then <= at);
+        before.next_back().is_some_and(|(_, _, event)| {
+            matches!(
+                event,
+                GatewayEvent::Killed | GatewayEvent::Paused | GatewayEvent::Crashed | GatewayEvent::Exited
+            )
         })
     }
 
-    /// A server's standing at a time.
-    pub fn standing(&self, server: usize, at: f64) -> Standing {
-        let mut before = self.standings.iter().filter(|(then, which, _)| *which == server && *then <= at);
-        before.next_back().map_or(Standing::Away, |(_, _, standing)| *standing)
+    /// Returns the state of a server at a time.
+    pub fn server_state(&self, server: usize, at: f64) -> ServerState {
+        let mut before = self.server_states.iter().filter(|(then, which, _)| *which == server && *then <= at);
+        before.next_back().map_or(ServerState::Unavailable, |(_, _, state)| *state)
     }
 
-    /// The work of a request's number, if a client could have sent it.
-    pub fn work_of(&self, txn: u64) -> Option<usize> {
-        work_of(txn, self.works.len())
+    /// Returns the index of the request of a transaction ID, or none for an ID that no client can have sent.
+    pub fn request_of(&self, txn: u64) -> Option<usize> {
+        request_of(txn, self.requests.len())
     }
 
-    /// For each work the first good answer: when it came.
+    /// Returns for each request the time of its first `Served` result.
     pub fn served(&self) -> Vec<Option<f64>> {
-        let mut served = vec![None; self.works.len()];
-        for one in &self.tries {
-            if let (Some((at, End::Served)), Some(first)) = (one.end, served.get_mut(one.work)) {
+        let mut served = vec![None; self.requests.len()];
+        for client_try in &self.tries {
+            if let (Some((at, TryOutcome::Served)), Some(first)) =
+                (client_try.outcome, served.get_mut(client_try.request))
+            {
                 *first = first.or(Some(at));
             }
         }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `granite-lab`: plays plans of faults on a fleet of real gateways.
+//! Command line of `granite-lab`, which runs fault-injection plans and scale tests on a fleet of gateways.
 
 use clap::{Parser, Subcommand};
 use granite_lab::plan::Plan;
@@ -13,13 +13,13 @@
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 
-/// Counts what this process holds, for `slopes`.
+/// Tracks heap usage for `slopes`.
 #[global_allocator]
 static HEAP: peak_alloc::PeakAlloc = peak_alloc::PeakAlloc;
 
-struct Counted;
+struct TrackedHeap;
 
-impl Heap for Counted {
+impl Heap for TrackedHeap {
     fn now(&self) -> usize {
         HEAP.current_usage()
     }
@@ -32,103 +32,103 @@
 }
 
 #[derive(Parser)]
-#[command(version, about = "Plays plans of faults on a fleet of real gateways")]
+#[command(version, about = "Runs fault-injection plans and scale tests on a fleet of gateways")]
 struct Cli {
-    /// The gateway's program; without it the one beside this program, built first in a checkout.
+    /// Gateway program. Default: heronstage in the folder of this program, built first in a source checkout.
     #[arg(long, global = true, value_name = "FILE")]
     gateway: Option<PathBuf>,
     #[command(subcommand)]
-    command: Verb,
+    command: LabCommand,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Five gateways, ten servers, faults and load: what was served, refused and lost, in under 30 s.
+enum LabCommand {
+    /// Runs the plan `demo` with five gateways, ten servers, faults and load, in under 30 s.
     Demo,
-    /// Plays plans, each in turn: names of those that come with the program, or files.
+    /// Runs plans, one after the other.
     Run {
-        /// Plans.
+        /// Names of plans that come with the program, or paths of plan files.
         #[arg(required = true)]
         plans: Vec<String>,
-        /// Other seeds than the plan's own, each played in turn.
+        /// Seeds to run each plan with, instead of its own.
         #[arg(long, value_delimiter = ',', value_name = "N,N")]
         seeds: Vec<u64>,
-        /// Appends each outcome to a file, a line of JSON each.
+        /// Appends the outcome of each run to a file, as a line of JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// A gateway that is not ready by then is taken to hang.
+        /// Timeout for a gateway to become ready.
         #[arg(long, default_value_t = 30.0, value_name = "SECONDS")]
         ready_s: f64,
-        /// Another size: gateways, listed servers, first tries a second, seconds.
+        /// Number of gateways, instead of the plan's.
         #[arg(long, value_name = "N")]
         gateways: Option<usize>,
-        /// Listed servers.
+        /// Number of servers listed from the start, instead of the plan's.
         #[arg(long, value_name = "N")]
         servers: Option<usize>,
-        /// First tries a second; as many more or fewer customers.
+        /// Requests per second, instead of the plan's. The number of customers changes in proportion.
         #[arg(long, value_name = "N")]
         per_s: Option<f64>,
-        /// Seconds of load.
+        /// Duration of the load in seconds, instead of the plan's.
         #[arg(long, value_name = "N")]
         seconds: Option<f64>,
-        /// Keeps logs and configurations of the gateways in a folder.
+        /// Keeps the logs and configurations of the gateways in this folder.
         #[arg(long, value_name = "DIR")]
         keep: Option<PathBuf>,
     },
-    /// Measures what each message and each part of the state costs, in this process alone, in under three minutes.
+    /// Measures the cost of each message and each part of the state, in a single process, in under three minutes.
     Slopes {
-        /// Of what is drawn.
+        /// Seed of the generated configuration and load.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Writes all points to a file as JSON.
+        /// Writes all measurements to a file as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Real core processes before hollow gateways: how long changes take, and what they cost, by size.
+    /// Measures the duration and the cost of configuration changes by size, with real core processes.
     ///
-    /// Hollow gateways carry no traffic, and loopback has no distance.
+    /// The gateways are simulated: they carry no traffic. Loopback adds no network latency.
     Scale {
-        /// Numbers of gateways, each played with each part of the table.
+        /// Numbers of gateways. Each is run with each value of --percent.
         #[arg(long, value_delimiter = ',', default_value = "30,100,300,930", value_name = "N,N")]
         gateways: Vec<usize>,
-        /// Routes and tenants, in 100 of 7,600 and 29,000.
+        /// Numbers of routes and tenants, as percentages of 7,600 and 29,000.
         #[arg(long, value_delimiter = ',', default_value = "1,10,100", value_name = "N,N")]
         percent: Vec<f64>,
-        /// Backends, whatever the number of gateways; without it 6,900 for 930 gateways, and as many for each.
+        /// Number of backends. Default: in proportion to the gateways, 6,900 for 930.
         #[arg(long, value_name = "N")]
         backends: Option<usize>,
-        /// Of what is drawn.
+        /// Seed of the generated configuration and load.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Changes of the configuration in each run.
+        /// Number of configuration changes per run.
         #[arg(long, default_value_t = 20)]
         changes: u64,
-        /// The folder with the system's programs; without it that of this program.
+        /// Folder with the programs of the system. Default: the folder of this program.
         #[arg(long, value_name = "DIR")]
         programs: Option<PathBuf>,
-        /// What `slopes --json` wrote: its forecast stands beside each run.
+        /// Output of `slopes --json`, from which a forecast is printed for each run.
         #[arg(long, value_name = "FILE")]
         slopes: Option<PathBuf>,
-        /// A folder for `runs.jsonl`, to which a line is added for each run, and for the plots of all that stand in it.
+        /// Folder for results. Each run appends a line to `runs.jsonl`.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// Reads plans and says what is wrong with them.
+    /// Validates plans.
     Check {
-        /// Plans.
+        /// Names of plans that come with the program, or paths of plan files.
         #[arg(required = true)]
         plans: Vec<String>,
     },
     /// Lists the plans that come with the program, or prints one.
     Plans {
-        /// Its name.
+        /// Name of the plan to print.
         name: Option<String>,
     },
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    match act(&cli) {
+    match run_command(&cli) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
@@ -138,7 +138,8 @@
     }
 }
 
-fn read(name: &str) -> Result<Plan, String> {
+/// Reads the plan of this name that comes with the program, or else the file at this path.
+fn read_plan(name: &str) -> Result<Plan, String> {
     let text = match plans::plan(name) {
         Some(text) => text.to_owned(),
         None => std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
@@ -146,22 +147,24 @@
     Plan::read(&text).map_err(|e| format!("{name}: {e}"))
 }
 
-fn act(cli: &Cli) -> Result<bool, String> {
+/// Runs the command. Returns whether all runs passed.
+fn run_command(cli: &Cli) -> Result<bool, String> {
     match &cli.command {
-        Verb::Plans { name: None } => {
+        LabCommand::Plans { name: None } => {
             for (name, text) in PLANS {
                 println!("{name:20} {}", Plan::read(text)?.about);
             }
             Ok(true)
         }
-        Verb::Plans { name: Some(name) } => {
-            let text = plans::plan(name).ok_or_else(|| format!("no plan `{name}` comes with the program"))?;
+        LabCommand::Plans { name: Some(name) } => {
+            let text = plans::plan(name)
+                .ok_or_else(|| format!("unknown plan `{name}`: `granite-lab plans` lists the known ones"))?;
             print!("{text}");
             Ok(true)
         }
-        Verb::Slopes { seed, json } => {
-            let said = |what: &str| eprintln!("weighs: {what}");
-            let slopes = weigh::weigh(*seed, &Counted, &said)?;
+        LabCommand::Slopes { seed, json } => {
+            let log_progress = |what: &str| eprintln!("measuring: {what}");
+            let slopes = weigh::weigh(*seed, &TrackedHeap, &log_progress)?;
             print!("{}", weigh::text(&slopes));
             if let Some(file) = json {
                 let text = serde_json::to_string(&slopes).map_err(|e| e.to_string())?;
@@ -169,54 +172,55 @@
             }
             Ok(true)
         }
-        Verb::Scale { gateways, percent, backends, seed, changes, programs, slopes, out } => {
-            let own = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
-            let beside = own.parent().unwrap_or(Path::new(".")).to_owned();
-            let programs = programs.clone().unwrap_or(beside);
+        LabCommand::Scale { gateways, percent, backends, seed, changes, programs, slopes, out } => {
+            let lab = std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?;
+            let lab_folder = lab.parent().unwrap_or(Path::new(".")).to_owned();
+            let programs = programs.clone().unwrap_or(lab_folder);
             let options = run::Options { programs, seed: *seed, changes: *changes };
             let size = |gateways, percent| {
                 let size = Size::of(gateways, percent);
                 Size { backends: backends.unwrap_or(size.backends), ..size }
             };
-            let sizes =
-                percent.iter().flat_map(|percent| gateways.iter().map(|of| (*percent, size(*of, *percent))));
+            let sizes = percent
+                .iter()
+                .flat_map(|percent| gateways.iter().map(|gateways| (*percent, size(*gateways, *percent))));
             let sizes: Vec<_> = sizes.collect();
-            end_with_signals()?;
-            scale(&options, &sizes, slopes.as_deref(), out.as_deref())
+            exit_on_signals()?;
+            run_scale_tests(&options, &sizes, slopes.as_deref(), out.as_deref())
         }
-        Verb::Check { plans } => {
+        LabCommand::Check { plans } => {
             for name in plans {
-                read(name)?;
-                println!("{name}: no mistake");
+                read_plan(name)?;
+                println!("{name}: valid");
             }
             Ok(true)
         }
-        Verb::Demo => {
-            let plan = read("demo")?;
-            let options = Options::new(program(cli)?);
-            println!("starting {} gateways before {} servers ...", plan.fleet.gateways, plan.fleet.servers);
-            let outcome = play_watched(&plan, &options, stopped(), |gateways| {
+        LabCommand::Demo => {
+            let plan = read_plan("demo")?;
+            let options = Options::new(gateway_program(cli)?);
+            println!("starting {} gateways and {} servers ...", plan.fleet.gateways, plan.fleet.servers);
+            let outcome = play_watched(&plan, &options, stop_signal(), |gateways| {
                 println!(
-                    "load runs for {} s; meanwhile, in another shell:\n\n    {}\n",
+                    "the load runs for {} s; meanwhile, send a request from another shell:\n\n    {}\n",
                     plan.seconds,
-                    curl(gateways[0])
+                    curl_command(gateways[0])
                 );
-                println!("at 4 s gateway 1 is killed, at 5 s gateway 2 loses its link to half of the servers; at 9 s all heals");
+                println!("at 4 s gateway 1 is killed, at 5 s gateway 2 loses its link to half of the servers, and at 9 s both faults end");
             })?;
             print!("{}", report::text(&outcome));
             Ok(outcome.held())
         }
-        Verb::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
+        LabCommand::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
             let ready = Duration::try_from_secs_f64(*ready_s).map_err(|e| format!("--ready-s: {e}"))?;
-            let options = Options { keep: keep.clone(), ready, ..Options::new(program(cli)?) };
-            let mut file = json.as_deref().map(append).transpose()?;
-            let mut held = true;
+            let options = Options { keep: keep.clone(), ready, ..Options::new(gateway_program(cli)?) };
+            let mut file = json.as_deref().map(open_for_append).transpose()?;
+            let mut passed = true;
             for name in plans {
-                let mut plan = read(name)?;
+                let mut plan = read_plan(name)?;
                 plan.fleet.gateways = gateways.unwrap_or(plan.fleet.gateways);
                 plan.fleet.servers = servers.unwrap_or(plan.fleet.servers);
                 if let Some(per_s) = per_s {
-                    // Each customer goes on asking as much as before.
+                    // The request rate of each customer stays the same.
                     let customers = plan.traffic.customers as f64 * per_s / plan.traffic.per_s;
                     plan.traffic.customers = (customers.round() as usize).max(1);
                     plan.traffic.per_s = *per_s;
@@ -225,26 +229,26 @@
                 let seeds = if seeds.is_empty() { vec![plan.seed] } else { seeds.clone() };
                 for seed in seeds {
                     plan.seed = seed;
-                    let outcome = play(&plan, &options, stopped())?;
+                    let outcome = play(&plan, &options, stop_signal())?;
                     print!("{}", report::text(&outcome));
                     if let Some(file) = &mut file {
                         writeln!(file, "{}", report::json(&outcome))
-                            .map_err(|e| format!("the results: {e}"))?;
+                            .map_err(|e| format!("writing the results: {e}"))?;
                     }
-                    held &= outcome.held();
+                    passed &= outcome.held();
                 }
             }
-            Ok(held)
+            Ok(passed)
         }
     }
 }
 
-/// Ctrl-C and SIGTERM end the processes of a run, and this one. The folder of the run stays.
-fn end_with_signals() -> Result<(), String> {
+/// Kills the processes of a scale test and exits on SIGINT and SIGTERM. The folder of the run is kept.
+fn exit_on_signals() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("signals: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("signal handlers: {e}"))?;
     std::thread::spawn(move || {
-        runtime.block_on(stopped());
+        runtime.block_on(stop_signal());
         run::kill();
         eprintln!("granite-lab: stopped");
         std::process::exit(2);
@@ -252,15 +256,15 @@
     Ok(())
 }
 
-/// Plays all sizes, each in turn. True if all were played to their end.
-fn scale(
+/// Runs a scale test for each size, one after the other. Returns whether all completed.
+fn run_scale_tests(
     options: &run::Options, sizes: &[(f64, Size)], slopes: Option<&Path>, out: Option<&Path>,
 ) -> Result<bool, String> {
     if let Some((bad, _)) = sizes.iter().find(|(percent, _)| !(0.01..=100.0).contains(percent)) {
-        return Err(format!("--percent {bad}: from 0.01 to 100"));
+        return Err(format!("--percent {bad}: must be from 0.01 to 100"));
     }
     if sizes.iter().any(|(_, size)| size.gateways == 0 || size.backends == 0) || options.changes == 0 {
-        return Err("--gateways, --backends and --changes: 1 at least".to_owned());
+        return Err("--gateways, --backends and --changes: must be 1 or more".to_owned());
     }
     let slopes: Vec<weigh::Slope> = match slopes {
         Some(file) => {
@@ -269,10 +273,10 @@
         }
         None => Vec::new(),
     };
-    let mut played = true;
+    let mut completed = true;
     for (percent, size) in sizes {
-        let said = |what: &str| eprintln!("{} x {percent}: {what}", size.gateways);
-        let outcome = run::play(options, *size, *percent, &said)?;
+        let log_progress = |what: &str| eprintln!("{} x {percent}: {what}", size.gateways);
+        let outcome = run::play(options, *size, *percent, &log_progress)?;
         print!("{}", scale::report::text(&outcome));
         if outcome.failed.is_none() && !slopes.is_empty() {
             print!("{}", forecast::text(&forecast::Model(&slopes).beside(&outcome)));
@@ -280,34 +284,34 @@
         if let Some(folder) = out {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
             let line = serde_json::to_string(&outcome).map_err(|e| e.to_string())?;
-            writeln!(append(&folder.join("runs.jsonl"))?, "{line}")
-                .map_err(|e| format!("the results: {e}"))?;
+            writeln!(open_for_append(&folder.join("runs.jsonl"))?, "{line}")
+                .map_err(|e| format!("writing the results: {e}"))?;
         }
-        played &= outcome.failed.is_none();
+        completed &= outcome.failed.is_none();
     }
-    Ok(played)
+    Ok(completed)
 }
 
-/// A request that a person can send while the demo runs.
-fn curl(gateway: std::net::SocketAddr) -> String {
+/// Returns a command line that sends a request to a gateway of the demo.
+fn curl_command(gateway: std::net::SocketAddr) -> String {
     format!(
         "curl -i -H 'X-Txn: f000000000000001' -H 'X-Lane: status-read' -H 'X-Plan: basic' -H 'X-Remaining-Ms: 1500' \
          -H 'X-Quota: units=1,spread=1,first=0' 'http://{gateway}/status-read?account=0000000000000007'"
     )
 }
 
-fn append(path: &Path) -> Result<std::fs::File, String> {
+fn open_for_append(path: &Path) -> Result<std::fs::File, String> {
     let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
     file.map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Ctrl-C or SIGTERM.
-async fn stopped() {
+/// Waits for SIGINT or SIGTERM.
+async fn stop_signal() {
     use tokio::signal::unix::{signal, SignalKind};
     let wait = |kind| async move {
         match signal(kind) {
             Ok(mut signal) => drop(signal.recv().await),
-            // Without a handler the signal ends the process.
+            // Without a handler the signal terminates the process.
             Err(_) => std::future::pending().await,
         }
     };
@@ -317,28 +321,29 @@
     }
 }
 
-/// The gateway's program: as named, or the one beside this program, which a checkout builds first.
-fn program(cli: &Cli) -> Result<PathBuf, String> {
+/// Returns the path of the gateway program: the one given, or the one in this program's folder. The latter is built
+/// first if the source is present.
+fn gateway_program(cli: &Cli) -> Result<PathBuf, String> {
     if let Some(program) = &cli.gateway {
         return Ok(program.clone());
     }
-    let own = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
-    let beside = own.with_file_name("heronstage");
+    let lab = std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?;
+    let gateway = lab.with_file_name("heronstage");
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap_or(Path::new("."));
     if root.join("Cargo.toml").is_file() {
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
         build.current_dir(root).args(["build", "--quiet", "--locked", "--bin", "heronstage"]);
-        if own.parent().is_some_and(|folder| folder.ends_with("release")) {
+        if lab.parent().is_some_and(|folder| folder.ends_with("release")) {
             build.arg("--release");
         }
-        let built = build.status().map_err(|e| format!("cargo build: {e}"))?;
-        if !built.success() {
-            return Err("the gateway does not build".to_owned());
+        let status = build.status().map_err(|e| format!("cargo build: {e}"))?;
+        if !status.success() {
+            return Err("cargo build of the gateway failed".to_owned());
         }
     }
-    if beside.is_file() {
-        Ok(beside)
+    if gateway.is_file() {
+        Ok(gateway)
     } else {
-        Err(format!("no gateway at {}: name one by --gateway", beside.display()))
+        Err(format!("no gateway program at {}: set one with --gateway", gateway.display()))
     }
 }
