--- a/src/bin/heronstage/config/check.rs
+++ b/src/bin/heronstage/config/check.rs
@@ -1,7 +1,7 @@
-//! What is wrong with a configuration: all of it at once, each with its place and what is wanted there.
+//! Validation of a configuration. All errors are reported at once, each with its location and the expected value.
 
-use super::form::{Class, Form, DESCRIPTORS_FROM};
-use super::guide::{self, Kind};
+use super::form::{Class, NativeConfig, MIN_DESCRIPTORS};
+use super::guide::{self, FileFormat};
 use super::units::Millis;
 use cherrytally::membership::{MAX_MEMBERS, MAX_NAME_BYTES};
 use jsonschema::error::ValidationErrorKind;
@@ -11,312 +11,327 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::ops::RangeInclusive;
 
-/// Times in ms. One beyond a day is a mistake, and one that Duration can't hold would be a crash.
-pub const TIMES: RangeInclusive<f64> = 0.0..=86_400_000.0;
+/// Valid range of times, in ms. Larger values are likely errors, and `Duration` conversions panic on very large
+/// ones.
+pub const TIME_RANGE_MS: RangeInclusive<f64> = 0.0..=86_400_000.0;
+/// Message for a value outside its valid range.
 pub const OUT_OF_RANGE: &str = "out of range";
-/// Shorter periods are work without end, longer ones find nobody; in ms.
-const PERIODS: RangeInclusive<f64> = 20.0..=60_000.0;
-/// A probe unanswered for this share of a period goes by way of others, at the most and by itself: the rest of the
-/// period is theirs.
-pub const TIMEOUT_OF_PERIOD: (f64, f64) = (0.5, 0.25);
-/// Seeds at most.
-const SEEDS_MOST: usize = 64;
-/// A value is shown with so many characters at most.
-const SHOWN: usize = 60;
+/// Valid range of the cluster's probe period, in ms. Shorter periods cause excessive load, longer ones delay
+/// failure detection too much.
+const PERIOD_RANGE_MS: RangeInclusive<f64> = 20.0..=60_000.0;
+/// Maximum and default timeout of a direct probe, as shares of the probe period. The rest of the period is left for
+/// indirect probes.
+pub const PROBE_TIMEOUT_SHARES: (f64, f64) = (0.5, 0.25);
+/// Maximum number of seed addresses.
+const MAX_SEEDS: usize = 64;
+/// Values in messages are cut after this many characters.
+const MAX_VALUE_CHARS: usize = 60;
 
-/// One thing that is wrong.
+/// A violation of the configuration's rules.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    /// The key; where several clash the others follow.
+pub struct Violation {
+    /// The path of the invalid key, followed by those of other keys that it conflicts with.
     paths: Vec<String>,
-    what: String,
+    message: String,
 }
 
-impl Fault {
-    pub fn new(path: impl Into<String>, what: impl Into<String>) -> Self {
-        Fault { paths: vec![path.into()], what: what.into() }
+impl Violation {
+    /// A violation at one key; an empty path stands for the whole file.
+    pub fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
+        Violation { paths: vec![path.into()], message: message.into() }
     }
 
-    fn with(mut self, other: &str) -> Self {
+    /// Adds another key that the invalid one conflicts with.
+    fn with_conflict(mut self, other: &str) -> Self {
         self.paths.push(other.to_owned());
         self
     }
 
-    /// The key.
+    /// The path of the invalid key.
     pub fn path(&self) -> &str {
         &self.paths[0]
     }
 
-    /// The same with other names of its keys.
-    pub fn named(mut self, name: impl Fn(&str) -> String) -> Self {
-        self.paths = self.paths.iter().map(|path| name(path)).collect();
+    /// Replaces the paths of its keys.
+    pub fn map_paths(mut self, new_path: impl Fn(&str) -> String) -> Self {
+        self.paths = self.paths.iter().map(|path| new_path(path)).collect();
         self
     }
 
-    /// Whether its key ends so.
-    pub fn of(&self, end: &str) -> bool {
+    /// Whether the invalid key's path has this suffix.
+    pub fn path_ends_with(&self, end: &str) -> bool {
         self.path().ends_with(end)
     }
 
-    /// Whether it may have come from what is wrong elsewhere.
-    fn follows(&self, from: &[Fault]) -> bool {
-        let above = |path: &str, other: &str| {
+    /// Whether another violation is at, above or below one of its keys, and so may have caused it.
+    fn may_result_from(&self, others: &[Violation]) -> bool {
+        let contains = |path: &str, other: &str| {
             path.strip_prefix(other).is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
         };
-        self.paths.iter().any(|path| from.iter().any(|f| above(path, f.path()) || above(f.path(), path)))
+        let related =
+            |path: &str, cause: &Violation| contains(path, cause.path()) || contains(cause.path(), path);
+        self.paths.iter().any(|path| others.iter().any(|cause| related(path, cause)))
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.path() {
-            "" => f.write_str(&self.what),
-            path => write!(f, "{path}: {}", self.what),
+            "" => f.write_str(&self.message),
+            path => write!(f, "{path}: {}", self.message),
         }
     }
 }
 
-/// A fault and where it stands.
+/// A violation with its location.
 #[derive(Debug)]
-pub struct Mistake {
-    /// `file:line`, or the variable or flag.
-    pub place: String,
-    pub fault: Fault,
+pub struct Diagnostic {
+    /// `file:line`, or the environment variable or flag that sets the key.
+    pub location: String,
+    pub violation: Violation,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.fault)
+        write!(f, "{}: {}", self.location, self.violation)
     }
 }
 
-/// Whether one name stands twice.
-fn twice<'a>(names: impl Iterator<Item = &'a str>) -> Option<usize> {
+/// The index of the first repeated name.
+fn first_duplicate<'a>(names: impl Iterator<Item = &'a str>) -> Option<usize> {
     let mut seen = std::collections::HashSet::new();
-    names.enumerate().find(|(_, name)| !seen.insert(*name)).map(|(at, _)| at)
+    names.enumerate().find(|(_, name)| !seen.insert(*name)).map(|(index, _)| index)
 }
 
-/// What is wrong with a form beyond the types of its keys. With `strict` what the platform may do is wrong too.
-pub fn faults(form: &Form, strict: bool) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    let mut fault = |path: &str, what: &str| faults.push(Fault::new(path, what));
+/// Checks what the types of the keys do not express. `strict` adds checks that platform files are exempt from.
+pub fn check_native(config: &NativeConfig, strict: bool) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut report = |path: &str, message: &str| violations.push(Violation::new(path, message));
     let mut times = vec![
-        ("servers.connect_timeout", form.servers.connect_timeout),
-        ("servers.idle_timeout", form.servers.idle_timeout),
-        ("retries.retry_after_most", form.retries.retry_after_most),
-        ("rules.tick", form.rules.tick),
-        ("rules.warm_up", form.rules.warm_up),
+        ("servers.connect_timeout", config.servers.connect_timeout),
+        ("servers.idle_timeout", config.servers.idle_timeout),
+        ("retries.retry_after_most", config.retries.retry_after_most),
+        ("rules.tick", config.rules.tick),
+        ("rules.warm_up", config.rules.warm_up),
     ];
-    times.extend(form.counter.as_ref().map(|counter| ("counter.timeout", counter.timeout)));
+    times.extend(config.counter.as_ref().map(|counter| ("counter.timeout", counter.timeout)));
     if strict {
         times.extend([
-            ("rules.answer_slack", form.rules.answer_slack),
-            ("rules.drain_grace", form.rules.drain_grace),
-            ("rules.fall_after", form.rules.fall_after),
-            ("rules.ask_within", form.rules.ask_within),
+            ("rules.answer_slack", config.rules.answer_slack),
+            ("rules.drain_grace", config.rules.drain_grace),
+            ("rules.fall_after", config.rules.fall_after),
+            ("rules.ask_within", config.rules.ask_within),
         ]);
     }
     for (path, time) in times {
-        if !TIMES.contains(&time.0) {
-            fault(path, OUT_OF_RANGE);
+        if !TIME_RANGE_MS.contains(&time.0) {
+            report(path, OUT_OF_RANGE);
         }
     }
-    if form.limits.descriptors < DESCRIPTORS_FROM {
-        fault("limits.descriptors", "at least 40 are needed");
+    if config.limits.descriptors < MIN_DESCRIPTORS {
+        report("limits.descriptors", "must be at least 40");
     }
-    if form.fleet.gateways == 0 || form.fleet.position >= form.fleet.gateways {
-        fault(
+    if config.fleet.gateways == 0 || config.fleet.position >= config.fleet.gateways {
+        report(
             "fleet.position",
-            if strict { "not below fleet.gateways" } else { "not below settings.balancers" },
+            if strict { "must be less than fleet.gateways" } else { "must be less than settings.balancers" },
         );
     }
-    if form.classes.is_empty() {
-        fault("classes", "empty");
+    if config.classes.is_empty() {
+        report("classes", "empty");
     }
-    for (at, Class { aim, deadline, key_window, .. }) in form.classes.iter().enumerate() {
+    for (index, Class { aim, deadline, key_window, .. }) in config.classes.iter().enumerate() {
         if deadline.0 <= 0.0 {
-            fault(&format!("classes[{at}].deadline"), "a deadline that is not above 0");
+            report(&format!("classes[{index}].deadline"), "must be greater than 0");
         }
-        let mut long = |key: &str, time: &Millis| {
-            if strict && !TIMES.contains(&time.0) {
-                fault(&format!("classes[{at}].{key}"), OUT_OF_RANGE);
+        let mut check_range = |key: &str, time: &Millis| {
+            if strict && !TIME_RANGE_MS.contains(&time.0) {
+                report(&format!("classes[{index}].{key}"), OUT_OF_RANGE);
             }
         };
-        long("aim", aim);
-        long("deadline", deadline);
-        long("key_window", key_window);
+        check_range("aim", aim);
+        check_range("deadline", deadline);
+        check_range("key_window", key_window);
     }
-    if form.retries.attempts == 0 {
-        fault("retries.attempts", "not above 0");
+    if config.retries.attempts == 0 {
+        report("retries.attempts", "must be greater than 0");
     }
-    if let Some(at) = twice(form.classes.iter().map(|c| c.name.as_str())) {
-        fault(&format!("classes[{at}].name"), "a name stands twice");
+    if let Some(index) = first_duplicate(config.classes.iter().map(|c| c.name.as_str())) {
+        report(&format!("classes[{index}].name"), "duplicate name");
     }
-    if let Some(at) = twice(form.plans.iter().map(|p| p.name.as_str())) {
-        fault(&format!("plans[{at}].name"), "a name stands twice");
+    if let Some(index) = first_duplicate(config.plans.iter().map(|p| p.name.as_str())) {
+        report(&format!("plans[{index}].name"), "duplicate name");
     }
-    if let Some(seed) = form.seed.as_ref().filter(|seed| u64::from_str_radix(seed, 16).is_err()) {
-        fault("seed", &format!("{seed:?} is not a hex number"));
+    if let Some(seed) = config.seed.as_ref().filter(|seed| u64::from_str_radix(seed, 16).is_err()) {
+        report("seed", &format!("{seed:?} is not a hex number"));
     }
     if strict {
-        named(form, &mut fault);
-        faults.extend(clashes(form));
+        check_names(config, &mut report);
+        violations.extend(find_listener_conflicts(config));
     }
-    faults.extend(form.cluster.as_ref().map(|c| cluster(c, form)).unwrap_or_default());
-    faults
+    violations.extend(config.cluster.as_ref().map(|c| check_cluster(c, config)).unwrap_or_default());
+    violations
 }
 
-/// What names refer to.
-fn named(form: &Form, fault: &mut impl FnMut(&str, &str)) {
-    if let Some(at) = twice(form.zones.iter().map(String::as_str)) {
-        fault(&format!("zones[{at}]"), "a name stands twice");
-    }
-    if let Some(at) = twice(form.kinds.iter().map(String::as_str)) {
-        fault(&format!("kinds[{at}]"), "a name stands twice");
-    }
-    if !form.zones.contains(&form.zone) {
-        fault("zone", &format!("{:?} is none of zones", form.zone));
-    }
-    for (at, class) in form.classes.iter().enumerate() {
-        let fits = |c: char| c.is_ascii_alphanumeric() || "-_.~".contains(c);
-        if class.name.is_empty() || !class.name.chars().all(fits) {
-            fault(
-                &format!("classes[{at}].name"),
-                "letters, digits, - _ . ~ are wanted: it is a part of a path",
+/// Checks names, and that references to other keys are valid.
+fn check_names(config: &NativeConfig, report: &mut impl FnMut(&str, &str)) {
+    if let Some(index) = first_duplicate(config.zones.iter().map(String::as_str)) {
+        report(&format!("zones[{index}]"), "duplicate name");
+    }
+    if let Some(index) = first_duplicate(config.kinds.iter().map(String::as_str)) {
+        report(&format!("kinds[{index}]"), "duplicate name");
+    }
+    if !config.zones.contains(&config.zone) {
+        report("zone", &format!("{:?} is not in zones", config.zone));
+    }
+    for (index, class) in config.classes.iter().enumerate() {
+        let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.~".contains(c);
+        if class.name.is_empty() || !class.name.chars().all(allowed) {
+            report(
+                &format!("classes[{index}].name"),
+                "must consist of letters, digits, - _ . ~: it is a part of the request path",
             );
         }
     }
-    if let Some(peers) = form.peers.as_ref().filter(|p| p.addresses.len() != form.fleet.gateways as usize) {
-        let what =
-            format!("{} addresses, but fleet.gateways is {}", peers.addresses.len(), form.fleet.gateways);
-        fault("peers.addresses", &what);
+    if let Some(peers) = config.peers.as_ref().filter(|p| p.addresses.len() != config.fleet.gateways as usize)
+    {
+        let message =
+            format!("{} addresses, but fleet.gateways is {}", peers.addresses.len(), config.fleet.gateways);
+        report("peers.addresses", &message);
     }
 }
 
-/// Listeners that get into each other's way.
-fn clashes(form: &Form) -> Vec<Fault> {
+/// Listeners that cannot be bound at the same time.
+fn find_listener_conflicts(config: &NativeConfig) -> Vec<Violation> {
     let tcp = [
-        ("listeners.clients", Some(form.listeners.clients)),
-        ("listeners.operators", form.listeners.operators),
+        ("listeners.clients", Some(config.listeners.clients)),
+        ("listeners.operators", config.listeners.operators),
     ];
     let udp = [
-        ("peers.listen", form.peers.as_ref().map(|peers| peers.listen)),
-        ("cluster.listen", form.cluster.as_ref().map(|cluster| cluster.listen.into())),
+        ("peers.listen", config.peers.as_ref().map(|peers| peers.listen)),
+        ("cluster.listen", config.cluster.as_ref().map(|cluster| cluster.listen.into())),
     ];
-    let clash = |a: SocketAddr, b: SocketAddr| {
-        let same = a.ip() == b.ip()
+    let overlap = |a: SocketAddr, b: SocketAddr| {
+        let same_host = a.ip() == b.ip()
             || a.is_ipv4() == b.is_ipv4() && (a.ip().is_unspecified() || b.ip().is_unspecified());
-        a.port() != 0 && a.port() == b.port() && same
+        a.port() != 0 && a.port() == b.port() && same_host
     };
-    let of = |[(one, a), (other, b)]: [(&str, Option<SocketAddr>); 2]| {
-        let (a, b) = a.zip(b).filter(|(a, b)| clash(*a, *b))?;
-        Some(Fault::new(other, format!("{b} is taken by {one}, {a}")).with(one))
+    let conflict = |[(first, a), (second, b)]: [(&str, Option<SocketAddr>); 2]| {
+        let (a, b) = a.zip(b).filter(|(a, b)| overlap(*a, *b))?;
+        Some(Violation::new(second, format!("{b} conflicts with {first}, {a}")).with_conflict(first))
     };
-    [tcp, udp].into_iter().filter_map(of).collect()
+    [tcp, udp].into_iter().filter_map(conflict).collect()
 }
 
-fn cluster(c: &super::form::Cluster, form: &Form) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    let mut fault = |key: &str, what: &str| faults.push(Fault::new(format!("cluster.{key}"), what));
-    let bad =
+fn check_cluster(c: &super::form::Cluster, config: &NativeConfig) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut report =
+        |key: &str, message: &str| violations.push(Violation::new(format!("cluster.{key}"), message));
+    let invalid_name =
         |name: &str| name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control);
-    let at = |addr: &SocketAddrV4| {
+    let is_reachable = |addr: &SocketAddrV4| {
         let ip = addr.ip();
         addr.port() != 0 && !ip.is_unspecified() && !ip.is_multicast() && !ip.is_broadcast()
     };
-    if bad(&c.name) {
-        fault("name", "1 to 64 bytes are needed");
+    if invalid_name(&c.name) {
+        report("name", "must be 1 to 64 bytes without control characters");
     }
-    if bad(c.member.as_ref().unwrap_or(&form.name)) {
-        fault("member", "1 to 64 bytes are needed, here or as the gateway's name");
+    if invalid_name(c.member.as_ref().unwrap_or(&config.name)) {
+        report("member", "must be 1 to 64 bytes without control characters, here or as the gateway's name");
     }
-    let nowhere = *c.advertise.unwrap_or(c.listen).ip() == Ipv4Addr::UNSPECIFIED;
-    if c.advertise.is_some_and(|addr| !at(&addr)) || nowhere {
-        fault("advertise", "an address at which the others reach this gateway is needed");
+    let is_unspecified = *c.advertise.unwrap_or(c.listen).ip() == Ipv4Addr::UNSPECIFIED;
+    if c.advertise.is_some_and(|addr| !is_reachable(&addr)) || is_unspecified {
+        report("advertise", "must be an address at which other members reach this gateway");
     }
-    if c.seeds.len() > SEEDS_MOST || !c.seeds.iter().all(at) {
-        fault("seeds", "64 addresses of members at most");
+    if c.seeds.len() > MAX_SEEDS || !c.seeds.iter().all(is_reachable) {
+        report("seeds", "must be at most 64 addresses at which members can be reached");
     }
-    if !PERIODS.contains(&c.period.0) {
-        fault("period", "20 ms to 1 minute are needed");
+    if !PERIOD_RANGE_MS.contains(&c.period.0) {
+        report("period", "must be between 20 ms and 1 minute");
     }
-    if c.timeout.is_some_and(|timeout| !(1.0..=c.period.0 * TIMEOUT_OF_PERIOD.0).contains(&timeout.0)) {
-        fault("timeout", "1 ms to half of the period are needed");
+    if c.timeout.is_some_and(|timeout| !(1.0..=c.period.0 * PROBE_TIMEOUT_SHARES.0).contains(&timeout.0)) {
+        report("timeout", "must be between 1 ms and half of the period");
     }
-    let expected = c.expected.unwrap_or(form.fleet.gateways);
+    let expected = c.expected.unwrap_or(config.fleet.gateways);
     if expected == 0 || expected as usize > MAX_MEMBERS + 1 {
-        fault("expected", "1 to 1025 are needed, here or as the number of gateways");
+        report("expected", "must be between 1 and 1025, here or as the number of gateways");
     }
-    faults
+    violations
 }
 
-/// All that is wrong with a value of one of the two kinds of files.
-pub fn examine(value: &Value, kind: Kind) -> Vec<Fault> {
-    let schema = guide::schema_of(kind);
+/// Checks a file's value against the schema of its format, then against the rules beyond the schema.
+pub fn check_value(value: &Value, format: FileFormat) -> Vec<Violation> {
+    let schema = guide::schema_for(format);
     let validator = match jsonschema::validator_for(&schema) {
         Ok(validator) => validator,
-        // Ours to mend: the tests make it.
-        Err(e) => return vec![Fault::new("", format!("the program's own schema: {e}"))],
+        // A bug in this program, not in the file.
+        Err(e) => return vec![Violation::new("", format!("invalid built-in schema: {e}"))],
     };
-    let mut faults = Vec::new();
+    let mut violations = Vec::new();
     for error in validator.iter_errors(value) {
-        tell(&error, &schema, &mut faults);
+        describe_error(&error, &schema, &mut violations);
     }
-    if faults.iter().any(|fault| fault.path().is_empty()) {
-        return faults;
+    if violations.iter().any(|violation| violation.path().is_empty()) {
+        return violations;
     }
-    // What the keys mean together is looked at with what is wrong replaced by something that fits.
-    let mut mended = value.clone();
-    for fault in &faults {
-        guide::mend(&mut mended, &schema, fault.path());
+    // Replaces invalid values by valid samples, so that the remaining rules can be checked as well.
+    let mut repaired = value.clone();
+    for violation in &violations {
+        guide::replace_with_sample(&mut repaired, &schema, violation.path());
     }
-    match kind.faults(mended) {
-        Ok(more) => faults.extend(more.into_iter().filter(|f| !f.follows(&faults)).collect::<Vec<_>>()),
-        // What the schema lets through and the types do not.
-        Err(e) if faults.is_empty() => faults.push(Fault::new(e.path().to_string(), e.inner().to_string())),
+    match format.check(repaired) {
+        Ok(more) => {
+            let independent =
+                more.into_iter().filter(|v| !v.may_result_from(&violations)).collect::<Vec<_>>();
+            violations.extend(independent);
+        }
+        // The schema accepts some values that cannot be parsed.
+        Err(e) if violations.is_empty() => {
+            violations.push(Violation::new(e.path().to_string(), e.inner().to_string()))
+        }
         Err(_) => {}
     }
-    faults
+    violations
 }
 
-/// Puts an error of the schema into words.
-fn tell(error: &ValidationError<'_>, schema: &Value, faults: &mut Vec<Fault>) {
-    let path = key(error.instance_path().as_str());
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
-    let got = shown(error.instance());
-    let wanted = guide::wanted(schema, &path);
+/// Translates a schema error into violations.
+fn describe_error(error: &ValidationError<'_>, schema: &Value, violations: &mut Vec<Violation>) {
+    let path = key_path(error.instance_path().as_str());
+    let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let got = abbreviate(error.instance());
+    let expected = guide::describe_expected(schema, &path);
     match error.kind() {
         ValidationErrorKind::AdditionalProperties { unexpected } => {
             for name in unexpected {
-                let what = match guide::nearest(schema, &path, name) {
-                    Some(known) => format!("not known; the nearest known key is {known}"),
-                    None => "not known".to_owned(),
+                let message = match guide::nearest_key(schema, &path, name) {
+                    Some(known) => format!("unknown key; did you mean {known}?"),
+                    None => "unknown key".to_owned(),
                 };
-                faults.push(Fault::new(below(name), what));
+                violations.push(Violation::new(child(name), message));
             }
         }
         ValidationErrorKind::Required { property } => {
-            let missing = below(property.as_str().unwrap_or_default());
-            let what = format!("missing; wanted {}", guide::wanted(schema, &missing));
-            faults.push(Fault::new(missing, what));
+            let missing = child(property.as_str().unwrap_or_default());
+            let message = format!("missing; expected {}", guide::describe_expected(schema, &missing));
+            violations.push(Violation::new(missing, message));
         }
-        // An optional key: what is wrong with it where it is there.
+        // An optional key: reports the errors of the branch for a value that is present, not those for null.
         ValidationErrorKind::AnyOf { context } | ValidationErrorKind::OneOfNotValid { context } => {
-            let null = |e: &ValidationError<'_>| e.schema_path().as_str().ends_with("/1/type");
-            match context.iter().find(|errors| !errors.iter().all(null)) {
-                Some(errors) => errors.iter().for_each(|error| tell(error, schema, faults)),
-                None => faults.push(Fault::new(path, format!("got {got}, wanted {wanted}"))),
+            let is_null_branch = |e: &ValidationError<'_>| e.schema_path().as_str().ends_with("/1/type");
+            match context.iter().find(|errors| !errors.iter().all(is_null_branch)) {
+                Some(errors) => errors.iter().for_each(|error| describe_error(error, schema, violations)),
+                None => violations.push(Violation::new(path, format!("got {got}, expected {expected}"))),
             }
         }
         ValidationErrorKind::MinItems { .. } | ValidationErrorKind::MinLength { .. } => {
-            faults.push(Fault::new(path, format!("empty; wanted {wanted}")));
+            violations.push(Violation::new(path, format!("empty; expected {expected}")));
         }
-        _ => faults.push(Fault::new(path, format!("got {got}, wanted {wanted}"))),
+        _ => violations.push(Violation::new(path, format!("got {got}, expected {expected}"))),
     }
 }
 
-/// A JSON pointer as a key is written.
-fn key(pointer: &str) -> String {
+/// Converts a JSON pointer to a key path like `classes[0].name`.
+fn key_path(pointer: &str) -> String {
     let mut key = String::new();
     for part in pointer.split('/').skip(1) {
         let part = part.replace("~1", "/").replace("~0", "~");
@@ -331,15 +346,16 @@
     key
 }
 
-fn shown(value: &Value) -> String {
+/// A value for use in a message.
+fn abbreviate(value: &Value) -> String {
     let text = match value {
         Value::Object(_) => "a table".to_owned(),
         Value::Array(_) => "a list".to_owned(),
         Value::Null => "nothing".to_owned(),
         other => other.to_string(),
     };
-    match text.char_indices().nth(SHOWN) {
-        Some((at, _)) => format!("{}...", &text[..at]),
+    match text.char_indices().nth(MAX_VALUE_CHARS) {
+        Some((end, _)) => format!("{}...", &text[..end]),
         None => text,
     }
 }
--- a/src/bin/heronstage/config/form.rs
+++ b/src/bin/heronstage/config/form.rs
@@ -1,5 +1,5 @@
-//! What a gateway may be told, as one typed structure. Each key is documented here and nowhere else: the schema,
-//! the example and the page on the configuration are made from it.
+//! The native configuration format as types. Their doc comments document the keys: the schema, the example and the
+//! table of keys are generated from them.
 
 use super::units::{Address, AddressV4, Bytes, Millis};
 use schemars::JsonSchema;
@@ -7,15 +7,16 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// Descriptors without which no gateway does anything: those that are kept apart, and some to serve with.
-pub const DESCRIPTORS_FROM: usize = 40;
-/// Each member probes another one so often, unless the configuration says otherwise, in ms.
-const PERIOD_MS: f64 = 1000.0;
+/// Minimum number of descriptors: the reserved ones, and some for clients and backends.
+pub const MIN_DESCRIPTORS: usize = 40;
+/// Default probe period of cluster members, in ms.
+const DEFAULT_PERIOD_MS: f64 = 1000.0;
 
 /// The configuration of one gateway.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Form {
+#[schemars(rename = "Form")]
+pub struct NativeConfig {
     /// The gateway's name, the same after a restart.
     #[serde(default)]
     pub name: String,
@@ -203,7 +204,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
     /// Descriptors that the process may hold; places for clients and servers follow from it.
-    #[schemars(range(min = DESCRIPTORS_FROM))]
+    #[schemars(range(min = MIN_DESCRIPTORS))]
     pub descriptors: usize,
     /// Memory that the process may take; the room for bodies and answers in passing follows from it.
     pub memory: Bytes,
@@ -503,7 +504,7 @@
 }
 
 pub fn period() -> Millis {
-    Millis(PERIOD_MS)
+    Millis(DEFAULT_PERIOD_MS)
 }
 
 fn nothing() -> Millis {
--- a/src/bin/heronstage/config/guide.rs
+++ b/src/bin/heronstage/config/guide.rs
@@ -1,58 +1,62 @@
-//! What the typed structure says of its keys: the schema, the example and the page for people, and what is wanted
-//! where something is wrong.
+//! What is generated from the configuration types: the JSON schema, the example, the table of keys, and the
+//! descriptions of valid values in error messages.
 
-use super::form::Form;
-use super::{check, platform, Fault};
+use super::form::NativeConfig;
+use super::{check, platform, Violation};
 use schemars::generate::SchemaSettings;
 use serde_json::{Map, Value};
 use std::fmt::Write;
 
-/// Keys farther from a known one than this are not taken for it.
-const NEAR: f64 = 0.7;
+/// Minimum Jaro-Winkler similarity at which a known key is suggested for an unknown one.
+const MIN_KEY_SIMILARITY: f64 = 0.7;
 
-/// The two kinds of files.
+/// The formats of configuration files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// For people.
-    Form,
-    /// The platform's own.
+pub enum FileFormat {
+    /// The gateway's own, in TOML or JSON.
+    Native,
+    /// The platform's, in JSON.
     Platform,
 }
 
-impl Kind {
-    /// What is wrong with a value whose keys are all of their types.
-    pub fn faults(self, value: Value) -> Result<Vec<Fault>, serde_path_to_error::Error<serde_json::Error>> {
+impl FileFormat {
+    /// Parses a value that conforms to the format's schema, and checks it beyond the schema.
+    pub fn check(
+        self, value: Value,
+    ) -> Result<Vec<Violation>, serde_path_to_error::Error<serde_json::Error>> {
         match self {
-            Kind::Form => Ok(check::faults(&form(value)?, true)),
-            Kind::Platform => platform::faults(value),
+            FileFormat::Native => Ok(check::check_native(&parse_native(value)?, true)),
+            FileFormat::Platform => platform::check_value(value),
         }
     }
 }
 
-/// The typed structure, of a value.
-pub fn form(value: Value) -> Result<Form, serde_path_to_error::Error<serde_json::Error>> {
+/// Parses a value of the native format.
+pub fn parse_native(value: Value) -> Result<NativeConfig, serde_path_to_error::Error<serde_json::Error>> {
     serde_path_to_error::deserialize(value)
 }
 
-/// The JSON Schema of files for people.
+/// The JSON Schema of the native format.
 pub fn schema() -> Value {
-    schema_of(Kind::Form)
+    schema_for(FileFormat::Native)
 }
 
-pub fn schema_of(kind: Kind) -> Value {
+/// The JSON Schema of a format.
+pub fn schema_for(format: FileFormat) -> Value {
     let generator = SchemaSettings::draft2020_12().into_generator();
-    let mut schema: Value = match kind {
-        Kind::Form => generator.into_root_schema_for::<Form>().into(),
-        Kind::Platform => generator.into_root_schema_for::<platform::File>().into(),
+    let mut schema: Value = match format {
+        FileFormat::Native => generator.into_root_schema_for::<NativeConfig>().into(),
+        FileFormat::Platform => generator.into_root_schema_for::<platform::PlatformConfig>().into(),
     };
-    if kind == Kind::Form {
-        // Files for people have no null: a key is there or it is not.
-        without_null(&mut schema);
+    if format == FileFormat::Native {
+        // An optional key is left out, never null.
+        remove_null(&mut schema);
     }
     schema
 }
 
-fn without_null(schema: &mut Value) {
+/// Removes null from the types of optional keys.
+fn remove_null(schema: &mut Value) {
     match schema {
         Value::Object(map) => {
             if let Some(Value::Array(any)) = map.get_mut("anyOf") {
@@ -70,15 +74,15 @@
                     map.insert("type".to_owned(), only);
                 }
             }
-            map.values_mut().for_each(without_null);
+            map.values_mut().for_each(remove_null);
         }
-        Value::Array(all) => all.iter_mut().for_each(without_null),
+        Value::Array(all) => all.iter_mut().for_each(remove_null),
         _ => {}
     }
 }
 
-/// The parts of a key: names and places in lists.
-fn parts(path: &str) -> Vec<String> {
+/// Splits a key path into names and list indices.
+fn split_path(path: &str) -> Vec<String> {
     path.replace('[', ".")
         .replace(']', "")
         .split('.')
@@ -87,40 +91,41 @@
         .collect()
 }
 
-/// Follows references and takes the branch of an optional key that says something.
-fn follow<'a>(root: &'a Value, mut schema: &'a Value) -> &'a Value {
+/// Follows references, and of an optional key takes the branch that is not null.
+fn resolve<'a>(root: &'a Value, mut schema: &'a Value) -> &'a Value {
     loop {
-        let refers = schema["$ref"].as_str().and_then(|to| root.pointer(to.strip_prefix('#')?));
+        let referenced = schema["$ref"].as_str().and_then(|to| root.pointer(to.strip_prefix('#')?));
         let branch = schema["anyOf"].as_array().and_then(|any| any.iter().find(|one| one["type"] != "null"));
-        match refers.or(branch) {
+        match referenced.or(branch) {
             Some(next) => schema = next,
             None => return schema,
         }
     }
 }
 
-/// The schema of a key, if there is one.
-fn at<'a>(root: &'a Value, path: &str) -> Option<&'a Value> {
-    let mut schema = follow(root, root);
-    for part in parts(path) {
+/// The schema of a key; none if the key is unknown.
+fn schema_at<'a>(root: &'a Value, path: &str) -> Option<&'a Value> {
+    let mut schema = resolve(root, root);
+    for part in split_path(path) {
         let next = match &schema["properties"][&part] {
             Value::Null if schema["items"].is_object() => &schema["items"],
             Value::Null if schema["additionalProperties"].is_object() => &schema["additionalProperties"],
             Value::Null => return None,
             next => next,
         };
-        schema = follow(root, next);
+        schema = resolve(root, next);
     }
     Some(schema)
 }
 
-/// What is wanted of a key, in words.
-pub fn wanted(root: &Value, path: &str) -> String {
-    at(root, path).map_or_else(|| "something else".to_owned(), |schema| words(root, schema))
+/// Describes the valid values of a key.
+pub fn describe_expected(root: &Value, path: &str) -> String {
+    schema_at(root, path).map_or_else(|| "a different value".to_owned(), |schema| describe(root, schema))
 }
 
-fn words(root: &Value, schema: &Value) -> String {
-    let schema = follow(root, schema);
+/// Describes the values that a schema accepts.
+fn describe(root: &Value, schema: &Value) -> String {
+    let schema = resolve(root, schema);
     if let Some(options) = schema["enum"].as_array() {
         let options: Vec<_> = options.iter().filter_map(Value::as_str).collect();
         return format!("one of {}", options.join(", "));
@@ -133,15 +138,15 @@
     }
     let noun = match kind {
         "string" => match schema["pattern"].as_str() {
-            Some(pattern) => return format!("text like {pattern}"),
+            Some(pattern) => return format!("text that matches {pattern}"),
             None => "text",
         },
         "integer" => "a whole number",
         "number" => "a number",
         "boolean" => "true or false",
-        "array" => return format!("a list of {}", words(root, &schema["items"])),
+        "array" => return format!("a list of {}", describe(root, &schema["items"])),
         "object" => "a table",
-        _ => "something else",
+        _ => "a different value",
     };
     match (schema["minimum"].as_f64(), schema["maximum"].as_f64()) {
         (Some(from), Some(to)) if to < f64::from(u32::MAX) => format!("{noun} from {from} to {to}"),
@@ -150,46 +155,46 @@
     }
 }
 
-/// The known key that is nearest to a name in a table.
-pub fn nearest(root: &Value, table: &str, name: &str) -> Option<String> {
-    let known = at(root, table)?["properties"].as_object()?;
-    let near = known.keys().map(|key| (strsim::jaro_winkler(key, name), key));
-    let (score, key) = near.max_by(|a, b| a.0.total_cmp(&b.0))?;
-    (score >= NEAR).then(|| key.clone())
+/// The known key in a table that is most similar to a name.
+pub fn nearest_key(root: &Value, table: &str, name: &str) -> Option<String> {
+    let known = schema_at(root, table)?["properties"].as_object()?;
+    let scored = known.keys().map(|key| (strsim::jaro_winkler(key, name), key));
+    let (score, key) = scored.max_by(|a, b| a.0.total_cmp(&b.0))?;
+    (score >= MIN_KEY_SIMILARITY).then(|| key.clone())
 }
 
-/// Puts something that fits where something is wrong; what nobody knows is taken out.
-pub fn mend(value: &mut Value, root: &Value, path: &str) {
-    let mut parts = parts(path);
+/// Replaces the value of a key by a valid sample. An unknown key is removed.
+pub fn replace_with_sample(value: &mut Value, root: &Value, path: &str) {
+    let mut parts = split_path(path);
     let Some(last) = parts.pop() else { return };
     let mut table = value;
     for part in parts {
         let next = match part.parse::<usize>() {
-            Ok(place) if table.is_array() => table.get_mut(place),
+            Ok(index) if table.is_array() => table.get_mut(index),
             _ => table.get_mut(&part),
         };
         let Some(next) = next else { return };
         table = next;
     }
-    let fits = at(root, path).map(|schema| sample(root, schema));
-    match (table, fits) {
-        (Value::Object(table), Some(fits)) => drop(table.insert(last, fits)),
+    let valid = schema_at(root, path).map(|schema| sample(root, schema));
+    match (table, valid) {
+        (Value::Object(table), Some(valid)) => drop(table.insert(last, valid)),
         (Value::Object(table), None) => drop(table.remove(&last)),
-        (Value::Array(list), Some(fits)) => {
-            if let Some(place) = last.parse::<usize>().ok().and_then(|place| list.get_mut(place)) {
-                *place = fits;
+        (Value::Array(list), Some(valid)) => {
+            if let Some(item) = last.parse::<usize>().ok().and_then(|index| list.get_mut(index)) {
+                *item = valid;
             }
         }
         _ => {}
     }
 }
 
-/// Something that fits a schema.
+/// A value that a schema accepts: the default or the first example if there is one.
 fn sample(root: &Value, schema: &Value) -> Value {
-    let schema = follow(root, schema);
-    for given in [&schema["default"], &schema["examples"][0], &schema["enum"][0]] {
-        if !given.is_null() {
-            return given.clone();
+    let schema = resolve(root, schema);
+    for candidate in [&schema["default"], &schema["examples"][0], &schema["enum"][0]] {
+        if !candidate.is_null() {
+            return candidate.clone();
         }
     }
     match schema["type"].as_str().or_else(|| schema["type"][0].as_str()).unwrap_or("") {
@@ -203,82 +208,84 @@
         "array" => Vec::<Value>::new().into(),
         "object" => {
             let required = schema["required"].as_array().into_iter().flatten().filter_map(Value::as_str);
-            let made = required.map(|key| (key.to_owned(), sample(root, &schema["properties"][key])));
-            Value::Object(made.collect::<Map<_, _>>())
+            let samples = required.map(|key| (key.to_owned(), sample(root, &schema["properties"][key])));
+            Value::Object(samples.collect::<Map<_, _>>())
         }
         _ => Value::Null,
     }
 }
 
-/// One key as people read of it.
-struct Key {
-    /// With `[]` for the entries of a list.
+/// Documentation of a key.
+struct KeyDoc {
+    /// With `[]` for the items of a list.
     path: String,
-    wanted: String,
+    expected: String,
     default: Option<Value>,
     required: bool,
-    about: String,
-    /// It holds keys itself.
-    table: bool,
+    description: String,
+    /// The value is a table, or a list of tables.
+    is_table: bool,
 }
 
-fn collect(root: &Value, schema: &Value, path: &str, keys: &mut Vec<Key>) {
+/// Appends the documentation of a table's keys, and of those in the tables below it.
+fn collect_keys(root: &Value, schema: &Value, path: &str, keys: &mut Vec<KeyDoc>) {
     let required = schema["required"].as_array();
     for (name, key) in schema["properties"].as_object().into_iter().flatten() {
-        let own = follow(root, key);
+        let resolved = resolve(root, key);
         let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-        let entries = follow(root, &own["items"]);
-        let list = entries["properties"].is_object();
-        let about = [key, own].into_iter().find_map(|s| s["description"].as_str()).unwrap_or_default();
-        keys.push(Key {
+        let items = resolve(root, &resolved["items"]);
+        let is_list = items["properties"].is_object();
+        let description =
+            [key, resolved].into_iter().find_map(|s| s["description"].as_str()).unwrap_or_default();
+        keys.push(KeyDoc {
             path: path.clone(),
-            wanted: words(root, own),
+            expected: describe(root, resolved),
             default: Some(key["default"].clone()).filter(|default| !default.is_null()),
             required: required.is_some_and(|all| all.iter().any(|one| one == name)),
-            about: about.replace('\n', " "),
-            table: own["properties"].is_object() || list,
+            description: description.replace('\n', " "),
+            is_table: resolved["properties"].is_object() || is_list,
         });
-        if list {
-            collect(root, entries, &format!("{path}[]"), keys);
+        if is_list {
+            collect_keys(root, items, &format!("{path}[]"), keys);
         } else {
-            collect(root, own, &path, keys);
+            collect_keys(root, resolved, &path, keys);
         }
     }
 }
 
-fn all() -> Vec<Key> {
+fn all_keys() -> Vec<KeyDoc> {
     let root = schema();
     let mut keys = Vec::new();
-    collect(&root, &root, "", &mut keys);
+    collect_keys(&root, &root, "", &mut keys);
     keys
 }
 
-/// All keys as a table in Markdown.
+/// The documentation of all keys, as a Markdown table.
 pub fn keys() -> String {
     let mut text = String::from("| key | wanted | by default | about |\n| --- | --- | --- | --- |\n");
-    for key in all() {
-        let wanted = if key.table { "" } else { &key.wanted };
+    for key in all_keys() {
+        let expected = if key.is_table { "" } else { &key.expected };
         let default = match &key.default {
             _ if key.required => "needed".to_owned(),
-            Some(default) if !key.table => format!("`{}`", inline(default)),
+            Some(default) if !key.is_table => format!("`{}`", to_toml_line(default)),
             _ => String::new(),
         };
-        // A String takes every write.
-        let _ = writeln!(text, "| `{}` | {wanted} | {default} | {} |", key.path, key.about);
+        // Writing to a String cannot fail.
+        let _ = writeln!(text, "| `{}` | {expected} | {default} | {} |", key.path, key.description);
     }
     text
 }
 
-/// A value as it stands in a line of TOML.
-fn inline(value: &Value) -> String {
+/// Formats a value for a line of TOML.
+fn to_toml_line(value: &Value) -> String {
     match value {
-        Value::Array(all) => format!("[{}]", all.iter().map(inline).collect::<Vec<_>>().join(", ")),
+        Value::Array(all) => format!("[{}]", all.iter().map(to_toml_line).collect::<Vec<_>>().join(", ")),
         Value::Object(map) if map.is_empty() => "{}".to_owned(),
         other => other.to_string(),
     }
 }
 
-/// Values of the example for keys that have no default.
+/// Values in the example of keys without a useful default.
 const EXAMPLES: [(&str, &str); 25] = [
     ("seed", "\"8c1f30d27a5be964\""),
     ("listeners.clients", "\"127.0.0.1:9000\""),
@@ -306,37 +313,40 @@
     ("zones", "[\"default\"]"),
     ("kinds", "[\"default\"]"),
 ];
-/// Tables that the example leaves out, as comments: a gateway does without them.
+/// Optional tables, which the example has as comments.
 const OPTIONAL: [&str; 3] = ["counter", "peers", "cluster"];
 
-/// A commented file that starts as it stands.
+/// A commented configuration that a gateway can start with unchanged.
 pub fn example() -> String {
     let mut text = String::from(
         "# The configuration of one gateway. Keys that stand as comments show what holds without them; tables that\n\
          # stand as comments are off. The page docs/configuration.md has all of it.\n\n",
     );
-    for key in all() {
+    for key in all_keys() {
         let optional = OPTIONAL.iter().any(|table| key.path.split('.').next() == Some(table));
-        let mark = if optional { "# " } else { "" };
-        let given = EXAMPLES.iter().find(|(path, _)| *path == key.path).map(|(_, value)| (*value).to_owned());
+        let comment = if optional { "# " } else { "" };
+        let example =
+            EXAMPLES.iter().find(|(path, _)| *path == key.path).map(|(_, value)| (*value).to_owned());
         let last = key.path.rsplit('.').next().unwrap_or_default();
-        // A String takes every write.
-        let _ = match (&key.default, given) {
-            _ if key.table => {
-                let list = key.wanted.starts_with("a list");
-                let (open, close) = if list { ("[[", "]]") } else { ("[", "]") };
-                writeln!(text, "\n# {}\n{mark}{open}{}{close}", key.about, key.path)
+        // Writing to a String cannot fail.
+        let _ = match (&key.default, example) {
+            _ if key.is_table => {
+                let is_list = key.expected.starts_with("a list");
+                let (open, close) = if is_list { ("[[", "]]") } else { ("[", "]") };
+                writeln!(text, "\n# {}\n{comment}{open}{}{close}", key.description, key.path)
             }
             (_, Some(value))
                 if key.required
                     || key.path == "listeners.operators"
                     || !key.path.contains('.') && key.path != "seed" =>
             {
-                writeln!(text, "# {}\n{mark}{last} = {value}", key.about)
+                writeln!(text, "# {}\n{comment}{last} = {value}", key.description)
             }
-            (_, Some(value)) => writeln!(text, "# {}\n# {last} = {value}", key.about),
-            (Some(default), None) => writeln!(text, "# {}\n# {last} = {}", key.about, inline(default)),
-            (None, None) => writeln!(text, "# {}\n# {last} = ...", key.about),
+            (_, Some(value)) => writeln!(text, "# {}\n# {last} = {value}", key.description),
+            (Some(default), None) => {
+                writeln!(text, "# {}\n# {last} = {}", key.description, to_toml_line(default))
+            }
+            (None, None) => writeln!(text, "# {}\n# {last} = ...", key.description),
         };
     }
     text
--- a/src/bin/heronstage/config/mod.rs
+++ b/src/bin/heronstage/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: what a gateway is told, read and checked here once.
+//! The gateway's configuration: file formats, sources, validation and generated documentation.
 
 mod check;
 mod form;
@@ -7,7 +7,7 @@
 mod source;
 mod units;
 
-pub use check::Fault;
+pub use check::Violation;
 pub use form::{Customers, Format, Level, Logs};
 pub use guide::{example, keys, schema};
 pub use source::{Named, Shown, Source};
@@ -16,7 +16,7 @@
 use cherrytally::{
     Class, Counter, DedupScope, Idempotency, Limits, LoadReports, Penalties, Plan, Rules, Settings,
 };
-use form::Form;
+use form::NativeConfig;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::hash::{BuildHasher, RandomState};
@@ -24,75 +24,83 @@
 use std::time::Duration;
 use tokio::sync::watch::Receiver;
 
-/// Where discovery and the counter are: a reload may move them.
+/// Endpoints that a reload may change.
 #[derive(Clone, Copy)]
 pub struct Places {
     pub discovery: SocketAddr,
     pub counter: Option<SocketAddr>,
-    /// How long a call to the counter may take.
+    /// Timeout of a call to the counter.
     pub patience: Duration,
 }
 
-/// Waits until a place is no longer as it was.
+/// Waits until the predicate holds for the current endpoints.
 pub async fn moved(places: &mut Receiver<Places>, moved: impl FnMut(&Places) -> bool) {
     if places.wait_for(moved).await.is_err() {
-        // Nobody is left to tell of a move.
+        // The sender was dropped: there are no further changes.
         std::future::pending().await
     }
 }
 
-/// All that a gateway is told when it starts.
+/// A valid configuration, of either file format.
 pub struct Config {
-    /// The gateway's name; empty where none is given.
+    /// The gateway's name; empty if none is set.
     pub name: String,
     pub listen: SocketAddr,
-    /// All keys as they were given.
+    /// All keys and their values as loaded, to find changed keys on a reload.
     pub raw: serde_json::Value,
-    /// Whether it is of the form for people, where a change that needs a restart is turned down.
+    /// True for the native format: a reload that changes a key that needs a restart is rejected.
     pub strict: bool,
-    /// Where operators call, if they do.
+    /// Address of the operators' listener.
     pub operator: Option<SocketAddr>,
     pub places: Places,
     pub seed: u64,
+    /// Maximum number of descriptors of the process.
     pub sockets: usize,
+    /// Maximum memory of the process, in bytes.
     pub memory: u64,
     pub peer_listen: Option<SocketAddr>,
     pub peers: Vec<SocketAddr>,
+    /// Address that reaches all peers.
     pub peers_all: Option<SocketAddr>,
+    /// The backend list that a platform file contains.
     pub known: Option<Registry>,
     pub settings: Settings,
     pub classes: Vec<String>,
     pub plans: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
+    /// Timeout for connecting to a backend.
     pub connect_ms: f64,
+    /// Time after which an idle connection to a backend is closed.
     pub idle_ms: f64,
+    /// Maximum rate of messages accepted from peers, per second.
     pub peer_intake: f64,
-    /// The cluster that this gateway is a member of, if it is one.
+    /// The cluster that this gateway joins.
     pub cluster: Option<Cluster>,
     pub logs: Logs,
 }
 
-/// The gateway as a member of a cluster.
+/// This gateway's cluster membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cluster {
-    /// Where it listens for the others.
+    /// Address on which datagrams of other members are received.
     pub listen: SocketAddrV4,
-    /// What the member is told; with port 0 it advertises the port it listens on. Its start is its own.
+    /// The member's settings. An advertised port of 0 stands for the port of the listener; `start` is set when the
+    /// member starts.
     pub settings: membership::Settings,
 }
 
 impl Cluster {
-    /// Whether both are the same member of the same cluster at the same place.
+    /// Whether both are the same member of the same cluster at the same addresses.
     pub fn same(&self, other: &Cluster) -> bool {
-        let who = |c: &Cluster| {
+        let identity = |c: &Cluster| {
             (c.listen, c.settings.advertise, c.settings.name.clone(), c.settings.cluster.clone())
         };
-        who(self) == who(other)
+        identity(self) == identity(other)
     }
 }
 
-/// The list of backends, or the entries that changed.
+/// A list of backends, complete or only the changed entries.
 #[derive(Debug, Deserialize)]
 pub struct Registry {
     pub version: u64,
@@ -100,11 +108,11 @@
     pub servers: Vec<Server>,
 }
 
-/// One entry of the list.
+/// A backend in the list.
 #[derive(Debug, Deserialize)]
 pub struct Server {
     pub id: String,
-    /// Needed for all but those that are gone.
+    /// Required unless the backend is gone.
     pub addr: Option<SocketAddr>,
     #[serde(default)]
     pub zone: String,
@@ -119,6 +127,7 @@
     pub started_ms: f64,
 }
 
+/// The state of a backend in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum ServerState {
     Ready,
@@ -130,17 +139,17 @@
     1.0
 }
 
-/// What a change of the configuration touches.
+/// The difference between two configurations.
 #[derive(Deserialize, Serialize)]
 pub struct Changes {
-    /// The keys that differ.
+    /// Paths of the keys that differ.
     pub keys: Vec<String>,
-    /// Those of them that hold only after a restart.
+    /// Those of them that take effect only after a restart.
     pub restart: Vec<String>,
 }
 
-/// Keys that hold only after a restart, in the form for people and in the platform's.
-const RESTART: [(&[&str], bool); 2] = [
+/// Keys that take effect only after a restart, in the native and in the platform format; true marks the native one.
+const RESTART_KEYS: [(&[&str], bool); 2] = [
     (
         &[
             "name",
@@ -171,177 +180,181 @@
         false,
     ),
 ];
-/// Keys of the platform's that each file states anew and that say nothing of a change.
-const EACH_START: [&str; 2] = ["seed", "known"];
+/// Keys of the platform format that are not compared: each file has its own.
+const UNTRACKED_KEYS: [&str; 2] = ["seed", "known"];
 
 impl Config {
-    /// Makes of a form that has no fault what the gateway's parts are told.
-    fn resolve(form: Form, raw: serde_json::Value) -> Result<Self, String> {
-        let seed = match &form.seed {
+    /// Converts a valid native configuration.
+    fn from_native(config: NativeConfig, raw: serde_json::Value) -> Result<Self, String> {
+        let seed = match &config.seed {
             Some(seed) => u64::from_str_radix(seed, 16).map_err(|e| format!("configuration: seed: {e}"))?,
             None => RandomState::new().hash_one(0),
         };
-        let cluster = form.cluster.clone().map(|c| cluster(c, &form.name, form.fleet.gateways));
-        let patience = form.counter.as_ref().map_or(0.0, |counter| counter.timeout.0);
-        let settings = settings(&form);
+        let cluster = config.cluster.clone().map(|c| convert_cluster(c, &config.name, config.fleet.gateways));
+        let counter_timeout_ms = config.counter.as_ref().map_or(0.0, |counter| counter.timeout.0);
+        let settings = convert_settings(&config);
         Ok(Config {
-            name: form.name,
-            listen: form.listeners.clients,
+            name: config.name,
+            listen: config.listeners.clients,
             raw,
             strict: true,
-            operator: form.listeners.operators,
+            operator: config.listeners.operators,
             places: Places {
-                discovery: form.discovery.address,
-                counter: form.counter.map(|counter| counter.address),
-                patience: Duration::from_secs_f64(patience / 1000.0),
+                discovery: config.discovery.address,
+                counter: config.counter.map(|counter| counter.address),
+                patience: Duration::from_secs_f64(counter_timeout_ms / 1000.0),
             },
             seed,
-            sockets: form.limits.descriptors,
-            memory: form.limits.memory.0,
-            peer_listen: form.peers.as_ref().map(|peers| peers.listen),
-            peers_all: form.peers.as_ref().and_then(|peers| peers.broadcast),
-            peer_intake: form.peers.as_ref().map_or(0.0, |peers| peers.intake),
-            peers: form.peers.map(|peers| peers.addresses).unwrap_or_default(),
+            sockets: config.limits.descriptors,
+            memory: config.limits.memory.0,
+            peer_listen: config.peers.as_ref().map(|peers| peers.listen),
+            peers_all: config.peers.as_ref().and_then(|peers| peers.broadcast),
+            peer_intake: config.peers.as_ref().map_or(0.0, |peers| peers.intake),
+            peers: config.peers.map(|peers| peers.addresses).unwrap_or_default(),
             known: None,
             settings,
-            classes: form.classes.into_iter().map(|c| c.name).collect(),
-            plans: form.plans.into_iter().map(|p| p.name).collect(),
-            zones: form.zones,
-            kinds: form.kinds,
-            connect_ms: form.servers.connect_timeout.0,
-            idle_ms: form.servers.idle_timeout.0,
+            classes: config.classes.into_iter().map(|c| c.name).collect(),
+            plans: config.plans.into_iter().map(|p| p.name).collect(),
+            zones: config.zones,
+            kinds: config.kinds,
+            connect_ms: config.servers.connect_timeout.0,
+            idle_ms: config.servers.idle_timeout.0,
             cluster,
-            logs: form.logs,
+            logs: config.logs,
         })
     }
 
-    /// The keys that differ in a configuration read later.
-    pub fn changes(&self, later: &Config) -> Changes {
+    /// The keys that differ in a newer configuration.
+    pub fn changes(&self, newer: &Config) -> Changes {
         let mut keys = Vec::new();
-        differ("", &self.raw, &later.raw, &mut keys);
+        collect_changed_keys("", &self.raw, &newer.raw, &mut keys);
         if !self.strict {
-            keys.retain(|key| !EACH_START.iter().any(|each| under(key, each)));
+            keys.retain(|key| !UNTRACKED_KEYS.iter().any(|untracked| is_at_or_below(key, untracked)));
         }
-        let needs = |key: &str| {
-            RESTART.iter().any(|(prefixes, strict)| {
-                *strict == self.strict && prefixes.iter().any(|prefix| under(key, prefix))
+        let needs_restart = |key: &str| {
+            RESTART_KEYS.iter().any(|(prefixes, strict)| {
+                *strict == self.strict && prefixes.iter().any(|prefix| is_at_or_below(key, prefix))
             })
         };
-        // A counter where there was none.
-        let counter = self.settings.counter.is_none() && later.settings.counter.is_some();
-        let restart = keys.iter().filter(|key| needs(key) || counter && under(key, "counter"));
+        // Connections to the counter are created only at the start.
+        let adds_counter = self.settings.counter.is_none() && newer.settings.counter.is_some();
+        let restart =
+            keys.iter().filter(|key| needs_restart(key) || adds_counter && is_at_or_below(key, "counter"));
         Changes { restart: restart.cloned().collect(), keys }
     }
 
-    /// Whether a configuration read later brings other settings: an address that moved alone brings none.
-    pub fn retunes(&self, later: &Config) -> bool {
+    /// Whether the settings differ in a newer configuration. In the platform format the endpoints are not among them.
+    pub fn retunes(&self, newer: &Config) -> bool {
         if self.strict {
-            self.raw != later.raw
+            self.raw != newer.raw
         } else {
-            self.platform_settings() != later.platform_settings()
+            self.platform_settings() != newer.platform_settings()
         }
     }
 
-    /// The settings as the platform's file states them.
+    /// The settings object of a platform file.
     fn platform_settings(&self) -> &serde_json::Value {
-        &self.raw[platform::SETTINGS]
+        &self.raw[platform::SETTINGS_KEY]
     }
 
-    /// Why a configuration read later can't be taken, if it can't.
-    pub fn turns_down(&self, later: &Config, changes: &Changes) -> Option<String> {
+    /// The reason to reject a newer configuration, if there is one.
+    pub fn turns_down(&self, newer: &Config, changes: &Changes) -> Option<String> {
         if self.strict {
             let keys = changes.restart.join(", ");
             return Some(format!("{keys}: needs a restart")).filter(|_| !keys.is_empty());
         }
-        let (now, then) = (self.platform_settings(), later.platform_settings());
-        if let Some(key) = lacks(now, then) {
+        let (current, new) = (self.platform_settings(), newer.platform_settings());
+        if let Some(key) = find_missing_key(current, new) {
             return Some(format!("configuration: settings.{key}: missing"));
         }
-        // The list in hand and the module know zones and kinds by their places.
-        let places = ["zones", "kinds"].iter().any(|key| now[key] != then[key]);
-        places.then(|| "configuration: settings: other zones or kinds need a restart".to_owned())
+        // The backend list and the decision module refer to zones and kinds by index.
+        let names_changed = ["zones", "kinds"].iter().any(|key| current[key] != new[key]);
+        names_changed
+            .then(|| "configuration: settings: a change of zones or kinds needs a restart".to_owned())
     }
 }
 
-/// Whether a key is another one or stands below it.
-fn under(key: &str, other: &str) -> bool {
+/// Whether a key is another one or lies below it.
+fn is_at_or_below(key: &str, other: &str) -> bool {
     key.strip_prefix(other).is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
 }
 
-/// Collects the keys in which two values differ; lists count whole.
-fn differ(at: &str, now: &serde_json::Value, later: &serde_json::Value, keys: &mut Vec<String>) {
-    let (serde_json::Value::Object(a), serde_json::Value::Object(b)) = (now, later) else {
-        if now != later {
-            keys.push(at.to_owned());
+/// Collects the keys in which two values differ. A list that differs counts as one key.
+fn collect_changed_keys(
+    path: &str, current: &serde_json::Value, new: &serde_json::Value, keys: &mut Vec<String>,
+) {
+    let (serde_json::Value::Object(a), serde_json::Value::Object(b)) = (current, new) else {
+        if current != new {
+            keys.push(path.to_owned());
         }
         return;
     };
     let all: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
     for key in all {
-        let none = serde_json::Value::Null;
-        let at = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
-        differ(&at, a.get(key).unwrap_or(&none), b.get(key).unwrap_or(&none), keys);
+        let null = serde_json::Value::Null;
+        let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+        collect_changed_keys(&path, a.get(key).unwrap_or(&null), b.get(key).unwrap_or(&null), keys);
     }
 }
 
-/// Checks that settings read later hold every key that these do: ones that lack a key are broken, even if the
-/// gateway could do without it.
-fn lacks(raw: &serde_json::Value, later: &serde_json::Value) -> Option<String> {
-    let (serde_json::Value::Object(raw), serde_json::Value::Object(later)) = (raw, later) else {
+/// The path of a key that the new settings lack. Such settings are incomplete, even if the gateway does not need the
+/// key.
+fn find_missing_key(current: &serde_json::Value, new: &serde_json::Value) -> Option<String> {
+    let (serde_json::Value::Object(current), serde_json::Value::Object(new)) = (current, new) else {
         return None;
     };
-    raw.iter().find_map(|(key, value)| match later.get(key) {
+    current.iter().find_map(|(key, value)| match new.get(key) {
         None => Some(key.clone()),
-        Some(later) => lacks(value, later).map(|lacking| format!("{key}.{lacking}")),
+        Some(new) => find_missing_key(value, new).map(|missing| format!("{key}.{missing}")),
     })
 }
 
-/// What the decision module is told.
-fn settings(form: &Form) -> Settings {
+/// The settings of the decision module.
+fn convert_settings(config: &NativeConfig) -> Settings {
     Settings {
-        gateways: form.fleet.gateways,
-        position: form.fleet.position,
-        zone: form.zones.iter().position(|zone| *zone == form.zone).unwrap_or(0) as u32,
-        tick_ms: form.rules.tick.0,
-        classes: form.classes.iter().map(class).collect(),
-        plans: form.plans.iter().map(plan).collect(),
-        counter: form.counter.as_ref().map(|c| Counter { timeout_ms: c.timeout.0, call_cost: c.price }),
-        max_units: form.quotas.units_most,
-        units_are_estimates: form.quotas.settle,
+        gateways: config.fleet.gateways,
+        position: config.fleet.position,
+        zone: config.zones.iter().position(|zone| *zone == config.zone).unwrap_or(0) as u32,
+        tick_ms: config.rules.tick.0,
+        classes: config.classes.iter().map(convert_class).collect(),
+        plans: config.plans.iter().map(convert_plan).collect(),
+        counter: config.counter.as_ref().map(|c| Counter { timeout_ms: c.timeout.0, call_cost: c.price }),
+        max_units: config.quotas.units_most,
+        units_are_estimates: config.quotas.settle,
         limits: Limits {
-            max_attempts: form.retries.attempts,
-            hedging: form.retries.hedging,
-            cancel: form.retries.cancel,
-            probes: form.retries.probes,
-            peers: form.peers.is_some(),
-            retry_after: form.retries.retry_after,
-            max_retry_after_ms: form.retries.retry_after_most.0,
+            max_attempts: config.retries.attempts,
+            hedging: config.retries.hedging,
+            cancel: config.retries.cancel,
+            probes: config.retries.probes,
+            peers: config.peers.is_some(),
+            retry_after: config.retries.retry_after,
+            max_retry_after_ms: config.retries.retry_after_most.0,
         },
         penalties: Penalties {
-            cross_zone: form.prices.cross_zone,
-            waste: form.prices.waste,
-            probe: form.prices.probe,
-            late_fail: form.prices.late_fail,
+            cross_zone: config.prices.cross_zone,
+            waste: config.prices.waste,
+            probe: config.prices.probe,
+            late_fail: config.prices.late_fail,
         },
         rules: Rules {
-            answer_slack_ms: form.rules.answer_slack.0,
-            cold_capacity: form.rules.cold_from,
-            warm_up_ms: form.rules.warm_up.0,
-            drain_grace_ms: form.rules.drain_grace.0,
-            overload_multiple: form.rules.fall_multiple,
-            overload_ms: form.rules.fall_after.0,
-            max_poll_interval_ms: form.rules.ask_within.0,
+            answer_slack_ms: config.rules.answer_slack.0,
+            cold_capacity: config.rules.cold_from,
+            warm_up_ms: config.rules.warm_up.0,
+            drain_grace_ms: config.rules.drain_grace.0,
+            overload_multiple: config.rules.fall_multiple,
+            overload_ms: config.rules.fall_after.0,
+            max_poll_interval_ms: config.rules.ask_within.0,
             early_refusal_share: 0.0,
             retry_budget: None,
         },
-        // The module reads no load reports, so none are taken in.
+        // The decision module does not use load reports.
         load_reports: LoadReports::Off,
-        list_polled: form.discovery.mode == form::Mode::Ask,
+        list_polled: config.discovery.mode == form::Mode::Ask,
     }
 }
 
-fn class(c: &form::Class) -> Class {
-    let group = match c.key_group {
+fn convert_class(c: &form::Class) -> Class {
+    let scope = match c.key_group {
         form::Group::All => DedupScope::All,
         form::Group::Zone => DedupScope::Zone,
         form::Group::Cell => DedupScope::Cell,
@@ -353,15 +366,15 @@
         late_worth: c.late_worth,
         idempotency: match c.effect {
             form::Effect::Safe => Idempotency::Idempotent,
-            form::Effect::Keyed => Idempotency::Keyed { scope: group, window_ms: c.key_window.0 },
+            form::Effect::Keyed => Idempotency::Keyed { scope, window_ms: c.key_window.0 },
             form::Effect::Unsafe => Idempotency::NonIdempotent,
         },
-        // The protocol between clients and gateways has no streamed answers.
+        // The protocol between clients and gateways has no streamed responses.
         stream: false,
     }
 }
 
-fn plan(p: &form::Plan) -> Plan {
+fn convert_plan(p: &form::Plan) -> Plan {
     Plan {
         rate: p.rate,
         burst: p.burst,
@@ -375,8 +388,8 @@
     }
 }
 
-/// The member of a cluster; the gateway's own name and the number of gateways stand elsewhere in the form.
-fn cluster(c: form::Cluster, name: &str, gateways: u32) -> Cluster {
+/// The member of a cluster; the gateway's own name and the number of gateways stand elsewhere in the config.
+fn convert_cluster(c: form::Cluster, name: &str, gateways: u32) -> Cluster {
     let settings = membership::Settings {
         cluster: c.name,
         name: c.member.unwrap_or_else(|| name.to_owned()),
@@ -384,7 +397,7 @@
         start: 0,
         seeds: c.seeds,
         period_ms: c.period.0,
-        timeout_ms: c.timeout.map_or(c.period.0 * check::TIMEOUT_OF_PERIOD.1, |timeout| timeout.0),
+        timeout_ms: c.timeout.map_or(c.period.0 * check::PROBE_TIMEOUT_SHARES.1, |timeout| timeout.0),
         expected: Some(c.expected.unwrap_or(gateways)),
     };
     Cluster { listen: c.listen, settings }
--- a/src/bin/heronstage/config/platform.rs
+++ b/src/bin/heronstage/config/platform.rs
@@ -1,20 +1,21 @@
-//! The platform's own form: one JSON file, which `RELAY_CONFIG` names. It says what the platform says to every
-//! gateway, in the simulator's names; keys that it does not know are the platform's affair.
+//! The platform's configuration format: one JSON file, whose path is in `RELAY_CONFIG`. It has the settings that the
+//! platform gives to every gateway, under the simulator's names. Unknown keys are ignored.
 
 use super::form::{
-    self, Class, Counter, Customers, Discovery, Fleet, Form, Format, Level, Limits, Listeners, Logs, Peers,
-    Plan, Prices, Quotas, Retries, Rules, Servers,
+    self, Class, Counter, Customers, Discovery, Fleet, Format, Level, Limits, Listeners, Logs, NativeConfig,
+    Peers, Plan, Prices, Quotas, Retries, Rules, Servers,
 };
 use super::units::{Address, AddressV4, Bytes, Millis};
-use super::{check, Config, Fault, Places, Registry};
+use super::{check, Config, Places, Registry, Violation};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
+/// A platform file.
 #[derive(Deserialize, JsonSchema)]
-pub struct File {
+pub struct PlatformConfig {
     name: Option<String>,
     #[schemars(with = "Address")]
     listen: SocketAddr,
@@ -23,7 +24,7 @@
     #[schemars(with = "Address")]
     discovery: SocketAddr,
     seed: String,
-    limits: Machine,
+    limits: PlatformResources,
     #[schemars(with = "Option<Address>")]
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
@@ -35,14 +36,14 @@
     counter: Option<SocketAddr>,
     #[schemars(skip)]
     known: Option<Registry>,
-    cluster: Option<WireCluster>,
-    settings: Wire,
+    cluster: Option<PlatformCluster>,
+    settings: PlatformSettings,
 }
 
-/// Whatever it does not know is a mistake: it is the project's own.
+/// The cluster membership. Unknown keys are errors here: this table is an extension of this project.
 #[derive(Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-struct WireCluster {
+struct PlatformCluster {
     name: String,
     #[schemars(with = "AddressV4")]
     listen: SocketAddrV4,
@@ -57,53 +58,55 @@
     expected: Option<u32>,
 }
 
+/// What the process may use of the machine.
 #[derive(Deserialize, JsonSchema)]
-struct Machine {
+struct PlatformResources {
     sockets: usize,
     memory_mb: usize,
 }
 
+/// The settings of the decision module, and of connections.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-struct Wire {
+struct PlatformSettings {
     balancers: u32,
     position: u32,
     locality: u32,
     zones: Vec<String>,
     kinds: Vec<String>,
     granularity_ms: f64,
-    membership_mode: Mode,
-    categories: Vec<WireClass>,
-    tiers_of_service: Vec<WirePlan>,
-    domain: Domain,
-    limits: WireLimits,
-    penalties: Penalties,
-    rules: WireRules,
+    membership_mode: PlatformMode,
+    categories: Vec<PlatformClass>,
+    tiers_of_service: Vec<PlatformPlan>,
+    domain: PlatformDomain,
+    limits: PlatformLimits,
+    penalties: PlatformPenalties,
+    rules: PlatformRules,
 }
 
 #[derive(Deserialize, JsonSchema, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-enum Mode {
+enum PlatformMode {
     Push,
     Ask,
 }
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-struct WireClass {
+struct PlatformClass {
     name: String,
     aim_ms: f64,
     give_up_ms: f64,
     value: f64,
     late_worth: f64,
-    effect: WireEffect,
-    group: WireGroup,
+    effect: PlatformEffect,
+    group: PlatformGroup,
     window_ms: f64,
 }
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-enum WireEffect {
+enum PlatformEffect {
     ReadLike,
     IdempotencyKey,
     NonIdempotent,
@@ -111,7 +114,7 @@
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-enum WireGroup {
+enum PlatformGroup {
     All,
     Zone,
     Cell,
@@ -119,7 +122,7 @@
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-struct WirePlan {
+struct PlatformPlan {
     name: String,
     refill: f64,
     store_size: f64,
@@ -134,7 +137,7 @@
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-struct Domain {
+struct PlatformDomain {
     may_count: bool,
     counter_timeout_ms: f64,
     count_fee: f64,
@@ -145,7 +148,7 @@
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-struct WireLimits {
+struct PlatformLimits {
     try_limit: u32,
     may_duplicate: bool,
     cancel: bool,
@@ -159,7 +162,7 @@
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-struct Penalties {
+struct PlatformPenalties {
     cross_zone: f64,
     waste: f64,
     probe: f64,
@@ -168,7 +171,7 @@
 
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
-struct WireRules {
+struct PlatformRules {
     answer_slack_ms: f64,
     cold_from: f64,
     warm_up_ms: f64,
@@ -178,8 +181,8 @@
     ask_within_ms: f64,
 }
 
-/// Where a key of the form stands in the platform's file.
-const NAMES: [(&str, &str); 19] = [
+/// Keys of the native format and the corresponding keys of the platform format.
+const KEY_NAMES: [(&str, &str); 19] = [
     ("listeners.clients", "listen"),
     ("listeners.operators", "operator"),
     ("limits.descriptors", "limits.sockets"),
@@ -201,152 +204,162 @@
     ("plans", "settings.tiers-of-service"),
 ];
 
-/// The platform's name of a key.
-fn name(path: &str) -> String {
-    let named = NAMES.iter().find_map(|(ours, theirs)| Some((path.strip_prefix(ours)?, theirs)));
-    let (rest, theirs) =
-        named.filter(|(rest, _)| rest.is_empty() || rest.starts_with('[')).unwrap_or((path, &""));
-    format!("{theirs}{}", rest.replace(".deadline", ".give-up-ms"))
+/// The path in the platform format of a key of the native format.
+fn platform_path(path: &str) -> String {
+    let matched =
+        KEY_NAMES.iter().find_map(|(native, platform)| Some((path.strip_prefix(native)?, platform)));
+    let (rest, platform) =
+        matched.filter(|(rest, _)| rest.is_empty() || rest.starts_with('[')).unwrap_or((path, &""));
+    format!("{platform}{}", rest.replace(".deadline", ".give-up-ms"))
 }
 
-/// The object of settings in a platform's file.
-pub const SETTINGS: &str = "settings";
+/// The key of the settings object; only platform files have it.
+pub const SETTINGS_KEY: &str = "settings";
 
-/// Reads a platform's file; an error is one line that names the field.
+/// Parses and checks a platform file. An error is one line that names the first invalid key.
 pub fn parse(text: &str) -> Result<Config, String> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let file: File = serde_path_to_error::deserialize(&mut json)
+    let file: PlatformConfig = serde_path_to_error::deserialize(&mut json)
         .map_err(|e| format!("configuration: {}: {}", e.path(), e.inner()))?;
     json.end().map_err(|e| format!("configuration: {e}"))?;
     let mut raw: serde_json::Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
-    // The list is long, and of no meaning once it was taken.
+    // The backend list is long, and not compared on a reload.
     if let Some(raw) = raw.as_object_mut() {
         raw.remove("known");
     }
-    let form = file.form();
-    if let Some(fault) = file.faults(&form).first() {
-        return Err(format!("configuration: {fault}"));
+    let native = file.to_native();
+    if let Some(violation) = file.check(&native).first() {
+        return Err(format!("configuration: {violation}"));
     }
-    file.config(form, raw)
+    file.into_config(native, raw)
 }
 
-/// All that is wrong with a file whose keys are whole.
-pub fn faults(value: serde_json::Value) -> Result<Vec<Fault>, serde_path_to_error::Error<serde_json::Error>> {
-    let file: File = serde_path_to_error::deserialize(value)?;
-    Ok(file.faults(&file.form()))
+/// Parses a platform file and returns all its violations.
+pub fn check_value(
+    value: serde_json::Value,
+) -> Result<Vec<Violation>, serde_path_to_error::Error<serde_json::Error>> {
+    let file: PlatformConfig = serde_path_to_error::deserialize(value)?;
+    Ok(file.check(&file.to_native()))
 }
 
-impl File {
-    /// What is wrong with it, by the platform's names.
-    fn faults(&self, form: &Form) -> Vec<Fault> {
-        let w = &self.settings;
-        let mut faults = Vec::new();
-        let mut fault = |path: &str, what: &str| faults.push(Fault::new(path, what));
-        // These the form can't say: it has zones by name, and a counter or peers whole or not at all.
-        if !check::TIMES.contains(&w.domain.counter_timeout_ms) {
-            fault("settings.domain.counter-timeout-ms", check::OUT_OF_RANGE);
+impl PlatformConfig {
+    /// All violations, with the paths of the platform format.
+    fn check(&self, native: &NativeConfig) -> Vec<Violation> {
+        let settings = &self.settings;
+        let mut violations = Vec::new();
+        let mut report = |path: &str, message: &str| violations.push(Violation::new(path, message));
+        // The native format cannot express these: its zone is a name, and its counter and peers are optional tables.
+        if !check::TIME_RANGE_MS.contains(&settings.domain.counter_timeout_ms) {
+            report("settings.domain.counter-timeout-ms", check::OUT_OF_RANGE);
         }
-        if !check::TIMES.contains(&w.domain.peer_intake) {
-            fault("settings.domain.peer-intake", check::OUT_OF_RANGE);
+        if !check::TIME_RANGE_MS.contains(&settings.domain.peer_intake) {
+            report("settings.domain.peer-intake", check::OUT_OF_RANGE);
         }
-        if w.locality as usize >= w.zones.len() {
-            fault("settings.locality", "not a place in settings.zones");
+        if settings.locality as usize >= settings.zones.len() {
+            report("settings.locality", "must be an index into settings.zones");
         }
-        if w.domain.may_count && self.counter.is_none() {
-            fault("counter", "missing, though settings.domain.may-count is true");
+        if settings.domain.may_count && self.counter.is_none() {
+            report("counter", "missing, though settings.domain.may-count is true");
         }
-        if w.limits.peers && (self.peer_listen.is_none() || self.peers.len() != w.balancers as usize) {
-            fault("peers", "one address for each gateway and peer_listen are needed");
+        if settings.limits.peers
+            && (self.peer_listen.is_none() || self.peers.len() != settings.balancers as usize)
+        {
+            report("peers", "peer_listen and one address for each gateway are required");
         }
-        let rest = check::faults(form, false).into_iter();
-        faults.extend(rest.map(|fault| fault.named(name)).filter(|fault| !fault.of("counter-timeout-ms")));
-        faults
+        // The counter's timeout was checked above.
+        let common = check::check_native(native, false).into_iter();
+        violations.extend(
+            common
+                .map(|violation| violation.map_paths(platform_path))
+                .filter(|violation| !violation.path_ends_with("counter-timeout-ms")),
+        );
+        violations
     }
 
-    fn config(self, form: Form, raw: serde_json::Value) -> Result<Config, String> {
-        let w = &self.settings;
+    fn into_config(self, native: NativeConfig, raw: serde_json::Value) -> Result<Config, String> {
+        let settings = &self.settings;
         let places = Places {
             discovery: self.discovery,
             counter: self.counter,
-            patience: Duration::from_secs_f64(w.domain.counter_timeout_ms / 1000.0),
+            patience: Duration::from_secs_f64(settings.domain.counter_timeout_ms / 1000.0),
         };
-        let mut config = Config::resolve(form, raw)?;
-        // Two zones of one name are the platform's affair.
-        config.settings.zone = w.locality;
+        let mut config = Config::from_native(native, raw)?;
+        // A platform file may have two zones of one name, so the index counts.
+        config.settings.zone = settings.locality;
         config.places = places;
         config.known = self.known;
         config.strict = false;
         Ok(config)
     }
 
-    /// What it says as the form that people write.
-    fn form(&self) -> Form {
-        let w = &self.settings;
-        let peers = self.peer_listen.filter(|_| w.limits.peers).map(|listen| Peers {
+    /// Converts to the native format.
+    fn to_native(&self) -> NativeConfig {
+        let settings = &self.settings;
+        let peers = self.peer_listen.filter(|_| settings.limits.peers).map(|listen| Peers {
             listen,
             addresses: self.peers.clone(),
             broadcast: self.peers_all,
-            intake: w.domain.peer_intake,
+            intake: settings.domain.peer_intake,
         });
-        let counter = self.counter.filter(|_| w.domain.may_count).map(|address| Counter {
+        let counter = self.counter.filter(|_| settings.domain.may_count).map(|address| Counter {
             address,
-            timeout: Millis(w.domain.counter_timeout_ms),
-            price: w.domain.count_fee,
+            timeout: Millis(settings.domain.counter_timeout_ms),
+            price: settings.domain.count_fee,
         });
-        Form {
+        NativeConfig {
             name: self.name.clone().unwrap_or_default(),
             seed: Some(self.seed.clone()),
-            zone: w.zones.get(w.locality as usize).cloned().unwrap_or_default(),
-            zones: w.zones.clone(),
-            kinds: w.kinds.clone(),
+            zone: settings.zones.get(settings.locality as usize).cloned().unwrap_or_default(),
+            zones: settings.zones.clone(),
+            kinds: settings.kinds.clone(),
             listeners: Listeners { clients: self.listen, operators: self.operator },
             discovery: Discovery {
                 address: self.discovery,
-                mode: match w.membership_mode {
-                    Mode::Push => form::Mode::Push,
-                    Mode::Ask => form::Mode::Ask,
+                mode: match settings.membership_mode {
+                    PlatformMode::Push => form::Mode::Push,
+                    PlatformMode::Ask => form::Mode::Ask,
                 },
             },
             counter,
-            fleet: Fleet { gateways: w.balancers, position: w.position },
+            fleet: Fleet { gateways: settings.balancers, position: settings.position },
             peers,
-            cluster: self.cluster.as_ref().map(WireCluster::form),
+            cluster: self.cluster.as_ref().map(PlatformCluster::to_native),
             limits: Limits {
                 descriptors: self.limits.sockets,
                 memory: Bytes((self.limits.memory_mb as u64).saturating_mul(1 << 20)),
             },
             servers: Servers {
-                connect_timeout: Millis(w.limits.connect_timeout_ms),
-                idle_timeout: Millis(w.limits.idle_close_ms),
+                connect_timeout: Millis(settings.limits.connect_timeout_ms),
+                idle_timeout: Millis(settings.limits.idle_close_ms),
             },
             retries: Retries {
-                attempts: w.limits.try_limit,
-                hedging: w.limits.may_duplicate,
-                cancel: w.limits.cancel,
-                probes: w.limits.probing,
-                retry_after: w.limits.retry_after,
-                retry_after_most: Millis(w.limits.max_retry_after_ms),
+                attempts: settings.limits.try_limit,
+                hedging: settings.limits.may_duplicate,
+                cancel: settings.limits.cancel,
+                probes: settings.limits.probing,
+                retry_after: settings.limits.retry_after,
+                retry_after_most: Millis(settings.limits.max_retry_after_ms),
             },
-            quotas: Quotas { units_most: w.domain.units_top, settle: w.domain.trued_up },
+            quotas: Quotas { units_most: settings.domain.units_top, settle: settings.domain.trued_up },
             prices: Prices {
-                cross_zone: w.penalties.cross_zone,
-                waste: w.penalties.waste,
-                probe: w.penalties.probe,
-                late_fail: w.penalties.late_fail,
+                cross_zone: settings.penalties.cross_zone,
+                waste: settings.penalties.waste,
+                probe: settings.penalties.probe,
+                late_fail: settings.penalties.late_fail,
             },
             rules: Rules {
-                tick: Millis(w.granularity_ms),
-                answer_slack: Millis(w.rules.answer_slack_ms),
-                cold_from: w.rules.cold_from,
-                warm_up: Millis(w.rules.warm_up_ms),
-                drain_grace: Millis(w.rules.drain_grace_ms),
-                fall_multiple: w.rules.fall_multiple,
-                fall_after: Millis(w.rules.fall_ms),
-                ask_within: Millis(w.rules.ask_within_ms),
+                tick: Millis(settings.granularity_ms),
+                answer_slack: Millis(settings.rules.answer_slack_ms),
+                cold_from: settings.rules.cold_from,
+                warm_up: Millis(settings.rules.warm_up_ms),
+                drain_grace: Millis(settings.rules.drain_grace_ms),
+                fall_multiple: settings.rules.fall_multiple,
+                fall_after: Millis(settings.rules.fall_ms),
+                ask_within: Millis(settings.rules.ask_within_ms),
             },
-            classes: w.categories.iter().map(WireClass::form).collect(),
-            plans: w.tiers_of_service.iter().map(WirePlan::form).collect(),
-            // The platform's own collector states the times.
+            classes: settings.categories.iter().map(PlatformClass::to_native).collect(),
+            plans: settings.tiers_of_service.iter().map(PlatformPlan::to_native).collect(),
+            // The platform's log collector adds the times.
             logs: Logs {
                 format: Format::Text,
                 level: Level::Info,
@@ -358,8 +371,8 @@
     }
 }
 
-impl WireCluster {
-    fn form(&self) -> form::Cluster {
+impl PlatformCluster {
+    fn to_native(&self) -> form::Cluster {
         form::Cluster {
             name: self.name.clone(),
             listen: self.listen,
@@ -373,21 +386,21 @@
     }
 }
 
-impl WireClass {
-    fn form(&self) -> Class {
+impl PlatformClass {
+    fn to_native(&self) -> Class {
         Class {
             name: self.name.clone(),
             aim: Millis(self.aim_ms),
             deadline: Millis(self.give_up_ms),
             effect: match self.effect {
-                WireEffect::ReadLike => form::Effect::Safe,
-                WireEffect::IdempotencyKey => form::Effect::Keyed,
-                WireEffect::NonIdempotent => form::Effect::Unsafe,
+                PlatformEffect::ReadLike => form::Effect::Safe,
+                PlatformEffect::IdempotencyKey => form::Effect::Keyed,
+                PlatformEffect::NonIdempotent => form::Effect::Unsafe,
             },
             key_group: match self.group {
-                WireGroup::All => form::Group::All,
-                WireGroup::Zone => form::Group::Zone,
-                WireGroup::Cell => form::Group::Cell,
+                PlatformGroup::All => form::Group::All,
+                PlatformGroup::Zone => form::Group::Zone,
+                PlatformGroup::Cell => form::Group::Cell,
             },
             key_window: Millis(self.window_ms),
             worth: self.value,
@@ -396,8 +409,8 @@
     }
 }
 
-impl WirePlan {
-    fn form(&self) -> Plan {
+impl PlatformPlan {
+    fn to_native(&self) -> Plan {
         Plan {
             name: self.name.clone(),
             rate: self.refill,
--- a/src/bin/heronstage/config/source.rs
+++ b/src/bin/heronstage/config/source.rs
@@ -1,9 +1,10 @@
-//! Where a configuration comes from: a file, over it the environment, over that the command line's flags.
+//! Loads a configuration from its sources. Environment variables override the file, and command line flags override
+//! both. A platform file has no overrides but `RELAY_OPERATOR`.
 
-use super::check::{self, Mistake};
-use super::form::Form;
-use super::guide::{self, Kind};
-use super::{platform, Config, Fault};
+use super::check::{self, Diagnostic};
+use super::form::NativeConfig;
+use super::guide::{self, FileFormat};
+use super::{platform, Config, Violation};
 use figment::providers::{Env, Serialized};
 use figment::value::{Dict, Map};
 use figment::{Figment, Metadata, Profile, Provider};
@@ -18,100 +19,104 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Variables that stand for keys: `HERONSTAGE_LIMITS__DESCRIPTORS` is `limits.descriptors`.
-const PREFIX: &str = "HERONSTAGE_";
-/// Largest file: the list of servers that it may hold is no longer than discovery's, and the rest is short.
-const FILE_MOST: u64 = 16 << 20;
-/// A file that changes while it is read is read anew, so many times.
-const READS: usize = 5;
+/// Prefix of environment variables that set keys: `HERONSTAGE_LIMITS__DESCRIPTORS` sets `limits.descriptors`.
+const ENV_PREFIX: &str = "HERONSTAGE_";
+/// Maximum file size. A platform file may contain the whole backend list.
+const MAX_FILE_BYTES: u64 = 16 << 20;
+/// Maximum number of attempts to read a file that changes while it is read.
+const MAX_READS: usize = 5;
 
-/// Where to read a configuration, now and at each reload.
+/// The source of the configuration, at the start and on each reload.
 #[derive(Clone, Debug)]
 pub enum Source {
-    /// The file that `RELAY_CONFIG` names, as the platform writes it.
+    /// The platform file whose path is in `RELAY_CONFIG`.
     Platform,
-    /// A file that was named.
+    /// A file given on the command line.
     Named(Named),
 }
 
-/// A file of either form, with keys set by flags.
+/// A file of either format, and keys set by flags.
 #[derive(Clone, Debug)]
 pub struct Named {
     pub path: PathBuf,
+    /// Keys and values of `--set` flags.
     pub set: Vec<(String, String)>,
 }
 
-/// A configuration's keys, each with its value and where that comes from.
+/// The effective configuration: each key with its value and the source of the value.
 pub struct Shown(pub Vec<(String, Value, String)>);
 
-/// A file's keys and the lines where they stand.
+/// A parsed file, and the line of each key.
 struct Document {
     path: PathBuf,
     value: Value,
     lines: BTreeMap<String, usize>,
 }
 
-/// What a named file is found to be.
-enum Opened {
+/// A parsed file by its format; a platform file with its text.
+enum ParsedFile {
     Platform(Document, String),
-    People(Box<Layers>),
+    Native(Box<Layers>),
 }
 
 impl Source {
-    /// Reads it. An error has a line for each mistake.
+    /// Loads and checks the configuration. An error has one line for each violation; for a platform file it names only
+    /// the first.
     pub fn load(&self) -> Result<Config, String> {
         let named = match self {
             Source::Platform => {
                 let path = std::env::var("RELAY_CONFIG").map_err(|_| "RELAY_CONFIG is not set".to_owned())?;
                 let text = read(Path::new(&path)).map_err(|e| format!("RELAY_CONFIG {path}: {e}"))?;
-                return on_platform(&text);
+                return load_platform(&text);
             }
             Source::Named(named) => named,
         };
-        match named.open().map_err(lines)? {
-            Opened::Platform(_, text) => on_platform(&text),
-            Opened::People(layers) => Config::resolve(layers.form()?, layers.value),
+        match named.open().map_err(join_lines)? {
+            ParsedFile::Platform(_, text) => load_platform(&text),
+            ParsedFile::Native(layers) => Config::from_native(layers.parse()?, layers.value),
         }
     }
 }
 
 impl Named {
-    fn open(&self) -> Result<Opened, Vec<Mistake>> {
-        let text = read(&self.path).map_err(|e| vec![misplaced(self.path.display(), e)])?;
+    fn open(&self) -> Result<ParsedFile, Vec<Diagnostic>> {
+        let text = read(&self.path).map_err(|e| vec![diagnostic(self.path.display(), e)])?;
         let document = Document::parse(&self.path, &text)?;
-        Ok(match document.kind() {
-            Kind::Platform => Opened::Platform(document, text),
-            Kind::Form => {
-                let layers = Layers::new(document, &self.set).map_err(|mistake| vec![mistake])?;
-                Opened::People(Box::new(layers))
+        Ok(match document.format() {
+            FileFormat::Platform => ParsedFile::Platform(document, text),
+            FileFormat::Native => {
+                let layers = Layers::new(document, &self.set).map_err(|diagnostic| vec![diagnostic])?;
+                ParsedFile::Native(Box::new(layers))
             }
         })
     }
 
-    /// All that is wrong with it.
-    pub fn mistakes(&self) -> Vec<Mistake> {
+    /// Checks the file and returns all violations.
+    pub fn mistakes(&self) -> Vec<Diagnostic> {
         match self.open() {
-            Ok(Opened::Platform(document, _)) => {
-                let faults = check::examine(&document.value, Kind::Platform).into_iter();
-                faults.map(|fault| Mistake { place: document.place(fault.path()), fault }).collect()
+            Ok(ParsedFile::Platform(document, _)) => {
+                let violations = check::check_value(&document.value, FileFormat::Platform).into_iter();
+                violations
+                    .map(|violation| Diagnostic { location: document.location(violation.path()), violation })
+                    .collect()
             }
-            Ok(Opened::People(layers)) => layers.mistakes(),
-            Err(mistakes) => mistakes,
+            Ok(ParsedFile::Native(layers)) => layers.diagnostics(),
+            Err(diagnostics) => diagnostics,
         }
     }
 
-    /// What holds, and where each value comes from.
+    /// The effective values of all keys, and their sources.
     pub fn show(&self) -> Result<Shown, String> {
-        let layers = match self.open().map_err(lines)? {
-            Opened::People(layers) => layers,
-            Opened::Platform(document, _) => {
+        let layers = match self.open().map_err(join_lines)? {
+            ParsedFile::Native(layers) => layers,
+            ParsedFile::Platform(document, _) => {
                 let path = document.path.display();
-                return Err(format!("{path}: a platform's file has one layer: itself"));
+                return Err(format!("{path}: a platform file has no layers to show"));
             }
         };
-        let value = serde_json::to_value(layers.form()?).map_err(|e| e.to_string())?;
+        let value = serde_json::to_value(layers.parse()?).map_err(|e| e.to_string())?;
         let mut shown = Vec::new();
-        leaves("", &value, &mut |key, value| {
+        for_each_leaf("", &value, &mut |key, value| {
             let from = layers.origin(key).unwrap_or_else(|| "default".to_owned());
             shown.push((key.to_owned(), value.clone(), from));
         });
@@ -119,131 +124,135 @@
     }
 }
 
-fn on_platform(text: &str) -> Result<Config, String> {
+/// Parses a platform file and applies `RELAY_OPERATOR`.
+fn load_platform(text: &str) -> Result<Config, String> {
     let mut config = platform::parse(text)?;
-    // Two processes may run by one file: what each is told by itself comes first.
+    // Processes may share a file, so the operators' address can be set per process.
     if let Ok(at) = std::env::var("RELAY_OPERATOR") {
         config.operator = Some(at.parse().map_err(|e| format!("RELAY_OPERATOR {at}: {e}"))?);
     }
     Ok(config)
 }
 
-fn lines(mistakes: Vec<Mistake>) -> String {
-    mistakes.iter().map(Mistake::to_string).collect::<Vec<_>>().join("\n")
+fn join_lines(diagnostics: Vec<Diagnostic>) -> String {
+    diagnostics.iter().map(Diagnostic::to_string).collect::<Vec<_>>().join("\n")
 }
 
-fn misplaced(place: impl fmt::Display, what: impl fmt::Display) -> Mistake {
-    Mistake { place: place.to_string(), fault: Fault::new("", what.to_string()) }
+/// A diagnostic that concerns no single key.
+fn diagnostic(location: impl fmt::Display, message: impl fmt::Display) -> Diagnostic {
+    Diagnostic { location: location.to_string(), violation: Violation::new("", message.to_string()) }
 }
 
-/// Calls with each key that holds no others, and its value.
-fn leaves(at: &str, value: &Value, call: &mut impl FnMut(&str, &Value)) {
-    let below = |key: &str| if at.is_empty() { key.to_owned() } else { format!("{at}.{key}") };
+/// Calls the function for each key that is not a table or a list of tables, with its value.
+fn for_each_leaf(path: &str, value: &Value, call: &mut impl FnMut(&str, &Value)) {
+    let child = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match value {
-        Value::Object(map) if !map.is_empty() => map.iter().for_each(|(key, v)| leaves(&below(key), v, call)),
+        Value::Object(map) if !map.is_empty() => {
+            map.iter().for_each(|(key, v)| for_each_leaf(&child(key), v, call))
+        }
         Value::Array(all) if all.iter().any(Value::is_object) => {
-            all.iter().enumerate().for_each(|(place, v)| leaves(&format!("{at}[{place}]"), v, call));
+            all.iter().enumerate().for_each(|(index, v)| for_each_leaf(&format!("{path}[{index}]"), v, call));
         }
-        _ => call(at, value),
+        _ => call(path, value),
     }
 }
 
 // ---- Files ------------------------------------------------------------------------------------------------
 
-/// Reads a whole file, as it stood at one moment.
+/// Reads a whole file. If it changes meanwhile, it is read again, so that the text is of one version.
 fn read(path: &Path) -> io::Result<String> {
-    let same =
+    let unchanged =
         |a: &FileMetadata, b: &FileMetadata| a.len() == b.len() && a.modified().ok() == b.modified().ok();
-    for _ in 0..READS {
+    for _ in 0..MAX_READS {
         let mut file = File::open(path)?;
         let before = file.metadata()?;
         let mut bytes = Vec::new();
-        (&mut file).take(FILE_MOST + 1).read_to_end(&mut bytes)?;
-        if bytes.len() as u64 > FILE_MOST {
+        (&mut file).take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
+        if bytes.len() as u64 > MAX_FILE_BYTES {
             return Err(io::Error::other("over 16 MiB"));
         }
-        if same(&before, &file.metadata()?) {
+        if unchanged(&before, &file.metadata()?) {
             return String::from_utf8(bytes).map_err(|_| io::Error::other("not UTF-8"));
         }
     }
-    Err(io::Error::other("it changes while it is read; write beside it, then rename"))
+    Err(io::Error::other("changes while it is read; write to a temporary file and rename it"))
 }
 
-/// Where the lines of a text end.
-struct Ends(Vec<usize>);
+/// The offsets of a text's line ends.
+struct LineEnds(Vec<usize>);
 
-impl Ends {
+impl LineEnds {
     fn new(text: &str) -> Self {
-        Ends(text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(at, _)| at).collect())
+        LineEnds(text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(offset, _)| offset).collect())
     }
 
-    /// The line of a place, from 1.
-    fn line(&self, at: usize) -> usize {
-        self.0.partition_point(|end| *end < at) + 1
+    /// The number of the line at an offset, from 1.
+    fn line(&self, offset: usize) -> usize {
+        self.0.partition_point(|end| *end < offset) + 1
     }
 }
 
 impl Document {
-    fn parse(path: &Path, text: &str) -> Result<Self, Vec<Mistake>> {
-        let place = |line: usize| format!("{}:{line}", path.display());
+    fn parse(path: &Path, text: &str) -> Result<Self, Vec<Diagnostic>> {
+        let location = |line: usize| format!("{}:{line}", path.display());
         if text.trim().is_empty() {
-            return Err(vec![misplaced(place(1), "empty")]);
+            return Err(vec![diagnostic(location(1), "empty")]);
         }
-        let (mut lines, ends) = (BTreeMap::new(), Ends::new(text));
+        let (mut lines, ends) = (BTreeMap::new(), LineEnds::new(text));
         let json = path.extension().is_some_and(|e| e.eq_ignore_ascii_case("json"));
         let value = if json {
-            // Its limit on nesting comes before the walk for the lines.
+            // Checks the syntax and the limit on nesting first, on which the walker relies.
             if let Err(e) = serde_json::from_str::<Value>(text) {
-                return Err(vec![misplaced(place(e.line()), e)]);
+                return Err(vec![diagnostic(location(e.line()), e)]);
             }
-            let mut twice = Vec::new();
-            let mut walk = Walk { text, ends: &ends, lines: &mut lines, twice: &mut twice };
-            let value = walk.value("", text).map_err(|e| vec![misplaced(place(1), e)])?;
-            if !twice.is_empty() {
-                let twice = twice.into_iter().map(|(key, line)| Mistake {
-                    place: place(line),
-                    fault: Fault::new(key, "it stands twice"),
+            let mut duplicates = Vec::new();
+            let mut walker = JsonWalker { text, ends: &ends, lines: &mut lines, duplicates: &mut duplicates };
+            let value = walker.value("", text).map_err(|e| vec![diagnostic(location(1), e)])?;
+            if !duplicates.is_empty() {
+                let duplicates = duplicates.into_iter().map(|(key, line)| Diagnostic {
+                    location: location(line),
+                    violation: Violation::new(key, "duplicate key"),
                 });
-                return Err(twice.collect());
+                return Err(duplicates.collect());
             }
             value
         } else {
             let (table, errors) = DeTable::parse_recoverable(text);
             if !errors.is_empty() {
-                let told = |e: &toml::de::Error| {
-                    let at = e.span().map_or(1, |span| ends.line(span.start));
-                    (at, misplaced(place(at), e.message().replace('\n', ", ")))
+                let locate = |e: &toml::de::Error| {
+                    let line = e.span().map_or(1, |span| ends.line(span.start));
+                    (line, diagnostic(location(line), e.message().replace('\n', ", ")))
                 };
-                // What follows in the same line is mostly what follows from the first.
-                let mut told: Vec<_> = errors.iter().map(told).collect();
-                told.dedup_by_key(|(line, _)| *line);
-                return Err(told.into_iter().map(|(_, mistake)| mistake).collect());
+                // Further errors in a line usually result from the first one.
+                let mut located: Vec<_> = errors.iter().map(locate).collect();
+                located.dedup_by_key(|(line, _)| *line);
+                return Err(located.into_iter().map(|(_, diagnostic)| diagnostic).collect());
             }
-            let mut wrong = Vec::new();
-            let value = table_of("", table.get_ref(), &ends, &mut lines, &mut wrong);
-            if !wrong.is_empty() {
-                let wrong = wrong.into_iter().map(|fault: Fault| Mistake {
-                    place: place(lines.get(fault.path()).copied().unwrap_or(1)),
-                    fault,
+            let mut invalid = Vec::new();
+            let value = convert_table("", table.get_ref(), &ends, &mut lines, &mut invalid);
+            if !invalid.is_empty() {
+                let invalid = invalid.into_iter().map(|violation: Violation| Diagnostic {
+                    location: location(lines.get(violation.path()).copied().unwrap_or(1)),
+                    violation,
                 });
-                return Err(wrong.collect());
+                return Err(invalid.collect());
             }
             value
         };
         Ok(Document { path: path.to_owned(), value, lines })
     }
 
-    fn kind(&self) -> Kind {
+    fn format(&self) -> FileFormat {
         let json = self.path.extension().is_some_and(|e| e.eq_ignore_ascii_case("json"));
-        if json && self.value.get(platform::SETTINGS).is_some() {
-            Kind::Platform
+        if json && self.value.get(platform::SETTINGS_KEY).is_some() {
+            FileFormat::Platform
         } else {
-            Kind::Form
+            FileFormat::Native
         }
     }
 
-    /// Where a key stands, or the table in which it should.
-    fn place(&self, key: &str) -> String {
+    /// The location of a key, or of the innermost table around it if the file does not have the key.
+    fn location(&self, key: &str) -> String {
         let mut key = key;
         let line = loop {
             match self.lines.get(key) {
@@ -258,35 +267,35 @@
     }
 }
 
-/// Walks a JSON text, which is known to be whole, for the lines of its keys.
-struct Walk<'a> {
+/// Parses a valid JSON text and records the line of each key.
+struct JsonWalker<'a> {
     text: &'a str,
-    ends: &'a Ends,
+    ends: &'a LineEnds,
     lines: &'a mut BTreeMap<String, usize>,
-    /// Keys that stand twice, and where again.
-    twice: &'a mut Vec<(String, usize)>,
+    /// Duplicate keys, and the line of the second occurrence.
+    duplicates: &'a mut Vec<(String, usize)>,
 }
 
-impl Walk<'_> {
+impl JsonWalker<'_> {
     fn value(&mut self, key: &str, raw: &str) -> serde_json::Result<Value> {
         let line = self.ends.line(raw.as_ptr() as usize - self.text.as_ptr() as usize);
         if !key.is_empty() && self.lines.insert(key.to_owned(), line).is_some() {
-            self.twice.push((key.to_owned(), line));
+            self.duplicates.push((key.to_owned(), line));
         }
         match raw.trim_start().as_bytes().first() {
             Some(b'{') => {
                 let Entries(entries) = serde_json::from_str(raw)?;
                 let mut map = serde_json::Map::new();
                 for (name, raw) in entries {
-                    let below = if key.is_empty() { name.clone() } else { format!("{key}.{name}") };
-                    map.insert(name, self.value(&below, raw.get())?);
+                    let child = if key.is_empty() { name.clone() } else { format!("{key}.{name}") };
+                    map.insert(name, self.value(&child, raw.get())?);
                 }
                 Ok(Value::Object(map))
             }
             Some(b'[') => {
                 let Items(items) = serde_json::from_str(raw)?;
                 let item =
-                    |(place, raw): (usize, &RawValue)| self.value(&format!("{key}[{place}]"), raw.get());
+                    |(index, raw): (usize, &RawValue)| self.value(&format!("{key}[{index}]"), raw.get());
                 Ok(Value::Array(items.into_iter().enumerate().map(item).collect::<Result<_, _>>()?))
             }
             _ => serde_json::from_str(raw),
@@ -294,7 +303,7 @@
     }
 }
 
-/// An object's entries, those that stand twice too.
+/// An object's entries, including duplicates.
 struct Entries<'a>(Vec<(String, &'a RawValue)>);
 /// A list's items.
 struct Items<'a>(Vec<&'a RawValue>);
@@ -343,30 +352,32 @@
     }
 }
 
-fn table_of(
-    at: &str, table: &DeTable<'_>, ends: &Ends, lines: &mut BTreeMap<String, usize>, wrong: &mut Vec<Fault>,
+/// Converts a TOML table to JSON, and records the lines of its keys and the violations in its numbers.
+fn convert_table(
+    path: &str, table: &DeTable<'_>, ends: &LineEnds, lines: &mut BTreeMap<String, usize>,
+    invalid: &mut Vec<Violation>,
 ) -> Value {
     let mut map = serde_json::Map::new();
     for (name, value) in table {
         let name = name.get_ref().to_string();
-        let key = if at.is_empty() { name.clone() } else { format!("{at}.{name}") };
-        map.insert(name, value_of(&key, value, ends, lines, wrong));
+        let key = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+        map.insert(name, convert_value(&key, value, ends, lines, invalid));
     }
     Value::Object(map)
 }
 
-fn value_of(
-    key: &str, value: &Spanned<DeValue<'_>>, ends: &Ends, lines: &mut BTreeMap<String, usize>,
-    wrong: &mut Vec<Fault>,
+fn convert_value(
+    key: &str, value: &Spanned<DeValue<'_>>, ends: &LineEnds, lines: &mut BTreeMap<String, usize>,
+    invalid: &mut Vec<Violation>,
 ) -> Value {
     lines.insert(key.to_owned(), ends.line(value.span().start));
     match value.get_ref() {
         DeValue::String(text) => text.to_string().into(),
-        DeValue::Boolean(yes) => (*yes).into(),
+        DeValue::Boolean(value) => (*value).into(),
         DeValue::Integer(number) => match i64::from_str_radix(number.as_str(), number.radix()) {
             Ok(number) => number.into(),
             Err(e) => {
-                wrong.push(Fault::new(key, format!("{}: {e}", number.as_str())));
+                invalid.push(Violation::new(key, format!("{}: {e}", number.as_str())));
                 Value::Null
             }
         },
@@ -374,17 +385,21 @@
             match number.as_str().parse::<f64>().ok().and_then(serde_json::Number::from_f64) {
                 Some(number) => Value::Number(number),
                 None => {
-                    wrong.push(Fault::new(key, format!("got {}, wanted a finite number", number.as_str())));
+                    invalid.push(Violation::new(
+                        key,
+                        format!("got {}, expected a finite number", number.as_str()),
+                    ));
                     Value::Null
                 }
             }
         }
         DeValue::Datetime(time) => time.to_string().into(),
         DeValue::Array(all) => {
-            let item = |(place, value)| value_of(&format!("{key}[{place}]"), value, ends, lines, wrong);
+            let item =
+                |(index, value)| convert_value(&format!("{key}[{index}]"), value, ends, lines, invalid);
             all.iter().enumerate().map(item).collect::<Vec<_>>().into()
         }
-        DeValue::Table(table) => table_of(key, table, ends, lines, wrong),
+        DeValue::Table(table) => convert_table(key, table, ends, lines, invalid),
     }
 }
 
@@ -402,54 +417,58 @@
     }
 }
 
-/// A file with what comes over it.
+/// A native file with its overrides from the environment and from flags.
 struct Layers {
     document: Document,
     figment: Figment,
+    /// The merged value.
     value: Value,
 }
 
 impl Layers {
-    fn new(document: Document, set: &[(String, String)]) -> Result<Self, Mistake> {
+    fn new(document: Document, set: &[(String, String)]) -> Result<Self, Diagnostic> {
         let mut figment = Figment::from(FileLayer(&document));
-        figment = figment.merge(Env::prefixed(PREFIX).split("__"));
+        figment = figment.merge(Env::prefixed(ENV_PREFIX).split("__"));
         for (key, text) in set {
-            // What is no number, list or the like stands for itself.
+            // Text that is not valid JSON is taken as a string.
             let value = serde_json::from_str(text).unwrap_or_else(|_| Value::String(text.clone()));
             figment = figment.merge(Serialized::default(key, value));
         }
-        let value = figment.extract::<Value>().map_err(|e| misplaced(document.path.display(), e))?;
+        let value = figment.extract::<Value>().map_err(|e| diagnostic(document.path.display(), e))?;
         Ok(Layers { document, figment, value })
     }
 
-    /// The form, of layers without a mistake.
-    fn form(&self) -> Result<Form, String> {
-        let mistakes = self.mistakes();
-        if !mistakes.is_empty() {
-            return Err(lines(mistakes));
+    /// Parses the merged value. An error has one line for each violation.
+    fn parse(&self) -> Result<NativeConfig, String> {
+        let diagnostics = self.diagnostics();
+        if !diagnostics.is_empty() {
+            return Err(join_lines(diagnostics));
         }
-        guide::form(self.value.clone()).map_err(|e| format!("{}: {e}", self.document.path.display()))
+        guide::parse_native(self.value.clone()).map_err(|e| format!("{}: {e}", self.document.path.display()))
     }
 
-    fn mistakes(&self) -> Vec<Mistake> {
-        let faults = check::examine(&self.value, Kind::Form);
-        faults.into_iter().map(|fault| Mistake { place: self.place(fault.path()), fault }).collect()
+    fn diagnostics(&self) -> Vec<Diagnostic> {
+        let violations = check::check_value(&self.value, FileFormat::Native);
+        violations
+            .into_iter()
+            .map(|violation| Diagnostic { location: self.location(violation.path()), violation })
+            .collect()
     }
 
-    /// Where a key's value stands, or the table in which it should.
-    fn place(&self, key: &str) -> String {
-        self.origin(key).unwrap_or_else(|| self.document.place(key))
+    /// The location of a key's value, or of the innermost table around it if the key is not set.
+    fn location(&self, key: &str) -> String {
+        self.origin(key).unwrap_or_else(|| self.document.location(key))
     }
 
-    /// The layer that gives a key its value, if one does.
+    /// The layer that sets a key's value; none if the key is not set.
     fn origin(&self, key: &str) -> Option<String> {
-        // Lists come whole from one layer.
-        let whole = key.split('[').next().unwrap_or_default();
-        let layer = self.figment.find_metadata(whole)?;
+        // A list is set by one layer as a whole.
+        let key_of_list = key.split('[').next().unwrap_or_default();
+        let layer = self.figment.find_metadata(key_of_list)?;
         Some(match &*layer.name {
-            "file" => self.document.place(key),
+            "file" => self.document.location(key),
             name if name.contains("environment") => {
-                format!("environment {PREFIX}{}", whole.to_uppercase().replace('.', "__"))
+                format!("environment {ENV_PREFIX}{}", key_of_list.to_uppercase().replace('.', "__"))
             }
             _ => "flag --set".to_owned(),
         })
--- a/src/bin/heronstage/config/units.rs
+++ b/src/bin/heronstage/config/units.rs
@@ -1,11 +1,11 @@
-//! Times and sizes as people write them, with their units.
+//! Times and sizes that are written with their units, and addresses in the schema.
 
 use schemars::{json_schema, JsonSchema, Schema, SchemaGenerator};
 use serde::{de::Error, Deserialize, Deserializer, Serialize, Serializer};
 use std::borrow::Cow;
 use std::time::Duration;
 
-/// A time in ms. The platform's form states it as a number, files for people as text like `250ms` or `1m 30s`.
+/// A time in ms, written like `250ms` or `1m 30s`. Platform files use plain numbers instead.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Millis(pub f64);
 
@@ -20,7 +20,7 @@
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = Cow::<str>::deserialize(from)?;
         let time = humantime::parse_duration(&text).map_err(D::Error::custom)?;
-        // Whole nanoseconds: 250ms are 250.0 to the last bit.
+        // Converts from whole nanoseconds, so that 250ms is exactly 250.0.
         Ok(Millis(time.as_nanos() as f64 / 1e6))
     }
 }
@@ -72,10 +72,10 @@
     }
 }
 
-/// An address and its port, as the schema knows them.
+/// Schema of an IP address with a port.
 pub struct Address;
 
-/// The same of IPv4 alone.
+/// Schema of an IPv4 address with a port.
 pub struct AddressV4;
 
 impl JsonSchema for Address {
