--- a/src/bin/heronstage/config/form.rs
+++ b/src/bin/heronstage/config/form.rs
@@ -17,64 +17,64 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Form")]
 pub struct NativeConfig {
-    /// The gateway's name, the same after a restart.
+    /// The gateway's name, stable across restarts.
     #[serde(default)]
     pub name: String,
-    /// Seed of the random numbers, in hex; without it each start draws its own.
+    /// Seed of the random number generator, in hex; without it each start uses a new random seed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(regex(pattern = "^[0-9a-fA-F]{1,16}$"), title = "1 to 16 hex digits")]
     pub seed: Option<String>,
-    /// The zone that this gateway is in, one of `zones`.
+    /// This gateway's zone, one of `zones`.
     #[serde(default = "usual")]
     pub zone: String,
-    /// The names of all zones.
+    /// Names of all zones.
     #[serde(default = "usuals")]
     #[schemars(length(min = 1))]
     pub zones: Vec<String>,
-    /// The names of all kinds of servers.
+    /// Names of all kinds of backends.
     #[serde(default = "usuals")]
     pub kinds: Vec<String>,
     /// Addresses to listen on.
     pub listeners: Listeners,
-    /// Where the list of servers comes from.
+    /// The discovery service, which provides the backend list.
     pub discovery: Discovery,
-    /// The counter that gateways share; without it each holds customers to their quotas alone.
+    /// The quota counter that gateways share; without it each gateway enforces quotas alone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub counter: Option<Counter>,
-    /// The gateways that share the work.
+    /// The gateways that share the traffic.
     #[serde(default)]
     pub fleet: Fleet,
-    /// Short messages among gateways; without it none are sent.
+    /// Messages between gateways over UDP; without this table none are sent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<Peers>,
-    /// Membership; without it this gateway is a member of no cluster.
+    /// Cluster membership of this gateway; without this table it joins no cluster.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cluster: Option<Cluster>,
-    /// What the process may take of the machine.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// Connections to servers.
+    /// Connections to backends.
     #[serde(default)]
     pub servers: Servers,
-    /// Attempts of one request.
+    /// Attempts of a request, probes, and retry delays for clients.
     #[serde(default)]
     pub retries: Retries,
-    /// What a request may count.
+    /// Units that requests are charged.
     #[serde(default)]
     pub quotas: Quotas,
-    /// What the site charges, as shares of the result; decisions weigh them.
+    /// Penalties that decisions take into account, as shares of the total worth.
     #[serde(default)]
     pub prices: Prices,
-    /// Figures of the site that decisions keep to.
+    /// Timing and capacity parameters of the site.
     #[serde(default)]
     pub rules: Rules,
-    /// The classes of requests; a request names one as the first part of its path.
+    /// Request classes; a request names its class in the first segment of its path.
     #[schemars(length(min = 1))]
     pub classes: Vec<Class>,
-    /// The plans of customers; a request names one.
+    /// Plans of customers; a request names its plan in the `X-Plan` header.
     #[schemars(length(min = 1))]
     pub plans: Vec<Plan>,
-    /// The log, on standard error.
+    /// The log, written to standard error.
     #[serde(default)]
     pub logs: Logs,
 }
@@ -83,27 +83,28 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listeners {
-    /// Where clients connect.
+    /// Address for clients.
     #[schemars(with = "Address")]
     pub clients: SocketAddr,
-    /// Where operators call; without it there is no such port. Keep it to a network that only they reach.
+    /// Address for operators; without it there is no such listener. Use an address that only operators can reach.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<Address>")]
     pub operators: Option<SocketAddr>,
 }
 
-/// Where the list of servers comes from.
+/// The discovery service, which provides the backend list.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// Where discovery is.
+    /// Address of the discovery service.
     #[schemars(with = "Address")]
     pub address: SocketAddr,
-    /// `push`: the list comes by itself; `ask`: it has to be asked for.
+    /// `push`: discovery sends changes of the list by itself; `ask`: the gateway polls for them.
     #[serde(default)]
     pub mode: Mode,
 }
 
+/// How the backend list is updated.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
@@ -112,30 +113,30 @@
     Ask,
 }
 
-/// The counter that gateways share.
+/// The quota counter that gateways share.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counter {
-    /// Where the counter is.
+    /// Address of the counter.
     #[schemars(with = "Address")]
     pub address: SocketAddr,
-    /// A call without an answer by then has failed, and what waits for it is let through.
+    /// Timeout of a call. After it, requests that wait for the call are let through.
     #[serde(default = "counter_timeout")]
     pub timeout: Millis,
-    /// The price of one call a request, as a share of the result.
+    /// Cost of making one call for each request, as a share of the total worth.
     #[serde(default = "cent")]
     #[schemars(range(min = 0))]
     pub price: f64,
 }
 
-/// The gateways that share the work.
+/// The gateways that share the traffic.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
-    /// How many gateways share the work.
+    /// Number of gateways that share the traffic.
     #[schemars(range(min = 1))]
     pub gateways: u32,
-    /// This gateway's place among them, from 0.
+    /// This gateway's index among them, from 0.
     pub position: u32,
 }
 
@@ -145,68 +146,68 @@
     }
 }
 
-/// Short messages among gateways.
+/// Messages between gateways over UDP.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Where messages come in, over UDP.
+    /// UDP address on which messages are received.
     #[schemars(with = "Address")]
     pub listen: SocketAddr,
-    /// The addresses of all gateways, in the order of their positions.
+    /// Addresses of all gateways, in the order of their positions.
     #[schemars(with = "Vec<Address>")]
     pub addresses: Vec<SocketAddr>,
-    /// An address that reaches all of them.
+    /// Address that reaches all gateways at once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<Address>")]
     pub broadcast: Option<SocketAddr>,
-    /// Messages taken in a second at most.
+    /// Maximum number of messages accepted per second.
     #[serde(default = "intake")]
     #[schemars(range(min = 0))]
     pub intake: f64,
 }
 
-/// Membership among the gateways.
+/// Cluster membership of this gateway.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
-    /// The cluster's name; datagrams of others are dropped.
+    /// Name of the cluster; datagrams of other clusters are dropped.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Where other members are heard, over UDP.
+    /// UDP address on which datagrams of other members are received.
     #[schemars(with = "AddressV4")]
     pub listen: SocketAddrV4,
-    /// Where the others reach this gateway; by itself `listen`.
+    /// Address at which other members reach this gateway; by default `listen`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Option<AddressV4>")]
     pub advertise: Option<SocketAddrV4>,
-    /// Where others may be found.
+    /// Addresses of members to contact in order to join.
     #[serde(default)]
     #[schemars(with = "Vec<AddressV4>", length(max = 64))]
     pub seeds: Vec<SocketAddrV4>,
-    /// This gateway's name in the cluster; by itself the gateway's `name`.
+    /// This gateway's name in the cluster; by default the gateway's `name`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(length(min = 1, max = 64))]
     pub member: Option<String>,
-    /// Each member probes another one so often, 20ms to 1m.
+    /// Interval at which each member probes another one, 20ms to 1m.
     #[serde(default = "period")]
     pub period: Millis,
-    /// An unanswered probe goes by way of others after it; by itself a quarter of the period, half of it at most.
+    /// Timeout of a direct probe, after which other members probe; by default a quarter of the period, at most half.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub timeout: Option<Millis>,
-    /// How many members there should be; by itself `fleet.gateways`.
+    /// Expected number of members; by default `fleet.gateways`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 1, max = 1025))]
     pub expected: Option<u32>,
 }
 
-/// What the process may take of the machine.
+/// Resource limits of the process.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Descriptors that the process may hold; places for clients and servers follow from it.
+    /// Maximum number of file descriptors; the maximum numbers of connections are derived from it.
     #[schemars(range(min = MIN_DESCRIPTORS))]
     pub descriptors: usize,
-    /// Memory that the process may take; the room for bodies and answers in passing follows from it.
+    /// Maximum memory of the process; the memory for request and response bodies is derived from it.
     pub memory: Bytes,
 }
 
@@ -216,13 +217,13 @@
     }
 }
 
-/// Connections to servers.
+/// Connections to backends.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Servers {
-    /// A connection that is not up by then has failed.
+    /// Timeout for connecting to a backend.
     pub connect_timeout: Millis,
-    /// A connection that stood idle for so long is closed.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Millis,
 }
 
@@ -232,22 +233,22 @@
     }
 }
 
-/// Attempts of one request.
+/// Attempts of a request, probes, and retry delays for clients.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Retries {
-    /// Attempts of one request at most.
+    /// Maximum number of attempts of one request.
     #[schemars(range(min = 1))]
     pub attempts: u32,
-    /// Whether two attempts of one request may be out at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Whether an attempt may be withdrawn.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Whether servers may be probed.
+    /// Whether backends may be probed.
     pub probes: bool,
-    /// Whether refused clients are told how long to wait.
+    /// Whether a refusal tells the client when to retry.
     pub retry_after: bool,
-    /// The longest wait that they are told.
+    /// Maximum delay that a refusal tells the client to wait.
     pub retry_after_most: Millis,
 }
 
@@ -264,14 +265,14 @@
     }
 }
 
-/// What a request may count.
+/// Units that requests are charged.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Quotas {
-    /// Units that one request counts at most.
+    /// Maximum units of one request.
     #[schemars(range(min = 0))]
     pub units_most: f64,
-    /// Whether a request's units are a guess that its answer corrects.
+    /// Whether a request's units are an estimate that its response corrects.
     pub settle: bool,
 }
 
@@ -281,20 +282,20 @@
     }
 }
 
-/// What the site charges.
+/// Penalties that decisions take into account, as shares of the total worth.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Prices {
-    /// For attempts that cross zones, per first try.
+    /// For attempts sent to another zone, per first attempt.
     #[schemars(range(min = 0))]
     pub cross_zone: f64,
-    /// For work of servers that served no answer, per work offered.
+    /// For backend work that produced no response, per work offered.
     #[schemars(range(min = 0))]
     pub waste: f64,
-    /// For probes, per first try.
+    /// For probes, per first attempt.
     #[schemars(range(min = 0))]
     pub probe: f64,
-    /// For worth that ended unserved after its aim.
+    /// For worth of requests that failed after their latency target.
     #[schemars(range(min = 0))]
     pub late_fail: f64,
 }
@@ -305,27 +306,27 @@
     }
 }
 
-/// Figures of the site that decisions keep to.
+/// Timing and capacity parameters of the site.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Least time between two decisions.
+    /// Minimum time between two decisions.
     pub tick: Millis,
-    /// An answer is in time up to this long after the deadline.
+    /// A response this long after the deadline still counts as in time.
     pub answer_slack: Millis,
-    /// A server starts at this share of its capacity or above.
+    /// Minimum share of its capacity that a backend has when it starts.
     #[schemars(range(min = 0, max = 1))]
     pub cold_from: f64,
-    /// And is warm no later than this.
+    /// Time after its start by which a backend has reached its full capacity.
     pub warm_up: Millis,
-    /// What is out to a draining server must have ended by then.
+    /// Time within which attempts to a draining backend must have ended.
     pub drain_grace: Millis,
-    /// A cold server sent over this multiple of its present capacity falls over ...
+    /// Load under which a cold backend fails, as a multiple of its current capacity.
     #[schemars(range(min = 0))]
     pub fall_multiple: f64,
-    /// ... after this time.
+    /// How long that load must last for the backend to fail.
     pub fall_after: Millis,
-    /// Where the list is asked for: the longest time between two askings.
+    /// Maximum interval between two polls of the backend list, if `discovery.mode` is `ask`.
     pub ask_within: Millis,
 }
 
@@ -344,34 +345,35 @@
     }
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, as requests state it.
+    /// Name of the class, as in request paths.
     pub name: String,
-    /// Answers within this earn full worth.
+    /// Latency target: a response within it earns the full worth.
     pub aim: Millis,
-    /// A client's whole wait, over all its tries.
+    /// The client's total wait, including its retries.
     pub deadline: Millis,
-    /// `safe`: may run any number of times; `keyed`: servers drop repeats for a time; `unsafe`: must not run twice.
+    /// `safe`: may run any number of times; `keyed`: backends drop duplicates for a time; `unsafe`: at most once.
     pub effect: Effect,
-    /// Which servers drop repeats of a keyed request together: `all`, those of one `zone` or of one `cell`.
+    /// Backends among which duplicates of a keyed request are dropped: `all`, or those of one `zone` or `cell`.
     #[serde(default)]
     pub key_group: Group,
-    /// For how long after the first attempt that may have run they do.
+    /// How long a key is remembered after the first attempt that may have been executed.
     #[serde(default = "nothing")]
     pub key_window: Millis,
-    /// The worth of one request.
+    /// Value of one request, relative to other classes.
     #[serde(default = "whole")]
     #[schemars(range(min = 0))]
     pub worth: f64,
-    /// The share of it that an answer after the aim earns.
+    /// Share of the worth that a response after the latency target still earns.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub late_worth: f64,
 }
 
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
@@ -380,6 +382,7 @@
     Unsafe,
 }
 
+/// The backends among which duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Group {
@@ -393,38 +396,38 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name, as requests state it.
+    /// Name of the plan, as in requests.
     pub name: String,
-    /// Units a second that a customer may use; 0: no such quota.
+    /// Refill rate of the quota's token bucket, in units a second; 0: no rate quota.
     #[schemars(range(min = 0))]
     pub rate: f64,
-    /// Units that a customer may use at once after a rest.
+    /// Size of that token bucket, in units.
     #[schemars(range(min = 0))]
     pub burst: f64,
-    /// Attempts out at once inside the quota; 0: no such quota.
+    /// Maximum attempts in flight within the quota; 0: no such limit.
     #[serde(default)]
     pub attempts_out: u32,
-    /// Factor on the worth of its requests.
+    /// Factor on the worth of the plan's requests.
     #[serde(default = "whole")]
     #[schemars(range(min = 0))]
     pub price: f64,
-    /// Share of the worth earned beyond the quota.
+    /// Share of the worth that a request beyond the quota earns.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub extra_worth: f64,
-    /// Share of the worth that a try sent beyond the quota costs.
+    /// Share of the worth that an attempt beyond the quota costs.
     #[serde(default = "whole")]
     #[schemars(range(min = 0))]
     pub excess_cost: f64,
-    /// Units a second of the hard ceiling; 0: there is none.
+    /// Refill rate of the hard limit's token bucket, in units a second; 0: no hard limit.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub ceiling_rate: f64,
-    /// Units that the hard ceiling lets through at once after a rest.
+    /// Size of the hard limit's token bucket, in units.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub ceiling_burst: f64,
-    /// Units by which they may be exceeded.
+    /// Units by which the hard limit's token bucket may be overdrawn.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub ceiling_slack: f64,
@@ -434,15 +437,15 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Logs {
-    /// `text`, or `json`: one object a line.
+    /// `text`, or `json` with one object per line.
     pub format: Format,
-    /// What is written at least: `off`, `error`, `warn`, `info`, `debug` or `trace`.
+    /// Least severe level that is logged: `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: Level,
-    /// Other levels for single parts, by their names in the log.
+    /// Levels of single targets, by their names in the log; they override `level`.
     pub levels: BTreeMap<String, Level>,
-    /// Whether each line of text states its time; lines of JSON always do.
+    /// Whether lines of text contain the time; lines of JSON always do.
     pub times: bool,
-    /// How a customer's number is written: `hash`, keyed by each process anew, or `plain`.
+    /// How customer numbers are logged: `hash`, with a random key per process, or `plain`.
     pub customers: Customers,
 }
 
@@ -458,6 +461,7 @@
     }
 }
 
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Format {
@@ -465,6 +469,7 @@
     Json,
 }
 
+/// A log level.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Level {
@@ -476,6 +481,7 @@
     Trace,
 }
 
+/// How customer numbers are logged.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Customers {
--- a/src/bin/heronstage/config/guide.rs
+++ b/src/bin/heronstage/config/guide.rs
@@ -262,7 +262,7 @@
 
 /// The documentation of all keys, as a Markdown table.
 pub fn keys() -> String {
-    let mut text = String::from("| key | wanted | by default | about |\n| --- | --- | --- | --- |\n");
+    let mut text = String::from("| key | value | default | description |\n| --- | --- | --- | --- |\n");
     for key in all_keys() {
         let expected = if key.is_table { "" } else { &key.expected };
         let default = match &key.default {
@@ -319,8 +319,8 @@
 /// A commented configuration that a gateway can start with unchanged.
 pub fn example() -> String {
     let mut text = String::from(
-        "# The configuration of one gateway. Keys that stand as comments show what holds without them; tables that\n\
-         # stand as comments are off. The page docs/configuration.md has all of it.\n\n",
+        "# The configuration of one gateway. Commented keys show defaults or examples; commented tables are off.\n\
+         # docs/configuration.md describes all keys.\n\n",
     );
     for key in all_keys() {
         let optional = OPTIONAL.iter().any(|table| key.path.split('.').next() == Some(table));
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -164,7 +164,7 @@
     assert!(errors.contains("classes[0].name: must consist of letters, digits"), "{errors}");
     let errors = errors_with_change("# tick = \"1ms\"", "tick = \"2d\"");
     assert!(errors.ends_with("rules.tick: out of range"), "{errors}");
-    let cluster = "# [cluster]\n# The cluster's name; datagrams of others are dropped.\n# name = \"granite\"\n# Where other members are heard, over UDP.\n# listen = \"127.0.0.1:7946\"";
+    let cluster = "# [cluster]\n# Name of the cluster; datagrams of other clusters are dropped.\n# name = \"granite\"\n# UDP address on which datagrams of other members are received.\n# listen = \"127.0.0.1:7946\"";
     let errors = errors_with_change(
         cluster,
         "[cluster]\nname = \"granite\"\nlisten = \"0.0.0.0:7946\"\ntimeout = \"900ms\"",
