--- a/src/bin/heronstage/config/form.rs
+++ b/src/bin/heronstage/config/form.rs
@@ -489,6 +489,7 @@
     Plain,
 }
 
+/// The default name of a zone or kind.
 fn usual() -> String {
     "default".to_owned()
 }
--- a/src/bin/heronstage/config/guide.rs
+++ b/src/bin/heronstage/config/guide.rs
@@ -176,7 +176,7 @@
         let Some(next) = next else { return };
         table = next;
     }
-    let valid = schema_at(root, path).map(|schema| sample(root, schema));
+    let valid = schema_at(root, path).map(|schema| make_sample(root, schema));
     match (table, valid) {
         (Value::Object(table), Some(valid)) => drop(table.insert(last, valid)),
         (Value::Object(table), None) => drop(table.remove(&last)),
@@ -190,7 +190,7 @@
 }
 
 /// A value that a schema accepts: the default or the first example if there is one.
-fn sample(root: &Value, schema: &Value) -> Value {
+fn make_sample(root: &Value, schema: &Value) -> Value {
     let schema = resolve(root, schema);
     for candidate in [&schema["default"], &schema["examples"][0], &schema["enum"][0]] {
         if !candidate.is_null() {
@@ -203,12 +203,12 @@
         "number" => 1.0.into(),
         "boolean" => false.into(),
         "array" if schema["minItems"].as_u64().unwrap_or(0) > 0 => {
-            vec![sample(root, &schema["items"])].into()
+            vec![make_sample(root, &schema["items"])].into()
         }
         "array" => Vec::<Value>::new().into(),
         "object" => {
             let required = schema["required"].as_array().into_iter().flatten().filter_map(Value::as_str);
-            let samples = required.map(|key| (key.to_owned(), sample(root, &schema["properties"][key])));
+            let samples = required.map(|key| (key.to_owned(), make_sample(root, &schema["properties"][key])));
             Value::Object(samples.collect::<Map<_, _>>())
         }
         _ => Value::Null,
@@ -285,7 +285,7 @@
     }
 }
 
-/// Values in the example of keys without a useful default.
+/// Values that the example shows instead of defaults.
 const EXAMPLES: [(&str, &str); 25] = [
     ("seed", "\"8c1f30d27a5be964\""),
     ("listeners.clients", "\"127.0.0.1:9000\""),
@@ -314,7 +314,7 @@
     ("kinds", "[\"default\"]"),
 ];
 /// Optional tables, which the example has as comments.
-const OPTIONAL: [&str; 3] = ["counter", "peers", "cluster"];
+const OPTIONAL_TABLES: [&str; 3] = ["counter", "peers", "cluster"];
 
 /// A commented configuration that a gateway can start with unchanged.
 pub fn example() -> String {
@@ -323,7 +323,7 @@
          # docs/configuration.md describes all keys.\n\n",
     );
     for key in all_keys() {
-        let optional = OPTIONAL.iter().any(|table| key.path.split('.').next() == Some(table));
+        let optional = OPTIONAL_TABLES.iter().any(|table| key.path.split('.').next() == Some(table));
         let comment = if optional { "# " } else { "" };
         let example =
             EXAMPLES.iter().find(|(path, _)| *path == key.path).map(|(_, value)| (*value).to_owned());
--- a/src/bin/heronstage/config/mod.rs
+++ b/src/bin/heronstage/config/mod.rs
@@ -27,7 +27,9 @@
 /// Endpoints that a reload may change.
 #[derive(Clone, Copy)]
 pub struct Places {
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
+    /// Address of the quota counter.
     pub counter: Option<SocketAddr>,
     /// Timeout of a call to the counter.
     pub patience: Duration,
@@ -45,6 +47,7 @@
 pub struct Config {
     /// The gateway's name; empty if none is set.
     pub name: String,
+    /// Address of the clients' listener.
     pub listen: SocketAddr,
     /// All keys and their values as loaded, to find changed keys on a reload.
     pub raw: serde_json::Value,
@@ -53,21 +56,29 @@
     /// Address of the operators' listener.
     pub operator: Option<SocketAddr>,
     pub places: Places,
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Maximum number of descriptors of the process.
     pub sockets: usize,
     /// Maximum memory of the process, in bytes.
     pub memory: u64,
+    /// Address on which messages of other gateways are received.
     pub peer_listen: Option<SocketAddr>,
+    /// Addresses of all gateways, by position.
     pub peers: Vec<SocketAddr>,
     /// Address that reaches all peers.
     pub peers_all: Option<SocketAddr>,
     /// The backend list that a platform file contains.
     pub known: Option<Registry>,
+    /// Settings of the decision module, which refers to classes, plans, zones and kinds by index.
     pub settings: Settings,
+    /// Names of the request classes.
     pub classes: Vec<String>,
+    /// Names of the customers' plans.
     pub plans: Vec<String>,
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// Names of the backend kinds.
     pub kinds: Vec<String>,
     /// Timeout for connecting to a backend.
     pub connect_ms: f64,
@@ -104,6 +115,7 @@
 #[derive(Debug, Deserialize)]
 pub struct Registry {
     pub version: u64,
+    /// Whether the list is complete.
     pub full: bool,
     pub servers: Vec<Server>,
 }
@@ -388,7 +400,7 @@
     }
 }
 
-/// The member of a cluster; the gateway's own name and the number of gateways stand elsewhere in the config.
+/// The cluster membership. The gateway's name and the number of gateways are defaults for keys that are not set.
 fn convert_cluster(c: form::Cluster, name: &str, gateways: u32) -> Cluster {
     let settings = membership::Settings {
         cluster: c.name,
--- a/src/bin/heronstage/config/platform.rs
+++ b/src/bin/heronstage/config/platform.rs
@@ -84,6 +84,7 @@
     rules: PlatformRules,
 }
 
+/// How the backend list is updated.
 #[derive(Deserialize, JsonSchema, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 enum PlatformMode {
@@ -91,6 +92,7 @@
     Ask,
 }
 
+/// A request class.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 struct PlatformClass {
@@ -104,6 +106,7 @@
     window_ms: f64,
 }
 
+/// Whether a request may be executed more than once.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 enum PlatformEffect {
@@ -112,6 +115,7 @@
     NonIdempotent,
 }
 
+/// The backends among which duplicates of a keyed request are dropped.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 enum PlatformGroup {
@@ -120,6 +124,7 @@
     Cell,
 }
 
+/// A customer plan.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 struct PlatformPlan {
@@ -135,6 +140,7 @@
     ceiling_slack: f64,
 }
 
+/// The quota counter, the units of requests, and messages between gateways.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 struct PlatformDomain {
@@ -146,6 +152,7 @@
     peer_intake: f64,
 }
 
+/// What the gateway may do, and timeouts of connections.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 struct PlatformLimits {
@@ -160,6 +167,7 @@
     idle_close_ms: f64,
 }
 
+/// What unwanted results cost.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 struct PlatformPenalties {
@@ -169,6 +177,7 @@
     late_fail: f64,
 }
 
+/// Timing and capacity parameters of the site.
 #[derive(Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 struct PlatformRules {
--- a/src/bin/heronstage/config/source.rs
+++ b/src/bin/heronstage/config/source.rs
@@ -66,7 +66,7 @@
         let named = match self {
             Source::Platform => {
                 let path = std::env::var("RELAY_CONFIG").map_err(|_| "RELAY_CONFIG is not set".to_owned())?;
-                let text = read(Path::new(&path)).map_err(|e| format!("RELAY_CONFIG {path}: {e}"))?;
+                let text = read_file(Path::new(&path)).map_err(|e| format!("RELAY_CONFIG {path}: {e}"))?;
                 return load_platform(&text);
             }
             Source::Named(named) => named,
@@ -80,7 +80,7 @@
 
 impl Named {
     fn open(&self) -> Result<ParsedFile, Vec<Diagnostic>> {
-        let text = read(&self.path).map_err(|e| vec![diagnostic(self.path.display(), e)])?;
+        let text = read_file(&self.path).map_err(|e| vec![diagnostic(self.path.display(), e)])?;
         let document = Document::parse(&self.path, &text)?;
         Ok(match document.format() {
             FileFormat::Platform => ParsedFile::Platform(document, text),
@@ -160,7 +160,7 @@
 // ---- Files ------------------------------------------------------------------------------------------------
 
 /// Reads a whole file. If it changes meanwhile, it is read again, so that the text is of one version.
-fn read(path: &Path) -> io::Result<String> {
+fn read_file(path: &Path) -> io::Result<String> {
     let unchanged =
         |a: &FileMetadata, b: &FileMetadata| a.len() == b.len() && a.modified().ok() == b.modified().ok();
     for _ in 0..MAX_READS {
@@ -199,8 +199,8 @@
             return Err(vec![diagnostic(location(1), "empty")]);
         }
         let (mut lines, ends) = (BTreeMap::new(), LineEnds::new(text));
-        let json = path.extension().is_some_and(|e| e.eq_ignore_ascii_case("json"));
-        let value = if json {
+        let is_json = path.extension().is_some_and(|e| e.eq_ignore_ascii_case("json"));
+        let value = if is_json {
             // Checks the syntax and the limit on nesting first, on which the walker relies.
             if let Err(e) = serde_json::from_str::<Value>(text) {
                 return Err(vec![diagnostic(location(e.line()), e)]);
@@ -243,8 +243,8 @@
     }
 
     fn format(&self) -> FileFormat {
-        let json = self.path.extension().is_some_and(|e| e.eq_ignore_ascii_case("json"));
-        if json && self.value.get(platform::SETTINGS_KEY).is_some() {
+        let is_json = self.path.extension().is_some_and(|e| e.eq_ignore_ascii_case("json"));
+        if is_json && self.value.get(platform::SETTINGS_KEY).is_some() {
             FileFormat::Platform
         } else {
             FileFormat::Native
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -179,7 +179,7 @@
 #[test]
 fn errors_of_a_platform_file_name_its_own_keys_and_unknown_keys_are_allowed() {
     let mut config = basic_config(&[refusing_address()]);
-    config["nobody knows"] = 1.into();
+    config["unknown-key"] = 1.into();
     config["operator"] = serde_json::Value::Null;
     let valid = write_file(config.to_string(), "json");
     assert_eq!(run_command(gateway_command().arg("check").arg(&valid)).0, 0);
