--- a/src/bin/heronstage/cli.rs
+++ b/src/bin/heronstage/cli.rs
@@ -1,6 +1,6 @@
 //! The command line: what may be asked of the program, and its exit codes.
 
-use crate::config::{Named, Source};
+use crate::config::{FileSource, Source};
 use clap::{Args, Parser, Subcommand};
 use clap_complete::Shell;
 use std::net::SocketAddr;
@@ -96,9 +96,9 @@
     pub set: Vec<(String, String)>,
 }
 
-impl From<Layers> for Named {
+impl From<Layers> for FileSource {
     fn from(layers: Layers) -> Self {
-        Named { path: layers.file, set: layers.set }
+        FileSource { path: layers.file, set: layers.set }
     }
 }
 
@@ -115,7 +115,7 @@
 impl From<Serve> for Source {
     fn from(serve: Serve) -> Self {
         match serve.config {
-            Some(path) => Source::Named(Named { path, set: serve.set }),
+            Some(path) => Source::File(FileSource { path, set: serve.set }),
             None => Source::Platform,
         }
     }
--- a/src/bin/heronstage/config/form.rs
+++ b/src/bin/heronstage/config/form.rs
@@ -438,7 +438,7 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Logs {
     /// `text`, or `json` with one object per line.
-    pub format: Format,
+    pub format: LogFormat,
     /// Least severe level that is logged: `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: Level,
     /// Levels of single targets, by their names in the log; they override `level`.
@@ -446,17 +446,17 @@
     /// Whether lines of text contain the time; lines of JSON always do.
     pub times: bool,
     /// How customer numbers are logged: `hash`, with a random key per process, or `plain`.
-    pub customers: Customers,
+    pub customers: CustomerIdFormat,
 }
 
 impl Default for Logs {
     fn default() -> Self {
         Logs {
-            format: Format::Text,
+            format: LogFormat::Text,
             level: Level::Info,
             levels: BTreeMap::new(),
             times: true,
-            customers: Customers::Hash,
+            customers: CustomerIdFormat::Hash,
         }
     }
 }
@@ -464,7 +464,8 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Format {
+#[schemars(rename = "Format")]
+pub enum LogFormat {
     Text,
     Json,
 }
@@ -484,7 +485,8 @@
 /// How customer numbers are logged.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Customers {
+#[schemars(rename = "Customers")]
+pub enum CustomerIdFormat {
     Hash,
     Plain,
 }
--- a/src/bin/heronstage/config/mod.rs
+++ b/src/bin/heronstage/config/mod.rs
@@ -8,9 +8,9 @@
 mod units;
 
 pub use check::Violation;
-pub use form::{Customers, Format, Level, Logs};
+pub use form::{CustomerIdFormat, Level, LogFormat, Logs};
 pub use guide::{example, keys, schema};
-pub use source::{Named, Shown, Source};
+pub use source::{EffectiveConfig, FileSource, Source};
 
 use cherrytally::membership;
 use cherrytally::{
@@ -26,18 +26,20 @@
 
 /// Endpoints that a reload may change.
 #[derive(Clone, Copy)]
-pub struct Places {
+pub struct Endpoints {
     /// Address of the discovery service.
     pub discovery: SocketAddr,
     /// Address of the quota counter.
     pub counter: Option<SocketAddr>,
     /// Timeout of a call to the counter.
-    pub patience: Duration,
+    pub counter_timeout: Duration,
 }
 
 /// Waits until the predicate holds for the current endpoints.
-pub async fn moved(places: &mut Receiver<Places>, moved: impl FnMut(&Places) -> bool) {
-    if places.wait_for(moved).await.is_err() {
+pub async fn endpoint_changed(
+    endpoints: &mut Receiver<Endpoints>, has_changed: impl FnMut(&Endpoints) -> bool,
+) {
+    if endpoints.wait_for(has_changed).await.is_err() {
         // The sender was dropped: there are no further changes.
         std::future::pending().await
     }
@@ -55,21 +57,21 @@
     pub strict: bool,
     /// Address of the operators' listener.
     pub operator: Option<SocketAddr>,
-    pub places: Places,
+    pub endpoints: Endpoints,
     /// Seed of the random number generator.
     pub seed: u64,
     /// Maximum number of descriptors of the process.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Maximum memory of the process, in bytes.
-    pub memory: u64,
+    pub max_memory_bytes: u64,
     /// Address on which messages of other gateways are received.
     pub peer_listen: Option<SocketAddr>,
     /// Addresses of all gateways, by position.
     pub peers: Vec<SocketAddr>,
     /// Address that reaches all peers.
-    pub peers_all: Option<SocketAddr>,
+    pub peer_broadcast: Option<SocketAddr>,
     /// The backend list that a platform file contains.
-    pub known: Option<Registry>,
+    pub initial_registry: Option<Registry>,
     /// Settings of the decision module, which refers to classes, plans, zones and kinds by index.
     pub settings: Settings,
     /// Names of the request classes.
@@ -81,11 +83,11 @@
     /// Names of the backend kinds.
     pub kinds: Vec<String>,
     /// Timeout for connecting to a backend.
-    pub connect_ms: f64,
+    pub connect_timeout_ms: f64,
     /// Time after which an idle connection to a backend is closed.
-    pub idle_ms: f64,
+    pub idle_timeout_ms: f64,
     /// Maximum rate of messages accepted from peers, per second.
-    pub peer_intake: f64,
+    pub max_peer_messages_per_s: f64,
     /// The cluster that this gateway joins.
     pub cluster: Option<Cluster>,
     pub logs: Logs,
@@ -211,26 +213,26 @@
             raw,
             strict: true,
             operator: config.listeners.operators,
-            places: Places {
+            endpoints: Endpoints {
                 discovery: config.discovery.address,
                 counter: config.counter.map(|counter| counter.address),
-                patience: Duration::from_secs_f64(counter_timeout_ms / 1000.0),
+                counter_timeout: Duration::from_secs_f64(counter_timeout_ms / 1000.0),
             },
             seed,
-            sockets: config.limits.descriptors,
-            memory: config.limits.memory.0,
+            max_descriptors: config.limits.descriptors,
+            max_memory_bytes: config.limits.memory.0,
             peer_listen: config.peers.as_ref().map(|peers| peers.listen),
-            peers_all: config.peers.as_ref().and_then(|peers| peers.broadcast),
-            peer_intake: config.peers.as_ref().map_or(0.0, |peers| peers.intake),
+            peer_broadcast: config.peers.as_ref().and_then(|peers| peers.broadcast),
+            max_peer_messages_per_s: config.peers.as_ref().map_or(0.0, |peers| peers.intake),
             peers: config.peers.map(|peers| peers.addresses).unwrap_or_default(),
-            known: None,
+            initial_registry: None,
             settings,
             classes: config.classes.into_iter().map(|c| c.name).collect(),
             plans: config.plans.into_iter().map(|p| p.name).collect(),
             zones: config.zones,
             kinds: config.kinds,
-            connect_ms: config.servers.connect_timeout.0,
-            idle_ms: config.servers.idle_timeout.0,
+            connect_timeout_ms: config.servers.connect_timeout.0,
+            idle_timeout_ms: config.servers.idle_timeout.0,
             cluster,
             logs: config.logs,
         })
@@ -256,7 +258,7 @@
     }
 
     /// Whether the settings differ in a newer configuration. In the platform format the endpoints are not among them.
-    pub fn retunes(&self, newer: &Config) -> bool {
+    pub fn settings_differ(&self, newer: &Config) -> bool {
         if self.strict {
             self.raw != newer.raw
         } else {
@@ -270,7 +272,7 @@
     }
 
     /// The reason to reject a newer configuration, if there is one.
-    pub fn turns_down(&self, newer: &Config, changes: &Changes) -> Option<String> {
+    pub fn rejection_reason(&self, newer: &Config, changes: &Changes) -> Option<String> {
         if self.strict {
             let keys = changes.restart.join(", ");
             return Some(format!("{keys}: needs a restart")).filter(|_| !keys.is_empty());
--- a/src/bin/heronstage/config/platform.rs
+++ b/src/bin/heronstage/config/platform.rs
@@ -2,11 +2,11 @@
 //! platform gives to every gateway, under the simulator's names. Unknown keys are ignored.
 
 use super::form::{
-    self, Class, Counter, Customers, Discovery, Fleet, Format, Level, Limits, Listeners, Logs, NativeConfig,
-    Peers, Plan, Prices, Quotas, Retries, Rules, Servers,
+    self, Class, Counter, CustomerIdFormat, Discovery, Fleet, Level, Limits, Listeners, LogFormat, Logs,
+    NativeConfig, Peers, Plan, Prices, Quotas, Retries, Rules, Servers,
 };
 use super::units::{Address, AddressV4, Bytes, Millis};
-use super::{check, Config, Places, Registry, Violation};
+use super::{check, Config, Endpoints, Registry, Violation};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -287,16 +287,16 @@
 
     fn into_config(self, native: NativeConfig, raw: serde_json::Value) -> Result<Config, String> {
         let settings = &self.settings;
-        let places = Places {
+        let endpoints = Endpoints {
             discovery: self.discovery,
             counter: self.counter,
-            patience: Duration::from_secs_f64(settings.domain.counter_timeout_ms / 1000.0),
+            counter_timeout: Duration::from_secs_f64(settings.domain.counter_timeout_ms / 1000.0),
         };
         let mut config = Config::from_native(native, raw)?;
         // A platform file may have two zones of one name, so the index counts.
         config.settings.zone = settings.locality;
-        config.places = places;
-        config.known = self.known;
+        config.endpoints = endpoints;
+        config.initial_registry = self.known;
         config.strict = false;
         Ok(config)
     }
@@ -370,11 +370,11 @@
             plans: settings.tiers_of_service.iter().map(PlatformPlan::to_native).collect(),
             // The platform's log collector adds the times.
             logs: Logs {
-                format: Format::Text,
+                format: LogFormat::Text,
                 level: Level::Info,
                 levels: BTreeMap::new(),
                 times: false,
-                customers: Customers::Hash,
+                customers: CustomerIdFormat::Hash,
             },
         }
     }
--- a/src/bin/heronstage/config/source.rs
+++ b/src/bin/heronstage/config/source.rs
@@ -32,19 +32,19 @@
     /// The platform file whose path is in `RELAY_CONFIG`.
     Platform,
     /// A file given on the command line.
-    Named(Named),
+    File(FileSource),
 }
 
 /// A file of either format, and keys set by flags.
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct FileSource {
     pub path: PathBuf,
     /// Keys and values of `--set` flags.
     pub set: Vec<(String, String)>,
 }
 
 /// The effective configuration: each key with its value and the source of the value.
-pub struct Shown(pub Vec<(String, Value, String)>);
+pub struct EffectiveConfig(pub Vec<(String, Value, String)>);
 
 /// A parsed file, and the line of each key.
 struct Document {
@@ -63,22 +63,22 @@
     /// Loads and checks the configuration. An error has one line for each violation; for a platform file it names only
     /// the first.
     pub fn load(&self) -> Result<Config, String> {
-        let named = match self {
+        let file = match self {
             Source::Platform => {
                 let path = std::env::var("RELAY_CONFIG").map_err(|_| "RELAY_CONFIG is not set".to_owned())?;
                 let text = read_file(Path::new(&path)).map_err(|e| format!("RELAY_CONFIG {path}: {e}"))?;
                 return load_platform(&text);
             }
-            Source::Named(named) => named,
+            Source::File(file) => file,
         };
-        match named.open().map_err(join_lines)? {
+        match file.open().map_err(join_lines)? {
             ParsedFile::Platform(_, text) => load_platform(&text),
             ParsedFile::Native(layers) => Config::from_native(layers.parse()?, layers.value),
         }
     }
 }
 
-impl Named {
+impl FileSource {
     fn open(&self) -> Result<ParsedFile, Vec<Diagnostic>> {
         let text = read_file(&self.path).map_err(|e| vec![diagnostic(self.path.display(), e)])?;
         let document = Document::parse(&self.path, &text)?;
@@ -92,7 +92,7 @@
     }
 
     /// Checks the file and returns all violations.
-    pub fn mistakes(&self) -> Vec<Diagnostic> {
+    pub fn check(&self) -> Vec<Diagnostic> {
         match self.open() {
             Ok(ParsedFile::Platform(document, _)) => {
                 let violations = check::check_value(&document.value, FileFormat::Platform).into_iter();
@@ -106,7 +106,7 @@
     }
 
     /// The effective values of all keys, and their sources.
-    pub fn show(&self) -> Result<Shown, String> {
+    pub fn show(&self) -> Result<EffectiveConfig, String> {
         let layers = match self.open().map_err(join_lines)? {
             ParsedFile::Native(layers) => layers,
             ParsedFile::Platform(document, _) => {
@@ -120,7 +120,7 @@
             let from = layers.origin(key).unwrap_or_else(|| "default".to_owned());
             shown.push((key.to_owned(), value.clone(), from));
         });
-        Ok(Shown(shown))
+        Ok(EffectiveConfig(shown))
     }
 }
 
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -1,6 +1,6 @@
 //! Client of the counter service: calls are pipelined on a few persistent connections.
 
-use crate::config::{moved, Places};
+use crate::config::{endpoint_changed, Endpoints};
 use bytes::{Buf, BytesMut};
 use cherrytally::plane::driver::{CounterCall, CounterReply};
 use cherrytally::plane::http::Reader;
@@ -56,8 +56,10 @@
 }
 
 /// Starts one task for each connection.
-pub fn spawn(receivers: CallReceivers, addr: SocketAddr, places: &Receiver<Places>, on_reply: &ReplyHandler) {
-    let reply_timeout = places.borrow().patience;
+pub fn spawn(
+    receivers: CallReceivers, addr: SocketAddr, places: &Receiver<Endpoints>, on_reply: &ReplyHandler,
+) {
+    let reply_timeout = places.borrow().counter_timeout;
     let idle_limit = Rc::new(IdleLimit::new(MAX_IDLE));
     for calls in receivers {
         let (places, on_reply, idle_limit) = (places.clone(), on_reply.clone(), idle_limit.clone());
@@ -70,7 +72,7 @@
 
 struct Connection {
     addr: SocketAddr,
-    places: Receiver<Places>,
+    places: Receiver<Endpoints>,
     reply_timeout: Duration,
     on_reply: ReplyHandler,
     calls: UnboundedReceiver<CounterCall>,
@@ -105,7 +107,7 @@
                 },
             };
             // Without a counter in the new configuration, calls still go to the former address.
-            let Places { counter, patience: reply_timeout, .. } = *self.places.borrow();
+            let Endpoints { counter, counter_timeout: reply_timeout, .. } = *self.places.borrow();
             (self.addr, self.reply_timeout) = (counter.unwrap_or(self.addr), reply_timeout);
             match timeout(self.reply_timeout, TcpStream::connect(self.addr)).await {
                 Ok(Ok(stream)) => {
@@ -174,7 +176,7 @@
             let idle_limit = self.idle_limit.get();
             let wake = due.into_iter().chain(stalled_at).min().unwrap_or(last_response + idle_limit);
             tokio::select! {
-                () = moved(&mut self.places, |p| p.counter.is_some_and(|to| to != host)), if !moved_away => {
+                () = endpoint_changed(&mut self.places, |p| p.counter.is_some_and(|to| to != host)), if !moved_away => {
                     moved_away = true;
                 }
                 call = self.calls.recv(), if !moved_away => match call {
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -1,6 +1,6 @@
 //! Client of the discovery service: follows the backend list on a long-lived watch request.
 
-use crate::config::{moved, Places, Registry};
+use crate::config::{endpoint_changed, Endpoints, Registry};
 use crate::speech::Names;
 use bytes::BytesMut;
 use cherrytally::plane::driver::Driver;
@@ -107,7 +107,7 @@
 
 /// Keeps a watch open until the program ends. While discovery is unreachable the last list stays in use.
 pub async fn run(
-    mut places: Receiver<Places>, mut version: u64, (gateways, position): (u32, u32), seed: u64,
+    mut places: Receiver<Endpoints>, mut version: u64, (gateways, position): (u32, u32), seed: u64,
     names: Names, driver: Rc<Driver>,
 ) {
     let warnings = WarningLimiter::default();
@@ -120,7 +120,7 @@
                 sleep(backoff.next_delay(&ended)).await;
             }
             // Changes from the former address may have been missed: fetch the full list.
-            () = moved(&mut places, |places| places.discovery != addr) => needs_full_list = true,
+            () = endpoint_changed(&mut places, |places| places.discovery != addr) => needs_full_list = true,
         }
     }
 }
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::beside::DescriptorShare;
 use crate::cluster::Cluster;
-use crate::config::{Changes, Config, Logs, Places, Source};
+use crate::config::{Changes, Config, Endpoints, Logs, Source};
 use crate::counter;
 use crate::discovery;
 use crate::figures::Figures;
@@ -75,7 +75,7 @@
     };
     let peers = match config.peer_listen.filter(|_| config.settings.limits.peers) {
         Some(at) => {
-            let peers = peers::Peers::new(at, config.peers.clone(), config.peers_all);
+            let peers = peers::Peers::new(at, config.peers.clone(), config.peer_broadcast);
             match peers.bind().await {
                 Err(e) if !held_by_old_process(&e) => return Err(format!("peer_listen {at}: {e}")),
                 _ => Some(Rc::new(peers)),
@@ -84,17 +84,17 @@
         None => None,
     };
     let reserved = RESERVED + operator.as_ref().map_or(0, |_| operator::PLACES + 1);
-    let max_connections = config.sockets.saturating_sub(reserved).max(2) / 2;
-    let backends = Backends::new(max_connections, config.connect_ms, config.idle_ms);
-    let counter = config.settings.counter.and(config.places.counter);
-    let (places_sender, places) = watch::channel(config.places);
+    let max_connections = config.max_descriptors.saturating_sub(reserved).max(2) / 2;
+    let backends = Backends::new(max_connections, config.connect_timeout_ms, config.idle_timeout_ms);
+    let counter = config.settings.counter.and(config.endpoints.counter);
+    let (places_sender, places) = watch::channel(config.endpoints);
     let (call_senders, call_receivers) = counter::CallSenders::new();
     let names = Names { zones: config.zones.clone(), kinds: config.kinds.clone() };
     let mut settings = config.settings.clone();
     let (figures, mut tables) = (Rc::new(Figures::default()), Tables::default());
     tables.apply(&config.classes, &config.plans, &mut settings, &figures)?;
     let fleet_position = (settings.gateways, settings.position);
-    let budget = Rc::new(MemoryBudget::new(config.memory));
+    let budget = Rc::new(MemoryBudget::new(config.max_memory_bytes));
     let resources = DriverResources {
         backends,
         call_counter: counter
@@ -112,7 +112,7 @@
         let on_reply: counter::ReplyHandler = Rc::new(move |reply| driver.counter_replied(reply));
         counter::spawn(call_receivers, addr, &places, &on_reply);
     }
-    let known = config.known.take();
+    let known = config.initial_registry.take();
     let version = known.as_ref().map_or(0, |known| known.version);
     if let Some(known) = known {
         let (full, backends) = names.to_backends(known);
@@ -129,7 +129,7 @@
     if let Some(peers) = peers {
         let driver = driver.clone();
         let on_message = move |from, body| driver.message_received(from, body);
-        tokio::task::spawn_local(peers::run(peers, config.peer_intake, on_message));
+        tokio::task::spawn_local(peers::run(peers, config.max_peer_messages_per_s, on_message));
     }
     let sweeper = driver.clone();
     tokio::task::spawn_local(async move {
@@ -141,7 +141,8 @@
     let client_permits = Arc::new(Semaphore::new(max_connections));
     let newer_running = Rc::new(Cell::new(false));
     if let Some(directory) = std::env::var_os("TMPDIR").filter(|_| shared) {
-        let (seed, max_descriptors, client_permits) = (config.seed, config.sockets, client_permits.clone());
+        let (seed, max_descriptors, client_permits) =
+            (config.seed, config.max_descriptors, client_permits.clone());
         let share = DescriptorShare::new(
             directory.into(),
             seed,
@@ -158,7 +159,7 @@
         Server::new(driver.clone(), tables, figures.clone(), customer_names, budget, client_permits.clone());
     let cluster = Cluster::new(driver.clone(), config.seed, shared, server.watch_drain());
     let cluster_change = cluster.prepare(config.cluster.clone())?;
-    let (name, descriptors) = (config.name.clone(), config.sockets);
+    let (name, descriptors) = (config.name.clone(), config.max_descriptors);
     let reloads = Reloader { source, config: config.into(), places: places_sender, figures: figures.clone() };
     let desk = Rc::new(Desk {
         server: server.clone(),
@@ -233,7 +234,7 @@
     source: Source,
     /// The configuration applied last.
     config: RefCell<Config>,
-    places: watch::Sender<Places>,
+    places: watch::Sender<Endpoints>,
     figures: Rc<Figures>,
 }
 
@@ -249,7 +250,7 @@
         self.figures.configured(result.is_ok());
         match &result {
             Ok(changes) => {
-                let Places { discovery, counter, .. } = *self.places.borrow();
+                let Endpoints { discovery, counter, .. } = *self.places.borrow();
                 tracing::info!("SIGHUP: discovery at {discovery}, counter at {counter:?}");
                 if !changes.keys.is_empty() {
                     tracing::info!("changed: {}", changes.keys.join(", "));
@@ -267,17 +268,17 @@
         let mut new_config = self.source.load()?;
         let mut config = self.config.borrow_mut();
         let changes = config.changes(&new_config);
-        if let Some(reason) = config.turns_down(&new_config, &changes) {
+        if let Some(reason) = config.rejection_reason(&new_config, &changes) {
             return Err(reason);
         }
         // Every step that can fail comes before the first change.
         let change = cluster.prepare(new_config.cluster.clone())?;
-        if config.retunes(&new_config) {
+        if config.settings_differ(&new_config) {
             server.apply_config(&new_config)?;
         }
         cluster.apply(change);
-        self.places.send_replace(new_config.places);
-        new_config.known = None;
+        self.places.send_replace(new_config.endpoints);
+        new_config.initial_registry = None;
         *config = new_config;
         Ok(changes)
     }
--- a/src/bin/heronstage/logs.rs
+++ b/src/bin/heronstage/logs.rs
@@ -1,6 +1,6 @@
 //! The log: lines on standard error, as text or as JSON, written by a thread of their own.
 
-use crate::config::{Customers, Format, Level, Logs};
+use crate::config::{CustomerIdFormat, Level, LogFormat, Logs};
 use std::hash::{BuildHasher, RandomState};
 use std::io;
 use tracing::level_filters::LevelFilter;
@@ -61,9 +61,9 @@
 fn lines(logs: &Logs, writer: NonBlocking) -> Box<dyn Layer<Registry> + Send + Sync> {
     let lines = fmt::layer().with_writer(writer).with_ansi(false);
     match (logs.format, logs.times) {
-        (Format::Json, _) => lines.json().flatten_event(true).with_span_list(false).boxed(),
-        (Format::Text, true) => lines.boxed(),
-        (Format::Text, false) => lines.without_time().boxed(),
+        (LogFormat::Json, _) => lines.json().flatten_event(true).with_span_list(false).boxed(),
+        (LogFormat::Text, true) => lines.boxed(),
+        (LogFormat::Text, false) => lines.without_time().boxed(),
     }
 }
 
@@ -87,18 +87,18 @@
 /// Writes customers' numbers so that their lines belong together, and nobody is named unless it was asked for.
 pub struct Names {
     key: RandomState,
-    customers: Customers,
+    customers: CustomerIdFormat,
 }
 
 impl Names {
-    pub fn new(customers: Customers) -> Self {
+    pub fn new(customers: CustomerIdFormat) -> Self {
         Names { key: RandomState::new(), customers }
     }
 
     pub fn customer(&self, number: u64) -> String {
         match self.customers {
-            Customers::Hash => format!("{:016x}", self.key.hash_one(number)),
-            Customers::Plain => format!("{number:016x}"),
+            CustomerIdFormat::Hash => format!("{:016x}", self.key.hash_one(number)),
+            CustomerIdFormat::Plain => format!("{number:016x}"),
         }
     }
 }
--- a/src/bin/heronstage/remote.rs
+++ b/src/bin/heronstage/remote.rs
@@ -1,7 +1,7 @@
 //! Calls to a running gateway at its operators' address, as a person makes them from a shell.
 
 use crate::cli::{Call, Configuration, Drain, Exit};
-use crate::config::{self, Changes, Named, Shown};
+use crate::config::{self, Changes, EffectiveConfig, FileSource};
 use crate::status::{Phase, Status};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -288,8 +288,8 @@
 }
 
 /// `check`
-pub fn check(file: &Named) -> Outcome {
-    let mistakes = file.mistakes();
+pub fn check(file: &FileSource) -> Outcome {
+    let mistakes = file.check();
     if mistakes.is_empty() {
         return made("no mistake\n");
     }
@@ -304,8 +304,8 @@
         Configuration::Example => made(config::example()),
         Configuration::Keys => made(config::keys()),
         Configuration::Show { layers, json } => {
-            let shown = Named::from(layers).show().map_err(|why| Failure { exit: Exit::Bad, why })?;
-            let Shown(keys) = shown;
+            let shown = FileSource::from(layers).show().map_err(|why| Failure { exit: Exit::Bad, why })?;
+            let EffectiveConfig(keys) = shown;
             if json {
                 let row = |(key, value, from)| serde_json::json!({"key": key, "value": value, "from": from});
                 let rows: Vec<_> = keys.into_iter().map(row).collect();
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -326,7 +326,7 @@
     pub fn apply_config(&self, config: &Config) -> Result<(), String> {
         let mut settings = config.settings.clone();
         self.tables.borrow_mut().apply(&config.classes, &config.plans, &mut settings, &self.figures)?;
-        self.driver.apply_settings(settings, config.connect_ms, config.idle_ms);
+        self.driver.apply_settings(settings, config.connect_timeout_ms, config.idle_timeout_ms);
         Ok(())
     }
 
