--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -223,10 +223,12 @@
 
 #[test]
 fn a_simulated_gateway_sends_the_same_messages_as_a_real_one() {
+    // The core process listens on the first port, the agent on the next one. Ports outside the ephemeral range,
+    // so that no outgoing connection holds one in TIME-WAIT.
     let inner_port = (0..100)
-        .find_map(|_| {
-            let first = TcpListener::bind((CORE_IP, 0)).ok()?.local_addr().ok()?.port();
-            TcpListener::bind(("127.0.0.1", first.checked_add(1)?)).ok().map(|_| first)
+        .map(|_| fastrand::u16(10_000..30_000))
+        .find(|port| {
+            TcpListener::bind((CORE_IP, *port)).is_ok() && TcpListener::bind(("127.0.0.1", *port + 1)).is_ok()
         })
         .expect("two free ports");
     let core = format!("{CORE_IP}:8383");
