--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -294,16 +294,18 @@
     bound.map(|at| at.port()).map_err(|e| format!("a port on {ip}: {e}"))
 }
 
-/// Two ports in a row that are free.
-fn inner_port() -> Result<u16, String> {
-    for _ in 0..100 {
-        let first = free_port("127.0.0.1")?;
-        let next = first.checked_add(1).filter(|next| TcpListener::bind(("127.0.0.1", *next)).is_ok());
-        if next.is_some() {
-            return Ok(first);
-        }
-    }
-    Err("no two free ports in a row on loopback".to_owned())
+/// A free port of all core processes that has a free one after it on loopback, for the agent. Both are outside the
+/// ephemeral range, so that no outgoing connection holds one in TIME-WAIT.
+fn inner_port(core_ips: &[String]) -> Result<u16, String> {
+    let free = |ip: &str, port: u16| TcpListener::bind((ip, port)).is_ok();
+    (0..100)
+        .map(|_| rand::random_range(10_000..30_000))
+        .find(|port| {
+            free("127.0.0.1", *port)
+                && free("127.0.0.1", *port + 1)
+                && core_ips.iter().all(|ip| free(ip, *port))
+        })
+        .ok_or_else(|| "no two free ports in a row on loopback".to_owned())
 }
 
 /// The real processes.
@@ -325,7 +327,7 @@
             .iter()
             .map(|ip| Ok(format!("{ip}:{}", free_port(ip)?)))
             .collect::<Result<Vec<_>, String>>()?;
-        let inner = inner_port()?;
+        let inner = inner_port(&ips)?;
         let start = |program: &str, node: &str, class: &str, ip: &str, docks: &[(&str, String)]| {
             let data = folder.path().join(node);
             std::fs::create_dir_all(&data).map_err(|e| format!("a folder: {e}"))?;
