--- a/lab/src/scale/draw.rs
+++ b/lab/src/scale/draw.rs
@@ -1,114 +1,115 @@
-//! A fleet drawn by a seed: the operators' configuration, backends and gateways, as large as one wants.
+//! Generates a fleet of any size from a seed: the configuration, backends, gateways and settings files.
 //!
-//! Names, keys and paths are as long as those of the operators' own examples, so that bytes are right; what they say is
-//! drawn.
+//! Names, keys and paths are random, but as long as in a typical configuration, so that message sizes are realistic.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Size {
-    /// Core processes.
+    /// Number of core processes.
     pub cores: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Services.
+    /// Number of services.
     pub services: usize,
-    /// Routes.
+    /// Number of routes.
     pub routes: usize,
-    /// Tenants, with two keys each.
+    /// Number of tenants, with two keys each.
     pub tenants: usize,
 }
 
 impl Size {
-    /// The size to design for, of which five core machines vote.
+    /// The largest size that the system is designed for.
     pub const FULL: Size =
         Size { cores: 5, gateways: 930, backends: 6_900, services: 390, routes: 7_600, tenants: 29_000 };
 
-    /// So many gateways, as many backends for each as at the full size, and a part of the full size's routes and tenants.
+    /// A fleet with this number of gateways, as many backends per gateway as the full size, and `percent` of the full
+    /// size's routes and tenants.
     pub fn of(gateways: usize, percent: f64) -> Size {
-        let part = |all: usize, of: f64| ((all as f64 * of).round() as usize).max(1);
-        let share = gateways as f64 / Self::FULL.gateways as f64;
-        let table = percent / 100.0;
+        let scaled = |full: usize, share: f64| ((full as f64 * share).round() as usize).max(1);
+        let gateway_share = gateways as f64 / Self::FULL.gateways as f64;
+        let table_share = percent / 100.0;
         Size {
             gateways,
-            backends: part(Self::FULL.backends, share),
-            services: part(Self::FULL.services, table.max(share).min(1.0)),
-            routes: part(Self::FULL.routes, table),
-            tenants: part(Self::FULL.tenants, table),
+            backends: scaled(Self::FULL.backends, gateway_share),
+            services: scaled(Self::FULL.services, table_share.max(gateway_share).min(1.0)),
+            routes: scaled(Self::FULL.routes, table_share),
+            tenants: scaled(Self::FULL.tenants, table_share),
             ..Self::FULL
         }
     }
 }
 
-/// Regions.
-const REGIONS: usize = 4;
-/// Zones; the first ones' regions have one more.
-const ZONES: usize = 10;
-/// Routes of one host.
-const OF_HOST: usize = 20;
+const REGION_COUNT: usize = 4;
+const ZONE_COUNT: usize = 10;
+const ROUTES_PER_HOST: usize = 20;
 
-/// The zones and their regions.
+/// All zones, each with its region.
 pub fn zones() -> Vec<(String, String)> {
-    (0..ZONES).map(|zone| (format!("zone-hall-{zone}"), format!("region-{}", zone % REGIONS))).collect()
+    (0..ZONE_COUNT)
+        .map(|zone| (format!("zone-hall-{zone}"), format!("region-{}", zone % REGION_COUNT)))
+        .collect()
 }
 
-/// A gateway's zone.
-pub fn zone_of(gateway: usize) -> (String, String) {
-    zones().swap_remove(gateway % ZONES)
+/// The zone and region of a gateway or backend.
+pub fn zone_of(index: usize) -> (String, String) {
+    zones().swap_remove(index % ZONE_COUNT)
 }
 
-/// What is drawn.
+/// A generated fleet.
 #[derive(Clone)]
-pub struct Drawn {
+pub struct GeneratedFleet {
     size: Size,
     seed: u64,
-    /// What stands before each route's time-out, and behind it; those of one host together.
+    /// The JSON of each route before and after its timeout. The routes of one host are consecutive.
     routes: Vec<(String, String)>,
-    /// Each tenant, and what stands behind its keys.
+    /// The name of each tenant, and its JSON after the keys.
     tenants: Vec<(String, String)>,
-    fleets: String,
+    /// The JSON of all services.
+    services_json: String,
     services: Vec<String>,
 }
 
-/// What a change touches: a tenant's keys and a route's time-out.
+/// What a new edition of the configuration changes: one key of a tenant, and the timeout of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Touches {
-    /// The tenant.
+pub struct EditionChange {
+    /// Index of the tenant whose key is replaced.
     pub tenant: usize,
-    /// The route.
+    /// Index of the route whose timeout changes.
     pub route: usize,
 }
 
-fn word(rng: &mut Pcg64Mcg, letters: usize) -> String {
+fn random_text(rng: &mut Pcg64Mcg, length: usize) -> String {
     const LETTERS: &[u8] = b"abcdefghijkmnpqrstuvwxyz23456789";
-    (0..letters).map(|_| char::from(LETTERS[rng.random_range(0..LETTERS.len())])).collect()
+    (0..length).map(|_| char::from(LETTERS[rng.random_range(0..LETTERS.len())])).collect()
 }
 
-impl Drawn {
-    /// Draws a fleet.
-    pub fn new(size: Size, seed: u64) -> Drawn {
+impl GeneratedFleet {
+    /// Generates a fleet.
+    pub fn new(size: Size, seed: u64) -> GeneratedFleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let services: Vec<_> = (0..size.services).map(|at| format!("{}{at}", word(&mut rng, 4))).collect();
-        let routes = (0..size.routes).map(|at| {
+        let services: Vec<_> =
+            (0..size.services).map(|index| format!("{}{index}", random_text(&mut rng, 4))).collect();
+        let routes = (0..size.routes).map(|index| {
             let service = &services[rng.random_range(0..services.len())];
             let kind = ["safe", "safe", "unsafe", "download"][rng.random_range(0..4)];
             let before = format!(
-                r#"{{"name":"r-{}{at}","kind":"{kind}","target":"600ms","priority":{},"unstamped":false,"sorting":{{"lane_prefix":"/{}{at}/"}},"dispatch":{{"service":"{service}","timeout":""#,
-                word(&mut rng, 3),
+                r#"{{"name":"r-{}{index}","kind":"{kind}","target":"600ms","priority":{},"unstamped":false,"sorting":{{"lane_prefix":"/{}{index}/"}},"dispatch":{{"service":"{service}","timeout":""#,
+                random_text(&mut rng, 3),
                 rng.random_range(0..4),
-                word(&mut rng, 4),
+                random_text(&mut rng, 4),
             );
             (before, r#"","attempts":2,"home_regions":[]}}"#.to_owned())
         });
         let routes = routes.collect();
-        let tenants = (0..size.tenants).map(|at| {
-            let name = format!("{}{at}", word(&mut rng, 4));
+        let tenants = (0..size.tenants).map(|index| {
+            let name = format!("{}{index}", random_text(&mut rng, 4));
             let rate = rng.random_range(5..200);
             (
                 name,
@@ -119,130 +120,149 @@
             )
         });
         let tenants = tenants.collect();
-        let fleets = services.iter().map(|name| {
+        let services_json = services.iter().map(|name| {
             format!(
                 r#"{{"name":"{name}","health_path":"/health","conn_cap":590,"protocol":"h1","sealed":false,"cold":"3s","cold_per_s":6.0}}"#
             )
         });
-        let fleets = fleets.collect::<Vec<_>>().join(",");
-        Drawn { size, seed, routes, tenants, fleets, services }
+        let services_json = services_json.collect::<Vec<_>>().join(",");
+        GeneratedFleet { size, seed, routes, tenants, services_json, services }
     }
 
-    /// How large it is.
+    /// The size of the fleet.
     pub fn size(&self) -> Size {
         self.size
     }
 
-    /// What the change that brings this edition touches.
-    pub fn touches(&self, edition: u64) -> Touches {
+    /// What this edition changes.
+    pub fn edition_change(&self, edition: u64) -> EditionChange {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ edition.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        Touches {
+        EditionChange {
             tenant: rng.random_range(0..self.size.tenants),
             route: rng.random_range(0..self.size.routes),
         }
     }
 
-    /// A tenant's first key as an edition has it: changes up to then may have taken earlier ones away.
+    /// The first key of a tenant in this edition.
     pub fn key(&self, edition: u64, tenant: usize) -> String {
-        let last = (2..=edition).rev().find(|of| self.touches(*of).tenant == tenant).unwrap_or(1);
-        self.key_since(last, tenant)
+        let replaced_in =
+            (2..=edition).rev().find(|earlier| self.edition_change(*earlier).tenant == tenant).unwrap_or(1);
+        self.key_of_edition(replaced_in, tenant)
     }
 
-    fn key_since(&self, edition: u64, tenant: usize) -> String {
+    /// The key that this edition introduces for a tenant.
+    fn key_of_edition(&self, edition: u64, tenant: usize) -> String {
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ (edition << 32) ^ tenant as u64);
-        format!("s{}{tenant:05}", word(&mut rng, 14))
+        format!("s{}{tenant:05}", random_text(&mut rng, 14))
     }
 
-    /// The body of the call that brings a whole configuration: edition 1 builds on nothing, each later one on the one
-    /// before.
-    pub fn put(&self, edition: u64) -> String {
+    /// The body of the `Config.Put` call for this edition. Edition 1 is the first configuration; each later one is based
+    /// on the one before.
+    pub fn config_body(&self, edition: u64) -> String {
         let mut keys = std::collections::BTreeMap::new();
-        let mut times = std::collections::BTreeMap::new();
-        for of in 2..=edition {
-            let touches = self.touches(of);
-            keys.insert(touches.tenant, of);
-            times.insert(touches.route, of);
+        let mut timeouts = std::collections::BTreeMap::new();
+        for earlier in 2..=edition {
+            let change = self.edition_change(earlier);
+            keys.insert(change.tenant, earlier);
+            timeouts.insert(change.route, earlier);
         }
         let based_on = if edition > 1 { format!("r{}", edition - 1) } else { "0".to_owned() };
         let mut text = format!(
             r#"{{"edition":"r{edition}","based_on":"{based_on}","limits":{{"label_bytes":16384,"body_bytes":67108864,"label_time":"3000ms","idle":"15000ms"}},"patrons":["#
         );
-        for (at, (name, rest)) in self.tenants.iter().enumerate() {
-            let since = keys.get(&at).copied().unwrap_or(1);
-            let (one, two) = (self.key_since(since, at), self.key_since(0, at));
-            let comma = if at > 0 { "," } else { "" };
-            // Writing into a string can't fail.
-            let _ = write!(text, r#"{comma}{{"name":"{name}","stamps":["{one}","{two}{rest}"#);
+        for (index, (name, rest)) in self.tenants.iter().enumerate() {
+            let replaced_in = keys.get(&index).copied().unwrap_or(1);
+            let (first, second) = (self.key_of_edition(replaced_in, index), self.key_of_edition(0, index));
+            let comma = if index > 0 { "," } else { "" };
+            // Writing to a string cannot fail.
+            let _ = write!(text, r#"{comma}{{"name":"{name}","stamps":["{first}","{second}{rest}"#);
         }
         text.push_str(r#"],"docks":["#);
-        for (at, (before, behind)) in self.routes.iter().enumerate() {
-            if at % OF_HOST == 0 {
-                let end = if at > 0 { "]}," } else { "" };
-                let _ = write!(text, r#"{end}{{"depot":"host{}.example","regulations":["#, at / OF_HOST);
+        for (index, (before, after)) in self.routes.iter().enumerate() {
+            if index % ROUTES_PER_HOST == 0 {
+                let end = if index > 0 { "]}," } else { "" };
+                let _ = write!(
+                    text,
+                    r#"{end}{{"depot":"host{}.example","regulations":["#,
+                    index / ROUTES_PER_HOST
+                );
             } else {
                 text.push(',');
             }
-            let time_out = 2500 + times.get(&at).copied().unwrap_or(0);
-            let _ = write!(text, "{before}{time_out}ms{behind}");
+            let timeout = 2500 + timeouts.get(&index).copied().unwrap_or(0);
+            let _ = write!(text, "{before}{timeout}ms{after}");
         }
-        let _ = write!(text, "]}}],\"fleets\":[{}]}}", self.fleets);
+        let _ = write!(text, "]}}],\"fleets\":[{}]}}", self.services_json);
         text
     }
 
-    /// A backend's id in one of its lives.
-    pub fn backend(&self, place: usize, life: u64) -> String {
-        let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ 0xbac ^ (life << 32) ^ place as u64);
+    /// The id of a backend. A backend that restarts has a new incarnation and a new id.
+    pub fn backend_id(&self, backend: usize, incarnation: u64) -> String {
+        let mut rng = Pcg64Mcg::seed_from_u64(self.seed ^ 0xbac ^ (incarnation << 32) ^ backend as u64);
         format!("i-{:08x}", rng.random::<u32>())
     }
 
-    /// The body of a backend's beat.
-    pub fn beat(&self, place: usize, postmark: u64) -> String {
-        let (service, (zone, _)) = (&self.services[place % self.services.len()], zone_of(place));
-        let address = format!("10.{}.{}.{}:8080", 128 + place / 62_500, place / 250 % 250, place % 250 + 1);
+    /// The body of a heartbeat of a backend.
+    pub fn heartbeat_body(&self, backend: usize, postmark: u64) -> String {
+        let (service, (zone, _)) = (&self.services[backend % self.services.len()], zone_of(backend));
+        let address =
+            format!("10.{}.{}.{}:8080", 128 + backend / 62_500, backend / 250 % 250, backend % 250 + 1);
         format!(
             r#"{{"service":"{service}","address":"{address}","zone":"{zone}","edition":"v1","berths":6,"state":"open","cold_time":"0ms","postmark":{postmark}}}"#
         )
     }
 }
 
-/// A settings file's text, as the platform writes it.
-pub struct Machine<'a> {
-    /// Its name.
+/// Settings of a process.
+pub struct NodeSettings<'a> {
+    /// Name of the node.
     pub node: &'a str,
-    /// `sorting` or `counter`.
+    /// Machine class: `sorting` for a core process, `counter` for a gateway.
     pub class: &'a str,
-    /// Its address.
+    /// Address of the node.
     pub ip: &'a str,
-    /// Its zone and region.
+    /// Zone and region.
     pub zone: (String, String),
-    /// What it serves, and where: lines of `docks_at`.
-    pub docks: &'a [(&'a str, String)],
-    /// The folder of its disk.
-    pub data: &'a str,
-    /// The first port for what processes tell each other.
-    pub inner: u16,
-    /// Control addresses of core machines.
+    /// Listen addresses by purpose: the entries of `docks_at`.
+    pub listen_addresses: &'a [(&'a str, String)],
+    /// Data directory.
+    pub data_dir: &'a str,
+    /// First port of the links between processes.
+    pub inner_port: u16,
+    /// Control addresses of the core processes. The first three are written as seeds.
     pub seeds: &'a [String],
 }
 
-impl Machine<'_> {
-    /// The text.
-    pub fn text(&self) -> String {
-        let Machine { node, class, ip, zone: (zone, region), docks, data, inner, seeds } = self;
-        let docks: String =
-            docks.iter().fold(String::new(), |text, (what, at)| text + &format!("    {what}: \"{at}\"\n"));
-        let seeds: String =
-            seeds.iter().take(3).fold(String::new(), |text, at| text + &format!("    - \"{at}\"\n"));
+impl NodeSettings<'_> {
+    /// The text of the settings file.
+    pub fn to_yaml(&self) -> String {
+        let NodeSettings {
+            node,
+            class,
+            ip,
+            zone: (zone, region),
+            listen_addresses,
+            data_dir,
+            inner_port,
+            seeds,
+        } = self;
+        let docks: String = listen_addresses.iter().fold(String::new(), |text, (purpose, address)| {
+            text + &format!("    {purpose}: \"{address}\"\n")
+        });
+        let seeds: String = seeds
+            .iter()
+            .take(3)
+            .fold(String::new(), |text, address| text + &format!("    - \"{address}\"\n"));
         let zones: String = zones()
             .iter()
             .fold(String::new(), |text, (zone, region)| text + &format!("    {zone}: \"{region}\"\n"));
         format!(
             "sender:\n  node: \"{node}\"\n  role: \"any\"\n  machine_class: \"{class}\"\n  ip: \"{ip}\"\n  zone: \"{zone}\"\n  \
-             region: \"{region}\"\n  first_start: true\n  data_dir: \"{data}\"\n  limits:\n    memory_mb: 256\n    fds: 4096\n\
-             network:\n  docks_at:\n{docks}  inner_ports:\n    - {inner}\n    - {}\n  seeds:\n{seeds}  zones:\n{zones}\
+             region: \"{region}\"\n  first_start: true\n  data_dir: \"{data_dir}\"\n  limits:\n    memory_mb: 256\n    fds: 4096\n\
+             network:\n  docks_at:\n{docks}  inner_ports:\n    - {inner_port}\n    - {}\n  seeds:\n{seeds}  zones:\n{zones}\
              carrier:\n  beat: \"1500ms\"\ntariffs:\n  bounds:\n    ack: \"8000ms\"\n    grace: \"6s\"\n    closed: true\n    \
              revoke: \"5000ms\"\n    quota_slack: 20\n    ttl_max: \"5s\"\n",
-            inner + 15
+            inner_port + 15
         )
     }
 }
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -1,7 +1,7 @@
-//! The sockets and clocks of hollow gateways, many in one thread, and of backends that beat.
+//! Connections and timers of simulated gateways, many on one thread, and heartbeats of simulated backends.
 
-use super::draw::{zone_of, Drawn, Machine};
-use super::hollow::{Counts, Holds, Hollow, Out};
+use super::draw::{zone_of, GeneratedFleet, NodeSettings};
+use super::hollow::{GatewayStats, Output, ProxyDetail, SimulatedGateway};
 use overland::follow::Event;
 use overland::link::{self, MessageReader, MessageSender};
 use overland::news::{Hello, Purpose, ToAgent};
@@ -20,131 +20,144 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Between two tries to reach a core process, as of a real agent.
-const AGAIN: Duration = Duration::from_millis(150);
-/// Without anything due a gateway is told of time so often.
-const REST: Duration = Duration::from_secs(60);
-/// How often a backend calls.
-const BEAT: Duration = Duration::from_millis(1500);
-/// A backend waits so long for an answer.
-const ANSWER: Duration = Duration::from_secs(1);
-/// Largest answer that is read: a table of all gateways.
-const ANSWER_MOST: usize = 4 << 20;
-/// A gateway that is restarted is away for so long.
-const AWAY: Duration = Duration::from_millis(500);
-/// Gateways start spread over so long for each hundred: the platform starts a fleet within moments, not at once.
-const START_EACH: Duration = Duration::from_millis(1);
+/// Interval between attempts to connect to a core process, as in the real agent.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval between ticks of a gateway while no deadline is set.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(60);
+/// Interval between heartbeats of a backend.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
+/// Timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest response to a call. A list of all gateways is smaller.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Time between the end of a restarted gateway and its new start.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
+/// Interval between the first starts of the gateways of a thread.
+const START_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What a hollow gateway tells the run.
+/// Reports that a simulated gateway has changed to an edition of the configuration: gateway, edition and time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    /// Its agent holds an edition, from then on.
-    Held(usize, u64, std::time::Instant),
-    /// Its proxy goes by an edition, from then on.
-    InForce(usize, u64, std::time::Instant),
+pub enum EditionEvent {
+    /// The agent has applied the edition to its copy of the state.
+    AgentApplied(usize, u64, std::time::Instant),
+    /// The proxy has put the edition into effect.
+    ProxyApplied(usize, u64, std::time::Instant),
 }
 
-/// One thread's gateways and what they are told of the run.
-pub struct Part {
-    /// Numbers of the gateways, and what each one's proxy holds.
-    pub gateways: Vec<(usize, Holds)>,
-    /// Control addresses of core processes.
+/// The simulated gateways of one thread, and its channels to the run.
+pub struct GatewayThread {
+    /// Numbers of the gateways, and how much state each proxy keeps.
+    pub gateways: Vec<(usize, ProxyDetail)>,
+    /// Control addresses of the core processes.
     pub seeds: Vec<String>,
-    /// The port of core processes for agents.
-    pub inner: u16,
-    /// Where notes go.
-    pub notes: Sender<Note>,
-    /// Gateways that are to be restarted.
+    /// Port at which core processes accept agents.
+    pub inner_port: u16,
+    /// Receives the editions that the gateways apply.
+    pub edition_events: Sender<EditionEvent>,
+    /// Numbers of gateways to restart.
     pub restarts: UnboundedReceiver<usize>,
-    /// The run is over.
-    pub over: watch::Receiver<bool>,
-    /// When this rises, what gateways were told and told since is told, and counted anew.
-    pub round: watch::Receiver<u64>,
-    /// There, with the round's number.
-    pub sums: Sender<(u64, Counts)>,
+    /// Becomes true at the end of the run.
+    pub shutdown: watch::Receiver<bool>,
+    /// Each new number requests the statistics since the previous one.
+    pub stats_round: watch::Receiver<u64>,
+    /// Receives the statistics, with the number of the request.
+    pub stats: Sender<(u64, GatewayStats)>,
 }
 
-struct Seat {
+/// A running simulated gateway, with its connections.
+struct RunningGateway {
     number: usize,
-    inner: u16,
+    inner_port: u16,
     started: Instant,
-    hollow: RefCell<Hollow>,
+    gateway: RefCell<SimulatedGateway>,
+    /// By control address: the messages to send, and the signal that closes the link.
     links: RefCell<BTreeMap<String, (MessageSender, Rc<Notify>)>>,
-    due: Notify,
-    notes: Sender<Note>,
+    deadline_changed: Notify,
+    edition_events: Sender<EditionEvent>,
 }
 
-/// A hollow gateway's settings.
-pub fn settings(number: usize, seeds: &[String], inner: u16) -> Result<Settings, String> {
-    let front = format!("127.88.{}.{}:8080", number / 250, number % 250 + 1);
-    let machine = Machine {
+/// Settings of a simulated gateway.
+pub fn settings(number: usize, seeds: &[String], inner_port: u16) -> Result<Settings, String> {
+    let client_addr = format!("127.88.{}.{}:8080", number / 250, number % 250 + 1);
+    let settings = NodeSettings {
         node: &format!("counter-{number}"),
         class: "counter",
         ip: "127.0.0.1",
         zone: zone_of(number),
-        docks: &[("front", front)],
-        data: "/nowhere",
-        inner,
+        listen_addresses: &[("front", client_addr)],
+        data_dir: "/nowhere",
+        inner_port,
         seeds,
     };
-    Settings::read(&machine.text()).map_err(|e| format!("{e:#}"))
+    Settings::read(&settings.to_yaml()).map_err(|e| format!("{e:#}"))
 }
 
-/// Runs one thread's gateways until the run is over.
-pub fn run(part: Part) -> Result<(), String> {
+/// Runs the gateways of one thread until the end of the run.
+pub fn run(thread: GatewayThread) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("a thread: {e}"))?;
-    LocalSet::new().block_on(&runtime, attend(part))
+    let runtime = runtime.map_err(|e| format!("cannot start a runtime: {e}"))?;
+    LocalSet::new().block_on(&runtime, run_gateways(thread))
 }
 
-/// What gateways that ended were told, and the present life of each.
-type Lives = Rc<RefCell<(Counts, BTreeMap<usize, Rc<Seat>>)>>;
+/// Statistics of the gateways that have ended, and the running gateways by number.
+type Gateways = Rc<RefCell<(GatewayStats, BTreeMap<usize, Rc<RunningGateway>>)>>;
 
-async fn attend(part: Part) -> Result<(), String> {
-    let Part { gateways, seeds, inner, notes, mut restarts, mut over, mut round, sums } = part;
-    let lives: Lives = Rc::default();
-    let mut tasks: BTreeMap<usize, (Holds, JoinHandle<()>)> = BTreeMap::new();
-    let begin = |number: usize, holds: Holds, after: Duration| -> Result<JoinHandle<()>, String> {
-        let settings = settings(number, &seeds, inner)?;
-        let (lives, notes) = (lives.clone(), notes.clone());
+async fn run_gateways(thread: GatewayThread) -> Result<(), String> {
+    let GatewayThread {
+        gateways: numbers,
+        seeds,
+        inner_port,
+        edition_events,
+        mut restarts,
+        mut shutdown,
+        mut stats_round,
+        stats,
+    } = thread;
+    let gateways: Gateways = Rc::default();
+    let mut tasks: BTreeMap<usize, (ProxyDetail, JoinHandle<()>)> = BTreeMap::new();
+    let spawn = |number: usize, detail: ProxyDetail, delay: Duration| -> Result<JoinHandle<()>, String> {
+        let settings = settings(number, &seeds, inner_port)?;
+        let (gateways, events) = (gateways.clone(), edition_events.clone());
         Ok(spawn_local(async move {
-            sleep(after).await;
-            // All tasks of a gateway end with it.
-            LocalSet::new().run_until(live(number, holds, settings, inner, notes, lives)).await;
+            sleep(delay).await;
+            // All tasks of a gateway end with its own `LocalSet`.
+            LocalSet::new()
+                .run_until(run_gateway(number, detail, settings, inner_port, events, gateways))
+                .await;
         }))
     };
-    for (at, (number, holds)) in gateways.iter().enumerate() {
-        tasks.insert(*number, (*holds, begin(*number, *holds, START_EACH * at as u32)?));
+    for (position, (number, detail)) in numbers.iter().enumerate() {
+        tasks.insert(*number, (*detail, spawn(*number, *detail, START_INTERVAL * position as u32)?));
     }
-    let sum = || {
-        let lives = lives.borrow();
-        let mut sum = lives.0;
-        lives.1.values().for_each(|seat| sum.add(seat.hollow.borrow().counts()));
-        sum
+    let total = || {
+        let gateways = gateways.borrow();
+        let mut total = gateways.0;
+        gateways.1.values().for_each(|running| total.add(running.gateway.borrow().stats()));
+        total
     };
-    let mut before = Counts::default();
+    let mut previous = GatewayStats::default();
     loop {
         tokio::select! {
-            _ = over.wait_for(|over| *over) => break,
-            changed = round.changed() => match changed {
+            _ = shutdown.wait_for(|shutdown| *shutdown) => break,
+            changed = stats_round.changed() => match changed {
                 Ok(()) => {
-                    let now = sum();
-                    // Whoever listened has ended: the run is over.
-                    let _ = sums.send((*round.borrow_and_update(), now.since(&before)));
-                    before = now;
+                    let current = total();
+                    // The send fails only after the end of the run.
+                    let _ = stats.send((*stats_round.borrow_and_update(), current.since(&previous)));
+                    previous = current;
                 }
                 Err(_) => break,
             },
             restart = restarts.recv() => {
                 let Some(number) = restart else { break };
-                let Some((holds, task)) = tasks.remove(&number) else { continue };
+                let Some((detail, task)) = tasks.remove(&number) else { continue };
                 task.abort();
                 let _ = task.await;
-                let ended = lives.borrow_mut().1.remove(&number);
-                if let Some(seat) = ended {
-                    lives.borrow_mut().0.add(seat.hollow.borrow().counts());
+                let ended = gateways.borrow_mut().1.remove(&number);
+                if let Some(ended) = ended {
+                    gateways.borrow_mut().0.add(ended.gateway.borrow().stats());
                 }
-                tasks.insert(number, (holds, begin(number, holds, AWAY)?));
+                tasks.insert(number, (detail, spawn(number, detail, RESTART_DELAY)?));
             }
         }
     }
@@ -152,211 +165,239 @@
     Ok(())
 }
 
-async fn live(
-    number: usize, holds: Holds, settings: Settings, inner: u16, notes: Sender<Note>, lives: Lives,
+async fn run_gateway(
+    number: usize, detail: ProxyDetail, settings: Settings, inner_port: u16,
+    edition_events: Sender<EditionEvent>, gateways: Gateways,
 ) {
-    let mut out = Vec::new();
-    let hollow = RefCell::new(Hollow::new(&settings, holds, 0.0, &mut out));
-    let (links, due) = Default::default();
-    let seat = Rc::new(Seat { number, inner, started: Instant::now(), hollow, links, due, notes });
-    lives.borrow_mut().1.insert(number, seat.clone());
-    seat.act(out);
+    let mut outputs = Vec::new();
+    let gateway = RefCell::new(SimulatedGateway::new(&settings, detail, 0.0, &mut outputs));
+    let (links, deadline_changed) = Default::default();
+    let running = Rc::new(RunningGateway {
+        number,
+        inner_port,
+        started: Instant::now(),
+        gateway,
+        links,
+        deadline_changed,
+        edition_events,
+    });
+    gateways.borrow_mut().1.insert(number, running.clone());
+    running.execute(outputs);
     loop {
-        let due = seat.hollow.borrow().due();
-        let due = if due.is_finite() { Duration::from_secs_f64(due.max(0.0) / 1000.0) } else { REST };
+        let deadline = running.gateway.borrow().next_deadline();
+        let delay = if deadline.is_finite() {
+            Duration::from_secs_f64(deadline.max(0.0) / 1000.0)
+        } else {
+            IDLE_TICK_INTERVAL
+        };
         tokio::select! {
-            () = sleep_until(seat.started + due) => seat.step(Event::Tick),
-            () = seat.due.notified() => {}
+            () = sleep_until(running.started + delay) => running.handle(Event::Tick),
+            () = running.deadline_changed.notified() => {}
         }
     }
 }
 
-impl Seat {
+impl RunningGateway {
     fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn step(self: &Rc<Self>, event: Event) {
-        let before = self.hollow.borrow().due();
-        let mut out = Vec::new();
+    fn handle(self: &Rc<Self>, event: Event) {
+        let deadline_before = self.gateway.borrow().next_deadline();
+        let mut outputs = Vec::new();
         match event {
-            Event::CoreMessage { core, message: news } => {
-                self.hollow.borrow_mut().said(self.now(), core, news, &mut out);
+            Event::CoreMessage { core, message } => {
+                self.gateway.borrow_mut().handle_core_message(self.now(), core, message, &mut outputs);
             }
-            event => self.hollow.borrow_mut().event(self.now(), event, &mut out),
+            event => self.gateway.borrow_mut().handle(self.now(), event, &mut outputs),
         }
-        self.act(out);
-        if self.hollow.borrow().due() < before {
-            self.due.notify_one();
+        self.execute(outputs);
+        if self.gateway.borrow().next_deadline() < deadline_before {
+            self.deadline_changed.notify_one();
         }
     }
 
-    fn act(self: &Rc<Self>, out: Vec<Out>) {
+    fn execute(self: &Rc<Self>, outputs: Vec<Output>) {
         let now = std::time::Instant::now();
-        for out in out {
-            match out {
-                Out::Keep(core) => drop(spawn_local(self.clone().keep_link(core))),
-                Out::End(core) => {
-                    if let Some((_, end)) = self.links.borrow().get(&core) {
-                        end.notify_one();
+        for output in outputs {
+            match output {
+                Output::Connect(core) => drop(spawn_local(self.clone().maintain_link(core))),
+                Output::Reset(core) => {
+                    if let Some((_, close)) = self.links.borrow().get(&core) {
+                        close.notify_one();
                     }
                 }
-                Out::Say(core, word) => {
-                    if let Some((out, end)) = self.links.borrow().get(&core) {
-                        if !out.send(&*word) {
-                            end.notify_one();
+                Output::Send(core, message) => {
+                    if let Some((sender, close)) = self.links.borrow().get(&core) {
+                        if !sender.send(&*message) {
+                            close.notify_one();
                         }
                     }
                 }
-                // Whoever listened has ended: the run is over.
-                Out::Held(edition) => drop(self.notes.send(Note::Held(self.number, edition, now))),
-                Out::InForce(edition) => drop(self.notes.send(Note::InForce(self.number, edition, now))),
+                // The sends fail only after the end of the run.
+                Output::AgentApplied(edition) => {
+                    let _ = self.edition_events.send(EditionEvent::AgentApplied(self.number, edition, now));
+                }
+                Output::ProxyApplied(edition) => {
+                    let _ = self.edition_events.send(EditionEvent::ProxyApplied(self.number, edition, now));
+                }
             }
         }
     }
 
-    async fn keep_link(self: Rc<Self>, core: String) {
+    /// Connects to a core process, and reconnects after each failure, while the agent wants the link.
+    async fn maintain_link(self: Rc<Self>, core: String) {
         let Ok(address) = core.parse::<SocketAddr>() else { return };
-        let addr = SocketAddr::new(address.ip(), self.inner);
-        while self.hollow.borrow_mut().wants(self.now(), &core) {
+        let addr = SocketAddr::new(address.ip(), self.inner_port);
+        while self.gateway.borrow_mut().wants_link(self.now(), &core) {
             if let Ok(stream) = link::connect(addr).await {
-                // However it ends: it is tried again.
-                let _ = self.link(&core, stream).await;
+                // A failed link is retried like a closed one.
+                let _ = self.serve_link(&core, stream).await;
                 self.links.borrow_mut().remove(&core);
-                self.step(Event::LinkClosed(core.clone()));
+                self.handle(Event::LinkClosed(core.clone()));
             }
-            sleep(AGAIN).await;
+            sleep(RECONNECT_INTERVAL).await;
         }
     }
 
-    async fn link(self: &Rc<Self>, core: &str, stream: TcpStream) -> std::io::Result<()> {
+    async fn serve_link(self: &Rc<Self>, core: &str, stream: TcpStream) -> std::io::Result<()> {
         let (read, write) = stream.into_split();
-        let (out, from) = MessageSender::new();
-        let writing = spawn_local(link::write(write, from));
-        out.send(&Hello { purpose: Purpose::Agent as i32 });
-        let end = Rc::new(Notify::new());
-        self.links.borrow_mut().insert(core.to_owned(), (out, end.clone()));
-        self.step(Event::LinkOpened(core.to_owned()));
+        let (sender, queue) = MessageSender::new();
+        let writer = spawn_local(link::write(write, queue));
+        sender.send(&Hello { purpose: Purpose::Agent as i32 });
+        let close = Rc::new(Notify::new());
+        self.links.borrow_mut().insert(core.to_owned(), (sender, close.clone()));
+        self.handle(Event::LinkOpened(core.to_owned()));
         let mut incoming = MessageReader::<ToAgent>::new(read);
-        let ended = loop {
-            let news = tokio::select! {
-                news = incoming.next() => news,
-                () = end.notified() => break Ok(()),
+        let result = loop {
+            let received = tokio::select! {
+                received = incoming.next() => received,
+                () = close.notified() => break Ok(()),
             };
-            match news {
-                Ok(news) => self.step(Event::CoreMessage { core: core.to_owned(), message: Box::new(news) }),
+            match received {
+                Ok(message) => {
+                    self.handle(Event::CoreMessage { core: core.to_owned(), message: Box::new(message) });
+                }
                 Err(e) => break Err(e),
             }
         };
-        writing.abort();
-        ended
+        writer.abort();
+        result
     }
 }
 
 // ---- Backends ---------------------------------------------------------------------------------------------------
 
-/// Backends that beat over a few held connections: each beats as often as a real one, but does not open its own.
-pub struct Beats {
-    /// What is drawn.
-    pub drawn: Arc<Drawn>,
-    /// Connections.
-    pub links: usize,
-    /// Control addresses of core processes.
+/// Simulated backends. They send heartbeats as often as real ones, but share a few persistent connections.
+pub struct Heartbeats {
+    /// The fleet that the backends belong to.
+    pub fleet: Arc<GeneratedFleet>,
+    /// Number of connections.
+    pub connections: usize,
+    /// Control addresses of the core processes.
     pub seeds: Vec<String>,
-    /// The run is over.
-    pub over: watch::Receiver<bool>,
+    /// Becomes true at the end of the run.
+    pub shutdown: watch::Receiver<bool>,
 }
 
-/// Beats that were answered 200, those that were not, and the slowest answer in ms.
+/// Statistics of heartbeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Beaten {
-    /// Answered 200.
-    pub taken: u64,
-    /// Answered otherwise, or not in time.
-    pub lost: u64,
-    /// Their answers took so long in all, in s.
-    pub waited_s: f64,
+pub struct HeartbeatStats {
+    /// Heartbeats answered with status 200.
+    pub succeeded: u64,
+    /// Heartbeats with another answer, or without one before the timeout.
+    pub failed: u64,
+    /// Sum of the response times of successful heartbeats, in s.
+    pub total_response_s: f64,
 }
 
-/// Lets backends beat until the run is over.
-pub fn beat(beats: Beats) -> Result<Beaten, String> {
+/// Sends heartbeats of all backends until the end of the run.
+pub fn run_heartbeats(heartbeats: Heartbeats) -> Result<HeartbeatStats, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("a thread: {e}"))?;
-    let Beats { drawn, links, seeds, mut over } = beats;
-    let beaten: Rc<Cell<Beaten>> = Rc::default();
+    let runtime = runtime.map_err(|e| format!("cannot start a runtime: {e}"))?;
+    let Heartbeats { fleet, connections, seeds, mut shutdown } = heartbeats;
+    let stats: Rc<Cell<HeartbeatStats>> = Rc::default();
     LocalSet::new().block_on(&runtime, async {
-        for at in 0..links {
-            spawn_local(beat_on(drawn.clone(), (at, links), seeds.clone(), beaten.clone()));
+        for connection in 0..connections {
+            let position = (connection, connections);
+            spawn_local(send_heartbeats(fleet.clone(), position, seeds.clone(), stats.clone()));
         }
-        // Nobody is left to end it: it ends.
-        let _ = over.wait_for(|over| *over).await;
+        // A closed channel ends the heartbeats, too.
+        let _ = shutdown.wait_for(|shutdown| *shutdown).await;
     });
-    Ok(beaten.get())
+    Ok(stats.get())
 }
 
-/// Every so-manyth backend beats on one connection, in turn, evenly over the beat's time.
-async fn beat_on(
-    drawn: Arc<Drawn>, (at, links): (usize, usize), seeds: Vec<String>, beaten: Rc<Cell<Beaten>>,
+/// Sends the heartbeats of every backend of one connection in turn, evenly over the heartbeat interval. The backends are
+/// divided evenly between the connections.
+async fn send_heartbeats(
+    fleet: Arc<GeneratedFleet>, (connection, connections): (usize, usize), seeds: Vec<String>,
+    stats: Rc<Cell<HeartbeatStats>>,
 ) {
-    let places: Vec<usize> = (0..drawn.size().backends).skip(at).step_by(links).collect();
-    let gap = BEAT / places.len().max(1) as u32;
-    let (mut stream, mut core, mut postmark) = (None, at % seeds.len().max(1), 0);
-    let mut due = Instant::now() + gap * at as u32 / links.max(1) as u32;
-    while !places.is_empty() {
+    let backends: Vec<usize> = (0..fleet.size().backends).skip(connection).step_by(connections).collect();
+    let gap = HEARTBEAT_INTERVAL / backends.len().max(1) as u32;
+    let (mut stream, mut core, mut postmark) = (None, connection % seeds.len().max(1), 0);
+    let mut due = Instant::now() + gap * connection as u32 / connections.max(1) as u32;
+    while !backends.is_empty() {
         postmark += 1;
-        for place in &places {
+        for backend in &backends {
             due += gap;
             sleep_until(due).await;
-            let path = format!("/api/Instances.Beat/{}", drawn.backend(*place, 0));
-            let (start, body) = (Instant::now(), drawn.beat(*place, postmark));
-            let answer = timeout(ANSWER, call(&mut stream, &seeds[core], ("POST", &path), &body));
-            let mut sum = beaten.get();
-            match answer.await {
+            let path = format!("/api/Instances.Beat/{}", fleet.backend_id(*backend, 0));
+            let (start, body) = (Instant::now(), fleet.heartbeat_body(*backend, postmark));
+            let response =
+                timeout(HEARTBEAT_TIMEOUT, call(&mut stream, &seeds[core], ("POST", &path), &body));
+            let mut sum = stats.get();
+            match response.await {
                 Ok(Ok((200, body))) => {
-                    sum.taken += 1;
-                    sum.waited_s += start.elapsed().as_secs_f64();
-                    // Later beats go where the answer says.
-                    let there = seeds.iter().position(|seed| body.contains(seed.as_str()));
-                    if there.is_some_and(|there| there != core) {
-                        (core, stream) = (there.unwrap_or(core), None);
+                    sum.succeeded += 1;
+                    sum.total_response_s += start.elapsed().as_secs_f64();
+                    // Later heartbeats go to the core process that the response names.
+                    let named = seeds.iter().position(|seed| body.contains(seed.as_str()));
+                    if named.is_some_and(|named| named != core) {
+                        (core, stream) = (named.unwrap_or(core), None);
                     }
                 }
                 _ => {
-                    sum.lost += 1;
+                    sum.failed += 1;
                     (core, stream) = ((core + 1) % seeds.len(), None);
                 }
             }
-            beaten.set(sum);
+            stats.set(sum);
         }
     }
 }
 
-/// One call on a held connection: status and body.
+/// Sends one HTTP call on the given connection, or on a new one if there is none. Returns the status and the body, and
+/// keeps the connection.
 pub async fn call(
-    stream: &mut Option<TcpStream>, to: &str, (method, path): (&str, &str), body: &str,
+    stream: &mut Option<TcpStream>, address: &str, (method, path): (&str, &str), body: &str,
 ) -> std::io::Result<(u16, String)> {
-    let bad = || std::io::Error::from(std::io::ErrorKind::InvalidData);
-    let mut open = match stream.take() {
-        Some(open) => open,
-        None => link::connect(to.parse().map_err(|_| bad())?).await?,
+    let invalid = || std::io::Error::from(std::io::ErrorKind::InvalidData);
+    let mut connection = match stream.take() {
+        Some(connection) => connection,
+        None => link::connect(address.parse().map_err(|_| invalid())?).await?,
     };
     let head = format!("{method} {path} HTTP/1.1\r\nHost: core\r\nContent-Length: {}\r\n\r\n", body.len());
-    open.write_all(head.as_bytes()).await?;
-    open.write_all(body.as_bytes()).await?;
+    connection.write_all(head.as_bytes()).await?;
+    connection.write_all(body.as_bytes()).await?;
     let mut bytes = Vec::with_capacity(512);
     loop {
-        if open.read_buf(&mut bytes).await? == 0 || bytes.len() > ANSWER_MOST {
-            return Err(bad());
+        if connection.read_buf(&mut bytes).await? == 0 || bytes.len() > MAX_RESPONSE_BYTES {
+            return Err(invalid());
         }
         let mut headers = [httparse::EMPTY_HEADER; 16];
-        let mut answer = httparse::Response::new(&mut headers);
-        let httparse::Status::Complete(from) = answer.parse(&bytes).map_err(|_| bad())? else { continue };
-        let length = answer.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
+        let mut response = httparse::Response::new(&mut headers);
+        let httparse::Status::Complete(body_start) = response.parse(&bytes).map_err(|_| invalid())? else {
+            continue;
+        };
+        let length =
+            response.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
         let length = length.and_then(|header| std::str::from_utf8(header.value).ok()?.parse::<usize>().ok());
-        let (status, length) = (answer.code.ok_or_else(bad)?, length.ok_or_else(bad)?);
-        if let Some(body) = bytes.get(from..from.saturating_add(length)) {
+        let (status, length) = (response.code.ok_or_else(invalid)?, length.ok_or_else(invalid)?);
+        if let Some(body) = bytes.get(body_start..body_start.saturating_add(length)) {
             let body = String::from_utf8_lossy(body).into_owned();
-            *stream = Some(open);
+            *stream = Some(connection);
             return Ok((status, body));
         }
     }
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -1,134 +1,144 @@
-//! What the measured slopes foretell of a run, to be laid beside it.
+//! Predicts the figures of a run from measured slopes, and compares them with the run.
 
 use super::draw::Size;
-use super::run::{Outcome, THREADS};
-use super::weigh::{short, Slope};
+use super::run::{RunResult, GATEWAY_THREADS};
+use super::weigh::{format_short, Slope};
 use serde::Serialize;
 
-/// How often an agent speaks to who leads, and to the other core processes, in ms (`overland::follow`).
-const WORD_MS: (f64, f64) = (400.0, 650.0);
-/// How often a backend beats, in ms.
-const BEAT_MS: f64 = 1500.0;
-/// An answer of who does not lead tells no digest.
+/// Interval between messages of an agent to the leader, in ms (`overland::follow`).
+const LEADER_MESSAGE_INTERVAL_MS: f64 = 400.0;
+/// Interval between messages of an agent to another core process, in ms (`overland::follow`).
+const FOLLOWER_MESSAGE_INTERVAL_MS: f64 = 650.0;
+/// Interval between heartbeats of a backend, in ms.
+const HEARTBEAT_INTERVAL_MS: f64 = 1500.0;
+/// Size of the digest, which only the leader's replies contain.
 const DIGEST_BYTES: f64 = 9.0;
-/// Loopback moves so many MB in a second from one thread, as a rule.
-const LOOPBACK_MB_S: f64 = 1500.0;
+/// Throughput of one thread over loopback, in MB/s.
+const LOOPBACK_MB_PER_S: f64 = 1500.0;
 
-/// A figure that is both foretold and measured.
+/// A predicted and a measured figure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
-    /// What.
+pub struct Comparison {
+    /// Name of the figure.
     pub what: &'static str,
     /// Its unit.
     pub unit: &'static str,
-    /// By the slopes.
-    pub foretold: f64,
-    /// In the run.
+    /// The prediction from the slopes.
+    #[serde(rename = "foretold")]
+    pub predicted: f64,
+    /// The figure of the run.
     pub measured: f64,
 }
 
-/// What slopes foretell of a size.
+/// Predictions from measured slopes.
 pub struct Model<'a>(pub &'a [Slope]);
 
 impl Model<'_> {
-    /// A slope's line at a size; nought where nobody measured it.
-    fn at(&self, what: &str, n: f64) -> f64 {
-        self.0.iter().find(|slope| slope.what == what).map_or(0.0, |slope| slope.line.at(n).max(0.0))
+    /// The value of a slope at `n`; 0 for a slope that was not measured.
+    fn value_at(&self, what: &str, n: f64) -> f64 {
+        self.0.iter().find(|slope| slope.what == what).map_or(0.0, |slope| slope.fit.value_at(n).max(0.0))
     }
 
-    /// What a table of so many parts in a hundred costs, without the line's start: it may be below nought.
-    fn table(&self, what: &str, percent: f64) -> f64 {
-        self.0.iter().find(|slope| slope.what == what).map_or(0.0, |slope| slope.line.b * percent)
+    /// The part of a cost that grows with the table, for `percent` of the full table. It can be negative.
+    fn table_cost(&self, what: &str, percent: f64) -> f64 {
+        self.0.iter().find(|slope| slope.what == what).map_or(0.0, |slope| slope.fit.slope * percent)
     }
 
-    /// Bytes a second between a gateway and the core at rest.
+    /// Bytes per second between a gateway and the core while nothing changes.
     pub fn rest_bytes_per_s(&self, size: Size) -> f64 {
         let gateways = size.gateways as f64;
-        let (word, answer) = (self.at("an agent's word", gateways), self.at("an answer to a word", gateways));
-        let others = size.cores.saturating_sub(1) as f64;
-        1000.0 * ((word + answer) / WORD_MS.0 + others * (word + answer - DIGEST_BYTES) / WORD_MS.1)
+        let (message, reply) =
+            (self.value_at("an agent's word", gateways), self.value_at("an answer to a word", gateways));
+        let followers = size.cores.saturating_sub(1) as f64;
+        1000.0
+            * ((message + reply) / LEADER_MESSAGE_INTERVAL_MS
+                + followers * (message + reply - DIGEST_BYTES) / FOLLOWER_MESSAGE_INTERVAL_MS)
     }
 
-    /// Cores that the leader spends at rest on decisions alone: words, beats, its own ticks.
+    /// Cores that the leader's state machine uses while nothing changes: agents' messages, heartbeats and ticks, without
+    /// the sockets.
     pub fn leader_cores(&self, size: Size) -> f64 {
         let (gateways, backends) = (size.gateways as f64, size.backends as f64);
-        let words = gateways / WORD_MS.0 * self.at("leader: an agent's word and its answer", gateways);
-        let beats = backends / BEAT_MS * self.at("leader: a beat that tells nothing new", backends);
-        let ticks = self.at("leader: a tick", backends) / overland::member::TICK_MS;
-        (words + beats + ticks) / 1000.0
+        let messages = gateways / LEADER_MESSAGE_INTERVAL_MS
+            * self.value_at("leader: an agent's word and its answer", gateways);
+        let heartbeats = backends / HEARTBEAT_INTERVAL_MS
+            * self.value_at("leader: a beat that tells nothing new", backends);
+        let ticks = self.value_at("leader: a tick", backends) / overland::member::TICK_MS;
+        (messages + heartbeats + ticks) / 1000.0
     }
 
-    /// MB that the leader holds at the peak of a push.
+    /// Peak memory of the leader while it sends a configuration, in MB.
     pub fn leader_mb(&self, size: Size, percent: f64) -> f64 {
-        let config = self.at("a whole configuration on the wire", percent);
-        self.at("leader: peak during a Put", percent) + size.gateways as f64 * config
+        let config_mb = self.value_at("a whole configuration on the wire", percent);
+        self.value_at("leader: peak during a Put", percent) + size.gateways as f64 * config_mb
     }
 
     /// Processor time of the leader for a change, in s.
     pub fn leader_change_s(&self, size: Size, percent: f64) -> f64 {
-        let one =
-            self.table("decoding a whole state", percent) + self.table("encoding a whole state", percent);
-        let config = self.at("a whole configuration on the wire", percent);
-        let each = one / 1000.0 + config / LOOPBACK_MB_S;
-        self.table("the leader takes a Put", percent) / 1000.0 + size.gateways as f64 * each
+        let codec_ms = self.table_cost("decoding a whole state", percent)
+            + self.table_cost("encoding a whole state", percent);
+        let config_mb = self.value_at("a whole configuration on the wire", percent);
+        let per_gateway_s = codec_ms / 1000.0 + config_mb / LOOPBACK_MB_PER_S;
+        self.table_cost("the leader takes a Put", percent) / 1000.0 + size.gateways as f64 * per_gateway_s
     }
 
-    /// Until the last gateway goes by a change, in s. The lab's threads take the messages of many gateways in turn.
-    pub fn force_s(&self, size: Size, percent: f64, whole: usize) -> f64 {
-        let each =
-            self.table("decoding a whole state", percent) + self.table("encoding a whole state", percent);
-        let takes = self.table("proxy: taking a configuration, until it is in force", percent);
-        let threads = THREADS as f64;
-        let lab = (size.gateways as f64 * 2.0 * each + whole as f64 * takes) / threads;
-        self.leader_change_s(size, percent) + lab / 1000.0
+    /// Time until a change is in effect at the last gateway, in s. Each thread of the lab handles the messages of its
+    /// gateways one after the other.
+    pub fn in_effect_s(&self, size: Size, percent: f64, full_gateways: usize) -> f64 {
+        let codec_ms = self.table_cost("decoding a whole state", percent)
+            + self.table_cost("encoding a whole state", percent);
+        let apply_ms = self.table_cost("proxy: taking a configuration, until it is in force", percent);
+        let threads = GATEWAY_THREADS as f64;
+        let lab_ms = (size.gateways as f64 * 2.0 * codec_ms + full_gateways as f64 * apply_ms) / threads;
+        self.leader_change_s(size, percent) + lab_ms / 1000.0
     }
 
-    /// All that is foretold of a run, beside it.
-    pub fn beside(&self, run: &Outcome) -> Vec<Line> {
-        let Outcome { size, percent, .. } = *run;
-        let config = self.at("a whole configuration on the wire", percent);
-        let line = |what, unit, foretold, measured| Line { what, unit, foretold, measured };
+    /// Compares the predictions for a run with its figures.
+    pub fn beside(&self, run: &RunResult) -> Vec<Comparison> {
+        let RunResult { size, percent, .. } = *run;
+        let config_mb = self.value_at("a whole configuration on the wire", percent);
+        let compare = |what, unit, predicted, measured| Comparison { what, unit, predicted, measured };
         vec![
-            line(
+            compare(
                 "gateway: bytes a second at rest",
                 "bytes",
                 self.rest_bytes_per_s(size),
                 run.rest_bytes_per_s(),
             ),
-            line("gateway: bytes for a change", "MB", config, run.change_bytes() / 1e6),
-            line(
-                "leader: cores at rest, foretold without sockets",
+            compare("gateway: bytes for a change", "MB", config_mb, run.change_bytes() / 1e6),
+            compare(
+                "leader: cores at rest, predicted without sockets",
                 "",
                 self.leader_cores(size),
                 run.leader.rest_cores,
             ),
-            line(
-                "leader: processor for a change",
+            compare(
+                "leader: processor time for a change",
                 "s",
                 self.leader_change_s(size, percent),
                 run.leader.change_cpu_s,
             ),
-            line("leader: memory at its peak", "MB", self.leader_mb(size, percent), run.leader.peak_mb),
-            line(
-                "a change in force at 100 in 100",
+            compare("leader: peak memory", "MB", self.leader_mb(size, percent), run.leader.peak_mb),
+            compare(
+                "a change in effect at all gateways",
                 "s",
-                self.force_s(size, percent, run.needs.whole),
-                run.force_s()[2],
+                self.in_effect_s(size, percent, run.estimate.full_gateways),
+                run.median_in_effect_s()[2],
             ),
         ]
     }
 }
 
-/// Lines of text: foretold, measured, and their ratio.
-pub fn text(lines: &[Line]) -> String {
-    let line = |line: &Line| {
-        let Line { what, unit, foretold, measured } = line;
-        let ratio = if *foretold > 0.0 { short(measured / foretold) } else { "-".to_owned() };
+/// Formats comparisons as text, one per line, with the ratio of the measured figure to the predicted one.
+pub fn text(comparisons: &[Comparison]) -> String {
+    let line = |comparison: &Comparison| {
+        let Comparison { what, unit, predicted, measured } = comparison;
+        let ratio = if *predicted > 0.0 { format_short(measured / predicted) } else { "-".to_owned() };
         format!(
-            "    {what}: foretold {} {unit}, measured {} {unit}, {ratio} times\n",
-            short(*foretold),
-            short(*measured)
+            "    {what}: predicted {} {unit}, measured {} {unit}, ratio {ratio}\n",
+            format_short(*predicted),
+            format_short(*measured)
         )
     };
-    lines.iter().map(line).collect()
+    comparisons.iter().map(line).collect()
 }
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -1,7 +1,8 @@
-//! A hollow gateway: an agent and a proxy without sockets, clock or clients. The agent is [`Follow`], the one that runs
-//! in service; the proxy holds what the real one holds of the system's state (its copy, the table of routes and keys,
-//! the tenants' limits), and tells its agent the same words for the same history. It carries no traffic and has no
-//! connections to backends.
+//! A simulated gateway: an agent and a proxy without sockets, clock and clients.
+//!
+//! The agent is the real [`AgentStateMachine`]. The proxy keeps the same copy of the state, route table and tenant limits
+//! as the real one, and sends its agent the same messages for the same history, but it serves no requests and connects
+//! to no backends.
 
 use cherrytally::{Class, Millis};
 use overland::agreement::MAX_ENTRY_VERSION;
@@ -15,115 +16,124 @@
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 
-/// Bytes before each message between processes: its length.
-const FRAME: u64 = 4;
-/// The number of the link between the two parts: there is one.
-const LINK: u64 = 1;
+/// Bytes of the length before each message on a link.
+const LENGTH_PREFIX_BYTES: u64 = 4;
+/// Number of the only link between the agent and the proxy.
+const PROXY_LINK: u64 = 1;
 
-/// Messages of one kind.
+/// Statistics of the messages of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Count {
-    /// How many.
+pub struct MessageStats {
+    /// Number of messages.
     pub messages: u64,
     /// Their bytes, with the length before each.
     pub bytes: u64,
-    /// Processor time to take them in and answer, in s.
+    /// Processor time to handle them, in s.
     pub cpu_s: f64,
 }
 
-impl Count {
-    /// Adds another count.
-    pub fn add(&mut self, other: Count) {
+impl MessageStats {
+    /// Adds other statistics to these.
+    pub fn add(&mut self, other: MessageStats) {
         self.messages += other.messages;
         self.bytes += other.bytes;
         self.cpu_s += other.cpu_s;
     }
 
-    fn one(&mut self, message: &impl Message) {
+    fn count(&mut self, message: &impl Message) {
         self.messages += 1;
-        self.bytes += FRAME + message.encoded_len() as u64;
+        self.bytes += LENGTH_PREFIX_BYTES + message.encoded_len() as u64;
     }
 }
 
-/// What a gateway was told and told, by kind.
+/// Statistics of the messages that a gateway receives and sends, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Counts {
-    /// Core to agent: whole states.
-    pub whole: Count,
-    /// Core to agent: numbered changes.
-    pub changes: Count,
-    /// Core to agent: answers to words, without anything else.
-    pub pulses: Count,
+pub struct GatewayStats {
+    /// Core to agent: snapshots of the state.
+    #[serde(rename = "whole")]
+    pub snapshots: MessageStats,
+    /// Core to agent: indexed changes.
+    pub changes: MessageStats,
+    /// Core to agent: heartbeat replies without anything else.
+    #[serde(rename = "pulses")]
+    pub heartbeat_replies: MessageStats,
     /// Agent to core.
-    pub words: Count,
+    #[serde(rename = "words")]
+    pub agent_messages: MessageStats,
     /// Agent to proxy, over loopback.
-    pub feeds: Count,
+    #[serde(rename = "feeds")]
+    pub proxy_updates: MessageStats,
     /// Proxy to agent, over loopback.
-    pub holds: Count,
+    #[serde(rename = "holds")]
+    pub proxy_reports: MessageStats,
 }
 
-impl Counts {
-    /// Adds another gateway's.
-    pub fn add(&mut self, other: &Counts) {
-        for (mine, theirs) in self.parts().into_iter().zip({ *other }.parts()) {
-            mine.add(*theirs);
+impl GatewayStats {
+    /// Adds the statistics of another gateway.
+    pub fn add(&mut self, other: &GatewayStats) {
+        for (own, added) in self.kinds().into_iter().zip({ *other }.kinds()) {
+            own.add(*added);
         }
     }
 
-    /// What came since an earlier look.
-    pub fn since(mut self, before: &Counts) -> Counts {
-        for (mine, theirs) in self.parts().into_iter().zip({ *before }.parts()) {
-            mine.messages = mine.messages.saturating_sub(theirs.messages);
-            mine.bytes = mine.bytes.saturating_sub(theirs.bytes);
-            mine.cpu_s -= theirs.cpu_s;
+    /// The difference to an earlier value of the same statistics.
+    pub fn since(mut self, earlier: &GatewayStats) -> GatewayStats {
+        for (current, previous) in self.kinds().into_iter().zip({ *earlier }.kinds()) {
+            current.messages = current.messages.saturating_sub(previous.messages);
+            current.bytes = current.bytes.saturating_sub(previous.bytes);
+            current.cpu_s -= previous.cpu_s;
         }
         self
     }
 
-    fn parts(&mut self) -> [&mut Count; 6] {
+    fn kinds(&mut self) -> [&mut MessageStats; 6] {
         [
-            &mut self.whole,
+            &mut self.snapshots,
             &mut self.changes,
-            &mut self.pulses,
-            &mut self.words,
-            &mut self.feeds,
-            &mut self.holds,
+            &mut self.heartbeat_replies,
+            &mut self.agent_messages,
+            &mut self.proxy_updates,
+            &mut self.proxy_reports,
         ]
     }
 
-    /// Bytes between the gateway and the core, both ways.
+    /// Bytes between the gateway and the core, in both directions.
     pub fn control_bytes(&self) -> u64 {
-        self.whole.bytes + self.changes.bytes + self.pulses.bytes + self.words.bytes
+        self.snapshots.bytes + self.changes.bytes + self.heartbeat_replies.bytes + self.agent_messages.bytes
     }
 
     /// Processor time of agent and proxy, in s.
     pub fn cpu_s(&self) -> f64 {
-        [self.whole, self.changes, self.pulses, self.words, self.feeds].iter().map(|count| count.cpu_s).sum()
+        [self.snapshots, self.changes, self.heartbeat_replies, self.agent_messages, self.proxy_updates]
+            .iter()
+            .map(|stats| stats.cpu_s)
+            .sum()
     }
 }
 
 /// Processor time of this thread, in s.
-pub fn thread_s() -> f64 {
+pub fn thread_cpu_s() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
 }
 
-/// What a hollow proxy holds.
+/// How much of the system's state a simulated proxy keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holds {
-    /// All that the real one holds of the system's state.
-    All,
-    /// The number of its copy alone: it tells its agent the same, and takes no time to make a table. It does not notice
-    /// that the last backend is gone, nor that its copy differs.
-    Number,
+pub enum ProxyDetail {
+    /// Everything that the real proxy keeps.
+    Full,
+    /// Only the index and the edition. The proxy reports the same to its agent without the time to build a route table,
+    /// but does not notice that the last backend has left, or that its state differs from the leader's.
+    IndexOnly,
 }
 
-/// What a proxy holds and tells, without its traffic. It goes by a message as the real proxy does.
-pub struct HollowProxy {
-    holds: Holds,
-    /// The number and the edition, where it holds no more, and whether it was told of a backend that is open.
-    number: (u64, u64),
-    backends: bool,
+/// A simulated proxy. It applies messages as the real proxy does.
+pub struct SimulatedProxy {
+    detail: ProxyDetail,
+    /// Without a copy of the state: its index, its edition, and whether it has had a backend that is not draining.
+    index: u64,
+    edition: u64,
+    had_backend: bool,
     settings: Settings,
     zones: Zones,
     state: Option<State>,
@@ -133,17 +143,18 @@
     routes: NameIds,
     pools: NameIds,
     tally: Tally,
-    /// The moment of the last word of who leads.
-    fresh: Option<Millis>,
+    /// Time of the last contact with the leader.
+    last_leader_contact: Option<Millis>,
 }
 
-impl HollowProxy {
-    /// A proxy that starts.
-    pub fn new(settings: Settings, holds: Holds) -> Self {
-        HollowProxy {
-            holds,
-            number: (0, 0),
-            backends: false,
+impl SimulatedProxy {
+    /// A proxy without any state.
+    pub fn new(settings: Settings, detail: ProxyDetail) -> Self {
+        SimulatedProxy {
+            detail,
+            index: 0,
+            edition: 0,
+            had_backend: false,
             zones: Zones::new(&settings.zones),
             state: None,
             digest: DigestCache::default(),
@@ -152,52 +163,45 @@
             routes: NameIds::default(),
             pools: NameIds::default(),
             tally: Tally::new(settings.bounds.quota_slack),
-            fresh: None,
+            last_leader_contact: None,
             settings,
         }
     }
 
-    /// What it tells its agent, at first and after each message.
-    pub fn word(&mut self, now: Millis) -> FromProxy {
+    /// The message to the agent: the first one, or the reply to a message.
+    pub fn report(&mut self, now: Millis) -> FromProxy {
         let differs = std::mem::take(&mut self.differs);
         FromProxy {
-            client_addr: self.settings.client_addr.map(|front| front.to_string()).unwrap_or_default(),
-            ready: self.serves() && self.in_touch(now),
-            applied_index: self.held(),
+            client_addr: self.settings.client_addr.map(|address| address.to_string()).unwrap_or_default(),
+            ready: self.can_serve() && self.has_lease(now),
+            applied_index: self.applied_index(),
             ranges: self.state.as_ref().filter(|_| differs).map(State::range_digests),
             sent_at: Some(now),
             readable_format: MAX_ENTRY_VERSION,
         }
     }
 
-    /// Takes in a message. The edition that it goes by from now on, if that has changed.
-    pub fn take(&mut self, now: Millis, news: ToProxy) -> Option<u64> {
-        let ToProxy {
-            snapshot: whole,
-            changes,
-            leader_contact_age_ms: age_ms,
-            index,
-            digest,
-            repair: mend,
-            ..
-        } = news;
-        if age_ms >= 0.0 {
-            let at = now - age_ms;
-            self.fresh = Some(self.fresh.map_or(at, |fresh| fresh.max(at)));
-            self.tally.leader_contacted(at);
+    /// Applies a message. Returns the edition that it puts into effect, if any.
+    pub fn apply(&mut self, now: Millis, message: ToProxy) -> Option<u64> {
+        let ToProxy { snapshot, changes, leader_contact_age_ms, index, digest, repair, .. } = message;
+        if leader_contact_age_ms >= 0.0 {
+            let contact = now - leader_contact_age_ms;
+            self.last_leader_contact =
+                Some(self.last_leader_contact.map_or(contact, |last| last.max(contact)));
+            self.tally.leader_contacted(contact);
         }
-        let held = self.held();
-        if self.holds == Holds::Number {
-            return self.count(held, whole.as_ref(), &changes);
+        let applied_index = self.applied_index();
+        if self.detail == ProxyDetail::IndexOnly {
+            return self.apply_index(applied_index, snapshot.as_ref(), &changes);
         }
         let mut touched = Vec::new();
-        if let Some(whole) = whole.filter(|whole| whole.index > held) {
-            self.state = Some(State::from_snapshot(now, whole));
+        if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.index > applied_index) {
+            self.state = Some(State::from_snapshot(now, snapshot));
             touched = vec![Touched::Config, Touched::Gateways];
         }
         if let Some(state) = &mut self.state {
             touched.extend(state.apply_all(now, &changes));
-            if mend.is_some_and(|mend| state.repair(now, mend)) {
+            if repair.is_some_and(|repair| state.repair(now, repair)) {
                 self.digest.invalidate();
                 touched.extend([Touched::Config, Touched::Gateways]);
             }
@@ -211,191 +215,204 @@
         touched.contains(&Touched::Config).then(|| self.configure(now)).flatten()
     }
 
-    /// Whether it goes by a configuration and has a backend to send to.
-    fn serves(&self) -> bool {
-        let open = |state: &State| state.backends.values().any(|known| !known.backend.draining);
-        match self.holds {
-            Holds::All => self.table.is_some() && self.state.as_ref().is_some_and(open),
-            Holds::Number => self.number.1 > 0 && self.backends,
+    /// Whether it has a route table and a backend that is not draining.
+    fn can_serve(&self) -> bool {
+        let has_open_backend = |state: &State| state.backends.values().any(|known| !known.backend.draining);
+        match self.detail {
+            ProxyDetail::Full => self.table.is_some() && self.state.as_ref().is_some_and(has_open_backend),
+            ProxyDetail::IndexOnly => self.edition > 0 && self.had_backend,
         }
     }
 
-    fn held(&self) -> u64 {
-        self.state.as_ref().map_or(self.number.0, |state| state.index)
+    fn applied_index(&self) -> u64 {
+        self.state.as_ref().map_or(self.index, |state| state.index)
     }
 
-    /// Goes on to the number of what came, where it holds no more than that.
-    fn count(&mut self, held: u64, whole: Option<&StateSnapshot>, changes: &[IndexedChange]) -> Option<u64> {
-        let before = self.number.1;
-        if let Some(whole) = whole.filter(|whole| whole.index > held) {
-            self.backends = whole.backends.iter().any(|backend| !backend.draining);
-            self.number = (whole.index, whole.config.as_ref().map_or(before, |config| config.edition));
+    /// Applies a snapshot and changes to the index and the edition alone. Returns the new edition, if it has changed.
+    fn apply_index(
+        &mut self, applied_index: u64, snapshot: Option<&StateSnapshot>, changes: &[IndexedChange],
+    ) -> Option<u64> {
+        let edition_before = self.edition;
+        if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.index > applied_index) {
+            self.had_backend = snapshot.backends.iter().any(|backend| !backend.draining);
+            self.index = snapshot.index;
+            self.edition = snapshot.config.as_ref().map_or(edition_before, |config| config.edition);
         }
-        let follows = self.number.0 > 0;
-        for numbered in changes.iter().filter(|numbered| follows && numbered.index > held) {
-            self.number.0 = numbered.index;
-            match numbered.change.as_ref().and_then(|change| change.kind.as_ref()) {
-                Some(Kind::Config(config)) => self.number.1 = config.edition,
-                Some(Kind::Backend(backend)) => self.backends |= !backend.draining,
+        let has_snapshot = self.index > 0;
+        for indexed in changes.iter().filter(|indexed| has_snapshot && indexed.index > applied_index) {
+            self.index = indexed.index;
+            match indexed.change.as_ref().and_then(|change| change.kind.as_ref()) {
+                Some(Kind::Config(config)) => self.edition = config.edition,
+                Some(Kind::Backend(backend)) => self.had_backend |= !backend.draining,
                 _ => {}
             }
         }
-        Some(self.number.1).filter(|edition| *edition != before)
+        Some(self.edition).filter(|edition| *edition != edition_before)
     }
 
+    /// Builds the route table from the copy of the state.
     fn configure(&mut self, now: Millis) -> Option<u64> {
         let config = self.state.as_ref()?.config.as_ref()?;
-        let former: Vec<Class> = self.table.as_ref().map(|table| table.classes.clone()).unwrap_or_default();
+        let previous_classes: Vec<Class> =
+            self.table.as_ref().map(|table| table.classes.clone()).unwrap_or_default();
         let table =
-            RouteTable::new(&config.text, &self.zones, &mut self.routes, &mut self.pools, &former).ok()?;
+            RouteTable::new(&config.text, &self.zones, &mut self.routes, &mut self.pools, &previous_classes)
+                .ok()?;
         self.tally.set_limits(now, &table.limits);
         self.table = Some(table);
         Some(config.edition)
     }
 
-    fn in_touch(&self, now: Millis) -> bool {
+    fn has_lease(&self, now: Millis) -> bool {
         let bounds = &self.settings.bounds;
-        let lease = bounds.lease().as_secs_f64() * 1000.0;
-        !bounds.fail_closed || self.fresh.is_some_and(|at| now - at < lease)
+        let lease_ms = bounds.lease().as_secs_f64() * 1000.0;
+        !bounds.fail_closed || self.last_leader_contact.is_some_and(|contact| now - contact < lease_ms)
     }
 
-    /// The table it goes by.
+    /// The route table in effect.
     pub fn table(&self) -> Option<&RouteTable> {
         self.table.as_ref()
     }
 
-    /// Its copy of the agreed state.
+    /// The proxy's copy of the replicated state.
     pub fn state(&self) -> Option<&State> {
         self.state.as_ref()
     }
 }
 
-/// What is to be done for a hollow gateway.
+/// An output of a simulated gateway, for its runtime to carry out.
 #[derive(Debug)]
-pub enum Out {
+pub enum Output {
     /// Keep a link to this core process.
-    Keep(String),
-    /// End the link to it; it is opened anew.
-    End(String),
-    /// Tell it.
-    Say(String, Box<FromAgent>),
-    /// Its agent holds this edition from now on.
-    Held(u64),
-    /// Its proxy goes by this edition from now on.
-    InForce(u64),
+    Connect(String),
+    /// Close the link to this core process, and open a new one.
+    Reset(String),
+    /// Send a message to this core process.
+    Send(String, Box<FromAgent>),
+    /// The agent has applied this edition.
+    AgentApplied(u64),
+    /// The proxy has put this edition into effect.
+    ProxyApplied(u64),
 }
 
 /// An agent and its proxy.
-pub struct Hollow {
-    follow: AgentStateMachine,
-    proxy: HollowProxy,
-    counts: Counts,
+pub struct SimulatedGateway {
+    agent: AgentStateMachine,
+    proxy: SimulatedProxy,
+    stats: GatewayStats,
 }
 
-impl Hollow {
-    /// A gateway that starts, and what it wants at once.
-    pub fn new(settings: &Settings, holds: Holds, now: Millis, out: &mut Vec<Out>) -> Self {
+impl SimulatedGateway {
+    /// Starts a gateway, whose agent is connected to its proxy.
+    pub fn new(settings: &Settings, detail: ProxyDetail, now: Millis, outputs: &mut Vec<Output>) -> Self {
         let mut actions = Vec::new();
-        let follow = AgentStateMachine::new(settings, now, &mut actions);
-        let mut hollow =
-            Hollow { follow, proxy: HollowProxy::new(settings.clone(), holds), counts: Counts::default() };
-        hollow.follow.handle(now, Event::ProxyConnected(LINK), &mut actions);
-        let word = hollow.proxy.word(now);
-        hollow.counts.holds.one(&word);
-        hollow.follow.handle(now, Event::ProxyMessage { link: LINK, message: word }, &mut actions);
-        hollow.carry_out(now, actions, out);
-        hollow
+        let agent = AgentStateMachine::new(settings, now, &mut actions);
+        let mut gateway = SimulatedGateway {
+            agent,
+            proxy: SimulatedProxy::new(settings.clone(), detail),
+            stats: GatewayStats::default(),
+        };
+        gateway.agent.handle(now, Event::ProxyConnected(PROXY_LINK), &mut actions);
+        let report = gateway.proxy.report(now);
+        gateway.stats.proxy_reports.count(&report);
+        gateway.agent.handle(now, Event::ProxyMessage { link: PROXY_LINK, message: report }, &mut actions);
+        gateway.execute(now, actions, outputs);
+        gateway
     }
 
-    /// A core process said something.
-    pub fn said(&mut self, now: Millis, core: String, news: Box<ToAgent>, out: &mut Vec<Out>) {
-        let kind = match &*news {
+    /// Handles a message of a core process.
+    pub fn handle_core_message(
+        &mut self, now: Millis, core: String, message: Box<ToAgent>, outputs: &mut Vec<Output>,
+    ) {
+        // An index into `GatewayStats::kinds`.
+        let kind = match &*message {
             ToAgent { snapshot: Some(_), .. } => 0,
             ToAgent { changes, .. } if !changes.is_empty() => 1,
             _ => 2,
         };
-        let parts = self.counts.parts();
-        parts.into_iter().nth(kind).into_iter().for_each(|count| count.one(&*news));
-        let (start, fed) = (thread_s(), self.counts.feeds.cpu_s);
-        let before = self.edition();
-        let at = out.len();
-        self.event(now, Event::CoreMessage { core, message: news }, out);
-        if self.edition() != before {
-            // Before it was in force.
-            out.insert(at, Out::Held(self.edition()));
+        let kinds = self.stats.kinds();
+        kinds.into_iter().nth(kind).into_iter().for_each(|stats| stats.count(&*message));
+        let (start, proxy_cpu_before) = (thread_cpu_s(), self.stats.proxy_updates.cpu_s);
+        let edition_before = self.edition();
+        let position = outputs.len();
+        self.handle(now, Event::CoreMessage { core, message }, outputs);
+        if self.edition() != edition_before {
+            // The agent applies an edition before its proxy does.
+            outputs.insert(position, Output::AgentApplied(self.edition()));
         }
-        // What the proxy part took is its own.
-        let took = thread_s() - start - (self.counts.feeds.cpu_s - fed);
-        self.counts.parts().into_iter().nth(kind).into_iter().for_each(|count| count.cpu_s += took);
+        // The proxy's processor time is counted separately.
+        let cpu_s = thread_cpu_s() - start - (self.stats.proxy_updates.cpu_s - proxy_cpu_before);
+        self.stats.kinds().into_iter().nth(kind).into_iter().for_each(|stats| stats.cpu_s += cpu_s);
     }
 
-    /// Anything else happened.
-    pub fn event(&mut self, now: Millis, event: Event, out: &mut Vec<Out>) {
+    /// Handles any other event.
+    pub fn handle(&mut self, now: Millis, event: Event, outputs: &mut Vec<Output>) {
         let mut actions = Vec::new();
-        self.follow.handle(now, event, &mut actions);
-        self.carry_out(now, actions, out);
+        self.agent.handle(now, event, &mut actions);
+        self.execute(now, actions, outputs);
     }
 
-    /// What the agent tells its proxy passes as bytes, as over their link.
-    fn carry_out(&mut self, now: Millis, actions: Vec<Action>, out: &mut Vec<Out>) {
+    /// Executes the agent's actions. Messages to the proxy are encoded and decoded, as on a real link.
+    fn execute(&mut self, now: Millis, actions: Vec<Action>, outputs: &mut Vec<Output>) {
         let mut actions = std::collections::VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                Action::Connect(core) => out.push(Out::Keep(core)),
-                Action::Reset(core) => out.push(Out::End(core)),
-                Action::Send { core, message: word } => {
-                    self.counts.words.one(&*word);
-                    out.push(Out::Say(core, word));
+                Action::Connect(core) => outputs.push(Output::Connect(core)),
+                Action::Reset(core) => outputs.push(Output::Reset(core)),
+                Action::Send { core, message } => {
+                    self.stats.agent_messages.count(&*message);
+                    outputs.push(Output::Send(core, message));
                 }
-                Action::SendProxy(news) => {
-                    let start = thread_s();
-                    self.counts.feeds.one(&*news);
-                    let bytes = news.encode_to_vec();
-                    drop(news);
-                    // What was just encoded can be read.
-                    let news = ToProxy::decode(&bytes[..]).unwrap_or_default();
+                Action::SendProxy(message) => {
+                    let start = thread_cpu_s();
+                    self.stats.proxy_updates.count(&*message);
+                    let bytes = message.encode_to_vec();
+                    drop(message);
+                    // Decoding a message that was just encoded does not fail.
+                    let message = ToProxy::decode(&bytes[..]).unwrap_or_default();
                     drop(bytes);
-                    let edition = self.proxy.take(now, news);
-                    out.extend(edition.map(Out::InForce));
-                    let word = self.proxy.word(now);
-                    self.counts.holds.one(&word);
-                    self.counts.feeds.cpu_s += thread_s() - start;
+                    let edition = self.proxy.apply(now, message);
+                    outputs.extend(edition.map(Output::ProxyApplied));
+                    let report = self.proxy.report(now);
+                    self.stats.proxy_reports.count(&report);
+                    self.stats.proxy_updates.cpu_s += thread_cpu_s() - start;
                     let mut more = Vec::new();
-                    self.follow.handle(now, Event::ProxyMessage { link: LINK, message: word }, &mut more);
+                    let event = Event::ProxyMessage { link: PROXY_LINK, message: report };
+                    self.agent.handle(now, event, &mut more);
                     actions.extend(more);
                 }
             }
         }
     }
 
-    /// The edition that its agent holds; nought for none.
+    /// The edition in the agent's copy of the state; 0 without a configuration.
     fn edition(&self) -> u64 {
-        let config = self.follow.state().and_then(|state| state.config.as_ref());
+        let config = self.agent.state().and_then(|state| state.config.as_ref());
         config.map_or(0, |config| config.edition)
     }
 
-    /// When it wants to be told of time next.
-    pub fn due(&self) -> Millis {
-        self.follow.next_deadline()
+    /// Time at which the gateway needs the next tick.
+    pub fn next_deadline(&self) -> Millis {
+        self.agent.next_deadline()
     }
 
-    /// Whether a link to this core process is wanted.
-    pub fn wants(&mut self, now: Millis, core: &str) -> bool {
-        self.follow.wants_link(now, core)
+    /// Whether the agent wants a link to this core process.
+    pub fn wants_link(&mut self, now: Millis, core: &str) -> bool {
+        self.agent.wants_link(now, core)
     }
 
-    /// What it was told and told.
-    pub fn counts(&self) -> &Counts {
-        &self.counts
+    /// Statistics of the messages received and sent so far.
+    pub fn stats(&self) -> &GatewayStats {
+        &self.stats
     }
 
-    /// Its proxy.
-    pub fn proxy(&self) -> &HollowProxy {
+    /// The proxy of this gateway.
+    pub fn proxy(&self) -> &SimulatedProxy {
         &self.proxy
     }
 
-    /// The agent's copy of the agreed state.
+    /// The agent's copy of the replicated state.
     pub fn state(&self) -> Option<&State> {
-        self.follow.state()
+        self.agent.state()
     }
 }
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,4 +1,5 @@
-//! The size to design for: slopes of single parts, and a run of real core processes before hollow gateways.
+//! Measures how the system scales: the cost of its single parts, and real core processes under simulated gateways
+//! and backends.
 
 pub mod bounds;
 pub mod draw;
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -1,10 +1,12 @@
-//! A run: real core processes, one real agent and proxy, hollow gateways and backends that beat; changes of the
-//! configuration one after the other, restarts between them, and a zone's gateways that come back at once.
-
-use super::bounds::{Needs, Room};
-use super::draw::{zone_of, Drawn, Machine, Size};
-use super::fleet::{self, Beaten, Beats, Note, Part};
-use super::hollow::{Counts, Holds};
+//! A scale run: real core processes, one real agent and proxy, simulated gateways, and heartbeats of simulated backends.
+//!
+//! The run changes the configuration several times, restarts a gateway after each change, and at the end restarts all
+//! gateways of a zone at once.
+
+use super::bounds::{MachineResources, ResourceEstimate};
+use super::draw::{zone_of, GeneratedFleet, NodeSettings, Size};
+use super::fleet::{self, EditionEvent, GatewayThread, HeartbeatStats, Heartbeats};
+use super::hollow::{GatewayStats, ProxyDetail};
 use crate::stage::machine;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
@@ -20,230 +22,244 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::watch;
 
-/// Connections over which backends beat.
-pub const BEAT_LINKS: usize = 128;
-/// Threads of hollow gateways: a third of a machine of twelve cores.
-pub const THREADS: usize = 4;
-/// A fleet is up within this, or the run has failed.
-const START_MOST: Duration = Duration::from_secs(90);
-/// A change that is not in force everywhere by then is given up.
-const CHANGE_MOST: Duration = Duration::from_secs(30);
-/// Changes in a row that are given up, before the run is.
-const GIVEN_UP_MOST: usize = 2;
-/// Longest run of one size.
-const RUN_MOST: Duration = Duration::from_secs(240);
-/// Nothing new for so long: a backend beats within it.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Backends and gateways are known within this, or the run has failed.
-const SETTLE_MOST: Duration = Duration::from_secs(90);
-/// The fleet at rest is watched for so long.
-const REST: Duration = Duration::from_secs(6);
-/// Between one change and the next.
-const PAUSE: Duration = Duration::from_millis(600);
-/// The operator waits so long for an answer to a large call, and between two tries.
-const ANSWER: Duration = Duration::from_secs(10);
-const AGAIN: Duration = Duration::from_millis(200);
-/// Gateways that are named where a change did not come to all.
-const LEFT_TOLD: usize = 20;
-/// How often the fleet's progress is told.
-const TOLD_EVERY: Duration = Duration::from_secs(5);
-
-/// What is played.
+/// Number of connections that the simulated backends share for their heartbeats.
+pub const HEARTBEAT_CONNECTIONS: usize = 128;
+/// Number of threads that run simulated gateways.
+pub const GATEWAY_THREADS: usize = 4;
+/// Timeout of the start of the fleet.
+const START_TIMEOUT: Duration = Duration::from_secs(90);
+/// Timeout of a change, and of a restart.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of consecutive timed-out changes after which the run is aborted.
+const MAX_CONSECUTIVE_TIMEOUTS: usize = 2;
+/// No further change starts after this time.
+const RUN_TIMEOUT: Duration = Duration::from_secs(240);
+/// The state has settled if nothing was committed for this long: longer than the heartbeat interval of a backend.
+const SETTLED_AFTER: Duration = Duration::from_secs(3);
+/// Timeout of the wait until the state has settled.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(90);
+/// Duration of the measurement without changes.
+const REST_DURATION: Duration = Duration::from_secs(6);
+/// Pause between a change and the next one.
+const CHANGE_PAUSE: Duration = Duration::from_millis(600);
+/// Timeout of one call that puts a configuration.
+const PUT_CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Backoff after the first failed call; it grows linearly up to ten times this.
+const PUT_BACKOFF: Duration = Duration::from_millis(200);
+/// Timeout of a status call.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Largest number of gateways listed in the result of a change that timed out.
+const MAX_LISTED_GATEWAYS: usize = 20;
+/// Interval between progress reports.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The folder with `narcissus`, `windermere` and `pelion`.
+    /// The directory with the programs `narcissus`, `windermere` and `pelion`.
     pub programs: PathBuf,
-    /// Of what is drawn.
+    /// Seed of the generated fleet, and of the choice of gateways to restart.
     pub seed: u64,
-    /// Changes of the configuration.
+    /// Number of changes of the configuration.
     pub changes: u64,
 }
 
-/// 50, 95 and 100 in 100, in s.
-pub type Spread = [f64; 3];
+/// The 50th, 95th and 100th percentile, in s.
+pub type Percentiles = [f64; 3];
 
-/// One change.
+/// Result of one change of the configuration.
 #[derive(Clone, Debug, Serialize)]
-pub struct Change {
-    /// The edition it brings.
+pub struct ChangeResult {
+    /// The new edition.
     pub edition: u64,
-    /// From the first Put to its acknowledgement, in s; none if it was given up.
+    /// Time from the first call to its acknowledgement, in s. None if no call was acknowledged.
     pub acked_s: Option<f64>,
-    /// Calls that the operator made for it.
+    /// Number of calls until the acknowledgement.
     pub calls: u32,
-    /// From the first Put until agents hold it.
-    pub held_s: Spread,
-    /// From the first Put until it is in force at gateways, in s; those that are left out count as infinite.
-    pub force_s: Spread,
-    /// Gateways at which it was not in force when it was given up.
-    pub missing: usize,
-    /// Some of them.
-    pub left: Vec<usize>,
-    /// The gateway that was restarted after it.
-    pub restarted: Option<usize>,
+    /// Time from the first call until the gateways' agents have applied it.
+    #[serde(rename = "held_s")]
+    pub agent_applied_s: Percentiles,
+    /// Time from the first call until it is in effect at the gateways; infinite for gateways that did not apply it.
+    #[serde(rename = "force_s")]
+    pub in_effect_s: Percentiles,
+    /// Number of gateways at which it was not in effect before the timeout.
+    #[serde(rename = "missing")]
+    pub missing_count: usize,
+    /// Some of these gateways.
+    #[serde(rename = "left")]
+    pub missing_gateways: Vec<usize>,
+    /// The gateway that was restarted after the change.
+    #[serde(rename = "restarted")]
+    pub restarted_gateway: Option<usize>,
 }
 
-/// What one process used.
+/// Resource usage of one process.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Process {
-    /// Cores while the fleet was at rest.
+pub struct ProcessUsage {
+    /// Cores used while nothing changes.
     pub rest_cores: f64,
-    /// Processor time for each change, in s, with what it takes at rest meanwhile, for the restarts between them and for
-    /// the zone's return.
+    /// Processor time per change, in s. It includes the usage at rest between the changes, the restarts, and the restart of
+    /// the zone.
     pub change_cpu_s: f64,
-    /// Memory at its peak, in MB.
+    /// Peak memory, in MB.
     pub peak_mb: f64,
-    /// Its disk at the end, in MB.
+    /// Size of the data directory at the end, in MB.
     pub disk_mb: f64,
-    /// Descriptors that it held at the end.
+    /// Open file descriptors at the end.
     pub descriptors: usize,
 }
 
-/// What became of one size.
+/// Result of the run of one size.
 #[derive(Clone, Debug, Serialize)]
-pub struct Outcome {
-    /// The size.
+pub struct RunResult {
+    /// Size of the fleet.
     pub size: Size,
-    /// Routes and tenants in 100 of the full size's.
+    /// Routes and tenants, in percent of the full size's.
     pub percent: f64,
-    /// The configuration, in MB.
+    /// Size of the configuration, in MB.
     pub config_mb: f64,
-    /// What was reckoned before.
-    pub needs: Needs,
-    /// Why it was refused, or failed; none if it was played to its end.
+    /// Resources estimated before the run.
+    #[serde(rename = "needs")]
+    pub estimate: ResourceEstimate,
+    /// Why the run was refused or has failed. None if it completed.
     pub failed: Option<String>,
-    /// From the first Put until the first edition was in force at all gateways, in s.
+    /// Time from the first call until the first edition was in effect at all gateways, in s.
     pub start_s: f64,
-    /// From then until all backends and gateways were agreed on, with the quiet behind it, in s.
+    /// Time from then until the state had settled, in s.
     pub settled_s: f64,
-    /// What else the machine had to do when the rest began: processes that want a core, on the average of a minute, and
-    /// its cores.
+    /// Load average of the machine over one minute at the start of the rest, and its number of cores.
     pub load: [f64; 2],
-    /// The changes.
-    pub changes: Vec<Change>,
-    /// A gateway's restart, from its end until the newest edition is in force there, in s.
-    pub back_s: Spread,
-    /// A zone's gateways that all come back at once, from their end until the last is up to date, in s.
-    pub zone_back_s: f64,
-    /// Who leads.
-    pub leader: Process,
-    /// The one of the others that used most.
-    pub follower: Process,
-    /// The real agent and proxy.
-    pub agent: Process,
+    /// Results of the changes.
+    pub changes: Vec<ChangeResult>,
+    /// Time from the restart of a single gateway until the current edition is in effect there.
+    #[serde(rename = "back_s")]
+    pub restart_s: Percentiles,
+    /// Time from the restart of all gateways of a zone until the current edition is in effect at the last one, in s.
+    #[serde(rename = "zone_back_s")]
+    pub zone_restart_s: f64,
+    /// The leader at the end of the run.
+    pub leader: ProcessUsage,
+    /// The follower with the highest peak memory.
+    pub follower: ProcessUsage,
+    /// The real agent.
+    pub agent: ProcessUsage,
     /// The real proxy.
-    pub proxy: Process,
-    /// All hollow gateways at rest, and for how long.
-    pub rest: Counts,
-    /// How long the rest was, in s.
+    pub proxy: ProcessUsage,
+    /// Messages of all simulated gateways while nothing changes.
+    pub rest: GatewayStats,
+    /// Duration of the measurement without changes, in s.
     pub rest_s: f64,
-    /// All hollow gateways over the changes.
-    pub changing: Counts,
-    /// How long the changes took, in s.
+    /// Messages of all simulated gateways during the changes.
+    pub changing: GatewayStats,
+    /// Duration of the changes, in s.
     pub changing_s: f64,
-    /// Beats over the whole run.
-    pub beats_taken: u64,
-    /// Beats not answered 200 within a second.
-    pub beats_lost: u64,
-    /// Mean time of an answer to a beat, in ms.
-    pub beat_ms: f64,
-    /// Times that another core process led than before.
-    pub leaders: u32,
+    /// Number of heartbeats answered with status 200.
+    #[serde(rename = "beats_taken")]
+    pub heartbeats_succeeded: u64,
+    /// Number of heartbeats that were not answered with status 200 within a second.
+    #[serde(rename = "beats_lost")]
+    pub heartbeats_failed: u64,
+    /// Mean response time of a heartbeat, in ms.
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_ms: f64,
+    /// Number of times that the leader changed.
+    #[serde(rename = "leaders")]
+    pub leader_changes: u32,
 }
 
-impl Outcome {
-    /// Nothing is known yet.
-    fn new(size: Size, percent: f64, config_mb: f64, needs: Needs) -> Outcome {
-        Outcome {
+impl RunResult {
+    /// A result without any measurement.
+    fn new(size: Size, percent: f64, config_mb: f64, estimate: ResourceEstimate) -> RunResult {
+        RunResult {
             size,
             percent,
             config_mb,
-            needs,
+            estimate,
             failed: None,
             start_s: f64::INFINITY,
             settled_s: f64::INFINITY,
             load: [0.0; 2],
             changes: Vec::new(),
-            back_s: [f64::INFINITY; 3],
-            zone_back_s: f64::INFINITY,
-            leader: Process::default(),
-            follower: Process::default(),
-            agent: Process::default(),
-            proxy: Process::default(),
-            rest: Counts::default(),
+            restart_s: [f64::INFINITY; 3],
+            zone_restart_s: f64::INFINITY,
+            leader: ProcessUsage::default(),
+            follower: ProcessUsage::default(),
+            agent: ProcessUsage::default(),
+            proxy: ProcessUsage::default(),
+            rest: GatewayStats::default(),
             rest_s: 0.0,
-            changing: Counts::default(),
+            changing: GatewayStats::default(),
             changing_s: 0.0,
-            beats_taken: 0,
-            beats_lost: 0,
-            beat_ms: 0.0,
-            leaders: 0,
+            heartbeats_succeeded: 0,
+            heartbeats_failed: 0,
+            heartbeat_ms: 0.0,
+            leader_changes: 0,
         }
     }
 
-    /// The middle change's spread, by its last gateway.
-    pub fn force_s(&self) -> Spread {
-        let mut all: Vec<Spread> = self.changes.iter().map(|change| change.force_s).collect();
+    /// Times until a change is in effect, of the change with the median time of its last gateway.
+    pub fn median_in_effect_s(&self) -> Percentiles {
+        let mut all: Vec<Percentiles> = self.changes.iter().map(|change| change.in_effect_s).collect();
         all.sort_by(|a, b| a[2].total_cmp(&b[2]));
         all.get(all.len() / 2).copied().unwrap_or([f64::INFINITY; 3])
     }
 
-    /// Bytes a second between one gateway and the core while nothing changes.
+    /// Bytes per second between one gateway and the core while nothing changes.
     pub fn rest_bytes_per_s(&self) -> f64 {
         self.rest.control_bytes() as f64 / self.size.gateways as f64 / self.rest_s.max(1e-9)
     }
 
-    /// Bytes that one change costs one gateway, without what it says at rest.
+    /// Bytes that one gateway receives for one change, without heartbeat replies.
     pub fn change_bytes(&self) -> f64 {
         let changes = self.changes.len().max(1) as f64;
-        let (whole, news) = (self.changing.whole, self.changing.changes);
-        (whole.bytes + news.bytes) as f64 / self.size.gateways as f64 / changes
+        let (snapshots, updates) = (self.changing.snapshots, self.changing.changes);
+        (snapshots.bytes + updates.bytes) as f64 / self.size.gateways as f64 / changes
     }
 }
 
-/// The times of 50, 95 and 100 in 100 of so many, where some may be missing.
-pub fn spread(mut times: Vec<f64>, of: usize) -> Spread {
+/// The percentiles of `count` times. Times that are missing from the list count as infinite.
+pub fn percentiles(mut times: Vec<f64>, count: usize) -> Percentiles {
     times.sort_by(f64::total_cmp);
     let at = |share: f64| {
-        let place = ((of as f64 * share).ceil() as usize).max(1) - 1;
-        times.get(place).copied().unwrap_or(f64::INFINITY)
+        let index = ((count as f64 * share).ceil() as usize).max(1) - 1;
+        times.get(index).copied().unwrap_or(f64::INFINITY)
     };
     [at(0.5), at(0.95), at(1.0)]
 }
 
 // ---- Processes --------------------------------------------------------------------------------------------------
 
-/// Processes that run: whoever ends this program by a signal ends them first.
-static RUNNING: Mutex<Vec<i32>> = Mutex::new(Vec::new());
+/// Ids of the child processes, so that a signal handler can kill them.
+static CHILD_PROCESS_IDS: Mutex<Vec<i32>> = Mutex::new(Vec::new());
 
-fn running() -> MutexGuard<'static, Vec<i32>> {
-    RUNNING.lock().unwrap_or_else(|e| e.into_inner())
+fn child_process_ids() -> MutexGuard<'static, Vec<i32>> {
+    CHILD_PROCESS_IDS.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Kills all processes of the run. What is started later is not touched: this program is to end.
+/// Kills the child processes of the run, before this program exits. Processes started later are not killed.
 pub fn kill() {
-    for id in running().drain(..) {
+    for id in child_process_ids().drain(..) {
         if let Some(id) = rustix::process::Pid::from_raw(id) {
-            // One that has ended is what is wanted.
+            // The process may have exited already.
             let _ = rustix::process::kill_process(id, rustix::process::Signal::KILL);
         }
     }
 }
 
-/// A process that ends with the run, however that ends.
-struct Running(Child);
+/// A child process that is killed when dropped.
+struct ChildProcess(Child);
 
-impl Running {
-    fn start(program: &Path, settings: &Path, log: &Path) -> Result<Running, String> {
-        let told = |e: std::io::Error| format!("{}: {e}", program.display());
-        let log = std::fs::File::create(log).map_err(told)?;
+impl ChildProcess {
+    fn start(program: &Path, settings: &Path, log: &Path) -> Result<ChildProcess, String> {
+        let error = |e: std::io::Error| format!("cannot start {}: {e}", program.display());
+        let log = std::fs::File::create(log).map_err(error)?;
         let mut command = Command::new(program);
         command.arg("run").arg("--settings").arg(settings).args(["--log", "warn"]);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let mut running = running();
-        let child = command.spawn().map_err(told)?;
-        running.push(child.id() as i32);
-        Ok(Running(child))
+        let mut ids = child_process_ids();
+        let child = command.spawn().map_err(error)?;
+        ids.push(child.id() as i32);
+        Ok(ChildProcess(child))
     }
 
     fn id(&self) -> i32 {
@@ -263,40 +279,40 @@
         std::fs::read_dir(format!("/proc/{}/fd", self.id())).map_or(0, Iterator::count)
     }
 
-    fn ended(&mut self) -> bool {
+    fn has_exited(&mut self) -> bool {
         !matches!(self.0.try_wait(), Ok(None))
     }
 }
 
-impl Drop for Running {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         let id = self.id();
-        running().retain(|of| *of != id);
+        child_process_ids().retain(|other| *other != id);
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Bytes of all files in a folder.
-fn disk_mb(folder: &Path) -> f64 {
-    let entries = std::fs::read_dir(folder).into_iter().flatten().flatten();
+/// Total size of all files in a directory, in MB.
+fn directory_mb(directory: &Path) -> f64 {
+    let entries = std::fs::read_dir(directory).into_iter().flatten().flatten();
     entries
         .map(|entry| match entry.metadata() {
-            Ok(meta) if meta.is_dir() => disk_mb(&entry.path()),
+            Ok(meta) if meta.is_dir() => directory_mb(&entry.path()),
             Ok(meta) => meta.len() as f64 / 1e6,
             Err(_) => 0.0,
         })
         .sum()
 }
 
-fn free_port(ip: &str) -> Result<u16, String> {
+fn find_free_port(ip: &str) -> Result<u16, String> {
     let bound = TcpListener::bind((ip, 0)).and_then(|listener| listener.local_addr());
-    bound.map(|at| at.port()).map_err(|e| format!("a port on {ip}: {e}"))
+    bound.map(|address| address.port()).map_err(|e| format!("cannot find a free port on {ip}: {e}"))
 }
 
 /// A free port of all core processes that has a free one after it on loopback, for the agent. Both are outside the
 /// ephemeral range, so that no outgoing connection holds one in TIME-WAIT.
-fn inner_port(core_ips: &[String]) -> Result<u16, String> {
+fn find_inner_port(core_ips: &[String]) -> Result<u16, String> {
     let free = |ip: &str, port: u16| TcpListener::bind((ip, port)).is_ok();
     (0..100)
         .map(|_| rand::random_range(10_000..30_000))
@@ -308,105 +324,123 @@
         .ok_or_else(|| "no two free ports in a row on loopback".to_owned())
 }
 
-/// The real processes.
-struct System {
-    cores: Vec<Running>,
-    agent: Running,
-    proxy: Running,
+/// The core processes, and the real agent and proxy.
+struct RealProcesses {
+    cores: Vec<ChildProcess>,
+    agent: ChildProcess,
+    proxy: ChildProcess,
     seeds: Vec<String>,
-    inner: u16,
-    folder: tempfile::TempDir,
+    inner_port: u16,
+    directory: tempfile::TempDir,
 }
 
-impl System {
-    fn start(options: &Options, size: Size) -> Result<System, String> {
-        let folder = tempfile::Builder::new().prefix("granite-lab-scale-").tempdir();
-        let folder = folder.map_err(|e| format!("a folder: {e}"))?;
+impl RealProcesses {
+    fn start(options: &Options, size: Size) -> Result<RealProcesses, String> {
+        let directory = tempfile::Builder::new().prefix("granite-lab-scale-").tempdir();
+        let directory = directory.map_err(|e| format!("cannot create a directory: {e}"))?;
         let ips: Vec<_> = (0..size.cores).map(|core| format!("127.79.0.{}", core + 2)).collect();
         let seeds = ips
             .iter()
-            .map(|ip| Ok(format!("{ip}:{}", free_port(ip)?)))
+            .map(|ip| Ok(format!("{ip}:{}", find_free_port(ip)?)))
             .collect::<Result<Vec<_>, String>>()?;
-        let inner = inner_port(&ips)?;
-        let start = |program: &str, node: &str, class: &str, ip: &str, docks: &[(&str, String)]| {
-            let data = folder.path().join(node);
-            std::fs::create_dir_all(&data).map_err(|e| format!("a folder: {e}"))?;
-            let data = data.to_string_lossy();
-            let machine =
-                Machine { node, class, ip, zone: zone_of(0), docks, data: &data, inner, seeds: &seeds };
-            let file = folder.path().join(format!("{node}.yaml"));
-            std::fs::write(&file, machine.text()).map_err(|e| format!("a file: {e}"))?;
-            Running::start(
-                &options.programs.join(program),
-                &file,
-                &folder.path().join(format!("{node}-{program}.log")),
-            )
-        };
+        let inner_port = find_inner_port(&ips)?;
+        let start =
+            |program: &str, node: &str, class: &str, ip: &str, listen_addresses: &[(&str, String)]| {
+                let data_dir = directory.path().join(node);
+                std::fs::create_dir_all(&data_dir).map_err(|e| format!("cannot create a directory: {e}"))?;
+                let settings = NodeSettings {
+                    node,
+                    class,
+                    ip,
+                    zone: zone_of(0),
+                    listen_addresses,
+                    data_dir: &data_dir.to_string_lossy(),
+                    inner_port,
+                    seeds: &seeds,
+                };
+                let file = directory.path().join(format!("{node}.yaml"));
+                std::fs::write(&file, settings.to_yaml())
+                    .map_err(|e| format!("cannot write the settings file: {e}"))?;
+                ChildProcess::start(
+                    &options.programs.join(program),
+                    &file,
+                    &directory.path().join(format!("{node}-{program}.log")),
+                )
+            };
         let cores = ips.iter().enumerate().map(|(core, ip)| {
             start("narcissus", &format!("sorting-{core}"), "sorting", ip, &[("control", seeds[core].clone())])
         });
         let cores = cores.collect::<Result<Vec<_>, _>>()?;
         let ip = "127.79.1.1";
-        let docks =
-            [("front", format!("{ip}:{}", free_port(ip)?)), ("ready", format!("{ip}:{}", free_port(ip)?))];
-        let agent = start("windermere", "counter-real", "counter", ip, &docks)?;
-        let proxy = start("pelion", "counter-real", "counter", ip, &docks)?;
-        Ok(System { cores, agent, proxy, seeds, inner, folder })
+        let listen_addresses = [
+            ("front", format!("{ip}:{}", find_free_port(ip)?)),
+            ("ready", format!("{ip}:{}", find_free_port(ip)?)),
+        ];
+        let agent = start("windermere", "counter-real", "counter", ip, &listen_addresses)?;
+        let proxy = start("pelion", "counter-real", "counter", ip, &listen_addresses)?;
+        Ok(RealProcesses { cores, agent, proxy, seeds, inner_port, directory })
     }
 
-    /// Why a process has ended, if one has.
-    fn ended(&mut self) -> Option<String> {
+    /// An error message if a process has exited.
+    fn exit_error(&mut self) -> Option<String> {
         let processes = self.cores.iter_mut().chain([&mut self.agent, &mut self.proxy]);
-        processes
-            .enumerate()
-            .find_map(|(at, process)| process.ended().then(|| format!("process {at} ended by itself")))
+        processes.enumerate().find_map(|(index, process)| {
+            process.has_exited().then(|| format!("process {index} exited unexpectedly"))
+        })
     }
 
+    /// Processor time of each process so far, in s: core processes, agent, proxy.
     fn cpu_s(&self) -> Vec<f64> {
-        self.cores.iter().chain([&self.agent, &self.proxy]).map(Running::cpu_s).collect()
+        self.cores.iter().chain([&self.agent, &self.proxy]).map(ChildProcess::cpu_s).collect()
     }
 
-    fn process(&self, at: usize, rest: (&[f64], &[f64], f64), change: (&[f64], &[f64], usize)) -> Process {
-        let running = self.cores.iter().chain([&self.agent, &self.proxy]).nth(at);
-        let Some(running) = running else { return Process::default() };
-        let took =
-            |from: &[f64], to: &[f64]| to.get(at).zip(from.get(at)).map_or(0.0, |(to, from)| to - from);
-        let disk = if at < self.cores.len() {
-            disk_mb(&self.folder.path().join(format!("sorting-{at}")))
+    /// Usage of the process with this index. `rest` has the processor times before and after the rest, and its duration;
+    /// `changes` those before and after the changes, and the number of changes.
+    fn usage(
+        &self, index: usize, rest: (&[f64], &[f64], f64), changes: (&[f64], &[f64], usize),
+    ) -> ProcessUsage {
+        let process = self.cores.iter().chain([&self.agent, &self.proxy]).nth(index);
+        let Some(process) = process else { return ProcessUsage::default() };
+        let difference =
+            |from: &[f64], to: &[f64]| to.get(index).zip(from.get(index)).map_or(0.0, |(to, from)| to - from);
+        let disk_mb = if index < self.cores.len() {
+            directory_mb(&self.directory.path().join(format!("sorting-{index}")))
         } else {
             0.0
         };
-        Process {
-            rest_cores: took(rest.0, rest.1) / rest.2.max(1e-9),
-            change_cpu_s: took(change.0, change.1) / change.2.max(1) as f64,
-            peak_mb: running.peak_mb(),
-            disk_mb: disk,
-            descriptors: running.descriptors(),
+        ProcessUsage {
+            rest_cores: difference(rest.0, rest.1) / rest.2.max(1e-9),
+            change_cpu_s: difference(changes.0, changes.1) / changes.2.max(1) as f64,
+            peak_mb: process.peak_mb(),
+            disk_mb,
+            descriptors: process.descriptors(),
         }
     }
 }
 
-// ---- The operator -----------------------------------------------------------------------------------------------
+// ---- Calls of the core ------------------------------------------------------------------------------------------
 
-/// What became of a Put: how long after the first call it was acknowledged, and the calls it took.
-type Put = (Option<f64>, u32);
+/// Time from the first call to the acknowledgement, in s, and the number of calls.
+type PutResult = (Option<f64>, u32);
 
-/// Sends a configuration until it is acknowledged, to one core process after the other, as the operator does.
-fn put(seeds: Vec<String>, first: usize, body: String, start: Instant, most: Duration) -> JoinHandle<Put> {
+/// Puts a configuration, with retries at one core process after the other.
+fn put_config(
+    seeds: Vec<String>, first: usize, body: String, start: Instant, total_timeout: Duration,
+) -> JoinHandle<PutResult> {
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime else { return (None, 0) };
         runtime.block_on(async {
             let mut calls = 0;
-            while start.elapsed() < most {
-                let to = &seeds[(first + calls as usize) % seeds.len()];
+            while start.elapsed() < total_timeout {
+                let address = &seeds[(first + calls as usize) % seeds.len()];
                 calls += 1;
-                let (mut stream, what) = (None, ("POST", "/api/Config.Put"));
-                let answer = tokio::time::timeout(ANSWER, fleet::call(&mut stream, to, what, &body)).await;
-                match answer {
+                let (mut stream, endpoint) = (None, ("POST", "/api/Config.Put"));
+                let response = fleet::call(&mut stream, address, endpoint, &body);
+                match tokio::time::timeout(PUT_CALL_TIMEOUT, response).await {
                     Ok(Ok((200, _))) => return (Some(start.elapsed().as_secs_f64()), calls),
                     Ok(Ok((400..500, _))) => return (None, calls),
-                    _ => tokio::time::sleep(AGAIN * calls.min(10)).await,
+                    _ => tokio::time::sleep(PUT_BACKOFF * calls.min(10)).await,
                 }
             }
             (None, calls)
@@ -415,49 +449,47 @@
 }
 
 #[derive(serde::Deserialize)]
-struct Seen {
+struct StatusReply {
     leader: String,
     index: u64,
 }
 
-/// Who leads and the number of the last change, as the first of the core processes that answers tells.
-fn leader(seeds: &[String]) -> Option<(usize, u64)> {
+/// Index of the leader and the last committed index, from the first core process that replies.
+fn find_leader(seeds: &[String]) -> Option<(usize, u64)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().ok()?;
     runtime.block_on(async {
         for seed in seeds {
-            let (mut stream, what) = (None, ("GET", "/api/Status"));
-            let answer =
-                tokio::time::timeout(Duration::from_secs(2), fleet::call(&mut stream, seed, what, ""));
-            let Ok(Ok((200, body))) = answer.await else { continue };
-            let Ok(seen) = serde_json::from_str::<Seen>(&body) else { continue };
-            if let Some(at) = seeds.iter().position(|seed| *seed == seen.leader) {
-                return Some((at, seen.index));
+            let (mut stream, endpoint) = (None, ("GET", "/api/Status"));
+            let response = tokio::time::timeout(STATUS_TIMEOUT, fleet::call(&mut stream, seed, endpoint, ""));
+            let Ok(Ok((200, body))) = response.await else { continue };
+            let Ok(status) = serde_json::from_str::<StatusReply>(&body) else { continue };
+            if let Some(leader) = seeds.iter().position(|seed| *seed == status.leader) {
+                return Some((leader, status.index));
             }
         }
         None
     })
 }
 
-/// Waits until nothing new is agreed on: first beats of backends and the gateways' own entries are behind it. Who leads
-/// then.
-fn settle(seeds: &[String], said: &dyn Fn(&str)) -> Result<usize, String> {
-    let (start, mut quiet, mut last) = (Instant::now(), Instant::now(), None);
-    while start.elapsed() < SETTLE_MOST {
-        let now = leader(seeds);
-        if now != last {
-            said(&format!("change {} is agreed on", now.map_or(0, |(_, index)| index)));
-            (quiet, last) = (Instant::now(), now);
+/// Waits until no further entries are committed, after all backends and gateways have registered. Returns the leader.
+fn wait_until_settled(seeds: &[String], progress: &dyn Fn(&str)) -> Result<usize, String> {
+    let (start, mut last_change, mut last) = (Instant::now(), Instant::now(), None);
+    while start.elapsed() < SETTLE_TIMEOUT {
+        let current = find_leader(seeds);
+        if current != last {
+            progress(&format!("committed index: {}", current.map_or(0, |(_, index)| index)));
+            (last_change, last) = (Instant::now(), current);
         }
-        if let Some((leads, _)) = now.filter(|_| quiet.elapsed() > SETTLED) {
-            return Ok(leads);
+        if let Some((leader, _)) = current.filter(|_| last_change.elapsed() > SETTLED_AFTER) {
+            return Ok(leader);
         }
-        std::thread::sleep(SETTLED / 5);
+        std::thread::sleep(SETTLED_AFTER / 5);
     }
-    let still = last.map_or("nobody leads".to_owned(), |(_, index)| format!("change {index} is the last"));
-    Err(format!("not settled after {} s of first beats: {still}", SETTLE_MOST.as_secs()))
+    let reached = last.map_or("no leader".to_owned(), |(_, index)| format!("last committed index {index}"));
+    Err(format!("the state has not settled within {} s: {reached}", SETTLE_TIMEOUT.as_secs()))
 }
 
-/// Processes that want a core of this machine, on the average of a minute, and its cores.
+/// Load average of this machine over one minute, and its number of cores.
 fn machine_load() -> [f64; 2] {
     use procfs::Current;
     let load = procfs::LoadAverage::current().map_or(0.0, |load| f64::from(load.one));
@@ -466,124 +498,146 @@
 
 // ---- The run ----------------------------------------------------------------------------------------------------
 
-/// The lab's own threads, which end with the run.
-struct Threads {
-    over: watch::Sender<bool>,
-    round: watch::Sender<u64>,
+/// The threads of the simulated gateways and backends.
+struct SimulationThreads {
+    shutdown: watch::Sender<bool>,
+    stats_round: watch::Sender<u64>,
     restarts: Vec<UnboundedSender<usize>>,
-    parts: Vec<JoinHandle<Result<(), String>>>,
-    sums: Receiver<(u64, Counts)>,
-    beats: Option<JoinHandle<Result<Beaten, String>>>,
-    notes: Receiver<Note>,
+    gateways: Vec<JoinHandle<Result<(), String>>>,
+    stats: Receiver<(u64, GatewayStats)>,
+    heartbeats: Option<JoinHandle<Result<HeartbeatStats, String>>>,
+    edition_events: Receiver<EditionEvent>,
 }
 
-impl Threads {
-    fn start(system: &System, drawn: &Arc<Drawn>, whole: usize) -> Threads {
-        let (over, ended) = watch::channel(false);
-        let (round, rounds) = watch::channel(0);
-        let (notes, noted) = channel();
-        let (sums, summed) = channel();
-        let gateways = drawn.size().gateways;
-        let (mut restarts, mut parts) = (Vec::new(), Vec::new());
-        for thread in 0..THREADS.min(gateways) {
-            let (restart, restarted) = unbounded_channel();
-            let holds = |number: usize| if number < whole { Holds::All } else { Holds::Number };
-            let part = Part {
-                gateways: (thread..gateways).step_by(THREADS).map(|number| (number, holds(number))).collect(),
-                seeds: system.seeds.clone(),
-                inner: system.inner,
-                notes: notes.clone(),
-                restarts: restarted,
-                over: ended.clone(),
-                round: rounds.clone(),
-                sums: sums.clone(),
+impl SimulationThreads {
+    fn start(real: &RealProcesses, fleet: &Arc<GeneratedFleet>, full_gateways: usize) -> SimulationThreads {
+        let (shutdown, shutdown_receiver) = watch::channel(false);
+        let (stats_round, stats_round_receiver) = watch::channel(0);
+        let (edition_sender, edition_events) = channel();
+        let (stats_sender, stats) = channel();
+        let gateway_count = fleet.size().gateways;
+        let (mut restarts, mut gateways) = (Vec::new(), Vec::new());
+        for thread in 0..GATEWAY_THREADS.min(gateway_count) {
+            let (restart_sender, restart_receiver) = unbounded_channel();
+            let detail = |number: usize| {
+                if number < full_gateways {
+                    ProxyDetail::Full
+                } else {
+                    ProxyDetail::IndexOnly
+                }
             };
-            restarts.push(restart);
-            parts.push(std::thread::spawn(move || fleet::run(part)));
+            let gateway_thread = GatewayThread {
+                gateways: (thread..gateway_count)
+                    .step_by(GATEWAY_THREADS)
+                    .map(|number| (number, detail(number)))
+                    .collect(),
+                seeds: real.seeds.clone(),
+                inner_port: real.inner_port,
+                edition_events: edition_sender.clone(),
+                restarts: restart_receiver,
+                shutdown: shutdown_receiver.clone(),
+                stats_round: stats_round_receiver.clone(),
+                stats: stats_sender.clone(),
+            };
+            restarts.push(restart_sender);
+            gateways.push(std::thread::spawn(move || fleet::run(gateway_thread)));
         }
-        let (seeds, links) = (system.seeds.clone(), BEAT_LINKS.min(drawn.size().backends));
-        let beats = Beats { drawn: drawn.clone(), links, seeds, over: ended };
-        let beats = Some(std::thread::spawn(move || fleet::beat(beats)));
-        Threads { over, round, restarts, parts, sums: summed, beats, notes: noted }
+        let connections = HEARTBEAT_CONNECTIONS.min(fleet.size().backends);
+        let seeds = real.seeds.clone();
+        let heartbeats = Heartbeats { fleet: fleet.clone(), connections, seeds, shutdown: shutdown_receiver };
+        let heartbeats = Some(std::thread::spawn(move || fleet::run_heartbeats(heartbeats)));
+        SimulationThreads { shutdown, stats_round, restarts, gateways, stats, heartbeats, edition_events }
     }
 
     fn restart(&self, gateway: usize) {
-        // A thread that has ended tells why at the end.
+        // The error of a thread that has ended is returned by `stop`.
         let _ = self.restarts[gateway % self.restarts.len()].send(gateway);
     }
 
-    /// What all gateways were told and told in the round that ends now.
-    fn sums(&self, round: u64) -> Result<Counts, String> {
-        // A thread that makes tables hears late.
-        const MOST: Duration = Duration::from_secs(30);
-        let (mut sum, mut heard) = (Counts::default(), 0);
-        while heard < self.parts.len() {
-            let (of, counts) =
-                self.sums.recv_timeout(MOST).map_err(|_| "a thread of the lab is silent".to_owned())?;
-            if of == round {
-                heard += 1;
-                sum.add(&counts);
+    /// Sum of all gateways' statistics between the previous round and this one.
+    fn total_stats(&self, round: u64) -> Result<GatewayStats, String> {
+        // A thread that builds route tables replies late.
+        const STATS_TIMEOUT: Duration = Duration::from_secs(30);
+        let (mut total, mut replies) = (GatewayStats::default(), 0);
+        while replies < self.gateways.len() {
+            let (reply_round, stats) = self
+                .stats
+                .recv_timeout(STATS_TIMEOUT)
+                .map_err(|_| "a gateway thread did not report its statistics".to_owned())?;
+            if reply_round == round {
+                replies += 1;
+                total.add(&stats);
             }
         }
-        Ok(sum)
+        Ok(total)
     }
 
-    /// Ends all; what became of the beats.
-    fn end(mut self) -> Result<Beaten, String> {
-        let _ = self.over.send(true);
-        let lost = |_| "a thread of the lab has failed".to_owned();
-        for part in self.parts.drain(..) {
-            part.join().map_err(lost)??;
+    /// Stops all threads. Returns the statistics of the heartbeats.
+    fn stop(mut self) -> Result<HeartbeatStats, String> {
+        let _ = self.shutdown.send(true);
+        let panicked = |_| "a thread of the simulation panicked".to_owned();
+        for thread in self.gateways.drain(..) {
+            thread.join().map_err(panicked)??;
         }
-        let beats = self.beats.take().map(|beats| beats.join().map_err(lost)?).transpose()?;
-        Ok(beats.unwrap_or_default())
+        let heartbeats = self.heartbeats.take().map(|thread| thread.join().map_err(panicked)?).transpose()?;
+        Ok(heartbeats.unwrap_or_default())
     }
 }
 
-/// Where gateways stand with one edition: when agents held it and when it was in force, by gateway.
-struct Watched {
+/// Times at which an edition reached each gateway, in s.
+struct EditionProgress {
     edition: u64,
     start: Instant,
-    held: Vec<Option<f64>>,
-    force: Vec<Option<f64>>,
+    agent_applied_s: Vec<Option<f64>>,
+    in_effect_s: Vec<Option<f64>>,
 }
 
-impl Watched {
-    fn new(edition: u64, start: Instant, gateways: usize) -> Watched {
-        Watched { edition, start, held: vec![None; gateways], force: vec![None; gateways] }
+impl EditionProgress {
+    fn new(edition: u64, start: Instant, gateways: usize) -> EditionProgress {
+        EditionProgress {
+            edition,
+            start,
+            agent_applied_s: vec![None; gateways],
+            in_effect_s: vec![None; gateways],
+        }
     }
 
-    fn note(&mut self, note: Note) {
-        let (of, gateway, edition, at) = match note {
-            Note::Held(gateway, edition, at) => (&mut self.held, gateway, edition, at),
-            Note::InForce(gateway, edition, at) => (&mut self.force, gateway, edition, at),
+    fn record(&mut self, event: EditionEvent) {
+        let (times, gateway, edition, at) = match event {
+            EditionEvent::AgentApplied(gateway, edition, at) => {
+                (&mut self.agent_applied_s, gateway, edition, at)
+            }
+            EditionEvent::ProxyApplied(gateway, edition, at) => (&mut self.in_effect_s, gateway, edition, at),
         };
-        if edition >= self.edition && of[gateway].is_none() {
-            of[gateway] = Some(at.saturating_duration_since(self.start).as_secs_f64());
+        if edition >= self.edition && times[gateway].is_none() {
+            times[gateway] = Some(at.saturating_duration_since(self.start).as_secs_f64());
         }
     }
 
-    /// Takes notes until these gateways go by the edition. False if the time is over before.
-    fn wait(&mut self, notes: &Receiver<Note>, of: &[usize], most: Duration, said: &dyn Fn(&str)) -> bool {
-        let mut told = Instant::now();
+    /// Records events until the edition is in effect at these gateways. False after a timeout.
+    fn wait(
+        &mut self, events: &Receiver<EditionEvent>, gateways: &[usize], timeout: Duration,
+        progress: &dyn Fn(&str),
+    ) -> bool {
+        let mut last_report = Instant::now();
         loop {
-            let left = of.iter().filter(|gateway| self.force[**gateway].is_none()).count();
-            if left == 0 {
+            let missing = gateways.iter().filter(|gateway| self.in_effect_s[**gateway].is_none()).count();
+            if missing == 0 {
                 return true;
             }
-            if self.start.elapsed() > most {
+            if self.start.elapsed() > timeout {
                 return false;
             }
-            if told.elapsed() > TOLD_EVERY {
-                told = Instant::now();
-                said(&format!(
-                    "edition {}: {left} gateways left after {:.0} s",
+            if last_report.elapsed() > PROGRESS_INTERVAL {
+                last_report = Instant::now();
+                progress(&format!(
+                    "edition {}: not in effect at {missing} gateways after {:.0} s",
                     self.edition,
                     self.start.elapsed().as_secs_f64()
                 ));
             }
-            match notes.recv_timeout(Duration::from_millis(100)) {
-                Ok(note) => self.note(note),
+            match events.recv_timeout(Duration::from_millis(100)) {
+                Ok(event) => self.record(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return false,
             }
@@ -591,165 +645,172 @@
     }
 }
 
-/// Processor time of all processes at the moments that divide a run, and who led.
+/// Processor times of all processes at the boundaries of the phases, in s, and the index of the leader.
 #[derive(Default)]
-struct Marks {
-    rest: (Vec<f64>, Vec<f64>),
-    change: Vec<f64>,
-    leads: usize,
+struct PhaseSamples {
+    /// Before and after the rest.
+    rest_cpu_s: (Vec<f64>, Vec<f64>),
+    /// Before the changes.
+    changes_start_cpu_s: Vec<f64>,
+    leader: usize,
 }
 
-/// Plays one size. An error tells why the lab itself could not; what the system could not stands in the outcome.
-pub fn play(options: &Options, size: Size, percent: f64, said: &dyn Fn(&str)) -> Result<Outcome, String> {
-    let drawn = Arc::new(Drawn::new(size, options.seed));
-    let config_mb = drawn.put(1).len() as f64 / 1e6;
-    let needs = Needs::of(size, config_mb, THREADS, options.changes);
-    let mut outcome = Outcome::new(size, percent, config_mb, needs);
-    if let Some(why) = outcome.needs.refused(size, options.changes, Room::here()?) {
-        outcome.failed = Some(format!("refused: {why}"));
-        return Ok(outcome);
+/// Runs one size. A failure of the system is part of the result; an error is a failure of the lab itself.
+pub fn play(
+    options: &Options, size: Size, percent: f64, progress: &dyn Fn(&str),
+) -> Result<RunResult, String> {
+    let fleet = Arc::new(GeneratedFleet::new(size, options.seed));
+    let config_mb = fleet.config_body(1).len() as f64 / 1e6;
+    let estimate = ResourceEstimate::new(size, config_mb, GATEWAY_THREADS, options.changes);
+    let mut result = RunResult::new(size, percent, config_mb, estimate);
+    let resources = MachineResources::detect()?;
+    if let Some(reason) = result.estimate.refusal_reason(size, options.changes, resources) {
+        result.failed = Some(format!("refused: {reason}"));
+        return Ok(result);
     }
-    machine::allow(outcome.needs.descriptors.max(outcome.needs.leader_descriptors))?;
-    let mut system = System::start(options, size)?;
-    let threads = Threads::start(&system, &drawn, outcome.needs.whole);
-    let mut marks = Marks::default();
-    let played = changes(options, &drawn, &mut system, &threads, &mut outcome, &mut marks, said);
-    outcome.failed = system.ended().or(played.err());
-    figures(&system, &marks, &mut outcome);
-    let beats = threads.end()?;
-    (outcome.beats_taken, outcome.beats_lost) = (beats.taken, beats.lost);
-    outcome.beat_ms = beats.waited_s * 1000.0 / beats.taken.max(1) as f64;
-    Ok(outcome)
+    machine::allow(result.estimate.descriptors.max(result.estimate.leader_descriptors))?;
+    let mut real = RealProcesses::start(options, size)?;
+    let threads = SimulationThreads::start(&real, &fleet, result.estimate.full_gateways);
+    let mut samples = PhaseSamples::default();
+    let completed = run_phases(options, &fleet, &mut real, &threads, &mut result, &mut samples, progress);
+    result.failed = real.exit_error().or(completed.err());
+    record_usage(&real, &samples, &mut result);
+    let heartbeats = threads.stop()?;
+    (result.heartbeats_succeeded, result.heartbeats_failed) = (heartbeats.succeeded, heartbeats.failed);
+    result.heartbeat_ms = heartbeats.total_response_s * 1000.0 / heartbeats.succeeded.max(1) as f64;
+    Ok(result)
 }
 
-/// The first edition, the rest, the changes and the zone's return. An error says what the system did not do.
-fn changes(
-    options: &Options, drawn: &Drawn, system: &mut System, threads: &Threads, outcome: &mut Outcome,
-    marks: &mut Marks, said: &dyn Fn(&str),
+/// Puts the first edition, measures the fleet at rest, makes the changes, and restarts a zone. An error describes what the
+/// system failed to do.
+fn run_phases(
+    options: &Options, fleet: &GeneratedFleet, real: &mut RealProcesses, threads: &SimulationThreads,
+    result: &mut RunResult, samples: &mut PhaseSamples, progress: &dyn Fn(&str),
 ) -> Result<(), String> {
-    let begun = Instant::now();
-    let gateways = drawn.size().gateways;
+    let run_start = Instant::now();
+    let gateways = fleet.size().gateways;
     let all: Vec<usize> = (0..gateways).collect();
     let mut rng = Pcg64Mcg::seed_from_u64(options.seed);
-    let mut watched = Watched::new(1, begun, gateways);
-    let first = put(system.seeds.clone(), 0, drawn.put(1), begun, START_MOST);
-    let up = watched.wait(&threads.notes, &all, START_MOST, said);
-    let taken = first.join().map_err(|_| "the operator's thread has failed".to_owned())?;
-    if !up || taken.0.is_none() {
-        let left = watched.force.iter().filter(|at| at.is_none()).count();
-        let acked = if taken.0.is_some() { "acknowledged" } else { "not acknowledged" };
+    let mut first_edition = EditionProgress::new(1, run_start, gateways);
+    let put = put_config(real.seeds.clone(), 0, fleet.config_body(1), run_start, START_TIMEOUT);
+    let started = first_edition.wait(&threads.edition_events, &all, START_TIMEOUT, progress);
+    let (acked_s, calls) =
+        put.join().map_err(|_| "the thread of the operator's calls panicked".to_owned())?;
+    if !started || acked_s.is_none() {
+        let missing = first_edition.in_effect_s.iter().filter(|time| time.is_none()).count();
+        let acked = if acked_s.is_some() { "acknowledged" } else { "not acknowledged" };
         return Err(format!(
-            "the fleet was not up after {:.0} s: {left} of {gateways} gateways left, the first configuration {acked} after \
-             {} calls",
-            begun.elapsed().as_secs_f64(),
-            taken.1
+            "the fleet has not started within {:.0} s: {missing} of {gateways} gateways missing, the first configuration {acked} \
+             after {calls} calls",
+            run_start.elapsed().as_secs_f64(),
         ));
     }
-    outcome.start_s = begun.elapsed().as_secs_f64();
-    said(&format!("{gateways} gateways are up after {:.1} s", outcome.start_s));
-    let settling = Instant::now();
-    marks.leads = settle(&system.seeds, said)?;
-    outcome.settled_s = settling.elapsed().as_secs_f64();
-    outcome.load = machine_load();
-    let counts = |round: &mut u64| {
+    result.start_s = run_start.elapsed().as_secs_f64();
+    progress(&format!("{gateways} gateways started within {:.1} s", result.start_s));
+    let settle_start = Instant::now();
+    samples.leader = wait_until_settled(&real.seeds, progress)?;
+    result.settled_s = settle_start.elapsed().as_secs_f64();
+    result.load = machine_load();
+    let start_stats_round = |round: &mut u64| {
         *round += 1;
-        // All threads have ended if nobody hears.
-        let _ = threads.round.send(*round);
+        // The send fails only if all threads have ended.
+        let _ = threads.stats_round.send(*round);
     };
     let mut round = 0;
-    counts(&mut round);
-    let (rest_from, rest_start) = (system.cpu_s(), Instant::now());
-    std::thread::sleep(REST);
+    start_stats_round(&mut round);
+    let (cpu_before_rest, rest_start) = (real.cpu_s(), Instant::now());
+    std::thread::sleep(REST_DURATION);
     let rest_s = rest_start.elapsed().as_secs_f64();
-    marks.rest = (rest_from, system.cpu_s());
-    counts(&mut round);
-    (outcome.rest_s, outcome.rest) = (rest_s, threads.sums(round)?);
-    marks.change = system.cpu_s();
-    let change_start = Instant::now();
-    let (mut back, mut given_up) = (Vec::new(), 0);
+    samples.rest_cpu_s = (cpu_before_rest, real.cpu_s());
+    start_stats_round(&mut round);
+    (result.rest_s, result.rest) = (rest_s, threads.total_stats(round)?);
+    samples.changes_start_cpu_s = real.cpu_s();
+    let changes_start = Instant::now();
+    let (mut restart_times, mut consecutive_timeouts) = (Vec::new(), 0);
     for edition in 2..options.changes + 2 {
-        if begun.elapsed() > RUN_MOST {
-            return Err(format!("the run took over {} s, at edition {edition}", RUN_MOST.as_secs()));
+        if run_start.elapsed() > RUN_TIMEOUT {
+            return Err(format!("the run took over {} s, at edition {edition}", RUN_TIMEOUT.as_secs()));
         }
-        while threads.notes.try_recv().is_ok() {}
-        let body = drawn.put(edition);
+        while threads.edition_events.try_recv().is_ok() {}
+        let body = fleet.config_body(edition);
         let start = Instant::now();
-        let mut watched = Watched::new(edition, start, gateways);
-        let operator = put(system.seeds.clone(), edition as usize, body, start, CHANGE_MOST);
-        let done = watched.wait(&threads.notes, &all, CHANGE_MOST, said);
-        let (acked_s, calls) = operator.join().map_err(|_| "the operator's thread has failed".to_owned())?;
-        let left: Vec<_> = all.iter().copied().filter(|gateway| watched.force[*gateway].is_none()).collect();
-        let missing = left.len();
-        let left = left.into_iter().take(LEFT_TOLD).collect();
-        let times = |of: &[Option<f64>]| spread(of.iter().flatten().copied().collect(), gateways);
-        let (held_s, force_s) = (times(&watched.held), times(&watched.force));
-        outcome.changes.push(Change {
+        let mut change = EditionProgress::new(edition, start, gateways);
+        let put = put_config(real.seeds.clone(), edition as usize, body, start, CHANGE_TIMEOUT);
+        let in_effect = change.wait(&threads.edition_events, &all, CHANGE_TIMEOUT, progress);
+        let (acked_s, calls) =
+            put.join().map_err(|_| "the thread of the operator's calls panicked".to_owned())?;
+        let missing: Vec<_> =
+            all.iter().copied().filter(|gateway| change.in_effect_s[*gateway].is_none()).collect();
+        let missing_count = missing.len();
+        let missing_gateways = missing.into_iter().take(MAX_LISTED_GATEWAYS).collect();
+        let times = |times: &[Option<f64>]| percentiles(times.iter().flatten().copied().collect(), gateways);
+        let (agent_applied_s, in_effect_s) = (times(&change.agent_applied_s), times(&change.in_effect_s));
+        result.changes.push(ChangeResult {
             edition,
             acked_s,
             calls,
-            held_s,
-            force_s,
-            missing,
-            left,
-            restarted: None,
+            agent_applied_s,
+            in_effect_s,
+            missing_count,
+            missing_gateways,
+            restarted_gateway: None,
         });
-        said(&format!(
-            "edition {edition}: in force at 50, 95, 100 in 100 after {:.2}, {:.2}, {:.2} s; acknowledged after {}, {calls} calls",
-            force_s[0],
-            force_s[1],
-            force_s[2],
-            acked_s.map_or("never".to_owned(), |s| format!("{s:.2} s")),
+        progress(&format!(
+            "edition {edition}: in effect at 50%, 95%, 100% of gateways after {:.2}, {:.2}, {:.2} s; {}, {calls} calls",
+            in_effect_s[0],
+            in_effect_s[1],
+            in_effect_s[2],
+            acked_s.map_or("not acknowledged".to_owned(), |s| format!("acknowledged after {s:.2} s")),
         ));
-        given_up = if done && acked_s.is_some() { 0 } else { given_up + 1 };
-        if let Some(why) = system.ended() {
-            return Err(why);
+        consecutive_timeouts = if in_effect && acked_s.is_some() { 0 } else { consecutive_timeouts + 1 };
+        if let Some(error) = real.exit_error() {
+            return Err(error);
         }
-        if given_up >= GIVEN_UP_MOST {
+        if consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS {
             return Err(format!(
-                "{given_up} changes in a row were not in force everywhere after {} s",
-                CHANGE_MOST.as_secs()
+                "{consecutive_timeouts} consecutive changes were not in effect everywhere within {} s",
+                CHANGE_TIMEOUT.as_secs()
             ));
         }
-        if !done {
+        if !in_effect {
             continue;
         }
-        // A machine is replaced.
         let gateway = all.choose(&mut rng).copied().unwrap_or(0);
-        let mut watched = Watched::new(edition, Instant::now(), gateways);
+        let mut restart = EditionProgress::new(edition, Instant::now(), gateways);
         threads.restart(gateway);
-        if let Some(change) = outcome.changes.last_mut() {
-            change.restarted = Some(gateway);
+        if let Some(change) = result.changes.last_mut() {
+            change.restarted_gateway = Some(gateway);
         }
-        if watched.wait(&threads.notes, &[gateway], CHANGE_MOST, said) {
-            back.extend(watched.force[gateway]);
+        if restart.wait(&threads.edition_events, &[gateway], CHANGE_TIMEOUT, progress) {
+            restart_times.extend(restart.in_effect_s[gateway]);
         }
-        if let Some((now, _)) = leader(&system.seeds).filter(|(now, _)| *now != marks.leads) {
-            (marks.leads, outcome.leaders) = (now, outcome.leaders + 1);
+        if let Some((leader, _)) = find_leader(&real.seeds).filter(|(leader, _)| *leader != samples.leader) {
+            (samples.leader, result.leader_changes) = (leader, result.leader_changes + 1);
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(CHANGE_PAUSE);
     }
-    counts(&mut round);
-    (outcome.changing_s, outcome.changing) = (change_start.elapsed().as_secs_f64(), threads.sums(round)?);
-    let of = back.len();
-    outcome.back_s = spread(back, of);
-    // A zone returns.
+    start_stats_round(&mut round);
+    (result.changing_s, result.changing) =
+        (changes_start.elapsed().as_secs_f64(), threads.total_stats(round)?);
+    let restart_count = restart_times.len();
+    result.restart_s = percentiles(restart_times, restart_count);
     let zone: Vec<usize> = all.iter().copied().filter(|gateway| zone_of(*gateway) == zone_of(0)).collect();
-    let mut watched = Watched::new(options.changes + 1, Instant::now(), gateways);
+    let mut restart = EditionProgress::new(options.changes + 1, Instant::now(), gateways);
     zone.iter().for_each(|gateway| threads.restart(*gateway));
-    if watched.wait(&threads.notes, &zone, CHANGE_MOST, said) {
-        outcome.zone_back_s = spread(watched.force.iter().flatten().copied().collect(), zone.len())[2];
+    if restart.wait(&threads.edition_events, &zone, CHANGE_TIMEOUT, progress) {
+        let times = restart.in_effect_s.iter().flatten().copied().collect();
+        result.zone_restart_s = percentiles(times, zone.len())[2];
     }
     Ok(())
 }
 
-/// What the processes used up to now; also of a run that failed, as far as it went.
-fn figures(system: &System, marks: &Marks, outcome: &mut Outcome) {
-    let (cores, now) = (system.cores.len(), system.cpu_s());
-    let rest = (&marks.rest.0[..], &marks.rest.1[..], outcome.rest_s);
-    let change = (&marks.change[..], &now[..], outcome.changes.len());
-    let process = |at: usize| system.process(at, rest, change);
-    let others = (0..cores).filter(|at| *at != marks.leads).map(process);
-    outcome.follower = others.max_by(|a, b| a.peak_mb.total_cmp(&b.peak_mb)).unwrap_or_default();
-    (outcome.leader, outcome.agent, outcome.proxy) =
-        (process(marks.leads), process(cores), process(cores + 1));
+/// Records the resource usage of the processes so far, also of a run that failed.
+fn record_usage(real: &RealProcesses, samples: &PhaseSamples, result: &mut RunResult) {
+    let (cores, now) = (real.cores.len(), real.cpu_s());
+    let rest = (&samples.rest_cpu_s.0[..], &samples.rest_cpu_s.1[..], result.rest_s);
+    let changes = (&samples.changes_start_cpu_s[..], &now[..], result.changes.len());
+    let usage = |index: usize| real.usage(index, rest, changes);
+    let followers = (0..cores).filter(|index| *index != samples.leader).map(usage);
+    result.follower = followers.max_by(|a, b| a.peak_mb.total_cmp(&b.peak_mb)).unwrap_or_default();
+    (result.leader, result.agent, result.proxy) = (usage(samples.leader), usage(cores), usage(cores + 1));
 }
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -1,8 +1,8 @@
 //! The lab's simulated gateway sends a core process the same messages as the real agent and proxy, for the
 //! same history.
 
-use granite_lab::scale::draw::{Drawn, Machine, Size};
-use granite_lab::scale::hollow::{Holds, Hollow, Out};
+use granite_lab::scale::draw::{GeneratedFleet, NodeSettings, Size};
+use granite_lab::scale::hollow::{Output, ProxyDetail, SimulatedGateway};
 use overland::config::ConfigDocument;
 use overland::follow::Event;
 use overland::link::encode_frame;
@@ -38,7 +38,7 @@
         let mut length = [0; 4];
         self.0.read_exact(&mut length).expect("a message");
         let mut bytes = vec![0; u32::from_le_bytes(length) as usize];
-        self.0.read_exact(&mut bytes).expect("the rest of it");
+        self.0.read_exact(&mut bytes).expect("the rest of the message");
         M::decode(&bytes[..]).expect("a valid message")
     }
 
@@ -84,11 +84,11 @@
 /// A message of the core process, and the condition on the gateway's messages that shows that it was applied.
 type Step = (ToAgent, fn(&FromAgent) -> bool);
 
-fn history(drawn: &Drawn) -> Vec<Step> {
+fn history(fleet: &GeneratedFleet) -> Vec<Step> {
     let config = |edition| {
-        let text = ConfigDocument::read(drawn.put(edition).as_bytes())
+        let text = ConfigDocument::read(fleet.config_body(edition).as_bytes())
             .and_then(ConfigDocument::into_full_config)
-            .expect("it is valid")
+            .expect("the generated configuration is valid")
             .1;
         ConfigRevision { edition, text, call_digest: edition, ..ConfigRevision::default() }
     };
@@ -129,7 +129,7 @@
 
 /// The messages of the real agent and proxy.
 fn real_messages(settings: &str, inner_port: u16, history: &[Step]) -> Vec<FromAgent> {
-    let listener = TcpListener::bind((CORE_IP, inner_port)).expect("the core's port");
+    let listener = TcpListener::bind((CORE_IP, inner_port)).expect("the inner port is free");
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("gateway.yaml");
     std::fs::write(&file, settings).expect("a file");
@@ -167,46 +167,46 @@
 }
 
 /// The messages of a simulated gateway.
-fn simulated_messages(settings: &str, core: &str, holds: Holds, history: &[Step]) -> Vec<FromAgent> {
+fn simulated_messages(settings: &str, core: &str, detail: ProxyDetail, history: &[Step]) -> Vec<FromAgent> {
     let settings = Settings::read(settings).expect("valid settings");
-    let (mut now, mut out) = (0.0, Vec::new());
-    let mut hollow = Hollow::new(&settings, holds, now, &mut out);
-    hollow.event(now, Event::LinkOpened(core.to_owned()), &mut out);
-    let registered = out.iter().any(|out| match out {
-        Out::Say(_, message) => {
+    let (mut now, mut outputs) = (0.0, Vec::new());
+    let mut gateway = SimulatedGateway::new(&settings, detail, now, &mut outputs);
+    gateway.handle(now, Event::LinkOpened(core.to_owned()), &mut outputs);
+    let registered = outputs.iter().any(|output| match output {
+        Output::Send(_, message) => {
             message.gateway.as_ref().is_some_and(|gateway| gateway.client_addr == "127.0.0.78:8099")
         }
         _ => false,
     });
-    assert!(registered, "the first message on a link has the registration");
+    assert!(registered, "the first message on a link contains the registration");
     let mut messages = Vec::new();
     for (message, is_applied) in history {
         now += 10.0;
-        out.clear();
-        hollow.said(now, core.to_owned(), Box::new(message.clone()), &mut out);
-        let mut done = false;
-        // What is not sent at once goes with one of the next two periodic messages.
+        outputs.clear();
+        gateway.handle_core_message(now, core.to_owned(), Box::new(message.clone()), &mut outputs);
+        let mut applied = false;
+        // A reply that is not sent at once is part of one of the next two periodic messages.
         for _ in 0..3 {
-            let sent = out.iter().filter_map(|out| match out {
-                Out::Say(_, message) => Some(&**message),
+            let sent = outputs.iter().filter_map(|output| match output {
+                Output::Send(_, message) => Some(&**message),
                 _ => None,
             });
             // Later messages belong to the next step, as with the real agent.
             for message in sent {
                 messages.push(comparable(message));
-                done = is_applied(message);
-                if done {
+                applied = is_applied(message);
+                if applied {
                     break;
                 }
             }
-            if done {
+            if applied {
                 break;
             }
-            now = now.max(hollow.due());
-            out.clear();
-            hollow.event(now, Event::Tick, &mut out);
+            now = now.max(gateway.next_deadline());
+            outputs.clear();
+            gateway.handle(now, Event::Tick, &mut outputs);
         }
-        assert!(done, "the gateway never applied the message; its messages: {messages:?}");
+        assert!(applied, "the gateway never applied the message; its messages: {messages:?}");
     }
     normalized(messages)
 }
@@ -232,22 +232,22 @@
         })
         .expect("two free ports");
     let core = format!("{CORE_IP}:8383");
-    let docks = [("front", "127.0.0.78:8099".to_owned())];
-    let machine = Machine {
+    let listen_addresses = [("front", "127.0.0.78:8099".to_owned())];
+    let node_settings = NodeSettings {
         node: "counter-1",
         class: "counter",
         ip: "127.0.0.78",
         zone: ("zone-hall-0".into(), "region-0".into()),
-        docks: &docks,
-        data: "/nowhere",
-        inner: inner_port,
+        listen_addresses: &listen_addresses,
+        data_dir: "/nowhere",
+        inner_port,
         seeds: std::slice::from_ref(&core),
     };
-    let settings = machine.text();
-    let history = history(&Drawn::new(Size::of(2, 0.1), 1));
+    let settings = node_settings.to_yaml();
+    let history = history(&GeneratedFleet::new(Size::of(2, 0.1), 1));
     let messages = real_messages(&settings, inner_port, &history);
     assert!(messages.len() >= history.len(), "{messages:?}");
-    assert_eq!(simulated_messages(&settings, &core, Holds::All, &history), messages);
+    assert_eq!(simulated_messages(&settings, &core, ProxyDetail::Full, &history), messages);
     // A proxy that holds only the index cannot detect that it differs from its agent; all else is the same.
-    assert_eq!(simulated_messages(&settings, &core, Holds::Number, &history), messages);
+    assert_eq!(simulated_messages(&settings, &core, ProxyDetail::IndexOnly, &history), messages);
 }
