--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -4,7 +4,7 @@
 use granite_lab::plan::Plan;
 use granite_lab::plans::{self, PLANS};
 use granite_lab::report;
-use granite_lab::scale::draw::Size;
+use granite_lab::scale::draw::FleetSize;
 use granite_lab::scale::weigh::{self, Heap};
 use granite_lab::scale::{self, forecast, run};
 use granite_lab::stage::{play, play_watched, Options};
@@ -20,11 +20,11 @@
 struct Counted;
 
 impl Heap for Counted {
-    fn now(&self) -> usize {
+    fn current_bytes(&self) -> usize {
         HEAP.current_usage()
     }
 
-    fn peak(&self) -> usize {
+    fn take_peak_bytes(&self) -> usize {
         let peak = HEAP.peak_usage();
         HEAP.reset_peak_usage();
         peak
@@ -161,7 +161,7 @@
         }
         Verb::Slopes { seed, json } => {
             let said = |what: &str| eprintln!("weighs: {what}");
-            let slopes = weigh::weigh(*seed, &Counted, &said)?;
+            let slopes = weigh::measure_slopes(*seed, &Counted, &said)?;
             print!("{}", weigh::text(&slopes));
             if let Some(file) = json {
                 let text = serde_json::to_string(&slopes).map_err(|e| e.to_string())?;
@@ -175,8 +175,8 @@
             let programs = programs.clone().unwrap_or(beside);
             let options = run::Options { programs, seed: *seed, changes: *changes };
             let size = |gateways, percent| {
-                let size = Size::of(gateways, percent);
-                Size { backends: backends.unwrap_or(size.backends), ..size }
+                let size = FleetSize::with_gateways(gateways, percent);
+                FleetSize { backends: backends.unwrap_or(size.backends), ..size }
             };
             let sizes =
                 percent.iter().flat_map(|percent| gateways.iter().map(|of| (*percent, size(*of, *percent))));
@@ -245,7 +245,7 @@
     let runtime = runtime.map_err(|e| format!("signals: {e}"))?;
     std::thread::spawn(move || {
         runtime.block_on(stopped());
-        run::kill();
+        run::kill_processes();
         eprintln!("granite-lab: stopped");
         std::process::exit(2);
     });
@@ -254,7 +254,7 @@
 
 /// Plays all sizes, each in turn. True if all were played to their end.
 fn scale(
-    options: &run::Options, sizes: &[(f64, Size)], slopes: Option<&Path>, out: Option<&Path>,
+    options: &run::Options, sizes: &[(f64, FleetSize)], slopes: Option<&Path>, out: Option<&Path>,
 ) -> Result<bool, String> {
     if let Some((bad, _)) = sizes.iter().find(|(percent, _)| !(0.01..=100.0).contains(percent)) {
         return Err(format!("--percent {bad}: from 0.01 to 100"));
@@ -272,10 +272,10 @@
     let mut played = true;
     for (percent, size) in sizes {
         let said = |what: &str| eprintln!("{} x {percent}: {what}", size.gateways);
-        let outcome = run::play(options, *size, *percent, &said)?;
+        let outcome = run::run_size(options, *size, *percent, &said)?;
         print!("{}", scale::report::text(&outcome));
-        if outcome.failed.is_none() && !slopes.is_empty() {
-            print!("{}", forecast::text(&forecast::Model(&slopes).beside(&outcome)));
+        if outcome.failure.is_none() && !slopes.is_empty() {
+            print!("{}", forecast::text(&forecast::Model(&slopes).compare(&outcome)));
         }
         if let Some(folder) = out {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -283,7 +283,7 @@
             writeln!(append(&folder.join("runs.jsonl"))?, "{line}")
                 .map_err(|e| format!("the results: {e}"))?;
         }
-        played &= outcome.failed.is_none();
+        played &= outcome.failure.is_none();
     }
     Ok(played)
 }
--- a/lab/src/scale/bounds.rs
+++ b/lab/src/scale/bounds.rs
@@ -1,6 +1,6 @@
 //! Estimates the resources of a run, and refuses a run that this machine cannot hold.
 
-use super::draw::Size;
+use super::draw::FleetSize;
 use serde::Serialize;
 
 /// Largest share of the machine's memory that a run may use.
@@ -80,7 +80,7 @@
 
 impl ResourceEstimate {
     /// Estimates a run of `changes` changes at this size, with simulated gateways on `threads` threads.
-    pub fn new(size: Size, config_mb: f64, threads: usize, changes: u64) -> ResourceEstimate {
+    pub fn new(size: FleetSize, config_mb: f64, threads: usize, changes: u64) -> ResourceEstimate {
         let (gateways, cores) = (size.gateways as f64, size.cores as f64);
         let tables_in_time =
             (MAX_TABLE_BUILD_S / (TABLE_BUILD_S_PER_MB * config_mb) * threads as f64) as usize;
@@ -113,8 +113,10 @@
     }
 
     /// The reason why these resources do not suffice for the run. None if they do.
-    pub fn refusal_reason(&self, size: Size, changes: u64, resources: MachineResources) -> Option<String> {
-        let Size { gateways, backends, .. } = size;
+    pub fn refusal_reason(
+        &self, size: FleetSize, changes: u64, resources: MachineResources,
+    ) -> Option<String> {
+        let FleetSize { gateways, backends, .. } = size;
         let counts = [
             ("gateways", gateways, MAX_GATEWAYS),
             ("backends", backends, MAX_BACKENDS),
--- a/lab/src/scale/draw.rs
+++ b/lab/src/scale/draw.rs
@@ -9,7 +9,7 @@
 
 /// The size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Size {
+pub struct FleetSize {
     /// Number of core processes.
     pub cores: usize,
     /// Number of gateways.
@@ -24,18 +24,18 @@
     pub tenants: usize,
 }
 
-impl Size {
+impl FleetSize {
     /// The largest size that the system is designed for.
-    pub const FULL: Size =
-        Size { cores: 5, gateways: 930, backends: 6_900, services: 390, routes: 7_600, tenants: 29_000 };
+    pub const FULL: FleetSize =
+        FleetSize { cores: 5, gateways: 930, backends: 6_900, services: 390, routes: 7_600, tenants: 29_000 };
 
     /// A fleet with this number of gateways, as many backends per gateway as the full size, and `percent` of the full
     /// size's routes and tenants.
-    pub fn of(gateways: usize, percent: f64) -> Size {
+    pub fn with_gateways(gateways: usize, percent: f64) -> FleetSize {
         let scaled = |full: usize, share: f64| ((full as f64 * share).round() as usize).max(1);
         let gateway_share = gateways as f64 / Self::FULL.gateways as f64;
         let table_share = percent / 100.0;
-        Size {
+        FleetSize {
             gateways,
             backends: scaled(Self::FULL.backends, gateway_share),
             services: scaled(Self::FULL.services, table_share.max(gateway_share).min(1.0)),
@@ -65,7 +65,7 @@
 /// A generated fleet.
 #[derive(Clone)]
 pub struct GeneratedFleet {
-    size: Size,
+    size: FleetSize,
     seed: u64,
     /// The JSON of each route before and after its timeout. The routes of one host are consecutive.
     routes: Vec<(String, String)>,
@@ -92,7 +92,7 @@
 
 impl GeneratedFleet {
     /// Generates a fleet.
-    pub fn new(size: Size, seed: u64) -> GeneratedFleet {
+    pub fn new(size: FleetSize, seed: u64) -> GeneratedFleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let services: Vec<_> =
             (0..size.services).map(|index| format!("{}{index}", random_text(&mut rng, 4))).collect();
@@ -130,7 +130,7 @@
     }
 
     /// The size of the fleet.
-    pub fn size(&self) -> Size {
+    pub fn size(&self) -> FleetSize {
         self.size
     }
 
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -1,6 +1,6 @@
 //! Predicts the figures of a run from measured slopes, and compares them with the run.
 
-use super::draw::Size;
+use super::draw::FleetSize;
 use super::run::{RunResult, GATEWAY_THREADS};
 use super::weigh::{format_short, Slope};
 use serde::Serialize;
@@ -45,7 +45,7 @@
     }
 
     /// Bytes per second between a gateway and the core while nothing changes.
-    pub fn rest_bytes_per_s(&self, size: Size) -> f64 {
+    pub fn rest_bytes_per_s(&self, size: FleetSize) -> f64 {
         let gateways = size.gateways as f64;
         let (message, reply) =
             (self.value_at("an agent's word", gateways), self.value_at("an answer to a word", gateways));
@@ -57,7 +57,7 @@
 
     /// Cores that the leader's state machine uses while nothing changes: agents' messages, heartbeats and ticks, without
     /// the sockets.
-    pub fn leader_cores(&self, size: Size) -> f64 {
+    pub fn leader_cores(&self, size: FleetSize) -> f64 {
         let (gateways, backends) = (size.gateways as f64, size.backends as f64);
         let messages = gateways / LEADER_MESSAGE_INTERVAL_MS
             * self.value_at("leader: an agent's word and its answer", gateways);
@@ -68,13 +68,13 @@
     }
 
     /// Peak memory of the leader while it sends a configuration, in MB.
-    pub fn leader_mb(&self, size: Size, percent: f64) -> f64 {
+    pub fn leader_mb(&self, size: FleetSize, percent: f64) -> f64 {
         let config_mb = self.value_at("a whole configuration on the wire", percent);
         self.value_at("leader: peak during a Put", percent) + size.gateways as f64 * config_mb
     }
 
     /// Processor time of the leader for a change, in s.
-    pub fn leader_change_s(&self, size: Size, percent: f64) -> f64 {
+    pub fn leader_change_s(&self, size: FleetSize, percent: f64) -> f64 {
         let codec_ms = self.table_cost("decoding a whole state", percent)
             + self.table_cost("encoding a whole state", percent);
         let config_mb = self.value_at("a whole configuration on the wire", percent);
@@ -84,7 +84,7 @@
 
     /// Time until a change is in effect at the last gateway, in s. Each thread of the lab handles the messages of its
     /// gateways one after the other.
-    pub fn in_effect_s(&self, size: Size, percent: f64, full_gateways: usize) -> f64 {
+    pub fn in_effect_s(&self, size: FleetSize, percent: f64, full_gateways: usize) -> f64 {
         let codec_ms = self.table_cost("decoding a whole state", percent)
             + self.table_cost("encoding a whole state", percent);
         let apply_ms = self.table_cost("proxy: taking a configuration, until it is in force", percent);
@@ -94,32 +94,32 @@
     }
 
     /// Compares the predictions for a run with its figures.
-    pub fn beside(&self, run: &RunResult) -> Vec<Comparison> {
+    pub fn compare(&self, run: &RunResult) -> Vec<Comparison> {
         let RunResult { size, percent, .. } = *run;
         let config_mb = self.value_at("a whole configuration on the wire", percent);
-        let compare = |what, unit, predicted, measured| Comparison { what, unit, predicted, measured };
+        let comparison = |what, unit, predicted, measured| Comparison { what, unit, predicted, measured };
         vec![
-            compare(
+            comparison(
                 "gateway: bytes a second at rest",
                 "bytes",
                 self.rest_bytes_per_s(size),
                 run.rest_bytes_per_s(),
             ),
-            compare("gateway: bytes for a change", "MB", config_mb, run.change_bytes() / 1e6),
-            compare(
+            comparison("gateway: bytes for a change", "MB", config_mb, run.change_bytes() / 1e6),
+            comparison(
                 "leader: cores at rest, predicted without sockets",
                 "",
                 self.leader_cores(size),
                 run.leader.rest_cores,
             ),
-            compare(
+            comparison(
                 "leader: processor time for a change",
                 "s",
                 self.leader_change_s(size, percent),
                 run.leader.change_cpu_s,
             ),
-            compare("leader: peak memory", "MB", self.leader_mb(size, percent), run.leader.peak_mb),
-            compare(
+            comparison("leader: peak memory", "MB", self.leader_mb(size, percent), run.leader.peak_mb),
+            comparison(
                 "a change in effect at all gateways",
                 "s",
                 self.in_effect_s(size, percent, run.estimate.full_gateways),
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -20,7 +20,7 @@
     let mut line = |line: String| text.push_str(&format!("  {line}\n"));
     let estimate_mb = run.estimate.memory_mb();
     line(format!("estimated memory: {estimate_mb:.0} MB"));
-    if let Some(reason) = &run.failed {
+    if let Some(reason) = &run.failure {
         line(format!("NOT completed: {reason}"));
     }
     if run.start_s.is_finite() {
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -4,7 +4,7 @@
 //! gateways of a zone at once.
 
 use super::bounds::{MachineResources, ResourceEstimate};
-use super::draw::{zone_of, GeneratedFleet, NodeSettings, Size};
+use super::draw::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
 use super::fleet::{self, EditionEvent, GatewayThread, HeartbeatStats, Heartbeats};
 use super::hollow::{GatewayStats, ProxyDetail};
 use crate::stage::machine;
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResult {
     /// Size of the fleet.
-    pub size: Size,
+    pub size: FleetSize,
     /// Routes and tenants, in percent of the full size's.
     pub percent: f64,
     /// Size of the configuration, in MB.
@@ -122,7 +122,8 @@
     #[serde(rename = "needs")]
     pub estimate: ResourceEstimate,
     /// Why the run was refused or has failed. None if it completed.
-    pub failed: Option<String>,
+    #[serde(rename = "failed")]
+    pub failure: Option<String>,
     /// Time from the first call until the first edition was in effect at all gateways, in s.
     pub start_s: f64,
     /// Time from then until the state had settled, in s.
@@ -169,13 +170,13 @@
 
 impl RunResult {
     /// A result without any measurement.
-    fn new(size: Size, percent: f64, config_mb: f64, estimate: ResourceEstimate) -> RunResult {
+    fn new(size: FleetSize, percent: f64, config_mb: f64, estimate: ResourceEstimate) -> RunResult {
         RunResult {
             size,
             percent,
             config_mb,
             estimate,
-            failed: None,
+            failure: None,
             start_s: f64::INFINITY,
             settled_s: f64::INFINITY,
             load: [0.0; 2],
@@ -237,7 +238,7 @@
 }
 
 /// Kills the child processes of the run, before this program exits. Processes started later are not killed.
-pub fn kill() {
+pub fn kill_processes() {
     for id in child_process_ids().drain(..) {
         if let Some(id) = rustix::process::Pid::from_raw(id) {
             // The process may have exited already.
@@ -335,7 +336,7 @@
 }
 
 impl RealProcesses {
-    fn start(options: &Options, size: Size) -> Result<RealProcesses, String> {
+    fn start(options: &Options, size: FleetSize) -> Result<RealProcesses, String> {
         let directory = tempfile::Builder::new().prefix("granite-lab-scale-").tempdir();
         let directory = directory.map_err(|e| format!("cannot create a directory: {e}"))?;
         let ips: Vec<_> = (0..size.cores).map(|core| format!("127.79.0.{}", core + 2)).collect();
@@ -656,8 +657,8 @@
 }
 
 /// Runs one size. A failure of the system is part of the result; an error is a failure of the lab itself.
-pub fn play(
-    options: &Options, size: Size, percent: f64, progress: &dyn Fn(&str),
+pub fn run_size(
+    options: &Options, size: FleetSize, percent: f64, progress: &dyn Fn(&str),
 ) -> Result<RunResult, String> {
     let fleet = Arc::new(GeneratedFleet::new(size, options.seed));
     let config_mb = fleet.config_body(1).len() as f64 / 1e6;
@@ -665,7 +666,7 @@
     let mut result = RunResult::new(size, percent, config_mb, estimate);
     let resources = MachineResources::detect()?;
     if let Some(reason) = result.estimate.refusal_reason(size, options.changes, resources) {
-        result.failed = Some(format!("refused: {reason}"));
+        result.failure = Some(format!("refused: {reason}"));
         return Ok(result);
     }
     machine::allow(result.estimate.descriptors.max(result.estimate.leader_descriptors))?;
@@ -673,7 +674,7 @@
     let threads = SimulationThreads::start(&real, &fleet, result.estimate.full_gateways);
     let mut samples = PhaseSamples::default();
     let completed = run_phases(options, &fleet, &mut real, &threads, &mut result, &mut samples, progress);
-    result.failed = real.exit_error().or(completed.err());
+    result.failure = real.exit_error().or(completed.err());
     record_usage(&real, &samples, &mut result);
     let heartbeats = threads.stop()?;
     (result.heartbeats_succeeded, result.heartbeats_failed) = (heartbeats.succeeded, heartbeats.failed);
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/weigh.rs
@@ -5,7 +5,7 @@
 //!
 //! Files with measured slopes contain the names of the costs, and [`super::forecast`] looks them up by name.
 
-use super::draw::{zone_of, GeneratedFleet, NodeSettings, Size};
+use super::draw::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
 use super::fit::LinearFit;
 use super::hollow::{thread_cpu_s, ProxyDetail, SimulatedProxy};
 use cherrytally::Millis;
@@ -21,20 +21,20 @@
 /// Heap usage of this process.
 pub trait Heap {
     /// Bytes in use.
-    fn now(&self) -> usize;
+    fn current_bytes(&self) -> usize;
     /// The largest number of bytes in use since the last call.
-    fn peak(&self) -> usize;
+    fn take_peak_bytes(&self) -> usize;
 }
 
 /// For processes whose allocator does not count: all usage is 0.
 pub struct NoHeap;
 
 impl Heap for NoHeap {
-    fn now(&self) -> usize {
+    fn current_bytes(&self) -> usize {
         0
     }
 
-    fn peak(&self) -> usize {
+    fn take_peak_bytes(&self) -> usize {
         0
     }
 }
@@ -249,23 +249,27 @@
 const GATEWAY_COUNTS: [usize; 4] = [30, 100, 300, 930];
 
 /// Measures all slopes. `progress` receives the name of each step.
-pub fn weigh(seed: u64, heap: &dyn Heap, progress: &dyn Fn(&str)) -> Result<Vec<Slope>, String> {
+pub fn measure_slopes(seed: u64, heap: &dyn Heap, progress: &dyn Fn(&str)) -> Result<Vec<Slope>, String> {
     let mut slopes = Slopes::default();
     for percent in TABLE_PERCENTS {
         progress(&format!("{percent}% of routes and tenants"));
-        measure_table(&mut slopes, &GeneratedFleet::new(Size::of(930, percent), seed), heap)?;
+        measure_table(&mut slopes, &GeneratedFleet::new(FleetSize::with_gateways(930, percent), seed), heap)?;
     }
     for gateways in GATEWAY_COUNTS {
         progress(&format!("{gateways} gateways"));
-        measure_members(&mut slopes, &GeneratedFleet::new(Size::of(gateways, 1.0), seed), heap)?;
-        measure_push(&mut slopes, &GeneratedFleet::new(Size::of(gateways, 1.0), seed), heap)?;
+        measure_members(
+            &mut slopes,
+            &GeneratedFleet::new(FleetSize::with_gateways(gateways, 1.0), seed),
+            heap,
+        )?;
+        measure_push(&mut slopes, &GeneratedFleet::new(FleetSize::with_gateways(gateways, 1.0), seed), heap)?;
     }
     Ok(slopes.0)
 }
 
 /// Measures the costs that grow with the number of routes and tenants, in percent of the full size's.
 fn measure_table(slopes: &mut Slopes, fleet: &GeneratedFleet, heap: &dyn Heap) -> Result<(), String> {
-    let n = fleet.size().tenants as f64 / Size::FULL.tenants as f64 * 100.0;
+    let n = fleet.size().tenants as f64 / FleetSize::FULL.tenants as f64 * 100.0;
     let mut add_point =
         |what, unit, value| slopes.add_point(what, unit, "hundredths of routes and tenants", n, value);
     let mb = |bytes: usize| bytes as f64 / 1e6;
@@ -278,22 +282,22 @@
     );
     // A call at the leader without any gateway.
     let mut core = SingleCore::new()?;
-    let before = heap.now();
-    heap.peak();
+    let before = heap.current_bytes();
+    heap.take_peak_bytes();
     let start = thread_cpu_s();
     core.call("POST", "/api/Config.Put".into(), text.clone().into_bytes());
     add_point("the leader takes a Put", "ms", 1000.0 * (thread_cpu_s() - start));
     if core.status != 200 {
         return Err(format!("Config.Put of the generated configuration returned status {}", core.status));
     }
-    add_point("leader: held after one Put", "MB", mb(heap.now().saturating_sub(before)));
-    add_point("leader: peak during a Put", "MB", mb(heap.peak().saturating_sub(before)));
-    let before = heap.now();
+    add_point("leader: held after one Put", "MB", mb(heap.current_bytes().saturating_sub(before)));
+    add_point("leader: peak during a Put", "MB", mb(heap.take_peak_bytes().saturating_sub(before)));
+    let before = heap.current_bytes();
     core.call("POST", "/api/Config.Put".into(), fleet.config_body(2).into_bytes());
     add_point(
         "leader: each further Put adds, until the log is cut",
         "MB",
-        mb(heap.now().saturating_sub(before)),
+        mb(heap.current_bytes().saturating_sub(before)),
     );
     core.register_gateway(0);
     core.advance(TICK_MS);
@@ -316,32 +320,32 @@
         "ms",
         1000.0 * cpu_cost_s(|| drop(overland::news::StateSnapshot::decode(&bytes[..]))),
     );
-    let before = heap.now();
+    let before = heap.current_bytes();
     let copy = State::from_snapshot(0.0, snapshot.clone());
-    add_point("a copy of the state", "MB", mb(heap.now().saturating_sub(before)));
+    add_point("a copy of the state", "MB", mb(heap.current_bytes().saturating_sub(before)));
     drop(copy);
     drop(bytes);
     // The proxy: its copy of the state, its route table, and the tenants' limits.
     let settings = gateway_settings(0)?;
-    let before = heap.now();
-    heap.peak();
+    let before = heap.current_bytes();
+    heap.take_peak_bytes();
     let mut proxy = SimulatedProxy::new(settings, ProxyDetail::Full);
     let start = thread_cpu_s();
     let edition = proxy
         .apply(0.0, ToProxy { snapshot: Some(snapshot), leader_contact_age_ms: 0.0, ..ToProxy::default() });
     add_point("proxy: taking a configuration, until it is in force", "ms", 1000.0 * (thread_cpu_s() - start));
     edition.ok_or("the proxy did not apply the generated configuration")?;
-    add_point("proxy: held of it, with its copy", "MB", mb(heap.now().saturating_sub(before)));
-    add_point("proxy: peak while taking it", "MB", mb(heap.peak().saturating_sub(before)));
+    add_point("proxy: held of it, with its copy", "MB", mb(heap.current_bytes().saturating_sub(before)));
+    add_point("proxy: peak while taking it", "MB", mb(heap.take_peak_bytes().saturating_sub(before)));
     Ok(())
 }
 
 /// Measures the costs that grow with the number of backends and gateways.
 fn measure_members(slopes: &mut Slopes, fleet: &GeneratedFleet, heap: &dyn Heap) -> Result<(), String> {
-    let Size { gateways, backends, tenants, .. } = fleet.size();
+    let FleetSize { gateways, backends, tenants, .. } = fleet.size();
     let mut core = SingleCore::new()?;
     core.call("POST", "/api/Config.Put".into(), fleet.config_body(1).into_bytes());
-    let before = heap.now();
+    let before = heap.current_bytes();
     let start = thread_cpu_s();
     for backend in 0..backends {
         let path = format!("/api/Instances.Beat/{}", fleet.backend_id(backend, 0));
@@ -355,7 +359,7 @@
         backends as f64,
         1e6 * elapsed / backends as f64,
     );
-    let held_bytes = heap.now().saturating_sub(before) as f64;
+    let held_bytes = heap.current_bytes().saturating_sub(before) as f64;
     slopes.add_point(
         "leader: memory of a backend, with its entry in the log",
         "MB",
@@ -389,9 +393,9 @@
         backends as f64,
         1e6 * cpu_cost_s(|| core.handle(Event::Tick)),
     );
-    let before = heap.now();
+    let before = heap.current_bytes();
     (0..gateways).for_each(|gateway| core.register_gateway(gateway));
-    let held_bytes = heap.now().saturating_sub(before) as f64;
+    let held_bytes = heap.current_bytes().saturating_sub(before) as f64;
     slopes.add_point(
         "leader: memory of an agent's link",
         "MB",
@@ -467,7 +471,7 @@
 
 /// Measures the leader's costs of sending a change to all gateways.
 fn measure_push(slopes: &mut Slopes, fleet: &GeneratedFleet, heap: &dyn Heap) -> Result<(), String> {
-    let Size { gateways, .. } = fleet.size();
+    let FleetSize { gateways, .. } = fleet.size();
     let mut core = SingleCore::new()?;
     core.call("POST", "/api/Config.Put".into(), fleet.config_body(1).into_bytes());
     (0..gateways).for_each(|gateway| core.register_gateway(gateway));
@@ -477,8 +481,8 @@
     if text.len() * gateways > MAX_PUSH_BYTES {
         return Ok(());
     }
-    let before = heap.now();
-    heap.peak();
+    let before = heap.current_bytes();
+    heap.take_peak_bytes();
     core.sent = (0, 0);
     let start = thread_cpu_s();
     core.call("POST", "/api/Config.Put".into(), text.into_bytes());
@@ -498,7 +502,7 @@
         n,
         core.sent.1 as f64 / 1e6,
     );
-    let peak = heap.peak().saturating_sub(before) as f64 / 1e6;
+    let peak = heap.take_peak_bytes().saturating_sub(before) as f64 / 1e6;
     slopes.add_point(
         "leader: peak of a push, before bytes are framed, at 1 in 100 of the table",
         "MB",
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use granite_lab::scale::bounds::{MachineResources, ResourceEstimate};
-use granite_lab::scale::draw::{GeneratedFleet, NodeSettings, Size};
+use granite_lab::scale::draw::{FleetSize, GeneratedFleet, NodeSettings};
 use granite_lab::scale::fit::LinearFit;
 use granite_lab::scale::run::{percentiles, GATEWAY_THREADS};
 use granite_lab::scale::weigh::SingleCore;
@@ -12,7 +12,7 @@
 
 #[test]
 fn core_accepts_each_edition_of_a_generated_configuration() {
-    for size in [Size::of(1, 0.01), Size::of(30, 1.0)] {
+    for size in [FleetSize::with_gateways(1, 0.01), FleetSize::with_gateways(30, 1.0)] {
         let fleet = GeneratedFleet::new(size, 7);
         let mut core = SingleCore::new().unwrap();
         let mut before = None;
@@ -43,7 +43,7 @@
 
 #[test]
 fn only_the_first_heartbeat_of_a_backend_sends_a_change_to_agents() {
-    let fleet = GeneratedFleet::new(Size::of(10, 0.1), 1);
+    let fleet = GeneratedFleet::new(FleetSize::with_gateways(10, 0.1), 1);
     let mut core = SingleCore::new().unwrap();
     core.call("POST", "/api/Config.Put".into(), fleet.config_body(1).into_bytes());
     core.register_gateway(0);
@@ -87,11 +87,11 @@
 #[test]
 fn run_beyond_the_resources_of_the_machine_is_refused_with_a_reason() {
     let resources = MachineResources { memory_mb: 32_000.0, free_mb: 30_000.0, descriptors: 20_000 };
-    let refusal = |size: Size, config_mb, resources| {
+    let refusal = |size: FleetSize, config_mb, resources| {
         ResourceEstimate::new(size, config_mb, GATEWAY_THREADS, 20).refusal_reason(size, 20, resources)
     };
-    assert_eq!(refusal(Size::of(930, 10.0), 0.58, resources), None);
-    let reason = refusal(Size::of(930, 100.0), 5.44, resources).unwrap();
+    assert_eq!(refusal(FleetSize::with_gateways(930, 10.0), 0.58, resources), None);
+    let reason = refusal(FleetSize::with_gateways(930, 100.0), 5.44, resources).unwrap();
     assert!(
         reason.contains("MB required (")
             && reason.contains("the leader's push to all")
@@ -99,14 +99,25 @@
         "{reason}"
     );
     // Free memory, descriptors and counts are limited, too.
-    assert!(refusal(Size::of(930, 10.0), 0.58, MachineResources { free_mb: 2_000.0, ..resources }).is_some());
-    let reason =
-        refusal(Size::of(930, 10.0), 0.58, MachineResources { descriptors: 4_000, ..resources }).unwrap();
+    assert!(refusal(
+        FleetSize::with_gateways(930, 10.0),
+        0.58,
+        MachineResources { free_mb: 2_000.0, ..resources }
+    )
+    .is_some());
+    let reason = refusal(
+        FleetSize::with_gateways(930, 10.0),
+        0.58,
+        MachineResources { descriptors: 4_000, ..resources },
+    )
+    .unwrap();
     assert!(reason.contains("descriptors of this process"), "{reason}");
-    assert!(refusal(Size::of(5_000, 0.1), 0.01, resources).unwrap().contains("the limit is 2000"));
-    let cores = Size { cores: 90, ..Size::of(30, 1.0) };
+    assert!(refusal(FleetSize::with_gateways(5_000, 0.1), 0.01, resources)
+        .unwrap()
+        .contains("the limit is 2000"));
+    let cores = FleetSize { cores: 90, ..FleetSize::with_gateways(30, 1.0) };
     assert!(refusal(cores, 0.1, resources).unwrap().contains("processes"));
-    let size = Size::of(30, 1.0);
+    let size = FleetSize::with_gateways(30, 1.0);
     let reason = ResourceEstimate::new(size, 0.1, GATEWAY_THREADS, 20).refusal_reason(size, 1_000, resources);
     assert!(reason.unwrap().contains("changes"));
 }
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! The lab's simulated gateway sends a core process the same messages as the real agent and proxy, for the
 //! same history.
 
-use granite_lab::scale::draw::{GeneratedFleet, NodeSettings, Size};
+use granite_lab::scale::draw::{FleetSize, GeneratedFleet, NodeSettings};
 use granite_lab::scale::hollow::{Output, ProxyDetail, SimulatedGateway};
 use overland::config::ConfigDocument;
 use overland::follow::Event;
@@ -244,7 +244,7 @@
         seeds: std::slice::from_ref(&core),
     };
     let settings = node_settings.to_yaml();
-    let history = history(&GeneratedFleet::new(Size::of(2, 0.1), 1));
+    let history = history(&GeneratedFleet::new(FleetSize::with_gateways(2, 0.1), 1));
     let messages = real_messages(&settings, inner_port, &history);
     assert!(messages.len() >= history.len(), "{messages:?}");
     assert_eq!(simulated_messages(&settings, &core, ProxyDetail::Full, &history), messages);
