--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -4,7 +4,7 @@
 use granite_lab::plan::Plan;
 use granite_lab::plans::{self, PLANS};
 use granite_lab::report;
-use granite_lab::scale::draw::Size;
+use granite_lab::scale::draw::FleetSize;
 use granite_lab::scale::weigh::{self, Heap};
 use granite_lab::scale::{self, forecast, run};
 use granite_lab::stage::{play, play_watched, Options};
@@ -20,11 +20,11 @@
 struct TrackedHeap;
 
 impl Heap for TrackedHeap {
-    fn now(&self) -> usize {
+    fn current_bytes(&self) -> usize {
         HEAP.current_usage()
     }
 
-    fn peak(&self) -> usize {
+    fn take_peak_bytes(&self) -> usize {
         let peak = HEAP.peak_usage();
         HEAP.reset_peak_usage();
         peak
@@ -164,7 +164,7 @@
         }
         LabCommand::Slopes { seed, json } => {
             let log_progress = |what: &str| eprintln!("measuring: {what}");
-            let slopes = weigh::weigh(*seed, &TrackedHeap, &log_progress)?;
+            let slopes = weigh::measure_slopes(*seed, &TrackedHeap, &log_progress)?;
             print!("{}", weigh::text(&slopes));
             if let Some(file) = json {
                 let text = serde_json::to_string(&slopes).map_err(|e| e.to_string())?;
@@ -178,8 +178,8 @@
             let programs = programs.clone().unwrap_or(lab_folder);
             let options = run::Options { programs, seed: *seed, changes: *changes };
             let size = |gateways, percent| {
-                let size = Size::of(gateways, percent);
-                Size { backends: backends.unwrap_or(size.backends), ..size }
+                let size = FleetSize::with_gateways(gateways, percent);
+                FleetSize { backends: backends.unwrap_or(size.backends), ..size }
             };
             let sizes = percent
                 .iter()
@@ -249,7 +249,7 @@
     let runtime = runtime.map_err(|e| format!("signal handlers: {e}"))?;
     std::thread::spawn(move || {
         runtime.block_on(stop_signal());
-        run::kill();
+        run::kill_processes();
         eprintln!("granite-lab: stopped");
         std::process::exit(2);
     });
@@ -258,7 +258,7 @@
 
 /// Runs a scale test for each size, one after the other. Returns whether all completed.
 fn run_scale_tests(
-    options: &run::Options, sizes: &[(f64, Size)], slopes: Option<&Path>, out: Option<&Path>,
+    options: &run::Options, sizes: &[(f64, FleetSize)], slopes: Option<&Path>, out: Option<&Path>,
 ) -> Result<bool, String> {
     if let Some((bad, _)) = sizes.iter().find(|(percent, _)| !(0.01..=100.0).contains(percent)) {
         return Err(format!("--percent {bad}: must be from 0.01 to 100"));
@@ -276,10 +276,10 @@
     let mut completed = true;
     for (percent, size) in sizes {
         let log_progress = |what: &str| eprintln!("{} x {percent}: {what}", size.gateways);
-        let outcome = run::play(options, *size, *percent, &log_progress)?;
+        let outcome = run::run_size(options, *size, *percent, &log_progress)?;
         print!("{}", scale::report::text(&outcome));
-        if outcome.failed.is_none() && !slopes.is_empty() {
-            print!("{}", forecast::text(&forecast::Model(&slopes).beside(&outcome)));
+        if outcome.failure.is_none() && !slopes.is_empty() {
+            print!("{}", forecast::text(&forecast::Model(&slopes).compare(&outcome)));
         }
         if let Some(folder) = out {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -287,7 +287,7 @@
             writeln!(open_for_append(&folder.join("runs.jsonl"))?, "{line}")
                 .map_err(|e| format!("writing the results: {e}"))?;
         }
-        completed &= outcome.failed.is_none();
+        completed &= outcome.failure.is_none();
     }
     Ok(completed)
 }
