--- a/lab/src/model/counter.rs
+++ b/lab/src/model/counter.rs
@@ -1,84 +1,86 @@
-//! The shared counter: numbers by name on a few parts, each of which serves its calls in turn.
+//! Model of the shared counter service: named totals, sharded by name. Each shard serves its calls one at a time.
 
 use crate::plan;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-/// Longest life of a name, in s.
-const LIFE_MOST_S: f64 = 60.0;
-/// Names that are kept; the platform's counter is a service of its own, and this only bounds a broken gateway.
-const NAMES_MOST: usize = 1_000_000;
+/// Longest time to live of a total, in s.
+const MAX_TTL_S: f64 = 60.0;
+/// Number of totals past which expired ones are removed. It bounds the memory that a faulty gateway can use.
+const MAX_TOTALS: usize = 1_000_000;
 
-/// What a call comes to.
+/// The reply to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    /// The total after the call, told at that time.
+    /// The call was applied.
     Total {
-        /// When, in s.
+        /// When the reply is sent, in s.
         at: f64,
-        /// The total.
+        /// The total after the call.
         total: f64,
     },
-    /// Turned away, told at that time; nothing was added.
-    Full {
-        /// When, in s.
+    /// The call was rejected and nothing was added.
+    Rejected {
+        /// When the reply is sent, in s.
         at: f64,
     },
 }
 
-/// The counter. Times are in s.
+/// The counter service. Times are in s.
 pub struct Counter {
-    turn_s: f64,
-    answer_s: f64,
-    queue: f64,
-    /// When each part is through with what waits.
-    free: Vec<f64>,
-    counts: HashMap<String, (f64, f64)>,
-    /// Added to each answer's time, in s.
-    pub slow_s: f64,
-    /// Share of calls that are turned away.
-    pub turn_away: f64,
+    service_time_s: f64,
+    latency_s: f64,
+    max_queued_calls: f64,
+    /// When each shard has finished its queued calls.
+    idle_at: Vec<f64>,
+    /// Total and expiry time by name.
+    totals: HashMap<String, (f64, f64)>,
+    /// Extra latency of each reply, in s.
+    pub extra_latency_s: f64,
+    /// Share of calls that are rejected.
+    pub reject_rate: f64,
     hasher: BuildHasherDefault<DefaultHasher>,
 }
 
 impl Counter {
-    /// An empty one.
+    /// Creates a counter without totals.
     pub fn new(plan: &plan::Counter) -> Counter {
         Counter {
-            turn_s: 1.0 / plan.per_s,
-            answer_s: plan.answer_ms / 1000.0,
-            queue: plan.queue as f64,
-            free: vec![0.0; plan.parts],
-            counts: HashMap::new(),
-            slow_s: 0.0,
-            turn_away: 0.0,
+            service_time_s: 1.0 / plan.per_s,
+            latency_s: plan.answer_ms / 1000.0,
+            max_queued_calls: plan.queue as f64,
+            idle_at: vec![0.0; plan.parts],
+            totals: HashMap::new(),
+            extra_latency_s: 0.0,
+            reject_rate: 0.0,
             hasher: BuildHasherDefault::default(),
         }
     }
 
-    /// Forgets all counts.
+    /// Removes all totals.
     pub fn flush(&mut self) {
-        self.counts.clear();
+        self.totals.clear();
     }
 
-    /// Adds to a name, which lives so long if it is new. `chance` in 0 to 1 decides whether it is turned away.
-    pub fn call(&mut self, now: f64, name: &str, by: f64, life_s: f64, chance: f64) -> Reply {
-        let part = (self.hasher.hash_one(name) % self.free.len() as u64) as usize;
-        let begins = self.free[part].max(now);
-        if chance < self.turn_away || begins - now > self.queue * self.turn_s {
-            return Reply::Full { at: now + self.answer_s };
+    /// Adds to the total of a name. A new or expired total starts at 0 and expires after `ttl_s`. `draw`, uniform in
+    /// 0 to 1, decides whether the call is rejected.
+    pub fn add(&mut self, now: f64, name: &str, amount: f64, ttl_s: f64, draw: f64) -> Reply {
+        let shard = (self.hasher.hash_one(name) % self.idle_at.len() as u64) as usize;
+        let start = self.idle_at[shard].max(now);
+        if draw < self.reject_rate || start - now > self.max_queued_calls * self.service_time_s {
+            return Reply::Rejected { at: now + self.latency_s };
         }
-        self.free[part] = begins + self.turn_s;
-        if self.counts.len() >= NAMES_MOST {
-            self.counts.retain(|_, (_, ends)| *ends > now);
+        self.idle_at[shard] = start + self.service_time_s;
+        if self.totals.len() >= MAX_TOTALS {
+            self.totals.retain(|_, (_, expires)| *expires > now);
         }
-        let ends = begins + life_s.clamp(0.001, LIFE_MOST_S);
-        let count = self.counts.entry(name.to_owned()).or_insert((0.0, ends));
-        if count.1 <= begins {
-            *count = (0.0, ends);
+        let expires = start + ttl_s.clamp(0.001, MAX_TTL_S);
+        let entry = self.totals.entry(name.to_owned()).or_insert((0.0, expires));
+        if entry.1 <= start {
+            *entry = (0.0, expires);
         }
-        count.0 += by;
-        Reply::Total { at: self.free[part] + self.answer_s + self.slow_s, total: count.0 }
+        entry.0 += amount;
+        Reply::Total { at: self.idle_at[shard] + self.latency_s + self.extra_latency_s, total: entry.0 }
     }
 }
 
@@ -91,34 +93,34 @@
     }
 
     #[test]
-    fn names_add_up_and_are_forgotten_when_their_time_is_up() {
+    fn calls_add_to_a_total_until_it_expires_or_is_flushed() {
         let mut counter = counter();
         let total = |reply| if let Reply::Total { total, .. } = reply { total } else { f64::NAN };
-        assert_eq!(total(counter.call(0.0, "a", 2.0, 1.0, 0.5)), 2.0);
+        assert_eq!(total(counter.add(0.0, "a", 2.0, 1.0, 0.5)), 2.0);
         assert_eq!(
-            total(counter.call(0.5, "a", -0.5, 9.0, 0.5)),
+            total(counter.add(0.5, "a", -0.5, 9.0, 0.5)),
             1.5,
-            "a later call does not extend its life"
+            "a later call must not extend the time to live"
         );
-        assert_eq!(total(counter.call(1.1, "a", 1.0, 1.0, 0.5)), 1.0);
-        assert_eq!(total(counter.call(1.2, "b", 1.0, 1.0, 0.5)), 1.0);
+        assert_eq!(total(counter.add(1.1, "a", 1.0, 1.0, 0.5)), 1.0);
+        assert_eq!(total(counter.add(1.2, "b", 1.0, 1.0, 0.5)), 1.0);
         counter.flush();
-        assert_eq!(total(counter.call(1.3, "a", 0.0, 1.0, 0.5)), 0.0);
+        assert_eq!(total(counter.add(1.3, "a", 0.0, 1.0, 0.5)), 0.0);
     }
 
     #[test]
-    fn calls_wait_in_turn_and_are_turned_away_behind_a_long_line() {
+    fn calls_are_queued_and_rejected_when_the_queue_is_full() {
         let mut counter = counter();
-        let replies: Vec<_> = (0..6).map(|_| counter.call(0.0, "a", 1.0, 9.0, 0.5)).collect();
+        let replies: Vec<_> = (0..6).map(|_| counter.add(0.0, "a", 1.0, 9.0, 0.5)).collect();
         assert_eq!(replies[0], Reply::Total { at: 0.011, total: 1.0 });
         assert!(
             matches!(replies[3], Reply::Total { at, total } if (at - 0.041).abs() < 1e-9 && total == 4.0)
         );
-        assert_eq!(replies[5], Reply::Full { at: 0.001 });
-        counter.turn_away = 0.5;
-        assert_eq!(counter.call(1.0, "a", 1.0, 9.0, 0.4), Reply::Full { at: 1.001 });
+        assert_eq!(replies[5], Reply::Rejected { at: 0.001 });
+        counter.reject_rate = 0.5;
+        assert_eq!(counter.add(1.0, "a", 1.0, 9.0, 0.4), Reply::Rejected { at: 1.001 });
         assert!(
-            matches!(counter.call(1.0, "a", 0.0, 9.0, 0.6), Reply::Total { total, .. } if total == 4.0 || total == 5.0)
+            matches!(counter.add(1.0, "a", 0.0, 9.0, 0.6), Reply::Total { total, .. } if total == 4.0 || total == 5.0)
         );
     }
 }
--- a/lab/src/model/front.rs
+++ b/lab/src/model/front.rs
@@ -1,96 +1,97 @@
-//! Clients and the front before the gateways: who asks for what and when, drawn ahead, and through which gateway.
+//! Model of the clients and of the edge router between clients and gateways: the requests of a plan, drawn in
+//! advance, and the gateway that each one is sent to.
 
 use crate::plan::{Plan, TrafficAct};
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 
-/// Units of a request, at most.
-pub const UNITS_MOST: f64 = 6.0;
-/// Spread of a guess of units round the true ones.
-const GUESS_CV: f64 = 0.45;
-/// Names of the classes, the safe one first, and of the plans.
-pub const CLASSES: [&str; 2] = ["status-read", "place-order"];
-/// Names of the plans.
-pub const PLANS: [&str; 2] = ["basic", "volume"];
-/// Customers are told apart from those of other tools by their first number.
-const FIRST_CUSTOMER: u64 = 0x1000;
-
-/// One request as a client first asks for it.
+/// Most quota units that a request can take.
+pub const MAX_UNITS: f64 = 6.0;
+/// Coefficient of variation of the estimated units around the real ones.
+const ESTIMATE_CV: f64 = 0.45;
+/// Names of the request classes: the idempotent one, then the non-idempotent one.
+pub const CLASS_NAMES: [&str; 2] = ["status-read", "place-order"];
+/// Names of the customers' service plans.
+pub const PLAN_NAMES: [&str; 2] = ["basic", "volume"];
+/// Account number of customer 0. Accounts below it are left to other tools.
+const FIRST_ACCOUNT: u64 = 0x1000;
+
+/// One request, as drawn for its first try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in s.
+    /// When it is due, in s from the start of the load.
     pub at: f64,
-    /// Whose.
+    /// The customer that sends it.
     pub customer: u32,
-    /// Its class.
+    /// Index into [`CLASS_NAMES`].
     pub class: u8,
-    /// Its work on an idle core, in ms.
+    /// Its processing time on an idle core, in ms.
     pub work_ms: f64,
-    /// Units that it says it takes.
+    /// Quota units that the client announces.
     pub guess: f64,
-    /// Units that it takes.
+    /// Quota units that it really takes.
     pub units: f64,
-    /// The client waits as long as a refusal says.
+    /// Whether the client waits for as long as `Retry-After` says.
     pub honours: bool,
 }
 
 impl Arrival {
-    /// The customer's plan.
+    /// Index of the customer's service plan in [`PLAN_NAMES`].
     pub fn plan(&self) -> u8 {
         (self.customer % 2) as u8
     }
 
-    /// The customer's number on the wire.
+    /// The customer's account number on the wire.
     pub fn account(&self) -> u64 {
-        FIRST_CUSTOMER + u64::from(self.customer)
+        FIRST_ACCOUNT + u64::from(self.customer)
     }
 }
 
-/// A lognormal distribution of that mean and coefficient of variation.
+/// A lognormal distribution with this mean and coefficient of variation.
 pub fn lognormal(mean: f64, cv: f64) -> LogNormal<f64> {
     let sigma2 = (1.0 + cv * cv).ln();
-    // Mean and spread were checked with the plan, so that neither can be out of its range.
-    LogNormal::new(mean.ln() - sigma2 / 2.0, sigma2.sqrt()).expect("a finite spread")
+    // Plan validation guarantees a positive mean and a finite coefficient of variation.
+    LogNormal::new(mean.ln() - sigma2 / 2.0, sigma2.sqrt()).expect("finite standard deviation")
 }
 
-/// All first tries of a plan, in order of time.
-pub fn arrivals(plan: &Plan) -> Vec<Arrival> {
+/// Draws the first tries of a plan, in order of time.
+pub fn draw_arrivals(plan: &Plan) -> Vec<Arrival> {
     let traffic = &plan.traffic;
     let mut rng = plan.rng(1);
-    let zipf = Zipf::new(traffic.customers as f64, traffic.skew).expect("an exponent of 0 or more");
+    let zipf = Zipf::new(traffic.customers as f64, traffic.skew).expect("non-negative exponent");
     let work = lognormal(traffic.work_ms, traffic.work_cv);
-    let guess = lognormal(1.0, GUESS_CV);
+    let guess = lognormal(1.0, ESTIMATE_CV);
     let draw = |at: f64, hot: bool, rng: &mut rand_pcg::Pcg64| {
         let work_ms: f64 = work.sample(rng);
-        let units = (work_ms / traffic.work_ms * 2.0).ceil().clamp(1.0, UNITS_MOST);
-        // The busiest customer is of the plan that is cheap; the hot one beside them is a new customer of it.
+        let units = (work_ms / traffic.work_ms * 2.0).ceil().clamp(1.0, MAX_UNITS);
+        // The hot customer is an additional one, on the same service plan as the busiest of the others.
         let customer = if hot { 2 * traffic.customers as u32 } else { zipf.sample(rng) as u32 - 1 };
         Arrival {
             at,
             customer,
             class: u8::from(rng.random_bool(traffic.orders)),
             work_ms,
-            guess: (units * guess.sample(rng)).round().clamp(1.0, UNITS_MOST),
+            guess: (units * guess.sample(rng)).round().clamp(1.0, MAX_UNITS),
             units,
             honours: rng.random_bool(traffic.honour),
         }
     };
     let steps: Vec<_> = plan.step.iter().filter_map(|step| Some((step, step.traffic.as_ref()?))).collect();
-    let within = |at: f64, act: TrafficAct| {
+    let active_steps = |at: f64, act: TrafficAct| {
         steps.iter().filter(move |(step, on)| on.act == act && (step.at..step.ends(plan)).contains(&at))
     };
     let mut all = Vec::new();
-    let most = steps.iter().filter(|(_, on)| on.act == TrafficAct::Burst).map(|(_, on)| on.by.max(1.0));
-    let most = traffic.per_s * most.product::<f64>();
+    let max_factor = steps.iter().filter(|(_, on)| on.act == TrafficAct::Burst).map(|(_, on)| on.by.max(1.0));
+    let max_rate = traffic.per_s * max_factor.product::<f64>();
     let mut at = 0.0;
     loop {
         let gap: f64 = Exp1.sample(&mut rng);
-        at += gap / most;
+        at += gap / max_rate;
         if at >= plan.seconds {
             break;
         }
-        let rate = traffic.per_s * within(at, TrafficAct::Burst).map(|(_, on)| on.by).product::<f64>();
-        if rng.random_bool((rate / most).min(1.0)) {
+        let rate = traffic.per_s * active_steps(at, TrafficAct::Burst).map(|(_, on)| on.by).product::<f64>();
+        if rng.random_bool((rate / max_rate).min(1.0)) {
             all.push(draw(at, false, &mut rng));
         }
     }
@@ -109,46 +110,49 @@
     all
 }
 
-/// The front: it deals the requests of each customer among the gateways of its set, as far as it sees them up.
-pub struct Front {
-    spread: usize,
+/// Routes the requests of each customer to the gateways of its subset that the router considers up.
+pub struct EdgeRouter {
+    /// Number of gateways that a customer uses.
+    subset_size: usize,
+    /// Relative share of the traffic of each gateway.
     weights: Vec<f64>,
-    up: Vec<bool>,
+    is_up: Vec<bool>,
 }
 
-impl Front {
-    /// All gateways are up.
-    pub fn new(plan: &Plan) -> Front {
+impl EdgeRouter {
+    /// Creates a router that considers all gateways up.
+    pub fn new(plan: &Plan) -> EdgeRouter {
         let mut rng = plan.rng(2);
         let uneven = plan.traffic.uneven;
         let weights = (0..plan.fleet.gateways).map(|_| uneven.powf(rng.random::<f64>())).collect();
-        Front { spread: plan.traffic.spread, weights, up: vec![true; plan.fleet.gateways] }
+        EdgeRouter { subset_size: plan.traffic.spread, weights, is_up: vec![true; plan.fleet.gateways] }
     }
 
-    /// The front notices that a gateway is gone or back.
-    pub fn sees(&mut self, gateway: usize, up: bool) {
-        self.up[gateway] = up;
+    /// Marks a gateway as up or down.
+    pub fn set_up(&mut self, gateway: usize, up: bool) {
+        self.is_up[gateway] = up;
     }
 
-    /// The first of a customer's gateways.
-    pub fn first(&self, customer: u32) -> usize {
-        // Neighbours in number are far apart in place.
+    /// The first gateway of a customer's subset.
+    pub fn first_gateway(&self, customer: u32) -> usize {
+        // The multiplication spreads consecutive customer numbers over the gateways.
         (u64::from(customer).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32) as usize % self.weights.len()
     }
 
-    /// One of a customer's gateways. With none of them up any will do: its client finds out.
-    pub fn deal(&self, customer: u32, rng: &mut impl Rng) -> usize {
-        let first = self.first(customer);
-        let set = || (first..first + self.spread).map(|place| place % self.weights.len());
-        let up = set().any(|place| self.up[place]);
-        let may = |place: &usize| !up || self.up[*place];
-        let all: f64 = set().filter(may).map(|place| self.weights[place]).sum();
-        let mut left = rng.random::<f64>() * all;
-        let found = set().filter(may).find(|place| {
-            left -= self.weights[*place];
-            left <= 0.0
+    /// Draws a gateway of a customer's subset by weight, among those that are up. If none is up, any of the subset
+    /// is drawn, and the client's connection fails.
+    pub fn choose_gateway(&self, customer: u32, rng: &mut impl Rng) -> usize {
+        let first = self.first_gateway(customer);
+        let subset = || (first..first + self.subset_size).map(|index| index % self.weights.len());
+        let any_up = subset().any(|index| self.is_up[index]);
+        let is_candidate = |index: &usize| !any_up || self.is_up[*index];
+        let total: f64 = subset().filter(is_candidate).map(|index| self.weights[index]).sum();
+        let mut remaining = rng.random::<f64>() * total;
+        let chosen = subset().filter(is_candidate).find(|index| {
+            remaining -= self.weights[*index];
+            remaining <= 0.0
         });
-        found.unwrap_or(first)
+        chosen.unwrap_or(first)
     }
 }
 
@@ -164,35 +168,35 @@
     }
 
     #[test]
-    fn the_same_seed_draws_the_same_and_the_rate_is_kept() {
+    fn the_same_seed_draws_the_same_arrivals_at_the_planned_rate() {
         let (mut plan, other) = (plan(""), plan("[[step]]\nat = 50\ntraffic = { do = \"burst\", by = 3.0 }"));
-        let all = arrivals(&plan);
-        assert_eq!(all, arrivals(&plan));
+        let all = draw_arrivals(&plan);
+        assert_eq!(all, draw_arrivals(&plan));
         assert!((4_500..5_500).contains(&all.len()), "{}", all.len());
         let orders = all.iter().filter(|arrival| arrival.class == 1).count() as f64 / all.len() as f64;
         assert!((0.13..0.19).contains(&orders), "{orders}");
         let mean = all.iter().map(|arrival| arrival.work_ms).sum::<f64>() / all.len() as f64;
         assert!((55.0..65.0).contains(&mean), "{mean}");
-        let late = arrivals(&other).iter().filter(|arrival| arrival.at >= 50.0).count();
+        let late = draw_arrivals(&other).iter().filter(|arrival| arrival.at >= 50.0).count();
         assert!((6_900..8_100).contains(&late), "{late}");
         plan.seed = 2;
-        assert_ne!(all, arrivals(&plan));
+        assert_ne!(all, draw_arrivals(&plan));
     }
 
     #[test]
-    fn a_customer_comes_through_its_set_and_round_what_is_down() {
-        let mut front = Front::new(&plan(""));
+    fn a_customer_uses_only_the_gateways_of_its_subset_that_are_up() {
+        let mut router = EdgeRouter::new(&plan(""));
         let mut rng = plan("").rng(9);
-        let first = front.first(7);
-        let mut seen: Vec<_> = (0..200).map(|_| front.deal(7, &mut rng)).collect();
+        let first = router.first_gateway(7);
+        let mut seen: Vec<_> = (0..200).map(|_| router.choose_gateway(7, &mut rng)).collect();
         seen.sort_unstable();
         seen.dedup();
-        let mut set: Vec<_> = (first..first + 3).map(|place| place % 10).collect();
-        set.sort_unstable();
-        assert_eq!(seen, set);
-        front.sees(first, false);
-        assert!((0..200).all(|_| front.deal(7, &mut rng) != first));
-        set.iter().for_each(|place| front.sees(*place, false));
-        assert!(set.contains(&front.deal(7, &mut rng)));
+        let mut subset: Vec<_> = (first..first + 3).map(|index| index % 10).collect();
+        subset.sort_unstable();
+        assert_eq!(seen, subset);
+        router.set_up(first, false);
+        assert!((0..200).all(|_| router.choose_gateway(7, &mut rng) != first));
+        subset.iter().for_each(|index| router.set_up(*index, false));
+        assert!(subset.contains(&router.choose_gateway(7, &mut rng)));
     }
 }
--- a/lab/src/model/mod.rs
+++ b/lab/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! What stands round the gateways, as state machines without sockets or clocks: they are told the time.
+//! Models of the services around the gateways: state machines without sockets or clocks. Callers pass in the time.
 
 pub mod counter;
 pub mod front;
--- a/lab/src/model/server.rs
+++ b/lab/src/model/server.rs
@@ -1,234 +1,255 @@
-//! A server: cores that share what is in work, a waiting room, a cold start, and what can be wrong with it.
+//! Model of a server: cores shared by the running requests, a bounded queue, a warm-up phase and injected faults.
 
 use crate::plan::Fleet;
 use std::collections::VecDeque;
 
-/// While its capacity changes it is reckoned anew at least this often, in s.
-const COLD_STEP_S: f64 = 0.02;
-/// Work of a probe of the process, in ms.
+/// Longest step, in s, over which the changing speed of a server that warms up is taken as constant.
+const WARM_UP_STEP_S: f64 = 0.02;
+/// Processing time of a health probe, in ms.
 const PROBE_WORK_MS: f64 = 0.3;
 
-/// What is wrong with a server.
+/// Faults injected into a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trouble {
-    /// It takes so many times as long.
-    pub slow: f64,
-    /// Share of requests answered with an error at once.
-    pub errors: f64,
-    /// Share turned away unseen.
-    pub turn_away: f64,
-    /// Share that ends in a reset after it ran.
-    pub reset: f64,
-    /// Share of answers that can't be read.
-    pub spoil: f64,
-    /// What its reports say it has in hand, whatever is true.
-    pub report: Option<f64>,
+pub struct ServerFaults {
+    /// Factor by which requests take longer.
+    pub slowdown: f64,
+    /// Share of requests that are answered with an error at once.
+    pub error_rate: f64,
+    /// Share of requests that are rejected without being processed.
+    pub reject_rate: f64,
+    /// Share of requests whose connection is reset after they ran.
+    pub reset_rate: f64,
+    /// Share of responses that are cut short.
+    pub corrupt_rate: f64,
+    /// Number of requests in flight to report instead of the real one.
+    pub reported_in_flight: Option<f64>,
 }
 
-impl Trouble {
-    /// Nothing, but this share of errors.
-    pub fn none(errors: f64) -> Trouble {
-        Trouble { slow: 1.0, errors, turn_away: 0.0, reset: 0.0, spoil: 0.0, report: None }
+impl ServerFaults {
+    /// No faults other than this share of errors.
+    pub fn none(error_rate: f64) -> ServerFaults {
+        ServerFaults {
+            slowdown: 1.0,
+            error_rate,
+            reject_rate: 0.0,
+            reset_rate: 0.0,
+            corrupt_rate: 0.0,
+            reported_in_flight: None,
+        }
     }
 }
 
-/// What becomes of a request that comes in.
+/// How a server handles a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is in work or waits; its end is told later.
-    Taken,
-    /// Turned away unseen.
-    Turned,
-    /// Answered with an error at once.
+pub enum Admission {
+    /// It is running or queued. [`Server::advance`] reports when it completes.
+    Accepted,
+    /// It was rejected without being processed.
+    Rejected,
+    /// It was answered with an error at once.
     Error,
-    /// It was one too many for a cold server, which has fallen over.
-    Fallen,
+    /// The server has crashed: it was overloaded during its warm-up.
+    Crashed,
 }
 
-struct Work {
+struct Request {
     id: u64,
-    left_ms: f64,
+    remaining_ms: f64,
 }
 
-/// One server. Times are in s on any clock that only goes forward.
+/// One server. Times are in s on a monotonic clock.
 pub struct Server {
     cores: f64,
-    slots: usize,
-    queue: usize,
-    /// Speed of a core beside the usual one.
+    max_running: usize,
+    max_queued: usize,
+    /// Speed of a core relative to the standard one.
     speed: f64,
-    cold_from: f64,
-    cold_s: f64,
-    fall_multiple: f64,
-    fall_s: f64,
-    /// When it started, if it may be cold.
-    born: Option<f64>,
-    at: f64,
-    work: Vec<Work>,
-    waiting: VecDeque<Work>,
-    /// Work that came within the time after which a cold one falls, in ms, by when it came.
+    /// Share of the capacity that it has right after its start.
+    cold_capacity: f64,
+    warm_up_s: f64,
+    /// During its warm-up it crashes if this multiple of its capacity arrives within `overload_window_s`.
+    overload_factor: f64,
+    overload_window_s: f64,
+    /// Time of its last start; none if it has been up since before the run.
+    started_at: Option<f64>,
+    /// The time up to which the model has been advanced.
+    time: f64,
+    running: Vec<Request>,
+    queued: VecDeque<Request>,
+    /// Arrival time and processing time in ms of the requests within the overload window.
     recent: VecDeque<(f64, f64)>,
     recent_ms: f64,
-    fallen: bool,
-    trouble: Trouble,
+    is_crashed: bool,
+    faults: ServerFaults,
 }
 
 impl Server {
-    /// A warm one of that speed.
+    /// Creates a warm server whose cores have this speed.
     pub fn new(fleet: &Fleet, speed: f64) -> Server {
         Server {
             cores: fleet.cores as f64,
-            slots: fleet.cores * fleet.slots_per_core,
-            queue: fleet.cores * fleet.queue_per_core,
+            max_running: fleet.cores * fleet.slots_per_core,
+            max_queued: fleet.cores * fleet.queue_per_core,
             speed,
-            cold_from: fleet.cold_from,
-            cold_s: fleet.cold_s,
-            fall_multiple: fleet.fall_multiple,
-            fall_s: fleet.fall_ms / 1000.0,
-            born: None,
-            at: 0.0,
-            work: Vec::new(),
-            waiting: VecDeque::new(),
+            cold_capacity: fleet.cold_from,
+            warm_up_s: fleet.cold_s,
+            overload_factor: fleet.fall_multiple,
+            overload_window_s: fleet.fall_ms / 1000.0,
+            started_at: None,
+            time: 0.0,
+            running: Vec::new(),
+            queued: VecDeque::new(),
             recent: VecDeque::new(),
             recent_ms: 0.0,
-            fallen: false,
-            trouble: Trouble::none(fleet.errors),
+            is_crashed: false,
+            faults: ServerFaults::none(fleet.errors),
         }
     }
 
-    /// It starts, with nothing in hand and cold.
+    /// Starts the server again, cold and without requests.
     pub fn start(&mut self, now: f64) {
-        (self.born, self.at, self.fallen, self.recent_ms) = (Some(now), now, false, 0.0);
-        self.work.clear();
-        self.waiting.clear();
+        (self.started_at, self.time, self.is_crashed, self.recent_ms) = (Some(now), now, false, 0.0);
+        self.running.clear();
+        self.queued.clear();
         self.recent.clear();
     }
 
-    /// Something else is wrong with it from now on. What was in work goes on at the new pace.
-    pub fn trouble(&mut self, now: f64, change: impl FnOnce(&mut Trouble), done: &mut Vec<u64>) {
-        self.advance(now, done);
-        change(&mut self.trouble);
+    /// Changes the injected faults. Running requests continue at the new speed. Like all methods that take
+    /// `completed`, it first advances the model to `now` and appends the requests that complete by then.
+    pub fn update_faults(
+        &mut self, now: f64, change: impl FnOnce(&mut ServerFaults), completed: &mut Vec<u64>,
+    ) {
+        self.advance(now, completed);
+        change(&mut self.faults);
     }
 
-    /// What is wrong with it.
-    pub fn troubles(&self) -> Trouble {
-        self.trouble
+    /// The injected faults.
+    pub fn faults(&self) -> ServerFaults {
+        self.faults
     }
 
-    /// Whether it has fallen over under too much.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    /// Whether it has crashed under overload since its last start.
+    pub fn is_crashed(&self) -> bool {
+        self.is_crashed
     }
 
-    /// Requests in work and waiting.
-    pub fn in_hand(&self) -> (usize, usize) {
-        (self.work.len(), self.waiting.len())
+    /// Numbers of running and of queued requests.
+    pub fn in_flight(&self) -> (usize, usize) {
+        (self.running.len(), self.queued.len())
     }
 
-    /// Whether one more would get a core to itself.
-    pub fn idle(&self) -> bool {
-        self.work.len() < self.cores as usize && !self.fallen
+    /// Whether another request would get a core of its own.
+    pub fn has_idle_core(&self) -> bool {
+        self.running.len() < self.cores as usize && !self.is_crashed
     }
 
-    /// Share of its capacity that it has now.
-    pub fn warmth(&self, now: f64) -> f64 {
-        match self.born {
-            Some(born) if self.cold_s > 0.0 && now < born + self.cold_s => {
-                let part = ((now - born) / self.cold_s).clamp(0.0, 1.0);
-                self.cold_from + (1.0 - self.cold_from) * part
+    /// Share of its full capacity that it has at a time. It grows linearly during the warm-up.
+    pub fn capacity_share(&self, now: f64) -> f64 {
+        match self.started_at {
+            Some(started_at) if self.warm_up_s > 0.0 && now < started_at + self.warm_up_s => {
+                let progress = ((now - started_at) / self.warm_up_s).clamp(0.0, 1.0);
+                self.cold_capacity + (1.0 - self.cold_capacity) * progress
             }
             _ => 1.0,
         }
     }
 
-    /// A request of so much work comes in; `chance` in 0 to 1 decides what may go wrong with it.
-    pub fn arrive(&mut self, now: f64, id: u64, work_ms: f64, chance: f64, done: &mut Vec<u64>) -> Verdict {
-        self.advance(now, done);
-        if self.fallen || self.topples(now, work_ms) {
-            return Verdict::Fallen;
+    /// Submits a request with this processing time. `draw`, uniform in 0 to 1, decides whether a fault applies to it.
+    pub fn submit(
+        &mut self, now: f64, id: u64, work_ms: f64, draw: f64, completed: &mut Vec<u64>,
+    ) -> Admission {
+        self.advance(now, completed);
+        if self.is_crashed || self.crashes_under(now, work_ms) {
+            return Admission::Crashed;
         }
-        let Trouble { errors, turn_away, .. } = self.trouble;
-        if chance < turn_away {
-            return Verdict::Turned;
+        let ServerFaults { error_rate, reject_rate, .. } = self.faults;
+        if draw < reject_rate {
+            return Admission::Rejected;
         }
-        if chance < turn_away + errors {
-            return Verdict::Error;
+        if draw < reject_rate + error_rate {
+            return Admission::Error;
         }
-        let work = Work { id, left_ms: work_ms.max(0.01) };
-        if self.work.len() < self.slots {
-            self.work.push(work);
-        } else if self.waiting.len() < self.queue {
-            self.waiting.push_back(work);
+        let request = Request { id, remaining_ms: work_ms.max(0.01) };
+        if self.running.len() < self.max_running {
+            self.running.push(request);
+        } else if self.queued.len() < self.max_queued {
+            self.queued.push_back(request);
         } else {
-            return Verdict::Turned;
+            return Admission::Rejected;
         }
-        Verdict::Taken
+        Admission::Accepted
     }
 
-    /// A probe costs a little of its time.
-    pub fn probed(&mut self, now: f64, done: &mut Vec<u64>) {
-        self.advance(now, done);
-        if let Some(work) = self.work.first_mut() {
-            work.left_ms += PROBE_WORK_MS;
+    /// Handles a health probe, which delays a running request.
+    pub fn handle_probe(&mut self, now: f64, completed: &mut Vec<u64>) {
+        self.advance(now, completed);
+        if let Some(request) = self.running.first_mut() {
+            request.remaining_ms += PROBE_WORK_MS;
         }
     }
 
-    /// Nobody waits for it any more.
-    pub fn cancel(&mut self, now: f64, id: u64, done: &mut Vec<u64>) {
-        self.advance(now, done);
-        self.work.retain(|work| work.id != id);
-        self.waiting.retain(|work| work.id != id);
-        self.fill();
+    /// Cancels a request, running or queued.
+    pub fn cancel(&mut self, now: f64, id: u64, completed: &mut Vec<u64>) {
+        self.advance(now, completed);
+        self.running.retain(|request| request.id != id);
+        self.queued.retain(|request| request.id != id);
+        self.start_queued();
     }
 
-    fn topples(&mut self, now: f64, work_ms: f64) -> bool {
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 {
+    /// Adds a request to the overload window. Returns whether the server, if it is warming up, crashes under it.
+    fn crashes_under(&mut self, now: f64, work_ms: f64) -> bool {
+        let capacity_share = self.capacity_share(now);
+        if capacity_share >= 1.0 {
             return false;
         }
-        while self.recent.front().is_some_and(|(at, _)| *at < now - self.fall_s) {
+        while self.recent.front().is_some_and(|(at, _)| *at < now - self.overload_window_s) {
             self.recent_ms -= self.recent.pop_front().map_or(0.0, |(_, work)| work);
         }
         self.recent.push_back((now, work_ms));
         self.recent_ms += work_ms;
-        let bears = self.cores * self.speed * warmth * self.fall_s * 1000.0;
-        self.fallen = self.recent_ms > self.fall_multiple * bears;
-        self.fallen
+        let capacity_ms = self.cores * self.speed * capacity_share * self.overload_window_s * 1000.0;
+        self.is_crashed = self.recent_ms > self.overload_factor * capacity_ms;
+        self.is_crashed
     }
 
-    /// How much of a millisecond's work each request in work gets done in a millisecond.
-    fn pace(&self) -> f64 {
-        let share = (self.cores / self.work.len().max(1) as f64).min(1.0);
-        share * self.speed * self.warmth(self.at) / self.trouble.slow
+    /// Processing time that each running request completes per unit of time.
+    fn request_speed(&self) -> f64 {
+        let share = (self.cores / self.running.len().max(1) as f64).min(1.0);
+        share * self.speed * self.capacity_share(self.time) / self.faults.slowdown
     }
 
-    /// Goes on to this time; those that are done by then, in order.
-    pub fn advance(&mut self, now: f64, done: &mut Vec<u64>) {
-        while self.at < now {
-            let until = self.next().map_or(now, |next| next.min(now));
-            let worked = (until - self.at).max(0.0) * 1000.0 * self.pace();
-            self.at = until;
-            // What is left may be off by rounding.
-            let ended = |work: &Work| work.left_ms <= 1e-6;
-            self.work.iter_mut().for_each(|work| work.left_ms -= worked);
-            done.extend(self.work.iter().filter(|work| ended(work)).map(|work| work.id));
-            self.work.retain(|work| !ended(work));
-            self.fill();
+    /// Advances the model to `now`. Appends the ids of the requests that complete by then, in order of completion.
+    pub fn advance(&mut self, now: f64, completed: &mut Vec<u64>) {
+        while self.time < now {
+            let until = self.next_event_at().map_or(now, |next| next.min(now));
+            let worked = (until - self.time).max(0.0) * 1000.0 * self.request_speed();
+            self.time = until;
+            // Tolerates rounding errors.
+            let is_complete = |request: &Request| request.remaining_ms <= 1e-6;
+            self.running.iter_mut().for_each(|request| request.remaining_ms -= worked);
+            completed
+                .extend(self.running.iter().filter(|request| is_complete(request)).map(|request| request.id));
+            self.running.retain(|request| !is_complete(request));
+            self.start_queued();
         }
     }
 
-    fn fill(&mut self) {
-        while self.work.len() < self.slots {
-            let Some(work) = self.waiting.pop_front() else { return };
-            self.work.push(work);
+    fn start_queued(&mut self) {
+        while self.running.len() < self.max_running {
+            let Some(request) = self.queued.pop_front() else { return };
+            self.running.push(request);
         }
     }
 
-    /// When it next has to be looked at; none while it has nothing in work.
-    pub fn next(&self) -> Option<f64> {
-        let least = self.work.iter().map(|work| work.left_ms).reduce(f64::min)?;
-        let ends = self.at + (least / self.pace() / 1000.0).max(1e-6);
-        Some(if self.warmth(self.at) < 1.0 { ends.min(self.at + COLD_STEP_S) } else { ends })
+    /// When the model has to be advanced next; none while no request is running.
+    pub fn next_event_at(&self) -> Option<f64> {
+        let least = self.running.iter().map(|request| request.remaining_ms).reduce(f64::min)?;
+        let completes_at = self.time + (least / self.request_speed() / 1000.0).max(1e-6);
+        Some(if self.capacity_share(self.time) < 1.0 {
+            completes_at.min(self.time + WARM_UP_STEP_S)
+        } else {
+            completes_at
+        })
     }
 }
 
@@ -241,72 +262,81 @@
     }
 
     #[test]
-    fn cores_are_shared_then_the_room_is_used_then_all_is_turned_away() {
-        let (mut server, mut done) = (Server::new(&fleet(), 1.0), Vec::new());
+    fn requests_share_the_cores_then_wait_in_the_queue_then_are_rejected() {
+        let (mut server, mut completed) = (Server::new(&fleet(), 1.0), Vec::new());
         for id in 0..6 {
-            assert_eq!(server.arrive(0.0, id, 100.0, 0.5, &mut done), Verdict::Taken);
+            assert_eq!(server.submit(0.0, id, 100.0, 0.5, &mut completed), Admission::Accepted);
         }
-        assert_eq!(server.in_hand(), (4, 2));
-        assert_eq!(server.arrive(0.0, 9, 100.0, 0.5, &mut done), Verdict::Turned);
-        // Four on two cores take twice as long; the two that waited have a core each after that.
-        server.advance(0.199, &mut done);
-        assert!(done.is_empty());
-        server.advance(0.2001, &mut done);
-        assert_eq!(done, [0, 1, 2, 3]);
-        server.advance(0.3002, &mut done);
-        assert_eq!(done, [0, 1, 2, 3, 4, 5]);
-        assert_eq!(server.next(), None);
+        assert_eq!(server.in_flight(), (4, 2));
+        assert_eq!(server.submit(0.0, 9, 100.0, 0.5, &mut completed), Admission::Rejected);
+        // Four requests on two cores take twice as long; after that the two queued ones have a core each.
+        server.advance(0.199, &mut completed);
+        assert!(completed.is_empty());
+        server.advance(0.2001, &mut completed);
+        assert_eq!(completed, [0, 1, 2, 3]);
+        server.advance(0.3002, &mut completed);
+        assert_eq!(completed, [0, 1, 2, 3, 4, 5]);
+        assert_eq!(server.next_event_at(), None);
     }
 
     #[test]
-    fn it_comes_to_the_same_whatever_the_steps() {
-        let play = |steps: u32| {
-            let (mut server, mut done) = (Server::new(&fleet(), 1.3), Vec::new());
-            server.arrive(0.0, 1, 40.0, 0.5, &mut done);
-            server.arrive(0.0, 2, 90.0, 0.5, &mut done);
-            let mut at = Vec::new();
+    fn the_order_of_completion_does_not_depend_on_the_step_size() {
+        let completed_ids = |steps: u32| {
+            let (mut server, mut completed) = (Server::new(&fleet(), 1.3), Vec::new());
+            server.submit(0.0, 1, 40.0, 0.5, &mut completed);
+            server.submit(0.0, 2, 90.0, 0.5, &mut completed);
+            let mut ids = Vec::new();
             for step in 1..=steps {
                 let now = 0.2 * f64::from(step) / f64::from(steps);
-                let before = done.len();
-                server.advance(now, &mut done);
-                at.extend(done[before..].iter().copied());
+                let before = completed.len();
+                server.advance(now, &mut completed);
+                ids.extend(completed[before..].iter().copied());
             }
-            at
+            ids
         };
-        assert_eq!(play(1), play(1000));
-        assert_eq!(play(1), [1, 2]);
+        assert_eq!(completed_ids(1), completed_ids(1000));
+        assert_eq!(completed_ids(1), [1, 2]);
     }
 
     #[test]
-    fn a_cold_one_is_slow_warms_up_and_falls_over_under_too_much() {
+    fn a_cold_server_is_slow_then_warms_up_and_crashes_under_overload() {
         let fleet = Fleet { cold_from: 0.25, cold_s: 10.0, fall_multiple: 2.0, fall_ms: 1000.0, ..fleet() };
-        let (mut server, mut done) = (Server::new(&fleet, 1.0), Vec::new());
+        let (mut server, mut completed) = (Server::new(&fleet, 1.0), Vec::new());
         server.start(5.0);
-        assert_eq!((server.warmth(5.0), server.warmth(10.0), server.warmth(15.0)), (0.25, 0.625, 1.0));
-        assert_eq!(server.arrive(5.0, 1, 100.0, 0.5, &mut done), Verdict::Taken);
-        server.advance(5.3, &mut done);
-        assert!(done.is_empty(), "a quarter of the pace");
-        server.advance(5.5, &mut done);
-        assert_eq!(done, [1]);
-        // Two cores at 0.295 bear 590 ms of work a second, and fall past 1,180 of it; what came at 5.0 counts.
-        let verdicts: Vec<_> = (2..14).map(|id| server.arrive(5.6, id, 100.0, 0.5, &mut done)).collect();
-        assert_eq!(verdicts.iter().position(|v| *v == Verdict::Fallen), Some(10), "{verdicts:?}");
-        assert!(server.fallen());
+        assert_eq!(
+            (server.capacity_share(5.0), server.capacity_share(10.0), server.capacity_share(15.0)),
+            (0.25, 0.625, 1.0)
+        );
+        assert_eq!(server.submit(5.0, 1, 100.0, 0.5, &mut completed), Admission::Accepted);
+        server.advance(5.3, &mut completed);
+        assert!(completed.is_empty(), "a cold server must run at a quarter of its speed");
+        server.advance(5.5, &mut completed);
+        assert_eq!(completed, [1]);
+        // Two cores at a capacity share of 0.295 process 590 ms a second, so that the server crashes above 1,180 ms
+        // within a second. The request of 5.0 s counts, too.
+        let admissions: Vec<_> =
+            (2..14).map(|id| server.submit(5.6, id, 100.0, 0.5, &mut completed)).collect();
+        assert_eq!(admissions.iter().position(|a| *a == Admission::Crashed), Some(10), "{admissions:?}");
+        assert!(server.is_crashed());
         server.start(20.0);
-        assert_eq!(server.arrive(40.0, 1, 100.0, 0.5, &mut done), Verdict::Taken);
+        assert_eq!(server.submit(40.0, 1, 100.0, 0.5, &mut completed), Admission::Accepted);
     }
 
     #[test]
-    fn what_is_wrong_shows_and_what_nobody_waits_for_makes_room() {
-        let (mut server, mut done) = (Server::new(&fleet(), 1.0), Vec::new());
-        server.trouble(0.0, |trouble| (trouble.errors, trouble.turn_away) = (0.3, 0.2), &mut done);
-        assert_eq!(server.arrive(0.0, 1, 10.0, 0.1, &mut done), Verdict::Turned);
-        assert_eq!(server.arrive(0.0, 1, 10.0, 0.4, &mut done), Verdict::Error);
-        assert_eq!(server.arrive(0.0, 1, 10.0, 0.6, &mut done), Verdict::Taken);
-        server.trouble(0.0, |trouble| trouble.slow = 10.0, &mut done);
-        server.advance(0.099, &mut done);
-        assert!(done.is_empty());
-        server.cancel(0.099, 1, &mut done);
-        assert_eq!((server.in_hand(), server.next(), done.len()), ((0, 0), None, 0));
+    fn faults_change_the_outcome_and_cancelled_requests_free_their_slots() {
+        let (mut server, mut completed) = (Server::new(&fleet(), 1.0), Vec::new());
+        server.update_faults(
+            0.0,
+            |faults| (faults.error_rate, faults.reject_rate) = (0.3, 0.2),
+            &mut completed,
+        );
+        assert_eq!(server.submit(0.0, 1, 10.0, 0.1, &mut completed), Admission::Rejected);
+        assert_eq!(server.submit(0.0, 1, 10.0, 0.4, &mut completed), Admission::Error);
+        assert_eq!(server.submit(0.0, 1, 10.0, 0.6, &mut completed), Admission::Accepted);
+        server.update_faults(0.0, |faults| faults.slowdown = 10.0, &mut completed);
+        server.advance(0.099, &mut completed);
+        assert!(completed.is_empty());
+        server.cancel(0.099, 1, &mut completed);
+        assert_eq!((server.in_flight(), server.next_event_at(), completed.len()), ((0, 0), None, 0));
     }
 }
--- a/lab/src/stage/clients.rs
+++ b/lab/src/stage/clients.rs
@@ -1,247 +1,258 @@
-//! Clients: each work is asked for when it is due, whatever became of the others, and again as its client's patience
-//! and the protocol allow.
+//! Simulated clients. The load is open-loop: each request is sent when it is due, whatever became of the others, and
+//! is retried as far as its deadline and the protocol allow.
 
 use crate::check::SLACK_S;
 use crate::fault::Node;
 use crate::ledger::{txn, End, Try};
-use crate::model::front::{Arrival, CLASSES, PLANS};
+use crate::model::front::{Arrival, CLASS_NAMES, PLAN_NAMES};
 use crate::plan::{TrafficAct, DEADLINES_MS};
-use crate::stage::servers::made_for;
-use crate::stage::wire::{Http, Io};
-use crate::stage::World;
+use crate::stage::servers::is_response_for;
+use crate::stage::wire::{Connection, HttpConnection};
+use crate::stage::RunContext;
 use rand::Rng;
 use rand_pcg::Pcg64;
 use std::io;
 use std::sync::Arc;
 use tokio::net::TcpStream;
 
-/// Idle connections that clients keep to a gateway, at most.
-const KEPT: usize = 64;
-/// Body of a request that has one.
-const BODY: &str = "{\"items\":[4711,4712],\"pickup\":\"hall\"}";
-/// A client that may still ask has at least so long left for it, in s.
-const LEAST_S: f64 = 0.05;
+/// Most idle connections that clients keep open to a gateway.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Body of POST requests.
+const POST_BODY: &str = "{\"items\":[4711,4712],\"pickup\":\"hall\"}";
+/// A client retries only if at least this much time is left before its deadline, in s.
+const MIN_RETRY_TIME_S: f64 = 0.05;
 
-/// A connection that stands idle, and what was asked on it last.
-pub struct Kept {
-    http: Http,
-    last: usize,
-    process: u64,
+/// An idle connection to a gateway.
+pub struct IdleConnection {
+    http: HttpConnection,
+    /// Index of the last try that was sent on it.
+    last_try: usize,
+    /// Generation of the gateway process that it leads to.
+    generation: u64,
 }
 
-/// Asks for all works as they fall due; returns once the last one has ended.
-pub async fn run(world: &Arc<World>) {
-    let mut asking = tokio::task::JoinSet::new();
-    for (work, arrival) in world.works.iter().enumerate() {
-        world.sleep_until(world.begin() + arrival.at).await;
-        let world = world.clone();
-        asking.spawn(async move {
-            Client { world: &world, work, rng: world.plan.rng(1 << 40 | work as u64) }.run().await
+/// Sends all requests of the plan as they fall due. Returns once the last one has ended.
+pub async fn run(context: &Arc<RunContext>) {
+    let mut clients = tokio::task::JoinSet::new();
+    for (work, arrival) in context.arrivals.iter().enumerate() {
+        context.sleep_until(context.load_start() + arrival.at).await;
+        let context = context.clone();
+        clients.spawn(async move {
+            Client { context: &context, work, rng: context.plan.rng(1 << 40 | work as u64) }.run().await
         });
-        while asking.try_join_next().is_some() {}
+        while clients.try_join_next().is_some() {}
     }
-    while asking.join_next().await.is_some() {}
+    while clients.join_next().await.is_some() {}
 }
 
+/// The client of one request, which sends it and its retries.
 struct Client<'a> {
-    world: &'a Arc<World>,
+    context: &'a Arc<RunContext>,
+    /// Index of the request in [`RunContext::arrivals`].
     work: usize,
     rng: Pcg64,
 }
 
 impl Client<'_> {
     async fn run(&mut self) {
-        let world = self.world;
-        let arrival = world.works[self.work];
-        let began = world.now();
-        world.late(began - world.begin() - arrival.at);
-        world.ledger().began[self.work] = Some(began);
-        let ends = began + DEADLINES_MS[usize::from(arrival.class)] / 1000.0;
-        let (more, mut wait_s) = (self.storm(), world.plan.traffic.backoff_ms / 1000.0);
-        for number in 0..=world.plan.traffic.retries + more {
-            let gateway = world.front().deal(arrival.customer, &mut self.rng);
-            let end = self.ask(gateway, number, &arrival, ends).await;
-            let again = match end {
+        let context = self.context;
+        let arrival = context.arrivals[self.work];
+        let began = context.now();
+        context.record_client_lateness(began - context.load_start() - arrival.at);
+        context.ledger().began[self.work] = Some(began);
+        let deadline = began + DEADLINES_MS[usize::from(arrival.class)] / 1000.0;
+        let (extra_retries, mut backoff_s) = (self.extra_retries(), context.plan.traffic.backoff_ms / 1000.0);
+        for attempt in 0..=context.plan.traffic.retries + extra_retries {
+            let gateway = context.router().choose_gateway(arrival.customer, &mut self.rng);
+            let end = self.send_try(gateway, attempt, &arrival, deadline).await;
+            let may_retry = match end {
                 End::Served => return,
                 End::Refused(_) | End::Unreached => true,
-                // An unsafe one may have run.
+                // A non-idempotent request may have run.
                 _ => arrival.class == 0,
             };
-            let advice = match end {
+            let retry_after_s = match end {
                 End::Refused(Some(ms)) if arrival.honours => f64::from(ms) / 1000.0,
                 _ => 0.0,
             };
-            let wait = if more > 0 { 0.0 } else { advice.max(wait_s * self.rng.random_range(0.5..1.5)) };
-            wait_s *= 2.0;
-            if !again || world.now() + wait + LEAST_S > ends {
+            let wait_s = if extra_retries > 0 {
+                0.0
+            } else {
+                retry_after_s.max(backoff_s * self.rng.random_range(0.5..1.5))
+            };
+            backoff_s *= 2.0;
+            if !may_retry || context.now() + wait_s + MIN_RETRY_TIME_S > deadline {
                 return;
             }
-            world.sleep_until(world.now() + wait).await;
+            context.sleep_until(context.now() + wait_s).await;
         }
     }
 
-    /// Tries on top, while clients storm.
-    fn storm(&self) -> u32 {
-        let (world, at) = (self.world, self.world.works[self.work].at);
-        let steps = world.plan.step.iter().filter(|step| (step.at..step.ends(&world.plan)).contains(&at));
-        let more = steps.filter_map(|step| step.traffic.as_ref().filter(|on| on.act == TrafficAct::Storm));
-        more.map(|on| on.by as u32).max().unwrap_or(0)
+    /// Additional retries during a retry storm of the plan.
+    fn extra_retries(&self) -> u32 {
+        let (context, at) = (self.context, self.context.arrivals[self.work].at);
+        let steps = context.plan.step.iter().filter(|step| (step.at..step.ends(&context.plan)).contains(&at));
+        let storms = steps.filter_map(|step| step.traffic.as_ref().filter(|on| on.act == TrafficAct::Storm));
+        storms.map(|on| on.by as u32).max().unwrap_or(0)
     }
 
-    /// One try through one gateway, noted from its beginning to its end.
-    async fn ask(&mut self, gateway: usize, number: u32, arrival: &Arrival, until: f64) -> End {
-        let (world, txn) = (self.world, txn(self.work, number));
-        let place = {
-            let mut ledger = world.ledger();
-            let at = world.now();
+    /// Sends one try to one gateway and records it in the ledger.
+    async fn send_try(&mut self, gateway: usize, attempt: u32, arrival: &Arrival, until: f64) -> End {
+        let (context, txn) = (self.context, txn(self.work, attempt));
+        let try_index = {
+            let mut ledger = context.ledger();
+            let at = context.now();
             let (work, written, end) = (self.work, false, None);
             ledger.tries.push(Try { txn, work, gateway, at, written, until, end, extra: 0 });
             ledger.tries.len() - 1
         };
-        // What the gateway owes until the client leaves may come a little later.
+        // A response that the gateway sends just in time may arrive a little later.
         let end = tokio::select! {
-            end = self.talk(gateway, place, arrival, until) => end,
-            () = world.sleep_until(until + SLACK_S) => None,
+            end = self.exchange(gateway, try_index, arrival, until) => end,
+            () = context.sleep_until(until + SLACK_S) => None,
         };
-        let (end, kept) = match end {
-            Some((end, kept)) => (end, kept),
-            None => (self.unless_written(place, End::Silent), None),
+        let (end, connection) = match end {
+            Some((end, connection)) => (end, connection),
+            None => (self.end_if_written(try_index, End::Silent), None),
         };
-        if matches!(end, End::Refused(_)) && world.some_idle(gateway) {
-            // Its moment is its refusal's, by which it is found again.
-            let mut ledger = world.ledger();
-            let at = world.now();
-            ledger.tries[place].end = Some((at, end));
+        if matches!(end, End::Refused(_)) && context.has_idle_server(gateway) {
+            // The checkers match this entry to the refused try by its time.
+            let mut ledger = context.ledger();
+            let at = context.now();
+            ledger.tries[try_index].end = Some((at, end));
             ledger.needless.push(at);
         } else {
-            world.ledger().tries[place].end = Some((world.now(), end));
+            context.ledger().tries[try_index].end = Some((context.now(), end));
         }
-        if let Some(kept) = kept {
-            let mut idle = world.kept(gateway);
-            if idle.len() < KEPT {
-                idle.push(kept);
+        if let Some(connection) = connection {
+            let mut idle = context.idle_connections(gateway);
+            if idle.len() < MAX_IDLE_CONNECTIONS {
+                idle.push(connection);
             }
         }
         end
     }
 
-    /// What becomes of a try without an answer: if its last byte was never written, no gateway was reached.
-    fn unless_written(&self, place: usize, end: End) -> End {
-        if self.world.ledger().tries[place].written {
+    /// The end of a try without a response: `end` if the request was written in full, else [`End::Unreached`].
+    fn end_if_written(&self, try_index: usize, end: End) -> End {
+        if self.context.ledger().tries[try_index].written {
             end
         } else {
             End::Unreached
         }
     }
 
-    async fn talk(
-        &self, gateway: usize, place: usize, arrival: &Arrival, until: f64,
-    ) -> Option<(End, Option<Kept>)> {
-        let world = self.world;
-        let txn = world.ledger().tries[place].txn;
+    /// Sends a request and reads its response. Returns the end of the try and, if it can be reused, the connection.
+    async fn exchange(
+        &self, gateway: usize, try_index: usize, arrival: &Arrival, until: f64,
+    ) -> Option<(End, Option<IdleConnection>)> {
+        let context = self.context;
+        let txn = context.ledger().tries[try_index].txn;
         let mut reused = true;
         loop {
-            let process = world.process(gateway);
-            let old = if reused { self.reuse(gateway) } else { None };
-            reused = old.is_some();
-            let mut http = match old {
+            let generation = context.gateway_generation(gateway);
+            let idle = if reused { self.take_idle_connection(gateway) } else { None };
+            reused = idle.is_some();
+            let mut http = match idle {
                 Some(http) => http,
                 None => match self.connect(gateway).await {
                     Ok(http) => http,
                     Err(_) => return Some((End::Unreached, None)),
                 },
             };
-            let now = world.now();
+            let now = context.now();
             if now >= until {
-                // Its time went by while the link was down: it asks nobody any more, and nobody owes it an answer.
+                // The deadline passed while connecting: the request is not sent.
                 return Some((End::Unreached, None));
             }
-            let text = request(txn, arrival, until - now, world);
+            let text = format_request(txn, arrival, until - now, context);
             let written = http.write(text.as_bytes()).await;
             if written.is_ok() {
-                let (mut ledger, at) = (world.ledger(), world.now());
-                (ledger.tries[place].at, ledger.tries[place].written) = (at, true);
+                let (mut ledger, at) = (context.ledger(), context.now());
+                (ledger.tries[try_index].at, ledger.tries[try_index].written) = (at, true);
             }
-            let answered = match written {
-                Ok(()) => http.read(true).await,
+            let response = match written {
+                Ok(()) => http.read_message(true).await,
                 Err(e) => Err(e),
             };
-            let broke = match answered {
+            let error_kind = match response {
                 Ok(Some((head, body))) => {
                     let end = match head.status {
-                        200 if made_for(&body, txn) => End::Served,
+                        200 if is_response_for(&body, txn) => End::Served,
                         200 => End::Wrong,
                         429 | 503 => End::Refused(head.retry_after_ms),
                         status => End::Failed(status),
                     };
-                    if http.has_more() {
-                        world.ledger().tries[place].extra += 1;
+                    if http.has_buffered_bytes() {
+                        context.ledger().tries[try_index].extra += 1;
                     }
-                    let kept = (!head.close).then_some(Kept { http, last: place, process });
-                    return Some((end, kept));
+                    let idle =
+                        (!head.close).then_some(IdleConnection { http, last_try: try_index, generation });
+                    return Some((end, idle));
                 }
                 Ok(None) => io::ErrorKind::UnexpectedEof,
                 Err(e) => e.kind(),
             };
-            // A gateway may close a connection between requests; what crosses that close is sent once more, if
-            // nothing else can have ended it.
-            let crossed = reused
-                && process == world.process(gateway)
-                && world.link_sound(Node::Client, Node::Gateway(gateway))
-                && broke != io::ErrorKind::InvalidData;
-            if !crossed {
-                return Some((self.unless_written(place, End::Broken), None));
+            // A gateway may close an idle connection while a request is on its way. The request is then sent again
+            // on another connection, unless something else can have caused the error.
+            let closed_while_idle = reused
+                && generation == context.gateway_generation(gateway)
+                && context.is_link_healthy(Node::Client, Node::Gateway(gateway))
+                && error_kind != io::ErrorKind::InvalidData;
+            if !closed_while_idle {
+                return Some((self.end_if_written(try_index, End::Broken), None));
             }
-            world.ledger().tries[place].written = false;
+            context.ledger().tries[try_index].written = false;
         }
     }
 
-    /// A kept connection to this process that is still open. What lies on it unasked is an answer too many.
-    fn reuse(&self, gateway: usize) -> Option<Http> {
-        let world = self.world;
+    /// Takes an idle connection to the current process that is still open. Unread data on one counts as a surplus
+    /// response to its last try.
+    fn take_idle_connection(&self, gateway: usize) -> Option<HttpConnection> {
+        let context = self.context;
         loop {
-            let kept = world.kept(gateway).pop()?;
-            if kept.process != world.process(gateway) {
+            let idle = context.idle_connections(gateway).pop()?;
+            if idle.generation != context.gateway_generation(gateway) {
                 continue;
             }
-            match &kept.http.io {
-                Io::Plain(stream) => match stream.try_read(&mut [0]) {
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Some(kept.http),
-                    Ok(1..) => world.ledger().tries[kept.last].extra += 1,
+            match &idle.http.io {
+                Connection::Direct(stream) => match stream.try_read(&mut [0]) {
+                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Some(idle.http),
+                    Ok(1..) => context.ledger().tries[idle.last_try].extra += 1,
                     _ => {}
                 },
-                Io::Piped(..) => return Some(kept.http),
+                Connection::Proxied(..) => return Some(idle.http),
             }
         }
     }
 
-    async fn connect(&self, gateway: usize) -> io::Result<Http> {
-        let world = self.world;
-        let (own, other) = (Node::Client, Node::Gateway(gateway));
-        // Packets of a cut link get nowhere: the handshake waits until it is whole again.
-        while !world.links.comes_up(own, other, world.now()) {
-            world.sleep_until(world.now() + 0.02).await;
+    async fn connect(&self, gateway: usize) -> io::Result<HttpConnection> {
+        let context = self.context;
+        let (own, peer) = (Node::Client, Node::Gateway(gateway));
+        // A handshake does not complete while the link is cut.
+        while !context.links.comes_up(own, peer, context.now()) {
+            context.sleep_until(context.now() + 0.02).await;
         }
-        let now = world.now();
-        if world.links.on(own, other, now).refuse || world.links.on(other, own, now).refuse {
+        let now = context.now();
+        if context.links.on(own, peer, now).refuse || context.links.on(peer, own, now).refuse {
             return Err(io::ErrorKind::ConnectionRefused.into());
         }
-        let stream = TcpStream::connect(world.gateways[gateway].address()).await?;
-        Ok(Http::new(Io::new(world, stream, own, other)))
+        let stream = TcpStream::connect(context.gateways[gateway].address()).await?;
+        Ok(HttpConnection::new(Connection::new(context, stream, own, peer)))
     }
 }
 
-fn request(txn: u64, arrival: &Arrival, left_s: f64, world: &World) -> String {
-    let (class, plan) = (CLASSES[usize::from(arrival.class)], PLANS[usize::from(arrival.plan())]);
-    let (method, body) = if arrival.class == 0 { ("GET", "") } else { ("POST", BODY) };
+fn format_request(txn: u64, arrival: &Arrival, remaining_s: f64, context: &RunContext) -> String {
+    let (class, plan) = (CLASS_NAMES[usize::from(arrival.class)], PLAN_NAMES[usize::from(arrival.plan())]);
+    let (method, body) = if arrival.class == 0 { ("GET", "") } else { ("POST", POST_BODY) };
     let length =
         if arrival.class == 0 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-    let (spread, first) = (world.plan.traffic.spread, world.front().first(arrival.customer));
+    let (spread, first) = (context.plan.traffic.spread, context.router().first_gateway(arrival.customer));
     format!(
         "{method} /{class}?account={:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {txn:016x}\r\nX-Lane: {class}\r\n\
          X-Plan: {plan}\r\nX-Remaining-Ms: {}\r\nX-Quota: units={},spread={spread},first={first}\r\n{length}\r\n{body}",
         arrival.account(),
-        (left_s * 1000.0).max(1.0) as u64,
+        (remaining_s * 1000.0).max(1.0) as u64,
         arrival.guess,
     )
 }
--- a/lab/src/stage/counter.rs
+++ b/lab/src/stage/counter.rs
@@ -1,34 +1,35 @@
-//! The counter: the model behind a real socket.
+//! The simulated counter service: its model, served over HTTP.
 
 use crate::fault::{Fault, Node};
 use crate::model::counter::{Counter, Reply};
-use crate::stage::wire::{answer, Door, Http};
-use crate::stage::World;
+use crate::stage::wire::{format_response, HttpConnection, ServiceListener};
+use crate::stage::RunContext;
 use rand::Rng;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// Calls of one connection whose answers are out; more wait to be read.
-const PIPELINED: usize = 1024;
+/// Most pending calls of one connection; further ones are not read until a reply has been sent.
+const MAX_PIPELINED_CALLS: usize = 1024;
 
-/// The counter's place.
-pub struct Seat {
-    /// Where it listens.
-    pub door: Arc<Door>,
+/// The counter service.
+pub struct CounterService {
+    /// Its listener.
+    pub listener: Arc<ServiceListener>,
     model: Mutex<Counter>,
-    /// Rises when it is lost: its connections are reset.
-    lives: watch::Sender<u64>,
-    gone: Mutex<Option<Fault>>,
+    /// Number of restarts. A restart resets all connections.
+    restarts: watch::Sender<u64>,
+    /// The link fault of the current outage.
+    outage: Mutex<Option<Fault>>,
 }
 
-impl Seat {
-    /// Not yet open.
-    pub fn new(plan: &crate::plan::Plan) -> std::io::Result<Seat> {
-        Ok(Seat {
-            door: Arc::new(Door::new(Node::Counter)?),
+impl CounterService {
+    /// Creates the service with a closed listener.
+    pub fn new(plan: &crate::plan::Plan) -> std::io::Result<CounterService> {
+        Ok(CounterService {
+            listener: Arc::new(ServiceListener::new(Node::Counter)?),
             model: Mutex::new(Counter::new(&plan.counter)),
-            lives: watch::channel(0).0,
-            gone: Mutex::default(),
+            restarts: watch::channel(0).0,
+            outage: Mutex::default(),
         })
     }
 
@@ -37,66 +38,67 @@
         self.model.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// It is lost with its machine, or back and empty.
-    pub fn out(&self, world: &World, out: bool) {
-        let mut gone = self.gone.lock().unwrap_or_else(|e| e.into_inner());
-        let fault = if out {
-            let fault = world.links.cut_off(Node::Counter, world.plan.fleet.gateways, world.now());
-            *gone = Some(fault.clone());
+    /// Starts or ends an outage of its machine. It restarts without totals at the end.
+    pub fn set_outage(&self, context: &RunContext, is_out: bool) {
+        let mut outage = self.outage.lock().unwrap_or_else(|e| e.into_inner());
+        let fault = if is_out {
+            let fault = context.links.cut_off(Node::Counter, context.plan.fleet.gateways, context.now());
+            *outage = Some(fault.clone());
             fault
         } else {
-            let Some(fault) = gone.take() else { return };
+            let Some(fault) = outage.take() else { return };
             self.model().flush();
-            self.lives.send_modify(|life| *life += 1);
-            world.links.heal(&fault);
+            self.restarts.send_modify(|restarts| *restarts += 1);
+            context.links.heal(&fault);
             fault
         };
-        drop(gone);
-        world.refilter(&fault);
+        drop(outage);
+        context.update_filters(&fault);
     }
 
-    /// Opens its listener.
-    pub async fn run(self: &Arc<Self>, world: &Arc<World>) -> std::io::Result<()> {
-        let (seat, at) = (self.clone(), world.clone());
-        let meet = move |_, io| {
-            let (seat, world) = (seat.clone(), at.clone());
+    /// Opens the listener and serves its connections.
+    pub async fn run(self: &Arc<Self>, context: &Arc<RunContext>) -> std::io::Result<()> {
+        let (service, shared) = (self.clone(), context.clone());
+        let on_connection = move |_, io| {
+            let (service, context) = (service.clone(), shared.clone());
             tokio::spawn(async move {
-                let mut lives = seat.lives.subscribe();
-                let mut http = Http::new(io);
-                let reset = tokio::select! {
-                    () = seat.serve(&world, &mut http) => false,
-                    _ = lives.changed() => true,
+                let mut restarts = service.restarts.subscribe();
+                let mut http = HttpConnection::new(io);
+                let is_reset = tokio::select! {
+                    () = service.serve(&context, &mut http) => false,
+                    _ = restarts.changed() => true,
                 };
-                if reset {
+                if is_reset {
                     http.io.reset();
                 }
             });
         };
-        self.door.run(world, meet).await
+        self.listener.serve(context, on_connection).await
     }
 
-    async fn serve(&self, world: &Arc<World>, http: &mut Http) {
-        let mut out: std::collections::VecDeque<(f64, Vec<u8>)> = Default::default();
+    async fn serve(&self, context: &Arc<RunContext>, http: &mut HttpConnection) {
+        let mut replies: std::collections::VecDeque<(f64, Vec<u8>)> = Default::default();
         loop {
-            // Answers come in the order of the calls, each once its call has had its turn.
-            let due = out.front().map(|(at, _)| *at);
+            // Replies are sent in the order of the calls, each when the model says that it is due.
+            let due = replies.front().map(|(at, _)| *at);
             tokio::select! {
-                () = world.sleep_until(due.unwrap_or(f64::INFINITY)), if due.is_some() => {
-                    let Some((_, text)) = out.pop_front() else { continue };
+                () = context.sleep_until(due.unwrap_or(f64::INFINITY)), if due.is_some() => {
+                    let Some((_, text)) = replies.pop_front() else { continue };
                     if http.write(&text).await.is_err() {
                         return;
                     }
                 }
-                call = http.read(false), if out.len() < PIPELINED => {
+                call = http.read_message(false), if replies.len() < MAX_PIPELINED_CALLS => {
                     let Ok(Some((head, _))) = call else { return };
-                    out.push_back(self.call(world, &head.target));
+                    replies.push_back(self.handle_call(context, &head.target));
                 }
             }
         }
     }
 
-    fn call(&self, world: &World, target: &str) -> (f64, Vec<u8>) {
-        let now = world.now();
+    /// Handles a call. Returns when its reply is due, and the reply.
+    fn handle_call(&self, context: &RunContext, target: &str) -> (f64, Vec<u8>) {
+        let now = context.now();
         let parts = target.strip_prefix("/counters/").and_then(|rest| rest.split_once('?'));
         let number = |query: &str, key: &str| {
             let value = query.split('&').find_map(|part| part.strip_prefix(key)?.strip_prefix('='));
@@ -106,15 +108,17 @@
             Some((name, number(query, "by")?, number(query, "expire_ms")?))
                 .filter(|(name, ..)| (1..=64).contains(&name.len()))
         });
-        let Some((name, by, life_ms)) = call else { return (now, answer(400, "", "no such call\n")) };
-        let reply = self.model().call(now, name, by, life_ms / 1000.0, rand::rng().random());
-        let mut ledger = world.ledger();
+        let Some((name, amount, ttl_ms)) = call else {
+            return (now, format_response(400, "", "no such call\n"));
+        };
+        let reply = self.model().add(now, name, amount, ttl_ms / 1000.0, rand::rng().random());
+        let mut ledger = context.ledger();
         ledger.calls.0 += 1;
         match reply {
-            Reply::Total { at, total } => (at, answer(200, "", &format!("{total:.3}"))),
-            Reply::Full { at } => {
+            Reply::Total { at, total } => (at, format_response(200, "", &format!("{total:.3}"))),
+            Reply::Rejected { at } => {
                 ledger.calls.1 += 1;
-                (at, answer(503, "", "full\n"))
+                (at, format_response(503, "", "full\n"))
             }
         }
     }
--- a/lab/src/stage/datagrams.rs
+++ b/lab/src/stage/datagrams.rs
@@ -1,7 +1,8 @@
-//! Datagrams between gateways: each advertises a relay of the stage, which knows who sends by where it sends from.
+//! Datagrams between the members of a cluster. Each gateway advertises the address of a relay of the lab, which
+//! identifies the sender by its address and applies the link faults.
 
 use crate::fault::Node;
-use crate::stage::World;
+use crate::stage::RunContext;
 use rand::Rng;
 use std::io;
 use std::net::SocketAddr;
@@ -9,84 +10,85 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// One that comes out of order comes so much later than it would, in s.
-const DISORDER_S: f64 = 0.03;
-/// Datagrams under way through one relay, at most; more are lost, as on a real network.
-const UNDER_WAY: usize = 4096;
+/// Additional delay of a datagram that is reordered, in s.
+const REORDER_DELAY_S: f64 = 0.03;
+/// Most delayed datagrams in flight through one relay; further ones are dropped.
+const MAX_DATAGRAMS_IN_FLIGHT: usize = 4096;
 
-/// The relays of a cluster.
-pub struct Relays {
+/// The relays of a cluster, one for each gateway.
+pub struct DatagramRelays {
     sockets: Vec<Arc<UdpSocket>>,
-    /// What each gateway advertises.
-    pub at: Vec<SocketAddr>,
-    /// Where each gateway's own socket is, once it has told.
-    places: Mutex<Vec<Option<SocketAddr>>>,
+    /// The address that each gateway advertises.
+    pub advertised: Vec<SocketAddr>,
+    /// The address of each gateway's own socket, once it is known.
+    members: Mutex<Vec<Option<SocketAddr>>>,
 }
 
-impl Relays {
-    /// One for each gateway.
-    pub async fn new(gateways: usize) -> io::Result<Relays> {
-        let (mut sockets, mut at) = (Vec::new(), Vec::new());
+impl DatagramRelays {
+    /// Binds a socket for each gateway.
+    pub async fn new(gateways: usize) -> io::Result<DatagramRelays> {
+        let (mut sockets, mut advertised) = (Vec::new(), Vec::new());
         for _ in 0..gateways {
             let socket = UdpSocket::bind("127.0.0.1:0").await?;
-            at.push(socket.local_addr()?);
+            advertised.push(socket.local_addr()?);
             sockets.push(Arc::new(socket));
         }
-        Ok(Relays { sockets, at, places: Mutex::new(vec![None; gateways]) })
+        Ok(DatagramRelays { sockets, advertised, members: Mutex::new(vec![None; gateways]) })
     }
 
-    /// A gateway's socket is there now.
-    pub fn is_at(&self, gateway: usize, at: SocketAddr) {
-        self.places.lock().unwrap_or_else(|e| e.into_inner())[gateway] = Some(at);
+    /// Sets the address of a gateway's own socket.
+    pub fn set_member_address(&self, gateway: usize, address: SocketAddr) {
+        self.members.lock().unwrap_or_else(|e| e.into_inner())[gateway] = Some(address);
     }
 
-    /// Relays until the run ends.
-    pub fn run(self: &Arc<Self>, world: &Arc<World>) {
+    /// Starts the relays, which run until the end of the run.
+    pub fn start(self: &Arc<Self>, context: &Arc<RunContext>) {
         for to in 0..self.sockets.len() {
-            let (relays, world) = (self.clone(), world.clone());
-            tokio::spawn(async move { relays.relay(&world, to).await });
+            let (relays, context) = (self.clone(), context.clone());
+            tokio::spawn(async move { relays.relay(&context, to).await });
         }
     }
 
-    async fn relay(&self, world: &Arc<World>, to: usize) {
-        let (mut buf, under_way) = (vec![0; 65_536], Arc::new(tokio::sync::Semaphore::new(UNDER_WAY)));
+    async fn relay(&self, context: &Arc<RunContext>, to: usize) {
+        let (mut buf, in_flight) =
+            (vec![0; 65_536], Arc::new(tokio::sync::Semaphore::new(MAX_DATAGRAMS_IN_FLIGHT)));
         loop {
-            // An error tells of an earlier datagram that found nobody.
+            // An error reports that an earlier datagram could not be delivered.
             let Ok((length, from)) = self.sockets[to].recv_from(&mut buf).await else { continue };
-            let (from, place) = {
-                let places = self.places.lock().unwrap_or_else(|e| e.into_inner());
-                (places.iter().position(|place| *place == Some(from)), places[to])
+            let (from, target) = {
+                let members = self.members.lock().unwrap_or_else(|e| e.into_inner());
+                (members.iter().position(|member| *member == Some(from)), members[to])
             };
-            let Some(place) = place else { continue };
-            // One that the stage does not know yet has no faults.
+            let Some(target) = target else { continue };
+            // No fault applies to a sender whose address is not known yet.
             let Some(from) = from else {
-                let _ = self.sockets[to].try_send_to(&buf[..length], place);
+                let _ = self.sockets[to].try_send_to(&buf[..length], target);
                 continue;
             };
-            let effect = world.links.on(Node::Gateway(from), Node::Gateway(to), world.now());
+            let effect = context.links.on(Node::Gateway(from), Node::Gateway(to), context.now());
             if effect.none() {
-                let _ = self.sockets[to].try_send_to(&buf[..length], place);
+                let _ = self.sockets[to].try_send_to(&buf[..length], target);
                 continue;
             }
-            let (lost, copies, delay) = {
+            let (is_lost, copies, delay_s) = {
                 let mut rng = rand::rng();
-                let late = if rng.random_bool(effect.disorder) { DISORDER_S } else { 0.0 };
+                let reorder_s = if rng.random_bool(effect.disorder) { REORDER_DELAY_S } else { 0.0 };
                 (
                     effect.cut || rng.random_bool(effect.loss),
                     1 + usize::from(rng.random_bool(effect.twice)),
-                    effect.delay_s + effect.spread_s * rng.random::<f64>() + late,
+                    effect.delay_s + effect.spread_s * rng.random::<f64>() + reorder_s,
                 )
             };
-            if lost {
+            if is_lost {
                 continue;
             }
             for _ in 0..copies {
-                let Ok(permit) = under_way.clone().try_acquire_owned() else { continue };
+                let Ok(permit) = in_flight.clone().try_acquire_owned() else { continue };
                 let (socket, datagram) = (self.sockets[to].clone(), buf[..length].to_vec());
                 tokio::spawn(async move {
-                    let _held = permit;
-                    tokio::time::sleep(Duration::from_secs_f64(delay)).await;
-                    let _ = socket.send_to(&datagram, place).await;
+                    let _permit = permit;
+                    tokio::time::sleep(Duration::from_secs_f64(delay_s)).await;
+                    let _ = socket.send_to(&datagram, target).await;
                 });
             }
         }
--- a/lab/src/stage/gateways.rs
+++ b/lab/src/stage/gateways.rs
@@ -1,12 +1,12 @@
-//! Gateways: real processes, started, killed, paused, let go, upgraded and restarted.
+//! Gateway processes: start, kill, pause, resume, reload, upgrade and restart.
 
 use crate::ledger::Life;
-use crate::model::front::{CLASSES, PLANS, UNITS_MOST};
+use crate::model::front::{CLASS_NAMES, MAX_UNITS, PLAN_NAMES};
 use crate::plan::{AIM_MS, DEADLINES_MS};
-use crate::stage::discovery::{object, zone_name};
-use crate::stage::machine::{used, Used};
-use crate::stage::wire::{Http, Io, Reserved};
-use crate::stage::World;
+use crate::stage::discovery::{registry_json, zone_name};
+use crate::stage::machine::{used, ProcessUsage};
+use crate::stage::wire::{Connection, HttpConnection, ReservedPort};
+use crate::stage::RunContext;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
 use serde_json::{json, Value};
 use std::fs::File;
@@ -23,33 +23,34 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How often it is asked.
-const ASK: Duration = Duration::from_millis(20);
-/// One that was told to end and has not by then is killed: the longest deadline, 3 s at least, and 0.7 s.
-const END: Duration = Duration::from_millis(3_700);
-/// Lines of a log that are told when a process did not start.
-const TOLD: usize = 5;
-/// The front notices that a gateway drains within this, in s.
-const FRONT_S: f64 = 0.3;
-/// Gateways yield to the stage where the machine is short of processors: its clock and its servers are to be on time.
-const NICE: &str = "5";
-/// Memory of a gateway, in MB.
-const MEMORY_MB: u64 = 192;
-
-/// Processes that were started and have not been waited for. Whatever ends a run, they end with it.
+/// How often the state of a process that starts is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time that a process has to exit after SIGTERM before it is killed: a gateway drains for the longest deadline, at
+/// least 3 s, and 0.7 s.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// Log lines that are included in the error if a process does not start.
+const LOG_TAIL_LINES: usize = 5;
+/// Time until the edge router stops routing to a gateway that drains, in s.
+const DRAIN_NOTICE_S: f64 = 0.3;
+/// Niceness of gateway processes. On a busy machine they yield to the lab, whose timers must be on time.
+const NICENESS: &str = "5";
+/// Memory limit of a gateway, in MB.
+const MEMORY_LIMIT_MB: u64 = 192;
+
+/// The child processes that have not been waited for. Dropping it kills them.
 #[derive(Default)]
-pub struct Nursery(Mutex<Vec<Pid>>);
+pub struct ChildProcesses(Mutex<Vec<Pid>>);
 
-impl Nursery {
+impl ChildProcesses {
     fn pids(&self) -> MutexGuard<'_, Vec<Pid>> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
-impl Drop for Nursery {
+impl Drop for ChildProcesses {
     fn drop(&mut self) {
         for pid in self.pids().drain(..) {
-            // Only what is still a child of this process bears that number for certain.
+            // Once it has been waited for, the id may belong to another process.
             if let Ok(None) = waitpid(Some(pid), WaitOptions::NOHANG) {
                 let _ = kill_process(pid, Signal::KILL);
                 let _ = waitpid(Some(pid), WaitOptions::empty());
@@ -62,108 +63,114 @@
 #[derive(Clone)]
 struct Process {
     pid: Pid,
-    /// It was told to end: its end is none of its own.
-    told: Arc<std::sync::atomic::AtomicBool>,
-    ended: watch::Receiver<bool>,
+    /// Whether the lab has ended it, so that its exit is no crash.
+    exit_expected: Arc<std::sync::atomic::AtomicBool>,
+    exited: watch::Receiver<bool>,
     operator: SocketAddr,
 }
 
-/// One gateway's place.
-pub struct Seat {
-    place: usize,
-    folder: PathBuf,
-    listen: Reserved,
-    operators: [Reserved; 2],
-    /// The clients' listener that its processes inherit, where the plan upgrades it.
+/// One gateway, with the processes that run it one after another.
+pub struct Gateway {
+    index: usize,
+    directory: PathBuf,
+    client_port: ReservedPort,
+    /// Operator ports, used alternately, as two processes run side by side during an upgrade.
+    operator_ports: [ReservedPort; 2],
+    /// The client listener that its processes inherit; only if the plan upgrades it.
     inherited: Option<std::net::TcpListener>,
-    /// Number of its process: it rises when another one takes over.
-    number: AtomicU64,
-    /// The process that is meant to serve.
+    /// Increases when another process takes over and when the process is killed.
+    generation: AtomicU64,
+    /// The process that serves.
     process: Mutex<Option<Process>>,
+    /// Number of processes started.
     starts: AtomicU64,
-    /// What processes that have ended had used.
-    past: Mutex<Used>,
+    /// Usage by processes that have exited.
+    past_usage: Mutex<ProcessUsage>,
 }
 
-fn signal(process: &Process, signal: Signal) {
-    // One that has just ended can't be told anything.
+fn send_signal(process: &Process, signal: Signal) {
+    // Fails if the process has just exited.
     let _ = kill_process(process.pid, signal);
 }
 
-impl Seat {
-    /// A gateway's place with its addresses and its folder; `upgraded`: its processes inherit the clients' listener.
-    pub fn new(place: usize, folder: &Path, upgraded: bool) -> io::Result<Seat> {
-        let folder = folder.join(format!("n{place}"));
-        std::fs::create_dir_all(folder.join("tmp"))?;
-        let listen = Reserved::new(Ipv4Addr::LOCALHOST)?;
-        Ok(Seat {
-            place,
-            inherited: if upgraded { Some(listen.listen()?) } else { None },
-            listen,
-            operators: [Reserved::new(Ipv4Addr::LOCALHOST)?, Reserved::new(Ipv4Addr::LOCALHOST)?],
-            folder,
-            number: AtomicU64::new(0),
+impl Gateway {
+    /// Reserves the ports of a gateway and creates its directory. If it is upgraded during the run, its processes
+    /// inherit the client listener.
+    pub fn new(index: usize, directory: &Path, is_upgraded: bool) -> io::Result<Gateway> {
+        let directory = directory.join(format!("n{index}"));
+        std::fs::create_dir_all(directory.join("tmp"))?;
+        let client_port = ReservedPort::new(Ipv4Addr::LOCALHOST)?;
+        Ok(Gateway {
+            index,
+            inherited: if is_upgraded { Some(client_port.listen()?) } else { None },
+            client_port,
+            operator_ports: [
+                ReservedPort::new(Ipv4Addr::LOCALHOST)?,
+                ReservedPort::new(Ipv4Addr::LOCALHOST)?,
+            ],
+            directory,
+            generation: AtomicU64::new(0),
             process: Mutex::default(),
             starts: AtomicU64::new(0),
-            past: Mutex::default(),
+            past_usage: Mutex::default(),
         })
     }
 
-    /// Where clients reach it.
+    /// The address for clients.
     pub fn address(&self) -> SocketAddr {
-        self.listen.at
+        self.client_port.address
     }
 
-    /// Number of its process.
-    pub fn number(&self) -> u64 {
-        self.number.load(Ordering::Relaxed)
+    /// The generation of its process: it changes when the process is replaced or killed.
+    pub fn generation(&self) -> u64 {
+        self.generation.load(Ordering::Relaxed)
     }
 
     fn process(&self) -> MutexGuard<'_, Option<Process>> {
         self.process.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// What its processes have used.
-    pub fn used(&self) -> Used {
-        let past = *self.past.lock().unwrap_or_else(|e| e.into_inner());
-        let now = self.process().as_ref().map(|process| used(process.pid.as_raw_nonzero().get()));
-        let now = now.unwrap_or_default();
-        Used { cpu_s: past.cpu_s + now.cpu_s, ..now }
+    /// The CPU time used by all its processes, and the memory and threads of the current one.
+    pub fn usage(&self) -> ProcessUsage {
+        let past = *self.past_usage.lock().unwrap_or_else(|e| e.into_inner());
+        let current = self.process().as_ref().map(|process| used(process.pid.as_raw_nonzero().get()));
+        let current = current.unwrap_or_default();
+        ProcessUsage { cpu_s: past.cpu_s + current.cpu_s, ..current }
     }
 
-    fn config(&self, world: &World, operator: SocketAddr) -> Value {
-        let (plan, place) = (&world.plan, self.place);
-        let (version, _) = world.discovery.has(world, place);
-        let whole = world.registry().whole(version);
-        let known = object(world, place, version, true, &whole);
+    fn config(&self, context: &RunContext, operator: SocketAddr) -> Value {
+        let (plan, index) = (&context.plan, self.index);
+        let (version, _) = context.discovery.agent_version(context, index);
+        let servers = context.registry().snapshot(version);
+        let known = registry_json(context, index, version, true, &servers);
         let known: Value = serde_json::from_str(&known).unwrap_or(Value::Null);
-        let class = |number: usize, effect: &str, value: f64, late: f64| {
-            json!({"name": CLASSES[number], "aim-ms": AIM_MS, "give-up-ms": DEADLINES_MS[number], "value": value,
+        let class = |class: usize, effect: &str, value: f64, late: f64| {
+            json!({"name": CLASS_NAMES[class], "aim-ms": AIM_MS, "give-up-ms": DEADLINES_MS[class], "value": value,
                 "late-worth": late, "effect": effect, "group": "all", "stream": false, "window-ms": 5000.0})
         };
-        let tier = |number: usize, pays: f64, extra: f64, excess: f64| {
-            let rate = plan.traffic.rate[number];
-            json!({"name": PLANS[number], "refill": rate, "store-size": rate * plan.traffic.burst_s[number],
+        let tier = |tier: usize, pays: f64, extra: f64, excess: f64| {
+            let rate = plan.traffic.rate[tier];
+            json!({"name": PLAN_NAMES[tier], "refill": rate, "store-size": rate * plan.traffic.burst_s[tier],
                 "max-out": 0, "pays": pays, "extra-worth": extra, "excess-cost": excess, "cap-rate": 0.0,
                 "cap-depth": 0.0, "ceiling-slack": 0.0})
         };
         let mut config = json!({
-            "name": format!("n{place}"),
-            "listen": self.listen.at,
+            "name": format!("n{index}"),
+            "listen": self.client_port.address,
             "operator": operator,
-            "discovery": world.discovery.door.seen_by(place),
-            "counter": world.counter.door.seen_by(place),
-            "seed": format!("{:016x}", world.chance(0xC0FF_EE00 + (place as u64) * 1_000 + self.starts.load(Ordering::Relaxed))),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": plan.fleet.descriptors},
+            "discovery": context.discovery.listener.address_for(index),
+            "counter": context.counter.listener.address_for(index),
+            "seed": format!("{:016x}", context.seeded_u64(0xC0FF_EE00 + (index as u64) * 1_000 + self.starts.load(Ordering::Relaxed))),
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_LIMIT_MB, "sockets": plan.fleet.descriptors},
             "known": known,
             "settings": {
-                "balancers": plan.fleet.gateways, "position": place, "locality": plan.zone(place),
+                "balancers": plan.fleet.gateways, "position": index, "locality": plan.zone(index),
                 "zones": (0..plan.fleet.zones).map(zone_name).collect::<Vec<_>>(), "kinds": ["std-2c"],
                 "granularity-ms": 4.0, "membership-mode": "push",
                 "categories": [class(0, "read_like", 3.0, 0.2), class(1, "non_idempotent", 9.0, 0.0)],
                 "tiers-of-service": [tier(0, 1.3, 0.3, 0.0), tier(1, 1.6, 0.0, 0.6)],
                 "domain": {"may-count": true, "counter-timeout-ms": 50.0, "count-fee": 0.02,
-                    "units-top": UNITS_MOST, "trued-up": true, "peer-intake": 0.0},
+                    "units-top": MAX_UNITS, "trued-up": true, "peer-intake": 0.0},
                 "limits": {"try-limit": 4, "may-duplicate": true, "cancel": true, "probing": true, "peers": false,
                     "retry-after": true, "max-retry-after-ms": 1000.0, "connect-timeout-ms": 250.0,
                     "idle-close-ms": 15000.0},
@@ -174,42 +181,43 @@
                     "ask-within-ms": 10000.0}
             }
         });
-        if let Some(relays) = &world.relays {
-            config["cluster"] = json!({"name": "granite-lab", "listen": "127.0.0.1:0", "advertise": relays.at[place],
-                "seeds": relays.at.iter().take(3).collect::<Vec<_>>(), "period_ms": 200,
+        if let Some(relays) = &context.relays {
+            config["cluster"] = json!({"name": "granite-lab", "listen": "127.0.0.1:0",
+                "advertise": relays.advertised[index],
+                "seeds": relays.advertised.iter().take(3).collect::<Vec<_>>(), "period_ms": 200,
                 "expected": plan.fleet.gateways});
         }
         config
     }
 
-    fn path(&self) -> PathBuf {
-        self.folder.join("config.json")
+    fn config_path(&self) -> PathBuf {
+        self.directory.join("config.json")
     }
 
     fn log_path(&self, start: u64) -> PathBuf {
-        self.folder.join(format!("log-{start}"))
+        self.directory.join(format!("log-{start}"))
     }
 
     fn launch(&self, program: &Path, start: u64, config: &str) -> io::Result<Child> {
-        std::fs::write(self.path(), config)?;
+        std::fs::write(self.config_path(), config)?;
         let log = File::create(self.log_path(start))?;
         let mut command = match &self.inherited {
             None => {
                 let mut command = Command::new("nice");
-                command.args(["-n", NICE]).arg(program).stdin(Stdio::null());
+                command.args(["-n", NICENESS]).arg(program).stdin(Stdio::null());
                 command
             }
             Some(listener) => {
                 let mut command = Command::new("/bin/sh");
-                let run = "exec nice -n \"$1\" \"$0\" 3<&0 </dev/null";
-                command.args(["-c", run]).arg(program).arg(NICE).env("RELAY_LISTEN_FD", "3");
+                let script = "exec nice -n \"$1\" \"$0\" 3<&0 </dev/null";
+                command.args(["-c", script]).arg(program).arg(NICENESS).env("RELAY_LISTEN_FD", "3");
                 command.stdin(OwnedFd::from(listener.try_clone()?));
                 command
             }
         };
         command
-            .env("RELAY_CONFIG", self.path())
-            .env("TMPDIR", self.folder.join("tmp"))
+            .env("RELAY_CONFIG", self.config_path())
+            .env("TMPDIR", self.directory.join("tmp"))
             .env_remove("RELAY_OPERATOR")
             .stdout(Stdio::null())
             .stderr(log)
@@ -217,79 +225,86 @@
             .spawn()
     }
 
-    /// Starts a process beside what is there and waits until it is ready.
-    async fn spawn(self: &Arc<Self>, world: &Arc<World>) -> Result<Process, String> {
+    /// Starts a process next to the current one, if any, and waits until it is ready.
+    async fn spawn(self: &Arc<Self>, context: &Arc<RunContext>) -> Result<Process, String> {
         let start = self.starts.fetch_add(1, Ordering::Relaxed);
-        let operator = self.operators[(start % 2) as usize].at;
-        let said = |what: &str, e: io::Error| format!("gateway {}: {what}: {e}", self.place);
-        let config = self.config(world, operator).to_string();
-        // Many that start at once would hold up the stage: they start in threads of their own, some at a time.
-        let place = world.starting.clone().acquire_owned().await;
-        let seat = self.clone();
-        let program = world.options.program.clone();
-        let begun = tokio::task::spawn_blocking(move || seat.launch(&program, start, &config));
-        let child = begun.await.map_err(|e| e.to_string())?.map_err(|e| said("it did not start", e))?;
-        drop(place);
+        let operator = self.operator_ports[(start % 2) as usize].address;
+        let config = self.config(context, operator).to_string();
+        // Processes are started on blocking threads, and only some at a time, to keep the lab's own timers on time.
+        let permit = context.start_permits.clone().acquire_owned().await;
+        let gateway = self.clone();
+        let program = context.options.program.clone();
+        let launched = tokio::task::spawn_blocking(move || gateway.launch(&program, start, &config));
+        let child = launched
+            .await
+            .map_err(|e| e.to_string())?
+            .map_err(|e| format!("gateway {}: cannot start the process: {e}", self.index))?;
+        drop(permit);
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        let pid = pid.ok_or_else(|| format!("gateway {}: it ended at once", self.place))?;
-        world.nursery.pids().push(pid);
-        let (over, ended) = watch::channel(false);
-        let process = Process { pid, told: Arc::default(), ended, operator };
-        tokio::spawn(self.clone().attend(world.clone(), child, process.clone(), over));
-        let begun = Instant::now();
-        while !ready(operator).await {
-            let (most, ended) = (world.options.ready, *process.ended.borrow());
-            if ended || begun.elapsed() > most {
-                process.told.store(true, Ordering::Relaxed);
-                signal(&process, Signal::KILL);
-                let why = if ended {
+        let pid = pid.ok_or_else(|| format!("gateway {}: the process exited immediately", self.index))?;
+        context.children.pids().push(pid);
+        let (exited_sender, exited) = watch::channel(false);
+        let process = Process { pid, exit_expected: Arc::default(), exited, operator };
+        tokio::spawn(self.clone().supervise(context.clone(), child, process.clone(), exited_sender));
+        let start_time = Instant::now();
+        while !is_ready(operator).await {
+            let (ready_timeout, exited) = (context.options.ready, *process.exited.borrow());
+            if exited || start_time.elapsed() > ready_timeout {
+                process.exit_expected.store(true, Ordering::Relaxed);
+                send_signal(&process, Signal::KILL);
+                let why = if exited {
                     "ended at its start".to_owned()
                 } else {
-                    format!("is not ready after {} s", most.as_secs_f64())
+                    format!("is not ready after {} s", ready_timeout.as_secs_f64())
                 };
-                return Err(format!("gateway {} {why}; its log ends:\n{}", self.place, self.log_end(start)));
+                return Err(format!(
+                    "gateway {} {why}; end of its log:\n{}",
+                    self.index,
+                    self.log_tail(start)
+                ));
             }
-            sleep(ASK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.learn_place(world, start).await;
+        self.read_member_address(context, start).await;
         Ok(process)
     }
 
-    fn log_end(&self, start: u64) -> String {
+    fn log_tail(&self, start: u64) -> String {
         let text = std::fs::read_to_string(self.log_path(start)).unwrap_or_default();
         let lines: Vec<_> = text.lines().collect();
-        lines[lines.len().saturating_sub(TOLD)..].join("\n")
+        lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n")
     }
 
-    /// Its log tells where its socket for members is.
-    async fn learn_place(&self, world: &World, start: u64) {
-        let Some(relays) = &world.relays else { return };
-        let begun = Instant::now();
-        while begun.elapsed() < world.options.ready {
+    /// Reads the address of its member socket from its log and passes it to the datagram relays.
+    async fn read_member_address(&self, context: &RunContext, start: u64) {
+        let Some(relays) = &context.relays else { return };
+        let begin = Instant::now();
+        while begin.elapsed() < context.options.ready {
             let text = std::fs::read_to_string(self.log_path(start)).unwrap_or_default();
-            let told =
+            let addresses =
                 text.lines().rev().find_map(|line| line.split_once(", reached at ")?.1.split_once(", on "));
-            if let Some(at) = told.and_then(|(_, at)| at.trim().parse().ok()) {
-                return relays.is_at(self.place, at);
+            if let Some(address) = addresses.and_then(|(_, address)| address.trim().parse().ok()) {
+                return relays.set_member_address(self.index, address);
             }
-            // During an upgrade the new process is no member before the old one has let go.
+            // During an upgrade the new process joins the cluster only after the old one has left it.
             if self.inherited.is_some() && start > 0 {
                 return;
             }
-            sleep(ASK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits for a process to end.
-    async fn attend(
-        self: Arc<Self>, world: Arc<World>, mut child: Child, process: Process, over: watch::Sender<bool>,
+    /// Waits for a process to exit, and records its usage and whether it crashed.
+    async fn supervise(
+        self: Arc<Self>, context: Arc<RunContext>, mut child: Child, process: Process,
+        exited: watch::Sender<bool>,
     ) {
-        // What it had used is known until it is waited for.
-        let watched = async {
-            let mut last = Used::default();
+        // The usage of a process can't be read after it has been waited for.
+        let sample_until_exit = async {
+            let mut last = ProcessUsage::default();
             loop {
                 last = Some(used(process.pid.as_raw_nonzero().get()))
-                    .filter(|now| now.cpu_s >= last.cpu_s)
+                    .filter(|usage| usage.cpu_s >= last.cpu_s)
                     .unwrap_or(last);
                 tokio::select! {
                     _ = child.wait() => return last,
@@ -297,126 +312,128 @@
                 }
             }
         };
-        let last = watched.await;
-        world.nursery.pids().retain(|pid| *pid != process.pid);
-        self.past.lock().unwrap_or_else(|e| e.into_inner()).cpu_s += last.cpu_s;
-        if !process.told.load(Ordering::Relaxed) {
-            world.lives(self.place, Life::Crashed);
-            world.front_sees(self.place, false, world.plan.traffic.notice_s);
+        let last = sample_until_exit.await;
+        context.children.pids().retain(|pid| *pid != process.pid);
+        self.past_usage.lock().unwrap_or_else(|e| e.into_inner()).cpu_s += last.cpu_s;
+        if !process.exit_expected.load(Ordering::Relaxed) {
+            context.record_gateway_event(self.index, Life::Crashed);
+            context.notify_router(self.index, false, context.plan.traffic.notice_s);
         }
-        let _ = over.send(true);
-        let mut serving = self.process();
-        if serving.as_ref().is_some_and(|serving| serving.pid == process.pid) {
-            *serving = None;
+        let _ = exited.send(true);
+        let mut current = self.process();
+        if current.as_ref().is_some_and(|current| current.pid == process.pid) {
+            *current = None;
         }
     }
 
-    /// Starts it; it serves from then on.
-    pub async fn start(self: &Arc<Self>, world: &Arc<World>) -> Result<(), String> {
-        let process = self.spawn(world).await?;
+    /// Starts a process that serves from then on. Returns once it is ready.
+    pub async fn start(self: &Arc<Self>, context: &Arc<RunContext>) -> Result<(), String> {
+        let process = self.spawn(context).await?;
         *self.process() = Some(process);
-        self.number.fetch_add(1, Ordering::Relaxed);
-        world.lives(self.place, Life::Ready);
-        world.front_sees(self.place, true, 0.0);
+        self.generation.fetch_add(1, Ordering::Relaxed);
+        context.record_gateway_event(self.index, Life::Ready);
+        context.notify_router(self.index, true, 0.0);
         Ok(())
     }
 
-    async fn over(&self, process: &Process, within: Duration) -> bool {
-        let mut ended = process.ended.clone();
-        let waited = timeout(within, ended.wait_for(|ended| *ended)).await;
-        waited.is_ok_and(|ended| ended.is_ok())
+    /// Waits for a process to exit. Returns false if it has not exited in time.
+    async fn wait_for_exit(&self, process: &Process, within: Duration) -> bool {
+        let mut exited = process.exited.clone();
+        let waited = timeout(within, exited.wait_for(|exited| *exited)).await;
+        waited.is_ok_and(|exited| exited.is_ok())
     }
 
-    /// SIGKILL; returns once it is gone.
-    pub async fn kill(&self, world: &World) {
+    /// Sends SIGKILL and waits for the exit.
+    pub async fn kill(&self, context: &RunContext) {
         let Some(process) = self.process().take() else { return };
-        process.told.store(true, Ordering::Relaxed);
-        self.number.fetch_add(1, Ordering::Relaxed);
-        world.lives(self.place, Life::Killed);
-        signal(&process, Signal::KILL);
-        world.front_sees(self.place, false, world.plan.traffic.notice_s);
-        self.over(&process, END).await;
+        process.exit_expected.store(true, Ordering::Relaxed);
+        self.generation.fetch_add(1, Ordering::Relaxed);
+        context.record_gateway_event(self.index, Life::Killed);
+        send_signal(&process, Signal::KILL);
+        context.notify_router(self.index, false, context.plan.traffic.notice_s);
+        self.wait_for_exit(&process, EXIT_TIMEOUT).await;
     }
 
-    /// The run is over: its end is noted nowhere.
-    pub async fn kill_at_end(&self) {
+    /// Kills the process after the run, without a record in the ledger.
+    pub async fn kill_unrecorded(&self) {
         let process = self.process().take();
         if let Some(process) = process {
-            process.told.store(true, Ordering::Relaxed);
-            signal(&process, Signal::KILL);
-            self.over(&process, END).await;
+            process.exit_expected.store(true, Ordering::Relaxed);
+            send_signal(&process, Signal::KILL);
+            self.wait_for_exit(&process, EXIT_TIMEOUT).await;
         }
     }
 
-    /// SIGSTOP or SIGCONT.
-    pub fn pause(&self, world: &World, stands: bool) {
+    /// Pauses the process by SIGSTOP or resumes it by SIGCONT.
+    pub fn set_paused(&self, context: &RunContext, paused: bool) {
         let Some(process) = self.process().clone() else { return };
-        world.lives(self.place, if stands { Life::Paused } else { Life::Resumed });
-        signal(&process, if stands { Signal::STOP } else { Signal::CONT });
-        world.front_sees(self.place, !stands, world.plan.traffic.notice_s);
+        context.record_gateway_event(self.index, if paused { Life::Paused } else { Life::Resumed });
+        send_signal(&process, if paused { Signal::STOP } else { Signal::CONT });
+        context.notify_router(self.index, !paused, context.plan.traffic.notice_s);
     }
 
-    /// SIGHUP.
-    pub fn reload(&self, world: &World) -> Result<(), String> {
+    /// Writes the configuration again and sends SIGHUP.
+    pub fn reload(&self, context: &RunContext) -> Result<(), String> {
         let Some(process) = self.process().clone() else { return Ok(()) };
-        let text = self.config(world, process.operator).to_string();
-        std::fs::write(self.path(), text).map_err(|e| format!("gateway {}: {e}", self.place))?;
-        signal(&process, Signal::HUP);
+        let text = self.config(context, process.operator).to_string();
+        std::fs::write(self.config_path(), text)
+            .map_err(|e| format!("gateway {}: cannot write its configuration: {e}", self.index))?;
+        send_signal(&process, Signal::HUP);
         Ok(())
     }
 
-    /// SIGTERM, and its end; one that hangs is killed.
-    async fn end(&self, world: &World, process: &Process) {
-        process.told.store(true, Ordering::Relaxed);
-        world.lives(self.place, Life::Terminated);
-        signal(process, Signal::TERM);
-        if !self.over(process, END).await {
-            world.lives(self.place, Life::Killed);
-            signal(process, Signal::KILL);
-            self.over(process, END).await;
+    /// Sends SIGTERM and waits for the exit. A process that does not exit in time is killed.
+    async fn terminate(&self, context: &RunContext, process: &Process) {
+        process.exit_expected.store(true, Ordering::Relaxed);
+        context.record_gateway_event(self.index, Life::Terminated);
+        send_signal(process, Signal::TERM);
+        if !self.wait_for_exit(process, EXIT_TIMEOUT).await {
+            context.record_gateway_event(self.index, Life::Killed);
+            send_signal(process, Signal::KILL);
+            self.wait_for_exit(process, EXIT_TIMEOUT).await;
         } else if self.inherited.is_none() {
-            world.lives(self.place, Life::Ended);
+            context.record_gateway_event(self.index, Life::Ended);
         }
     }
 
-    /// SIGTERM, and a new start once it has ended.
-    pub async fn restart(self: &Arc<Self>, world: &Arc<World>) -> Result<(), String> {
+    /// Terminates the process and starts a new one after its exit.
+    pub async fn restart(self: &Arc<Self>, context: &Arc<RunContext>) -> Result<(), String> {
         let process = self.process().clone();
         if let Some(process) = process {
-            world.front_sees(self.place, false, FRONT_S);
-            self.end(world, &process).await;
+            context.notify_router(self.index, false, DRAIN_NOTICE_S);
+            self.terminate(context, &process).await;
         }
-        self.start(world).await
+        self.start(context).await
     }
 
-    /// A second process beside it; once it is ready SIGTERM to the first one.
-    pub async fn upgrade(self: &Arc<Self>, world: &Arc<World>) -> Result<(), String> {
+    /// Starts a second process and, once it is ready, terminates the first one.
+    pub async fn upgrade(self: &Arc<Self>, context: &Arc<RunContext>) -> Result<(), String> {
         let old = self.process().clone();
-        let new = self.spawn(world).await?;
+        let new = self.spawn(context).await?;
         *self.process() = Some(new);
-        self.number.fetch_add(1, Ordering::Relaxed);
+        self.generation.fetch_add(1, Ordering::Relaxed);
         if let Some(old) = old {
-            self.end(world, &old).await;
-            world.lives(self.place, Life::Ready);
-            self.learn_place(world, self.starts.load(Ordering::Relaxed) - 1).await;
+            self.terminate(context, &old).await;
+            context.record_gateway_event(self.index, Life::Ready);
+            self.read_member_address(context, self.starts.load(Ordering::Relaxed) - 1).await;
         }
         Ok(())
     }
 }
 
-/// Whether the process that answers operators there can serve.
-async fn ready(operator: SocketAddr) -> bool {
-    ask(operator, "GET /admin/health").await.is_ok_and(|(status, _)| status == 200)
+/// Whether the gateway with this operator address is ready to serve.
+async fn is_ready(operator: SocketAddr) -> bool {
+    call_operator(operator, "GET /admin/health").await.is_ok_and(|(status, _)| status == 200)
 }
 
-/// One call of an operator.
-pub async fn ask(operator: SocketAddr, line: &str) -> io::Result<(u16, Vec<u8>)> {
+/// Calls the operator interface of a gateway. Returns the status and the body of the response.
+pub async fn call_operator(operator: SocketAddr, line: &str) -> io::Result<(u16, Vec<u8>)> {
     let call = async {
         let stream = TcpStream::connect(operator).await?;
-        let mut http = Http::new(Io::Plain(stream));
+        let mut http = HttpConnection::new(Connection::Direct(stream));
         http.write(format!("{line} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await?;
-        let answer = http.read(true).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-        Ok((answer.0.status, answer.1))
+        let (head, body) = http.read_message(true).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+        Ok((head.status, body))
     };
     timeout(Duration::from_secs(1), call).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/lab/src/stage/machine.rs
+++ b/lab/src/stage/machine.rs
@@ -1,4 +1,5 @@
-//! The machine that a stage runs on: whether it bears the plan, and how late the stage itself was.
+//! Resources of the machine that the lab runs on: descriptor limits, use by processes, and how late the lab's own
+//! timers were.
 
 use crate::plan::Plan;
 use hdrhistogram::Histogram;
@@ -7,124 +8,129 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Past this lateness of the stage itself, 99th percentile in ms, a run tells more of the machine than of gateways.
-pub const LATE_MOST_MS: f64 = 20.0;
-/// Descriptors for each gateway: two addresses kept, its log, its agent's connection, a relay, its counter lanes ...
-const EACH_GATEWAY: usize = 12;
-/// ... connections to servers for each (it keeps to some of them), and the clients' for each request under way.
-const EACH_SERVERS: usize = 24;
-/// Time that a request is under way, in s, with room.
-const UNDER_WAY_S: f64 = 0.5;
-/// The rest of the stage.
-const REST: usize = 128;
-
-/// Descriptors that a plan needs in the stage's process.
-pub fn descriptors(plan: &Plan) -> usize {
+/// A run is invalid if the 99th percentile of the lab's own lateness is above this, in ms: its results would reflect
+/// the machine and not the gateways.
+pub const MAX_P99_LATENESS_MS: f64 = 20.0;
+/// Descriptors for each gateway: reserved ports, log, discovery connection, datagram relay and counter connections.
+const DESCRIPTORS_PER_GATEWAY: usize = 12;
+/// Most connections to servers for each gateway, which uses a subset of the servers.
+const MAX_SERVER_CONNECTIONS_PER_GATEWAY: usize = 24;
+/// Upper estimate of the mean duration of a request, in s. Each request in flight holds a client connection.
+const REQUEST_DURATION_S: f64 = 0.5;
+/// Descriptors for everything else.
+const BASE_DESCRIPTORS: usize = 128;
+
+/// The number of descriptors that the lab process needs for a plan.
+pub fn required_descriptors(plan: &Plan) -> usize {
     let fleet = &plan.fleet;
     let servers = fleet.servers + fleet.spare;
-    REST + 2 * servers
-        + fleet.gateways * (EACH_GATEWAY + EACH_SERVERS.min(2 * servers))
-        + (plan.traffic.per_s * UNDER_WAY_S).ceil() as usize
+    BASE_DESCRIPTORS
+        + 2 * servers
+        + fleet.gateways * (DESCRIPTORS_PER_GATEWAY + MAX_SERVER_CONNECTIONS_PER_GATEWAY.min(2 * servers))
+        + (plan.traffic.per_s * REQUEST_DURATION_S).ceil() as usize
 }
 
-/// Sees to it that this process may open so many, or says what is needed.
+/// Raises the soft limit of this process to this number of descriptors, if it is lower. Fails if the hard limit is
+/// lower.
 pub fn allow(descriptors: usize) -> Result<(), String> {
     let limit = getrlimit(Resource::Nofile);
-    let (now, most) = (limit.current.unwrap_or(u64::MAX), limit.maximum.unwrap_or(u64::MAX));
+    let (soft, hard) = (limit.current.unwrap_or(u64::MAX), limit.maximum.unwrap_or(u64::MAX));
     let needed = descriptors as u64;
-    if now >= needed {
+    if soft >= needed {
         return Ok(());
     }
-    if most < needed {
+    if hard < needed {
         return Err(format!(
-            "the stage needs {needed} descriptors and may open {most}: raise the hard limit (ulimit -Hn), or play \
+            "the lab needs {needed} descriptors and may open {hard}: raise the hard limit (ulimit -Hn), or use \
              fewer gateways or servers"
         ));
     }
     let raised = Rlimit { current: Some(needed), maximum: limit.maximum };
-    setrlimit(Resource::Nofile, raised).map_err(|e| format!("descriptors: {e}"))
+    setrlimit(Resource::Nofile, raised).map_err(|e| format!("cannot raise the limit on descriptors: {e}"))
 }
 
-/// How late something was, in ms.
+/// Summary of a lateness distribution, in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Late {
+pub struct LatenessSummary {
     /// Median.
     pub p50: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// Worst.
-    pub most: f64,
+    /// Maximum.
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
-/// Why a run is not valid in which these were so late.
-pub fn starved(what: &str, late: Late) -> Option<String> {
-    (late.p99 > LATE_MOST_MS).then(|| {
+/// Returns the reason why a run with this lateness of `what` is invalid; none if it is valid.
+pub fn starvation_reason(what: &str, lateness: LatenessSummary) -> Option<String> {
+    (lateness.p99 > MAX_P99_LATENESS_MS).then(|| {
         format!(
-            "the stage was starved: its {what} were {:.1} ms late in the 99th percentile, over {LATE_MOST_MS} ms",
-            late.p99
+            "the lab was starved of CPU time: its {what} were {:.1} ms late at the 99th percentile, above the limit \
+             of {MAX_P99_LATENESS_MS} ms",
+            lateness.p99
         )
     })
 }
 
-/// What is noted of lateness.
+/// Records how late events were.
 pub struct Lateness(Mutex<Histogram<u64>>);
 
 impl Default for Lateness {
     fn default() -> Self {
-        Lateness(Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds of a histogram")))
+        Lateness(Mutex::new(Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds")))
     }
 }
 
 impl Lateness {
-    /// Something was so much late, in s.
-    pub fn note(&self, late_s: f64) {
+    /// Records a lateness, in s.
+    pub fn record(&self, late_s: f64) {
         let mut histogram = self.0.lock().unwrap_or_else(|e| e.into_inner());
         histogram.saturating_record(((late_s * 1e6) as u64).max(1));
     }
 
-    /// All of it.
-    pub fn told(&self) -> Late {
+    /// Summarizes all recorded values.
+    pub fn summary(&self) -> LatenessSummary {
         let histogram = self.0.lock().unwrap_or_else(|e| e.into_inner());
         let at = |quantile: f64| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-        Late { p50: at(0.5), p99: at(0.99), most: at(1.0) }
+        LatenessSummary { p50: at(0.5), p99: at(0.99), max: at(1.0) }
     }
 
-    /// Notes for as long as it is polled how late a timer of this process rings.
-    pub async fn watch(&self) {
-        const EVERY: Duration = Duration::from_millis(5);
+    /// Records how late a periodic timer fires, for as long as it is polled.
+    pub async fn measure_timer(&self) {
+        const PERIOD: Duration = Duration::from_millis(5);
         loop {
-            let due = tokio::time::Instant::now() + EVERY;
+            let due = tokio::time::Instant::now() + PERIOD;
             tokio::time::sleep_until(due).await;
-            self.note(due.elapsed().as_secs_f64());
+            self.record(due.elapsed().as_secs_f64());
         }
     }
 }
 
-/// What processes used.
+/// Resources used by a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Used {
-    /// Processor time, in s.
+pub struct ProcessUsage {
+    /// CPU time, in s.
     pub cpu_s: f64,
     /// Resident memory, in MB.
     pub resident_mb: f64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
-/// What a process has used so far; nothing if it has ended.
-pub fn used(process: i32) -> Used {
-    let Ok(stat) = procfs::process::Process::new(process).and_then(|process| process.stat()) else {
-        return Used::default();
+/// The resources that a process uses, by its id; all zero if there is no such process.
+pub fn used(pid: i32) -> ProcessUsage {
+    let Ok(stat) = procfs::process::Process::new(pid).and_then(|process| process.stat()) else {
+        return ProcessUsage::default();
     };
-    Used {
+    ProcessUsage {
         cpu_s: (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64,
         resident_mb: (stat.rss * procfs::page_size()) as f64 / 1e6,
         threads: stat.num_threads.unsigned_abs(),
     }
 }
 
-/// Descriptors that this process holds.
-pub fn held() -> usize {
+/// The number of descriptors that this process has open.
+pub fn open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count)
 }
 
@@ -133,14 +139,14 @@
     use super::*;
 
     #[test]
-    fn what_a_plan_needs_is_told_before_it_is_played() {
+    fn the_descriptors_of_a_plan_are_estimated_and_a_limit_that_is_too_low_is_reported() {
         let plan = |gateways| {
             let text = format!(
                 "name = \"a\"\nseconds = 9\n[fleet]\ngateways = {gateways}\nservers = 200\n[traffic]"
             );
             Plan::read(&text).unwrap()
         };
-        let needed = descriptors(&plan(300));
+        let needed = required_descriptors(&plan(300));
         assert!((10_000..20_000).contains(&needed), "{needed}");
         assert!(allow(64).is_ok());
         let error = allow(usize::MAX / 2).unwrap_err();
@@ -148,14 +154,15 @@
     }
 
     #[test]
-    fn lateness_is_told_by_its_share() {
-        let late = Lateness::default();
-        (1..=100).for_each(|ms| late.note(f64::from(ms) / 1000.0));
-        let told = late.told();
-        assert!(starved("timers", told).is_some_and(|why| why.contains("timers were 99")), "{told:?}");
-        assert_eq!(starved("timers", Late { p99: 19.0, ..told }), None);
-        assert!((49.0..52.0).contains(&told.p50) && (98.0..101.0).contains(&told.p99), "{told:?}");
+    fn lateness_is_summarized_and_compared_with_the_limit() {
+        let lateness = Lateness::default();
+        (1..=100).for_each(|ms| lateness.record(f64::from(ms) / 1000.0));
+        let summary = lateness.summary();
+        let reason = starvation_reason("timers", summary);
+        assert!(reason.is_some_and(|reason| reason.contains("timers were 99")), "{summary:?}");
+        assert_eq!(starvation_reason("timers", LatenessSummary { p99: 19.0, ..summary }), None);
+        assert!((49.0..52.0).contains(&summary.p50) && (98.0..101.0).contains(&summary.p99), "{summary:?}");
         assert!(used(std::process::id() as i32).resident_mb > 0.5);
-        assert_eq!(used(i32::MAX), Used::default());
+        assert_eq!(used(i32::MAX), ProcessUsage::default());
     }
 }
--- a/lab/src/stage/mod.rs
+++ b/lab/src/stage/mod.rs
@@ -1,4 +1,4 @@
-//! The stage: plays a plan with real processes on loopback.
+//! Plays a plan: real gateway processes on loopback, with simulated clients, servers, counter and discovery.
 
 mod clients;
 mod counter;
@@ -13,10 +13,10 @@
 use crate::check::{self, Verdict};
 use crate::fault::{Effect, Fault, Links, Node};
 use crate::ledger::{Ledger, Life, Standing};
-use crate::model::front::{self, Arrival, Front};
-use crate::model::registry::{Entry, Registry, State};
+use crate::model::front::{self, Arrival, EdgeRouter};
+use crate::model::registry::{Registry, ServerEntry, ServerState};
 use crate::plan::{GatewayAct, Kind, Plan, ServerAct};
-use machine::{Late, Lateness};
+use machine::{Lateness, LatenessSummary};
 use rand::RngCore;
 use rand_distr::Distribution;
 use serde::Serialize;
@@ -26,335 +26,346 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// Threads of the stage beside the one that waits.
-const THREADS: usize = 3;
-/// Gateways that are started at one time.
-const STARTING: usize = 6;
-/// What a run may take beside the plan's seconds: the last answers, and processes that hang.
-const AFTER: Duration = Duration::from_secs(60);
-/// Faults of the stage itself that are told.
-const FAULTS_TOLD: usize = 10;
+/// Worker threads of the async runtime.
+const WORKER_THREADS: usize = 3;
+/// Most gateway processes that are started at the same time.
+const MAX_CONCURRENT_STARTS: usize = 6;
+/// Time that a run may take beyond the duration of the plan and a second for each gateway.
+const RUN_TIMEOUT_MARGIN: Duration = Duration::from_secs(60);
+/// Most errors of the lab itself that are reported.
+const MAX_REPORTED_ERRORS: usize = 10;
 
-/// What a run needs beside its plan.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The gateway's program.
+    /// The gateway program.
     pub program: PathBuf,
-    /// Where logs and configurations are kept; without it they are gone with the run.
+    /// Directory in which logs and configurations of the gateways are kept. Without it they are removed after the run.
     pub keep: Option<PathBuf>,
-    /// A gateway that is not ready by then is taken to hang.
+    /// A gateway that is not ready after this time is killed, and the run fails.
     pub ready: Duration,
 }
 
 impl Options {
-    /// With this program, and nothing kept.
+    /// Default options for a gateway program.
     pub fn new(program: impl Into<PathBuf>) -> Options {
         Options { program: program.into(), keep: None, ready: Duration::from_secs(30) }
     }
 }
 
-/// How processes and the stage fared.
+/// Resource usage of the gateways and the lab, and lateness of the lab.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Machine {
-    /// From the first process's start until all gateways were ready, in s.
+pub struct ResourceUsage {
+    /// Time from the start of the first gateway process until all were ready, in s.
     pub start_s: f64,
-    /// Processor time of a gateway, mean, in ms for each second of load.
+    /// Mean CPU time of a gateway, in ms per second of load.
     pub gateway_cpu_ms_per_s: f64,
-    /// Processor time of all gateways for each work, in us.
+    /// CPU time of all gateways per request of a client, in us.
     pub gateway_cpu_us_per_work: f64,
-    /// Resident memory of a gateway at the end, mean and most, in MB.
+    /// Resident memory of a gateway at the end, mean and maximum, in MB.
     pub gateway_mb: [f64; 2],
-    /// The stage's own processor time in ms for each second of load, memory in MB, threads and descriptors.
+    /// CPU time of the lab process, in ms per second of load.
     pub stage_cpu_ms_per_s: f64,
-    /// Memory.
+    /// Resident memory of the lab process at the end, in MB.
     pub stage_mb: f64,
-    /// Threads.
+    /// Threads of the lab process.
     pub stage_threads: u64,
-    /// Descriptors held under load.
+    /// Open descriptors of the lab process under load.
     pub stage_descriptors: usize,
-    /// How late the stage's timers rang, and how late clients asked.
-    pub timers_late_ms: Late,
-    /// Clients.
-    pub clients_late_ms: Late,
+    /// How late timers of the lab fired, in ms.
+    pub timers_late_ms: LatenessSummary,
+    /// How late simulated clients sent their requests, in ms.
+    pub clients_late_ms: LatenessSummary,
 }
 
-/// A run that was played to its end.
+/// Result of a completed run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     /// The plan's name.
     pub plan: String,
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Why the run tells nothing of gateways; none if it is valid.
+    /// Reasons why the results say nothing about the gateways. Empty if the run is valid.
     pub not_valid: Vec<String>,
-    /// What became of the requests.
+    /// The results of the checkers.
     pub verdict: Verdict,
-    /// How processes and the stage fared.
-    pub machine: Machine,
+    /// Resource usage and lateness.
+    pub machine: ResourceUsage,
 }
 
 impl Outcome {
-    /// Whether the run is valid and all held.
+    /// Whether the run is valid and no rule was broken.
     pub fn held(&self) -> bool {
         self.not_valid.is_empty() && self.verdict.held()
     }
 }
 
-/// What all parts of a run share.
-pub struct World {
+/// Shared state of a run.
+pub struct RunContext {
     /// The plan.
     pub plan: Plan,
-    /// Its works.
-    pub works: Vec<Arrival>,
-    /// What is wrong with links.
+    /// The requests of its clients, in order of time.
+    pub arrivals: Vec<Arrival>,
+    /// Current link faults.
     pub links: Links,
     options: Options,
-    nursery: Arc<gateways::Nursery>,
-    /// Places for processes that are being started.
-    starting: Arc<tokio::sync::Semaphore>,
-    zero: Instant,
-    begin: std::sync::OnceLock<f64>,
-    piped: [bool; 4],
+    children: Arc<gateways::ChildProcesses>,
+    /// Limits the processes that are started at the same time.
+    start_permits: Arc<tokio::sync::Semaphore>,
+    /// Zero of the run's clock.
+    epoch: Instant,
+    /// When the load began.
+    load_start: std::sync::OnceLock<f64>,
+    /// Whether connections of servers, counter, discovery and clients go through the fault-injecting proxy.
+    proxied: [bool; 4],
     ledger: Mutex<Ledger>,
     registry: Mutex<Registry>,
-    changed: watch::Sender<u64>,
-    front: Mutex<Front>,
-    /// What the front is about to see: when, of which gateway, and whether it is up.
-    seen: Mutex<Vec<(f64, usize, bool)>>,
-    kept: Vec<Mutex<Vec<clients::Kept>>>,
-    servers: Vec<Arc<servers::Seat>>,
-    counter: Arc<counter::Seat>,
-    discovery: Arc<discovery::Seat>,
-    gateways: Vec<Arc<gateways::Seat>>,
-    relays: Option<Arc<datagrams::Relays>>,
-    timers: Lateness,
-    asked: Lateness,
-    faults: Mutex<Vec<String>>,
+    /// Changes when discovery streams have to check for new versions.
+    registry_changed: watch::Sender<u64>,
+    router: Mutex<EdgeRouter>,
+    /// Pending updates of the edge router: when, which gateway, and whether it is up.
+    router_updates: Mutex<Vec<(f64, usize, bool)>>,
+    /// Idle client connections to each gateway.
+    idle_connections: Vec<Mutex<Vec<clients::IdleConnection>>>,
+    servers: Vec<Arc<servers::SimulatedServer>>,
+    counter: Arc<counter::CounterService>,
+    discovery: Arc<discovery::DiscoveryService>,
+    gateways: Vec<Arc<gateways::Gateway>>,
+    relays: Option<Arc<datagrams::DatagramRelays>>,
+    timer_lateness: Lateness,
+    client_lateness: Lateness,
+    /// Errors of the lab itself.
+    errors: Mutex<Vec<String>>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // What a thread left that panicked is still a list of facts.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    // The data stays consistent if a thread panics while it holds the lock.
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-impl World {
+impl RunContext {
     async fn new(
-        plan: &Plan, options: &Options, folder: &Path, nursery: Arc<gateways::Nursery>,
-    ) -> Result<Arc<World>, String> {
-        let said = |what: &str| {
+        plan: &Plan, options: &Options, directory: &Path, children: Arc<gateways::ChildProcesses>,
+    ) -> Result<Arc<RunContext>, String> {
+        let cannot_create = |what: &str| {
             let what = what.to_owned();
-            move |e: std::io::Error| format!("{what}: {e}")
+            move |e: std::io::Error| format!("cannot create the {what}: {e}")
         };
-        let touches = |kind: Kind| {
+        let has_link_step = |kind: Kind| {
             plan.step
                 .iter()
                 .filter_map(|step| step.link.as_ref())
                 .any(|on| [on.from.kind, on.to.kind].contains(&kind))
         };
-        let acts =
+        let has_server_act =
             |act: ServerAct| plan.step.iter().any(|s| s.servers.as_ref().is_some_and(|on| on.act == act));
-        let out = plan
+        let has_counter_outage = plan
             .step
             .iter()
             .any(|step| step.counter.as_ref().is_some_and(|on| on.act == crate::plan::CounterAct::Out));
-        let piped = [
-            touches(Kind::Servers) || acts(ServerAct::Vanish),
-            touches(Kind::Counter) || out,
-            touches(Kind::Discovery),
-            touches(Kind::Clients),
+        let proxied = [
+            has_link_step(Kind::Servers) || has_server_act(ServerAct::Vanish),
+            has_link_step(Kind::Counter) || has_counter_outage,
+            has_link_step(Kind::Discovery),
+            has_link_step(Kind::Clients),
         ];
         let mut rng = plan.rng(3);
-        let speed = front::lognormal(1.0, plan.fleet.speed_cv);
-        let all = plan.fleet.servers + plan.fleet.spare;
-        let speeds: Vec<f64> = (0..all).map(|_| speed.sample(&mut rng)).collect();
+        let speed_distribution = front::lognormal(1.0, plan.fleet.speed_cv);
+        let server_count = plan.fleet.servers + plan.fleet.spare;
+        let speeds: Vec<f64> = (0..server_count).map(|_| speed_distribution.sample(&mut rng)).collect();
         let servers: std::io::Result<Vec<_>> = speeds
             .iter()
             .enumerate()
-            .map(|(place, speed)| servers::Seat::new(plan, place, *speed).map(Arc::new))
+            .map(|(index, speed)| servers::SimulatedServer::new(plan, index, *speed).map(Arc::new))
             .collect();
-        let upgraded = plan.step.iter().enumerate().filter_map(|(number, step)| {
+        let upgraded = plan.step.iter().enumerate().filter_map(|(index, step)| {
             let on = step.gateways.as_ref().filter(|on| on.act == GatewayAct::Upgrade)?;
-            Some(plan.gateways(on.who, number))
+            Some(plan.gateways(on.who, index))
         });
         let upgraded: Vec<usize> = upgraded.flatten().collect();
         let gateways: std::io::Result<Vec<_>> = (0..plan.fleet.gateways)
-            .map(|place| gateways::Seat::new(place, folder, upgraded.contains(&place)).map(Arc::new))
+            .map(|index| gateways::Gateway::new(index, directory, upgraded.contains(&index)).map(Arc::new))
             .collect();
         let relays = if plan.fleet.cluster {
-            let relays = datagrams::Relays::new(plan.fleet.gateways).await;
-            Some(Arc::new(relays.map_err(said("relays"))?))
+            let relays = datagrams::DatagramRelays::new(plan.fleet.gateways).await;
+            Some(Arc::new(relays.map_err(cannot_create("datagram relays"))?))
         } else {
             None
         };
-        let works = front::arrivals(plan);
-        let began = vec![None; works.len()];
-        let ledger = Ledger { works: works.clone(), began, speeds, ..Ledger::default() };
-        Ok(Arc::new(World {
-            works,
+        let arrivals = front::draw_arrivals(plan);
+        let began = vec![None; arrivals.len()];
+        let ledger = Ledger { works: arrivals.clone(), began, speeds, ..Ledger::default() };
+        Ok(Arc::new(RunContext {
+            arrivals,
             links: Links::default(),
             options: options.clone(),
-            nursery,
-            starting: Arc::new(tokio::sync::Semaphore::new(STARTING)),
-            zero: Instant::now(),
-            begin: std::sync::OnceLock::new(),
-            piped,
+            children,
+            start_permits: Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_STARTS)),
+            epoch: Instant::now(),
+            load_start: std::sync::OnceLock::new(),
+            proxied,
             ledger: Mutex::new(ledger),
             registry: Mutex::default(),
-            changed: watch::channel(0).0,
-            front: Mutex::new(Front::new(plan)),
-            seen: Mutex::default(),
-            kept: (0..plan.fleet.gateways).map(|_| Mutex::default()).collect(),
-            servers: servers.map_err(said("servers"))?,
-            counter: Arc::new(counter::Seat::new(plan).map_err(said("counter"))?),
-            discovery: Arc::new(discovery::Seat::new(plan).map_err(said("discovery"))?),
-            gateways: gateways.map_err(said("gateways"))?,
+            registry_changed: watch::channel(0).0,
+            router: Mutex::new(EdgeRouter::new(plan)),
+            router_updates: Mutex::default(),
+            idle_connections: (0..plan.fleet.gateways).map(|_| Mutex::default()).collect(),
+            servers: servers.map_err(cannot_create("server listeners"))?,
+            counter: Arc::new(counter::CounterService::new(plan).map_err(cannot_create("counter listener"))?),
+            discovery: Arc::new(
+                discovery::DiscoveryService::new(plan).map_err(cannot_create("discovery listener"))?,
+            ),
+            gateways: gateways.map_err(cannot_create("gateway ports and directories"))?,
             relays,
-            timers: Lateness::default(),
-            asked: Lateness::default(),
-            faults: Mutex::default(),
+            timer_lateness: Lateness::default(),
+            client_lateness: Lateness::default(),
+            errors: Mutex::default(),
             plan: plan.clone(),
         }))
     }
 
-    /// Seconds on the stage's one clock.
+    /// The time on the clock of the run, in s.
     pub fn now(&self) -> f64 {
-        self.zero.elapsed().as_secs_f64()
+        self.epoch.elapsed().as_secs_f64()
     }
 
-    /// When load began; until then, now.
-    pub fn begin(&self) -> f64 {
-        self.begin.get().copied().unwrap_or_else(|| self.now())
+    /// When the load began. Before that, the current time.
+    pub fn load_start(&self) -> f64 {
+        self.load_start.get().copied().unwrap_or_else(|| self.now())
     }
 
-    /// Sleeps until a time on that clock.
+    /// Sleeps until a time on the clock of the run; forever if it is infinite.
     pub async fn sleep_until(&self, at: f64) {
         if at.is_finite() {
-            let at = self.zero + Duration::from_secs_f64(at.max(0.0));
+            let at = self.epoch + Duration::from_secs_f64(at.max(0.0));
             tokio::time::sleep_until(at.into()).await;
         } else {
             std::future::pending().await
         }
     }
 
-    fn piped(&self, own: Node) -> bool {
+    /// Whether connections of `own`, a party that the lab simulates, go through the fault-injecting proxy.
+    fn is_proxied(&self, own: Node) -> bool {
         match own {
-            Node::Server(_) => self.piped[0],
-            Node::Counter => self.piped[1],
-            Node::Discovery => self.piped[2],
-            Node::Client => self.piped[3],
+            Node::Server(_) => self.proxied[0],
+            Node::Counter => self.proxied[1],
+            Node::Discovery => self.proxied[2],
+            Node::Client => self.proxied[3],
             Node::Gateway(_) => false,
         }
     }
 
     fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        locked(&self.ledger)
+        lock(&self.ledger)
     }
 
     fn registry(&self) -> MutexGuard<'_, Registry> {
-        locked(&self.registry)
+        lock(&self.registry)
     }
 
-    fn front(&self) -> MutexGuard<'_, Front> {
-        locked(&self.front)
+    fn router(&self) -> MutexGuard<'_, EdgeRouter> {
+        lock(&self.router)
     }
 
-    fn kept(&self, gateway: usize) -> MutexGuard<'_, Vec<clients::Kept>> {
-        locked(&self.kept[gateway])
+    fn idle_connections(&self, gateway: usize) -> MutexGuard<'_, Vec<clients::IdleConnection>> {
+        lock(&self.idle_connections[gateway])
     }
 
-    /// A number that the plan's seed alone decides.
-    fn chance(&self, stream: u64) -> u64 {
+    /// A number that depends only on the plan's seed and the stream.
+    fn seeded_u64(&self, stream: u64) -> u64 {
         self.plan.rng(stream).next_u64()
     }
 
-    fn process(&self, gateway: usize) -> u64 {
-        self.gateways[gateway].number()
+    fn gateway_generation(&self, gateway: usize) -> u64 {
+        self.gateways[gateway].generation()
     }
 
-    fn late(&self, late_s: f64) {
-        self.asked.note(late_s.max(0.0));
+    fn record_client_lateness(&self, late_s: f64) {
+        self.client_lateness.record(late_s.max(0.0));
     }
 
-    fn lives(&self, gateway: usize, life: Life) {
+    fn record_gateway_event(&self, gateway: usize, life: Life) {
         let mut ledger = self.ledger();
         let at = self.now();
         ledger.lives.push((at, gateway, life));
     }
 
-    fn stands(&self, server: usize, standing: Standing) {
+    fn set_server_standing(&self, server: usize, standing: Standing) {
         let mut ledger = self.ledger();
         let at = self.now();
         ledger.standings.push((at, server, standing));
-        self.servers[server].stands(standing == Standing::Up);
+        self.servers[server].set_up(standing == Standing::Up);
     }
 
-    /// Something is wrong with the stage itself.
-    fn fault(&self, what: String) {
-        let mut faults = locked(&self.faults);
-        if faults.len() < FAULTS_TOLD {
-            faults.push(what);
+    /// Records an error of the lab itself, which makes the run invalid.
+    fn record_error(&self, error: String) {
+        let mut errors = lock(&self.errors);
+        if errors.len() < MAX_REPORTED_ERRORS {
+            errors.push(error);
         }
     }
 
-    /// Whether nothing is wrong between two, either way.
-    fn link_sound(&self, one: Node, other: Node) -> bool {
+    /// Whether a link has no fault in either direction.
+    fn is_link_healthy(&self, one: Node, other: Node) -> bool {
         let now = self.now();
-        let sound = |effect: Effect| effect.none();
-        sound(self.links.on(one, other, now)) && sound(self.links.on(other, one, now))
+        let is_healthy = |effect: Effect| effect.none();
+        is_healthy(self.links.on(one, other, now)) && is_healthy(self.links.on(other, one, now))
     }
 
-    /// Whether a server that is up and that this gateway reaches has a core free.
-    fn some_idle(&self, gateway: usize) -> bool {
+    /// Whether a server that is up, and that this gateway can connect to, has an idle core.
+    fn has_idle_server(&self, gateway: usize) -> bool {
         let now = self.now();
-        self.servers.iter().enumerate().any(|(place, seat)| {
-            seat.takes()
-                && self.links.comes_up(Node::Gateway(gateway), Node::Server(place), now)
-                && seat.idle()
+        self.servers.iter().enumerate().any(|(index, server)| {
+            server.is_up()
+                && self.links.comes_up(Node::Gateway(gateway), Node::Server(index), now)
+                && server.has_idle_core()
         })
     }
 
-    /// Discovery hears of a server after its time; `starts`: it has just started.
-    fn discovery_hears(&self, server: usize, state: State, starts: bool) {
-        let unix =
+    /// Updates the state of a server in the registry, with the plan's notice delay. `just_started` sets its start time
+    /// to now.
+    fn update_discovery(&self, server: usize, state: ServerState, just_started: bool) {
+        let unix_ms =
             SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1000.0);
-        let started_ms = if starts { unix.floor() } else { 0.0 };
-        // A drain is discovery's own affair: it is known at once.
-        let notice = if state == State::Draining { 0.0 } else { self.plan.fleet.notice_s };
-        self.registry().change(self.now() + notice, Entry { server, state, started_ms });
-        self.changed.send_modify(|times| *times += 1);
+        let started_ms = if just_started { unix_ms.floor() } else { 0.0 };
+        // A drain is initiated through discovery, so that it is known at once.
+        let notice_s = if state == ServerState::Draining { 0.0 } else { self.plan.fleet.notice_s };
+        self.registry().record(self.now() + notice_s, ServerEntry { server, state, started_ms });
+        self.registry_changed.send_modify(|count| *count += 1);
     }
 
-    /// The front sees after a while that a gateway is up or not.
-    fn front_sees(&self, gateway: usize, up: bool, after_s: f64) {
-        if after_s <= 0.0 {
-            return self.front().sees(gateway, up);
+    /// Marks a gateway as up or down in the edge router after a delay.
+    fn notify_router(&self, gateway: usize, up: bool, delay_s: f64) {
+        if delay_s <= 0.0 {
+            return self.router().set_up(gateway, up);
         }
-        locked(&self.seen).push((self.now() + after_s, gateway, up));
+        lock(&self.router_updates).push((self.now() + delay_s, gateway, up));
     }
 
-    /// The listeners of those whom a fault touches drop the packets of links that do not come up.
-    fn refilter(&self, fault: &Fault) {
+    /// Updates the packet filters of the listeners that a link fault affects.
+    fn update_filters(&self, fault: &Fault) {
         let (gateways, now) = (self.plan.fleet.gateways, self.now());
         for node in &fault.touches {
-            let door = match node {
-                Node::Server(place) => &self.servers[*place].door,
-                Node::Counter => &self.counter.door,
-                Node::Discovery => &self.discovery.door,
+            let listener = match node {
+                Node::Server(index) => &self.servers[*index].listener,
+                Node::Counter => &self.counter.listener,
+                Node::Discovery => &self.discovery.listener,
                 Node::Gateway(_) | Node::Client => continue,
             };
-            if let Err(e) = door.refilter(&self.links, gateways, now) {
-                self.fault(format!("a listener's filter: {e}"));
+            if let Err(e) = listener.update_filter(&self.links, gateways, now) {
+                self.record_error(format!("cannot update the packet filter of a listener: {e}"));
             }
         }
     }
 }
 
-/// Plays a plan to its end, or until `stop` is done. An error says why it could not be played.
+/// Plays a plan to its end, or until `stop` completes. Fails if the plan is invalid, the gateways do not start, or the
+/// run is stopped or times out.
 pub fn play(plan: &Plan, options: &Options, stop: impl Future<Output = ()>) -> Result<Outcome, String> {
     play_watched(plan, options, stop, |_| ())
 }
 
-/// The same; `ready` is told where clients reach each gateway once load begins.
+/// Like [`play`]. When the load begins, calls `ready` with the client address of each gateway.
 pub fn play_watched(
     plan: &Plan, options: &Options, stop: impl Future<Output = ()>,
     ready: impl FnOnce(&[std::net::SocketAddr]),
@@ -363,83 +374,91 @@
     if !faults.is_empty() {
         return Err(faults.join("\n"));
     }
-    machine::allow(machine::descriptors(plan))?;
-    let own =
-        tempfile::Builder::new().prefix("granite-lab-").tempdir().map_err(|e| format!("a folder: {e}"))?;
-    let folder = options.keep.clone().unwrap_or_else(|| own.path().to_owned());
-    // Dropped behind the runtime, whose tasks may start processes until it is gone, and before the folder.
-    let nursery = Arc::new(gateways::Nursery::default());
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(THREADS).enable_all().build();
-    let runtime = runtime.map_err(|e| format!("threads: {e}"))?;
-    let most =
-        Duration::from_secs_f64(plan.seconds) + AFTER + Duration::from_secs(plan.fleet.gateways as u64);
+    machine::allow(machine::required_descriptors(plan))?;
+    let temporary = tempfile::Builder::new()
+        .prefix("granite-lab-")
+        .tempdir()
+        .map_err(|e| format!("cannot create a temporary directory: {e}"))?;
+    let directory = options.keep.clone().unwrap_or_else(|| temporary.path().to_owned());
+    // Dropped after the runtime, whose tasks can start processes until it has shut down, and before the directory.
+    let children = Arc::new(gateways::ChildProcesses::default());
+    let runtime =
+        tokio::runtime::Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build();
+    let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
+    let run_timeout = Duration::from_secs_f64(plan.seconds)
+        + RUN_TIMEOUT_MARGIN
+        + Duration::from_secs(plan.fleet.gateways as u64);
     let outcome = runtime.block_on(async {
         tokio::select! {
-            outcome = run(plan, options, &folder, nursery.clone(), ready) => outcome,
+            outcome = run(plan, options, &directory, children.clone(), ready) => outcome,
             () = stop => Err("stopped".to_owned()),
-            () = tokio::time::sleep(most) => Err(format!("not over after {} s", most.as_secs())),
+            () = tokio::time::sleep(run_timeout) => {
+                Err(format!("the run did not end within {} s", run_timeout.as_secs()))
+            }
         }
     });
-    // Tasks are dropped; the processes that they attended are killed and waited for after that.
+    // This drops all tasks. Dropping `children` after that kills the remaining processes and waits for them.
     runtime.shutdown_timeout(Duration::from_secs(2));
     outcome
 }
 
 async fn run(
-    plan: &Plan, options: &Options, folder: &Path, nursery: Arc<gateways::Nursery>,
+    plan: &Plan, options: &Options, directory: &Path, children: Arc<gateways::ChildProcesses>,
     ready: impl FnOnce(&[std::net::SocketAddr]),
 ) -> Result<Outcome, String> {
-    let world = World::new(plan, options, folder, nursery).await?;
-    let here = |e: std::io::Error| format!("a listener: {e}");
-    for (place, seat) in world.servers.iter().enumerate() {
-        seat.run(&world, place >= plan.fleet.servers).await.map_err(here)?;
-        if place < plan.fleet.servers {
-            world
-                .registry()
-                .change(world.now(), Entry { server: place, state: State::Ready, started_ms: 0.0 });
-            world.stands(place, Standing::Up);
+    let context = RunContext::new(plan, options, directory, children).await?;
+    let cannot_listen = |e: std::io::Error| format!("cannot open a listener: {e}");
+    for (index, server) in context.servers.iter().enumerate() {
+        server.run(&context, index >= plan.fleet.servers).await.map_err(cannot_listen)?;
+        if index < plan.fleet.servers {
+            context.registry().record(
+                context.now(),
+                ServerEntry { server: index, state: ServerState::Ready, started_ms: 0.0 },
+            );
+            context.set_server_standing(index, Standing::Up);
         }
     }
-    world.counter.run(&world).await.map_err(here)?;
-    world.discovery.run(&world).await.map_err(here)?;
-    if let Some(relays) = &world.relays {
-        relays.run(&world);
+    context.counter.run(&context).await.map_err(cannot_listen)?;
+    context.discovery.run(&context).await.map_err(cannot_listen)?;
+    if let Some(relays) = &context.relays {
+        relays.start(&context);
     }
-    let begun = Instant::now();
-    start_all(&world).await?;
-    let start_s = begun.elapsed().as_secs_f64();
-    let addresses: Vec<_> = world.gateways.iter().map(|seat| seat.address()).collect();
-    let cpu = |world: &World| world.gateways.iter().map(|seat| seat.used().cpu_s).sum::<f64>();
-    let own = || machine::used(std::process::id() as i32);
-    let (cpu_before, own_before) = (cpu(&world), own());
-    let begin = world.now();
-    let _ = world.begin.set(begin);
+    let starting = Instant::now();
+    start_gateways(&context).await?;
+    let start_s = starting.elapsed().as_secs_f64();
+    let addresses: Vec<_> = context.gateways.iter().map(|gateway| gateway.address()).collect();
+    let gateways_cpu_s =
+        |context: &RunContext| context.gateways.iter().map(|gateway| gateway.usage().cpu_s).sum::<f64>();
+    let own_usage = || machine::used(std::process::id() as i32);
+    let (cpu_before, own_before) = (gateways_cpu_s(&context), own_usage());
+    let load_start = context.now();
+    let _ = context.load_start.set(load_start);
     ready(&addresses);
     let load = async {
-        let noticed = notice(&world);
-        let both = async { tokio::join!(clients::run(&world), timeline::run(&world)) };
+        let router_updates = apply_router_updates(&context);
+        let clients_and_steps = async { tokio::join!(clients::run(&context), timeline::run(&context)) };
         tokio::select! {
-            _ = both => {}
-            () = noticed => {}
-            () = world.timers.watch() => {}
+            _ = clients_and_steps => {}
+            () = router_updates => {}
+            () = context.timer_lateness.measure_timer() => {}
         }
     };
-    let held = async {
-        world.sleep_until(begin + plan.seconds * 0.8).await;
-        machine::held()
+    let descriptors_under_load = async {
+        context.sleep_until(load_start + plan.seconds * 0.8).await;
+        machine::open_descriptors()
     };
-    let ((), descriptors) = tokio::join!(load, held);
-    let (cpu_after, own_after) = (cpu(&world), own());
+    let ((), descriptors) = tokio::join!(load, descriptors_under_load);
+    let (cpu_after, own_after) = (gateways_cpu_s(&context), own_usage());
     let memory: Vec<_> =
-        world.gateways.iter().map(|seat| seat.used().resident_mb).filter(|mb| *mb > 0.0).collect();
-    for seat in &world.gateways {
-        seat.kill_at_end().await;
+        context.gateways.iter().map(|gateway| gateway.usage().resident_mb).filter(|mb| *mb > 0.0).collect();
+    for gateway in &context.gateways {
+        gateway.kill_unrecorded().await;
     }
-    let mut ledger = std::mem::take(&mut *world.ledger());
-    settle(&mut ledger, begin, plan.seconds);
+    let mut ledger = std::mem::take(&mut *context.ledger());
+    normalize_ledger(&mut ledger, load_start, plan.seconds);
     let verdict = check::judge(plan, &ledger);
     let works = verdict.figures.works.max(1) as f64;
-    let machine = Machine {
+    let machine = ResourceUsage {
         start_s,
         gateway_cpu_ms_per_s: (cpu_after - cpu_before) * 1000.0 / plan.fleet.gateways as f64 / plan.seconds,
         gateway_cpu_us_per_work: (cpu_after - cpu_before) * 1e6 / works,
@@ -451,20 +470,20 @@
         stage_mb: own_after.resident_mb,
         stage_threads: own_after.threads,
         stage_descriptors: descriptors,
-        timers_late_ms: world.timers.told(),
-        clients_late_ms: world.asked.told(),
+        timers_late_ms: context.timer_lateness.summary(),
+        clients_late_ms: context.client_lateness.summary(),
     };
-    let mut not_valid = locked(&world.faults).clone();
-    not_valid.extend(machine::starved("timers", machine.timers_late_ms));
-    not_valid.extend(machine::starved("clients", machine.clients_late_ms));
+    let mut not_valid = lock(&context.errors).clone();
+    not_valid.extend(machine::starvation_reason("timers", machine.timers_late_ms));
+    not_valid.extend(machine::starvation_reason("clients", machine.clients_late_ms));
     Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, not_valid, verdict, machine })
 }
 
-async fn start_all(world: &Arc<World>) -> Result<(), String> {
+async fn start_gateways(context: &Arc<RunContext>) -> Result<(), String> {
     let mut starting = tokio::task::JoinSet::new();
-    for seat in world.gateways.clone() {
-        let world = world.clone();
-        starting.spawn(async move { seat.start(&world).await });
+    for gateway in context.gateways.clone() {
+        let context = context.clone();
+        starting.spawn(async move { gateway.start(&context).await });
     }
     while let Some(started) = starting.join_next().await {
         started.map_err(|e| e.to_string())??;
@@ -472,44 +491,45 @@
     Ok(())
 }
 
-/// Tells the front what it notices late.
-async fn notice(world: &World) {
+/// Applies the delayed updates of the edge router when they are due. Never returns.
+async fn apply_router_updates(context: &RunContext) {
     loop {
         let next = {
-            let mut seen = locked(&world.seen);
-            let now = world.now();
-            seen.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let due = seen.partition_point(|(at, ..)| *at <= now);
-            for (_, gateway, up) in seen.drain(..due) {
-                world.front().sees(gateway, up);
+            let mut updates = lock(&context.router_updates);
+            let now = context.now();
+            updates.sort_by(|a, b| a.0.total_cmp(&b.0));
+            let due = updates.partition_point(|(at, ..)| *at <= now);
+            for (_, gateway, up) in updates.drain(..due) {
+                context.router().set_up(gateway, up);
             }
-            seen.first().map_or(now + 0.05, |(at, ..)| at.min(now + 0.05))
+            updates.first().map_or(now + 0.05, |(at, ..)| at.min(now + 0.05))
         };
-        world.sleep_until(next).await;
+        context.sleep_until(next).await;
     }
 }
 
-/// Times from load's beginning on, and attempts in order.
-fn settle(ledger: &mut Ledger, begin: f64, seconds: f64) {
-    for one in &mut ledger.tries {
-        one.at -= begin;
-        one.until -= begin;
-        if let Some((at, _)) = &mut one.end {
-            *at -= begin;
+/// Makes all times in the ledger relative to the start of the load, and sorts the records that the checkers read in
+/// order of time.
+fn normalize_ledger(ledger: &mut Ledger, load_start: f64, seconds: f64) {
+    for each in &mut ledger.tries {
+        each.at -= load_start;
+        each.until -= load_start;
+        if let Some((at, _)) = &mut each.end {
+            *at -= load_start;
         }
     }
     for run in &mut ledger.runs {
-        run.first -= begin;
-        run.came -= begin;
-        run.end.0 -= begin;
+        run.first -= load_start;
+        run.came -= load_start;
+        run.end.0 -= load_start;
     }
     ledger.runs.sort_by(|a, b| a.came.total_cmp(&b.came));
-    ledger.began.iter_mut().flatten().for_each(|at| *at -= begin);
-    ledger.told.iter_mut().for_each(|(at, ..)| *at -= begin);
-    ledger.lives.iter_mut().for_each(|(at, ..)| *at -= begin);
-    ledger.standings.iter_mut().for_each(|(at, ..)| *at -= begin);
-    ledger.needless.iter_mut().for_each(|at| *at -= begin);
-    ledger.connections.iter_mut().for_each(|(at, _)| *at -= begin);
+    ledger.began.iter_mut().flatten().for_each(|at| *at -= load_start);
+    ledger.told.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    ledger.lives.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    ledger.standings.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    ledger.needless.iter_mut().for_each(|at| *at -= load_start);
+    ledger.connections.iter_mut().for_each(|(at, _)| *at -= load_start);
     ledger.told.sort_by(|a, b| a.0.total_cmp(&b.0));
     ledger.standings.sort_by(|a, b| a.0.total_cmp(&b.0));
     ledger.lives.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/lab/src/stage/servers.rs
+++ b/lab/src/stage/servers.rs
@@ -1,11 +1,11 @@
-//! Servers: the model behind real sockets.
+//! The simulated servers: their model, served over HTTP.
 
 use crate::fault::{Fault, Node};
 use crate::ledger::{work_of, Fate, Run, Standing};
-use crate::model::registry::State;
-use crate::model::server::{Server, Trouble, Verdict};
-use crate::stage::wire::{answer, Door, Http, Io};
-use crate::stage::World;
+use crate::model::registry::ServerState;
+use crate::model::server::{Admission, Server, ServerFaults};
+use crate::stage::wire::{format_response, Connection, HttpConnection, ServiceListener};
+use crate::stage::RunContext;
 use rand::Rng;
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
@@ -13,319 +13,329 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::{oneshot, watch, Notify};
 
-/// Requests with numbers from here on are those of people who look in: they are served at once and not counted.
-pub const VISITORS: u64 = 0xF << 60;
+/// Requests whose `X-Txn` is at least this are sent by hand, for example with curl. They are answered at once and not
+/// recorded.
+pub const FIRST_MANUAL_TXN: u64 = 0xF << 60;
 
-/// One server's place.
-pub struct Seat {
-    place: usize,
-    /// Where it listens.
-    pub door: Arc<Door>,
-    state: Mutex<Inside>,
-    /// Wakes what drives the model.
+/// A simulated server.
+pub struct SimulatedServer {
+    index: usize,
+    /// Its listener.
+    pub listener: Arc<ServiceListener>,
+    state: Mutex<ServerInner>,
+    /// Wakes the task that advances the model.
     wake: Notify,
-    /// Rises when the process dies: all its connections are reset.
-    lives: watch::Sender<u64>,
-    /// It is listed and up.
-    up: AtomicBool,
+    /// Number of times that the process was killed. All its connections are then reset.
+    kills: watch::Sender<u64>,
+    /// Whether it is listed and up.
+    is_up: AtomicBool,
 }
 
-struct Inside {
+struct ServerInner {
     model: Server,
     rng: Pcg64,
-    waits: HashMap<u64, oneshot::Sender<()>>,
-    next: u64,
-    held: usize,
-    vanished: Option<Fault>,
+    /// Signals the completion of each accepted request, by its id in the model.
+    completions: HashMap<u64, oneshot::Sender<()>>,
+    next_id: u64,
+    /// Number of open connections.
+    connections: usize,
+    /// The link fault that makes the server unreachable.
+    isolation: Option<Fault>,
 }
 
-impl Inside {
-    fn tell(&mut self, done: Vec<u64>) {
-        for id in done {
-            // One whose gateway let go of it waits no more.
-            self.waits.remove(&id).map(|done| done.send(()));
+impl ServerInner {
+    fn complete(&mut self, ids: Vec<u64>) {
+        for id in ids {
+            // There is no receiver if the gateway has cancelled the request.
+            self.completions.remove(&id).map(|completion| completion.send(()));
         }
     }
 }
 
-/// A request at a server; noted as dropped unless something else is said of it.
-struct Held<'a> {
-    world: &'a World,
+/// An attempt that is recorded in the ledger when this is dropped: as dropped, unless [`Attempt::end`] was called.
+struct Attempt<'a> {
+    context: &'a RunContext,
     run: Run,
 }
 
-impl Held<'_> {
+impl Attempt<'_> {
     fn end(mut self, fate: Fate) {
-        self.run.end = (self.world.now(), fate);
+        self.run.end = (self.context.now(), fate);
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for Attempt<'_> {
     fn drop(&mut self) {
         if self.run.end.1 == Fate::Open {
-            self.run.end = (self.world.now(), Fate::Dropped);
+            self.run.end = (self.context.now(), Fate::Dropped);
         }
-        self.world.ledger().runs.push(self.run);
+        self.context.ledger().runs.push(self.run);
     }
 }
 
-impl Seat {
-    /// A server at this place with its listener, not yet open.
-    pub fn new(world_plan: &crate::plan::Plan, place: usize, speed: f64) -> std::io::Result<Seat> {
-        let inside = Inside {
-            model: Server::new(&world_plan.fleet, speed),
-            rng: world_plan.rng(0x5E00_0000 + place as u64),
-            waits: HashMap::new(),
-            next: 0,
-            held: 0,
-            vanished: None,
+impl SimulatedServer {
+    /// Creates a server with a closed listener.
+    pub fn new(plan: &crate::plan::Plan, index: usize, speed: f64) -> std::io::Result<SimulatedServer> {
+        let state = ServerInner {
+            model: Server::new(&plan.fleet, speed),
+            rng: plan.rng(0x5E00_0000 + index as u64),
+            completions: HashMap::new(),
+            next_id: 0,
+            connections: 0,
+            isolation: None,
         };
-        Ok(Seat {
-            place,
-            door: Arc::new(Door::new(Node::Server(place))?),
-            state: Mutex::new(inside),
+        Ok(SimulatedServer {
+            index,
+            listener: Arc::new(ServiceListener::new(Node::Server(index))?),
+            state: Mutex::new(state),
             wake: Notify::new(),
-            lives: watch::channel(0).0,
-            up: AtomicBool::new(false),
+            kills: watch::channel(0).0,
+            is_up: AtomicBool::new(false),
         })
     }
 
-    fn inside(&self) -> MutexGuard<'_, Inside> {
+    fn state(&self) -> MutexGuard<'_, ServerInner> {
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// It is listed and up, or not.
-    pub fn stands(&self, up: bool) {
-        self.up.store(up, Ordering::Relaxed);
+    /// Sets whether it is listed and up.
+    pub fn set_up(&self, up: bool) {
+        self.is_up.store(up, Ordering::Relaxed);
     }
 
-    /// Whether it takes work.
-    pub fn takes(&self) -> bool {
-        self.up.load(Ordering::Relaxed)
+    /// Whether it is listed and up.
+    pub fn is_up(&self) -> bool {
+        self.is_up.load(Ordering::Relaxed)
     }
 
-    /// Whether one more request would get a core to itself.
-    pub fn idle(&self) -> bool {
-        self.inside().model.idle()
+    /// Whether another request would get a core of its own.
+    pub fn has_idle_core(&self) -> bool {
+        self.state().model.has_idle_core()
     }
 
-    /// Opens its listener, unless it is a spare one, and drives its model until the run ends.
-    pub async fn run(self: &Arc<Self>, world: &Arc<World>, spare: bool) -> std::io::Result<()> {
+    /// Opens the listener, unless it is a spare server, and starts the task that advances the model.
+    pub async fn run(self: &Arc<Self>, context: &Arc<RunContext>, spare: bool) -> std::io::Result<()> {
         if !spare {
-            self.open(world).await?;
+            self.open(context).await?;
         }
-        let (seat, world) = (self.clone(), world.clone());
+        let (server, context) = (self.clone(), context.clone());
         tokio::spawn(async move {
             loop {
                 let next = {
-                    let (mut inside, mut done) = (seat.inside(), Vec::new());
-                    inside.model.advance(world.now(), &mut done);
-                    inside.tell(done);
-                    inside.model.next()
+                    let (mut state, mut completed) = (server.state(), Vec::new());
+                    state.model.advance(context.now(), &mut completed);
+                    state.complete(completed);
+                    state.model.next_event_at()
                 };
                 tokio::select! {
-                    () = world.sleep_until(next.unwrap_or(f64::INFINITY)), if next.is_some() => {}
-                    () = seat.wake.notified() => {}
+                    () = context.sleep_until(next.unwrap_or(f64::INFINITY)), if next.is_some() => {}
+                    () = server.wake.notified() => {}
                 }
             }
         });
         Ok(())
     }
 
-    async fn open(self: &Arc<Self>, world: &Arc<World>) -> std::io::Result<()> {
-        let (seat, at) = (self.clone(), world.clone());
-        let meet = move |gateway, io| {
-            let (seat, world) = (seat.clone(), at.clone());
-            tokio::spawn(async move { seat.meet(&world, gateway, io).await });
+    async fn open(self: &Arc<Self>, context: &Arc<RunContext>) -> std::io::Result<()> {
+        let (server, shared) = (self.clone(), context.clone());
+        let on_connection = move |gateway, io| {
+            let (server, context) = (server.clone(), shared.clone());
+            tokio::spawn(async move { server.handle_connection(&context, gateway, io).await });
         };
-        self.door.run(world, meet).await
+        self.listener.serve(context, on_connection).await
     }
 
-    /// The process dies.
-    pub fn kill(&self, world: &World) {
-        self.door.close();
-        self.lives.send_modify(|life| *life += 1);
-        world.stands(self.place, Standing::Away);
+    /// Kills the process: connections are reset, and new ones are refused.
+    pub fn kill(&self, context: &RunContext) {
+        self.listener.close();
+        self.kills.send_modify(|kills| *kills += 1);
+        context.set_server_standing(self.index, Standing::Away);
     }
 
-    /// The process starts again, cold.
-    pub async fn start(self: &Arc<Self>, world: &Arc<World>) {
-        self.inside().model.start(world.now());
-        // The port is the stage's own: it can be listened on again.
-        if let Err(e) = self.open(world).await {
-            world.fault(format!("server {}: {e}", self.place));
+    /// Starts a new, cold process.
+    pub async fn start(self: &Arc<Self>, context: &Arc<RunContext>) {
+        self.state().model.start(context.now());
+        if let Err(e) = self.open(context).await {
+            context.record_error(format!("server {}: cannot open its listener: {e}", self.index));
         }
-        world.stands(self.place, Standing::Up);
+        context.set_server_standing(self.index, Standing::Up);
     }
 
-    /// The machine vanishes, or is back.
-    pub fn vanish(&self, world: &World, gone: bool) {
-        let fault = if gone {
-            let fault = world.links.cut_off(Node::Server(self.place), world.plan.fleet.gateways, world.now());
-            self.inside().vanished = Some(fault.clone());
+    /// Cuts the machine off from the network, or connects it again.
+    pub fn set_unreachable(&self, context: &RunContext, unreachable: bool) {
+        let fault = if unreachable {
+            let fault =
+                context.links.cut_off(Node::Server(self.index), context.plan.fleet.gateways, context.now());
+            self.state().isolation = Some(fault.clone());
             fault
         } else {
-            let Some(fault) = self.inside().vanished.take() else { return };
-            world.links.heal(&fault);
+            let Some(fault) = self.state().isolation.take() else { return };
+            context.links.heal(&fault);
             fault
         };
-        world.refilter(&fault);
+        context.update_filters(&fault);
     }
 
-    /// Something else is wrong with it.
-    pub fn trouble(&self, world: &World, change: impl FnOnce(&mut Trouble)) {
-        let (mut inside, mut done) = (self.inside(), Vec::new());
-        inside.model.trouble(world.now(), change, &mut done);
-        inside.tell(done);
-        drop(inside);
+    /// Changes its injected faults.
+    pub fn update_faults(&self, context: &RunContext, change: impl FnOnce(&mut ServerFaults)) {
+        let (mut state, mut completed) = (self.state(), Vec::new());
+        state.model.update_faults(context.now(), change, &mut completed);
+        state.complete(completed);
+        drop(state);
         self.wake.notify_one();
     }
 
-    async fn meet(&self, world: &Arc<World>, gateway: usize, io: Io) {
-        let mut lives = self.lives.subscribe();
-        let now = world.now();
-        let room = {
-            let mut inside = self.inside();
-            inside.held += 1;
-            inside.held <= world.plan.fleet.connections
+    async fn handle_connection(&self, context: &Arc<RunContext>, gateway: usize, io: Connection) {
+        let mut kills = self.kills.subscribe();
+        let now = context.now();
+        let within_limit = {
+            let mut state = self.state();
+            state.connections += 1;
+            state.connections <= context.plan.fleet.connections
         };
-        world.ledger().connections.push((now, self.place));
-        let mut http = Http::new(io);
-        let reset = if room {
-            // A process that has died hears nothing of what reaches it in the same moment.
+        context.ledger().connections.push((now, self.index));
+        let mut http = HttpConnection::new(io);
+        let is_reset = if within_limit {
+            // Biased, so that a killed process does not handle data that arrives at the same time.
             tokio::select! {
                 biased;
-                _ = lives.changed() => true,
-                reset = self.serve(world, gateway, &mut http) => reset,
+                _ = kills.changed() => true,
+                is_reset = self.serve(context, gateway, &mut http) => is_reset,
             }
         } else {
-            // Over its limit: the connection is reset at once.
             true
         };
-        self.inside().held -= 1;
-        if reset {
+        self.state().connections -= 1;
+        if is_reset {
             http.io.reset();
         }
     }
 
-    /// Serves one connection to its end; tells whether it ends with a reset.
-    async fn serve(&self, world: &Arc<World>, gateway: usize, http: &mut Http) -> bool {
+    /// Serves one connection to its end. Returns whether it has to be reset.
+    async fn serve(&self, context: &Arc<RunContext>, gateway: usize, http: &mut HttpConnection) -> bool {
         loop {
-            if !matches!(http.begins().await, Ok(true)) {
+            if !matches!(http.wait_for_message().await, Ok(true)) {
                 return false;
             }
-            let first = world.now();
-            let Ok(Some((head, _))) = http.read(false).await else { return false };
+            let first = context.now();
+            let Ok(Some((head, _))) = http.read_message(false).await else { return false };
             let path = head.target.split('?').next().unwrap_or("");
             if path == "/health/live" || path == "/stats" {
-                let report = self.probed(world);
-                if http.write(&answer(200, "", &report)).await.is_err() {
+                let report = self.handle_probe(context);
+                if http.write(&format_response(200, "", &report)).await.is_err() {
                     return false;
                 }
                 continue;
             }
-            if let Some(txn) = head.txn.filter(|txn| *txn >= VISITORS) {
-                if http.write(&answer(200, "X-Units-Charged: 1\r\n", &body(txn, self.place))).await.is_err() {
+            if let Some(txn) = head.txn.filter(|txn| *txn >= FIRST_MANUAL_TXN) {
+                if http
+                    .write(&format_response(200, "X-Units-Charged: 1\r\n", &response_body(txn, self.index)))
+                    .await
+                    .is_err()
+                {
                     return false;
                 }
                 continue;
             }
-            let work = head.txn.and_then(|txn| Some((txn, world.works[work_of(txn, world.works.len())?])));
-            let Some((txn, arrival)) = work else {
-                world.ledger().strays += 1;
-                let _ = http.write(&answer(404, "", "no such request\n")).await;
+            let known =
+                head.txn.and_then(|txn| Some((txn, context.arrivals[work_of(txn, context.arrivals.len())?])));
+            let Some((txn, arrival)) = known else {
+                context.ledger().strays += 1;
+                let _ = http.write(&format_response(404, "", "no such request\n")).await;
                 return false;
             };
-            let came = world.now();
-            let (id, verdict, done, chances) = {
-                let (mut inside, mut ended) = (self.inside(), Vec::new());
-                let id = inside.next;
-                inside.next += 1;
-                let (chance, chances) = (inside.rng.random(), inside.rng.random::<(f64, f64)>());
-                let verdict = inside.model.arrive(came, id, arrival.work_ms, chance, &mut ended);
-                inside.tell(ended);
-                let (done, wait) = oneshot::channel();
-                if verdict == Verdict::Taken {
-                    inside.waits.insert(id, done);
+            let came = context.now();
+            let (id, admission, completion, fault_draws) = {
+                let (mut state, mut completed) = (self.state(), Vec::new());
+                let id = state.next_id;
+                state.next_id += 1;
+                let (admission_draw, fault_draws) = (state.rng.random(), state.rng.random::<(f64, f64)>());
+                let admission = state.model.submit(came, id, arrival.work_ms, admission_draw, &mut completed);
+                state.complete(completed);
+                let (sender, completion) = oneshot::channel();
+                if admission == Admission::Accepted {
+                    state.completions.insert(id, sender);
                 }
-                (id, verdict, wait, chances)
+                (id, admission, completion, fault_draws)
             };
             self.wake.notify_one();
-            let began = verdict == Verdict::Taken;
+            let began = admission == Admission::Accepted;
             let end = (came, Fate::Open);
-            let held = Held { world, run: Run { txn, server: self.place, gateway, first, came, began, end } };
-            match verdict {
-                Verdict::Turned => {
-                    held.end(Fate::Turned);
-                    let text = answer(503, "X-Turned-Away: 1\r\n", "no room\n");
+            let attempt =
+                Attempt { context, run: Run { txn, server: self.index, gateway, first, came, began, end } };
+            match admission {
+                Admission::Rejected => {
+                    attempt.end(Fate::Turned);
+                    let text = format_response(503, "X-Turned-Away: 1\r\n", "no room\n");
                     if http.write(&text).await.is_err() {
                         return false;
                     }
                     continue;
                 }
-                Verdict::Error => {
-                    held.end(Fate::Error);
-                    if http.write(&answer(500, "", "error\n")).await.is_err() {
+                Admission::Error => {
+                    attempt.end(Fate::Error);
+                    if http.write(&format_response(500, "", "error\n")).await.is_err() {
                         return false;
                     }
                     continue;
                 }
-                Verdict::Fallen => {
-                    drop(held);
-                    self.kill(world);
-                    world.discovery_hears(self.place, State::Gone, false);
+                Admission::Crashed => {
+                    drop(attempt);
+                    self.kill(context);
+                    context.update_discovery(self.index, ServerState::Gone, false);
                     return true;
                 }
-                Verdict::Taken => {}
+                Admission::Accepted => {}
             }
-            let ran = tokio::select! {
-                ran = done => ran.is_ok(),
-                () = http.ended() => false,
+            let is_complete = tokio::select! {
+                completed = completion => completed.is_ok(),
+                () = http.wait_for_close() => false,
             };
-            if !ran {
-                let (mut inside, mut ended) = (self.inside(), Vec::new());
-                inside.waits.remove(&id);
-                inside.model.cancel(world.now(), id, &mut ended);
-                inside.tell(ended);
+            if !is_complete {
+                let (mut state, mut completed) = (self.state(), Vec::new());
+                state.completions.remove(&id);
+                state.model.cancel(context.now(), id, &mut completed);
+                state.complete(completed);
                 return false;
             }
-            let trouble = self.inside().model.troubles();
-            if chances.0 < trouble.reset {
-                held.end(Fate::Unheard);
+            let faults = self.state().model.faults();
+            if fault_draws.0 < faults.reset_rate {
+                attempt.end(Fate::Unheard);
                 return true;
             }
-            if chances.1 < trouble.spoil {
-                held.end(Fate::Unheard);
+            if fault_draws.1 < faults.corrupt_rate {
+                attempt.end(Fate::Unheard);
                 let _ = http.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nspoilt").await;
                 return true;
             }
-            // Where the run is noted before its answer is heard, no client has an answer that nobody made.
-            held.end(Fate::Done);
+            // Recorded before the response is written, so that no client can receive one without a recorded run.
+            attempt.end(Fate::Done);
             let units = format!("X-Units-Charged: {}\r\n", arrival.units);
-            if http.write(&answer(200, &units, &body(txn, self.place))).await.is_err() {
+            if http.write(&format_response(200, &units, &response_body(txn, self.index))).await.is_err() {
                 return false;
             }
         }
     }
 
-    fn probed(&self, world: &World) -> String {
-        let (mut inside, mut done) = (self.inside(), Vec::new());
-        inside.model.probed(world.now(), &mut done);
-        inside.tell(done);
-        let ((work, queue), trouble) = (inside.model.in_hand(), inside.model.troubles());
-        drop(inside);
-        world.ledger().probes += 1;
-        let in_hand = trouble.report.unwrap_or((work + queue) as f64);
-        format!("inflight={in_hand},queue={}", if trouble.report.is_some() { 0 } else { queue })
+    /// Handles a health probe. Returns the load report.
+    fn handle_probe(&self, context: &RunContext) -> String {
+        let (mut state, mut completed) = (self.state(), Vec::new());
+        state.model.handle_probe(context.now(), &mut completed);
+        state.complete(completed);
+        let ((running, queued), faults) = (state.model.in_flight(), state.model.faults());
+        drop(state);
+        context.ledger().probes += 1;
+        let in_flight = faults.reported_in_flight.unwrap_or((running + queued) as f64);
+        format!("inflight={in_flight},queue={}", if faults.reported_in_flight.is_some() { 0 } else { queued })
     }
 }
 
-/// The answer that a server makes for a request.
-pub fn body(txn: u64, server: usize) -> String {
+/// The body of a server's response to a request.
+pub fn response_body(txn: u64, server: usize) -> String {
     format!("{txn:016x} ran at server {server}\n")
 }
 
-/// Whether an answer is one that a server made for this request.
-pub fn made_for(body: &[u8], txn: u64) -> bool {
+/// Whether a body is that of a server's response to this request.
+pub fn is_response_for(body: &[u8], txn: u64) -> bool {
     body.starts_with(format!("{txn:016x} ran at server ").as_bytes())
 }
--- a/lab/src/stage/timeline.rs
+++ b/lab/src/stage/timeline.rs
@@ -1,202 +1,210 @@
-//! A plan's steps, each played at its time and undone at its end.
+//! Plays the steps of a plan: each takes effect at its time and is undone at its end.
 
-use crate::model::registry::State;
+use crate::model::registry::ServerState;
 use crate::plan::{
     CounterAct, DiscoveryAct, GatewayAct, OnCounter, OnDiscovery, OnGateways, OnLink, OnServers, ServerAct,
 };
-use crate::stage::World;
+use crate::stage::RunContext;
 use std::sync::Arc;
 
-/// What a step begins or ends with.
+/// Whether a step begins or ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Turn {
-    Begins,
-    Ends,
+enum Phase {
+    Begin,
+    End,
 }
 
-/// Plays all steps; returns once the last one is over or undone.
-pub async fn run(world: &Arc<World>) {
-    let mut playing = tokio::task::JoinSet::new();
-    for number in 0..world.plan.step.len() {
-        let world = world.clone();
-        playing.spawn(async move { step(&world, number).await });
+/// Plays all steps concurrently. Returns once the last one has ended.
+pub async fn run(context: &Arc<RunContext>) {
+    let mut steps = tokio::task::JoinSet::new();
+    for index in 0..context.plan.step.len() {
+        let context = context.clone();
+        steps.spawn(async move { play_step(&context, index).await });
     }
-    while playing.join_next().await.is_some() {}
+    while steps.join_next().await.is_some() {}
 }
 
-async fn step(world: &Arc<World>, number: usize) {
-    let step = world.plan.step[number].clone();
-    let at = world.begin() + step.at;
+async fn play_step(context: &Arc<RunContext>, index: usize) {
+    let step = context.plan.step[index].clone();
+    let at = context.load_start() + step.at;
     let ends = step.lasts.map(|lasts| at + lasts);
     if let Some(on) = &step.gateways {
-        gateways(world, number, on, (at, ends)).await;
+        play_gateway_step(context, index, on, (at, ends)).await;
     } else if let Some(on) = &step.servers {
-        servers(world, number, on, (at, ends)).await;
+        play_server_step(context, index, on, (at, ends)).await;
     } else {
-        world.sleep_until(at).await;
+        context.sleep_until(at).await;
         let mut fault = None;
         if let Some(on) = &step.link {
-            fault = Some(begin_link(world, number, on));
+            fault = Some(inject_link_fault(context, index, on));
         }
-        turn(world, number, &step, Turn::Begins);
+        apply_phase(context, index, &step, Phase::Begin);
         if let Some(ends) = ends {
-            world.sleep_until(ends).await;
-            turn(world, number, &step, Turn::Ends);
+            context.sleep_until(ends).await;
+            apply_phase(context, index, &step, Phase::End);
             if let Some(fault) = fault {
-                world.links.heal(&fault);
-                world.refilter(&fault);
+                context.links.heal(&fault);
+                context.update_filters(&fault);
             }
         }
     }
 }
 
-fn begin_link(world: &World, number: usize, on: &OnLink) -> crate::fault::Fault {
-    let fault = world.links.put(&world.plan, number, on, world.now());
-    world.refilter(&fault);
+fn inject_link_fault(context: &RunContext, index: usize, on: &OnLink) -> crate::fault::Fault {
+    let fault = context.links.put(&context.plan, index, on, context.now());
+    context.update_filters(&fault);
     fault
 }
 
-fn turn(world: &World, number: usize, step: &crate::plan::Step, turn: Turn) {
+fn apply_phase(context: &RunContext, index: usize, step: &crate::plan::Step, phase: Phase) {
     if let Some(on) = &step.counter {
-        counter(world, on, turn);
+        apply_to_counter(context, on, phase);
     }
     if let Some(on) = &step.discovery {
-        discovery(world, number, on, turn);
+        apply_to_discovery(context, index, on, phase);
     }
 }
 
-async fn gateways(world: &Arc<World>, number: usize, on: &OnGateways, (at, ends): (f64, Option<f64>)) {
-    let mut playing = tokio::task::JoinSet::new();
-    for (turn, place) in world.plan.gateways(on.who, number).into_iter().enumerate() {
-        let (world, act, late) = (world.clone(), on.act, on.every * turn as f64);
-        playing.spawn(async move {
-            world.sleep_until(at + late).await;
-            let seat = world.gateways[place].clone();
-            let done = match act {
+async fn play_gateway_step(
+    context: &Arc<RunContext>, index: usize, on: &OnGateways, (at, ends): (f64, Option<f64>),
+) {
+    let mut tasks = tokio::task::JoinSet::new();
+    for (position, gateway) in context.plan.gateways(on.who, index).into_iter().enumerate() {
+        let (context, act, offset) = (context.clone(), on.act, on.every * position as f64);
+        tasks.spawn(async move {
+            context.sleep_until(at + offset).await;
+            let gateway = context.gateways[gateway].clone();
+            let result = match act {
                 GatewayAct::Kill => {
-                    seat.kill(&world).await;
+                    gateway.kill(&context).await;
                     match ends {
                         Some(ends) => {
-                            world.sleep_until(ends + late).await;
-                            seat.start(&world).await
+                            context.sleep_until(ends + offset).await;
+                            gateway.start(&context).await
                         }
                         None => Ok(()),
                     }
                 }
                 GatewayAct::Pause => {
-                    seat.pause(&world, true);
-                    world.sleep_until(ends.unwrap_or(at) + late).await;
-                    seat.pause(&world, false);
+                    gateway.set_paused(&context, true);
+                    context.sleep_until(ends.unwrap_or(at) + offset).await;
+                    gateway.set_paused(&context, false);
                     Ok(())
                 }
-                GatewayAct::Restart => seat.restart(&world).await,
-                GatewayAct::Upgrade => seat.upgrade(&world).await,
-                GatewayAct::Reload => seat.reload(&world),
+                GatewayAct::Restart => gateway.restart(&context).await,
+                GatewayAct::Upgrade => gateway.upgrade(&context).await,
+                GatewayAct::Reload => gateway.reload(&context),
             };
-            if let Err(e) = done {
-                world.fault(e);
+            if let Err(e) = result {
+                context.record_error(e);
             }
         });
     }
-    while playing.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
 
-async fn servers(world: &Arc<World>, number: usize, on: &OnServers, (at, ends): (f64, Option<f64>)) {
-    let mut playing = tokio::task::JoinSet::new();
-    for (turn, place) in world.plan.servers(on.who, number).into_iter().enumerate() {
-        let (world, on, late) = (world.clone(), on.clone(), on.every * turn as f64);
-        playing.spawn(async move {
-            world.sleep_until(at + late).await;
-            server(&world, place, &on, Turn::Begins).await;
+async fn play_server_step(
+    context: &Arc<RunContext>, index: usize, on: &OnServers, (at, ends): (f64, Option<f64>),
+) {
+    let mut tasks = tokio::task::JoinSet::new();
+    for (position, server) in context.plan.servers(on.who, index).into_iter().enumerate() {
+        let (context, on, offset) = (context.clone(), on.clone(), on.every * position as f64);
+        tasks.spawn(async move {
+            context.sleep_until(at + offset).await;
+            apply_to_server(&context, server, &on, Phase::Begin).await;
             if let Some(ends) = ends {
-                world.sleep_until(ends + late).await;
-                server(&world, place, &on, Turn::Ends).await;
+                context.sleep_until(ends + offset).await;
+                apply_to_server(&context, server, &on, Phase::End).await;
             }
         });
     }
-    while playing.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
 
-async fn server(world: &Arc<World>, place: usize, on: &OnServers, turn: Turn) {
+async fn apply_to_server(context: &Arc<RunContext>, index: usize, on: &OnServers, phase: Phase) {
     use crate::ledger::Standing;
-    let (seat, begins) = (world.servers[place].clone(), turn == Turn::Begins);
+    let (server, begins) = (context.servers[index].clone(), phase == Phase::Begin);
     let share = if begins { on.by } else { 0.0 };
     match on.act {
         ServerAct::Kill if begins => {
-            seat.kill(world);
-            world.discovery_hears(place, State::Gone, false);
+            server.kill(context);
+            context.update_discovery(index, ServerState::Gone, false);
         }
         ServerAct::Kill => {
-            seat.start(world).await;
-            world.discovery_hears(place, State::Ready, true);
+            server.start(context).await;
+            context.update_discovery(index, ServerState::Ready, true);
         }
         ServerAct::Vanish if begins => {
-            seat.vanish(world, true);
-            world.stands(place, Standing::Away);
-            world.discovery_hears(place, State::Gone, false);
+            server.set_unreachable(context, true);
+            context.set_server_standing(index, Standing::Away);
+            context.update_discovery(index, ServerState::Gone, false);
         }
         ServerAct::Vanish => {
-            // The machine is back with a new process.
-            seat.kill(world);
-            seat.vanish(world, false);
-            seat.start(world).await;
-            world.discovery_hears(place, State::Ready, true);
+            // The machine comes back with a new process.
+            server.kill(context);
+            server.set_unreachable(context, false);
+            server.start(context).await;
+            context.update_discovery(index, ServerState::Ready, true);
         }
         ServerAct::Drain if begins => {
-            world.stands(place, Standing::Leaving);
-            world.discovery_hears(place, State::Draining, false);
+            context.set_server_standing(index, Standing::Leaving);
+            context.update_discovery(index, ServerState::Draining, false);
         }
         ServerAct::Drain => {
-            seat.kill(world);
-            world.discovery_hears(place, State::Gone, false);
+            server.kill(context);
+            context.update_discovery(index, ServerState::Gone, false);
         }
         ServerAct::Join => {
             if begins {
-                seat.start(world).await;
-                world.discovery_hears(place, State::Ready, true);
+                server.start(context).await;
+                context.update_discovery(index, ServerState::Ready, true);
             }
         }
-        ServerAct::Slow => seat.trouble(world, |trouble| trouble.slow = if begins { on.by } else { 1.0 }),
+        ServerAct::Slow => {
+            server.update_faults(context, |faults| faults.slowdown = if begins { on.by } else { 1.0 });
+        }
         ServerAct::Errors => {
-            let usual = world.plan.fleet.errors;
-            seat.trouble(world, |trouble| trouble.errors = share.max(usual));
+            let default_rate = context.plan.fleet.errors;
+            server.update_faults(context, |faults| faults.error_rate = share.max(default_rate));
+        }
+        ServerAct::TurnAway => server.update_faults(context, |faults| faults.reject_rate = share),
+        ServerAct::Reset => server.update_faults(context, |faults| faults.reset_rate = share),
+        ServerAct::Spoil => server.update_faults(context, |faults| faults.corrupt_rate = share),
+        ServerAct::Report => {
+            server.update_faults(context, |faults| faults.reported_in_flight = begins.then_some(on.by));
         }
-        ServerAct::TurnAway => seat.trouble(world, |trouble| trouble.turn_away = share),
-        ServerAct::Reset => seat.trouble(world, |trouble| trouble.reset = share),
-        ServerAct::Spoil => seat.trouble(world, |trouble| trouble.spoil = share),
-        ServerAct::Report => seat.trouble(world, |trouble| trouble.report = begins.then_some(on.by)),
     }
 }
 
-fn counter(world: &World, on: &OnCounter, turn: Turn) {
-    let begins = turn == Turn::Begins;
+fn apply_to_counter(context: &RunContext, on: &OnCounter, phase: Phase) {
+    let begins = phase == Phase::Begin;
     match on.act {
         CounterAct::Slow => {
-            world.counter.model().slow_s = if begins { on.by / 1000.0 } else { 0.0 };
+            context.counter.model().extra_latency_s = if begins { on.by / 1000.0 } else { 0.0 };
         }
-        CounterAct::Out => world.counter.out(world, begins),
+        CounterAct::Out => context.counter.set_outage(context, begins),
         CounterAct::Flush => {
             if begins {
-                world.counter.model().flush();
+                context.counter.model().flush();
             }
         }
-        CounterAct::TurnAway => world.counter.model().turn_away = if begins { on.by } else { 0.0 },
+        CounterAct::TurnAway => context.counter.model().reject_rate = if begins { on.by } else { 0.0 },
     }
 }
 
-fn discovery(world: &World, number: usize, on: &OnDiscovery, turn: Turn) {
-    let begins = turn == Turn::Begins;
-    for place in world.plan.gateways(on.who, number) {
-        let mut agent = world.discovery.agent(place);
+fn apply_to_discovery(context: &RunContext, index: usize, on: &OnDiscovery, phase: Phase) {
+    let begins = phase == Phase::Begin;
+    for gateway in context.plan.gateways(on.who, index) {
+        let mut agent = context.discovery.agent(gateway);
         match on.act {
-            DiscoveryAct::Silent => agent.silent = begins,
-            DiscoveryAct::Late => agent.late_s = if begins { on.by } else { 0.0 },
-            DiscoveryAct::Stale => agent.stale_since = begins.then(|| world.now()),
+            DiscoveryAct::Silent => agent.is_silent = begins,
+            DiscoveryAct::Late => agent.delay_s = if begins { on.by } else { 0.0 },
+            DiscoveryAct::Stale => agent.stale_since = begins.then(|| context.now()),
         }
     }
     if on.act == DiscoveryAct::Silent && begins {
-        world.discovery.silenced();
+        context.discovery.close_silent();
     }
-    // Whoever waits for news looks again.
-    world.changed.send_modify(|times| *times += 1);
+    // Open streams check again which changes have reached their agent.
+    context.registry_changed.send_modify(|count| *count += 1);
 }
