--- a/lab/src/stage/machine.rs
+++ b/lab/src/stage/machine.rs
@@ -1,5 +1,4 @@
-//! Resources of the machine that the lab runs on: descriptor limits, use by processes, and how late the lab's own
-//! timers were.
+//! Descriptor limits, resource usage of processes, and lateness of the lab's own timers.
 
 use crate::plan::Plan;
 use hdrhistogram::Histogram;
--- a/lab/src/stage/mod.rs
+++ b/lab/src/stage/mod.rs
@@ -1,4 +1,5 @@
-//! Plays a plan: real gateway processes on loopback, with simulated clients, servers, counter and discovery.
+//! Plays a plan: starts real gateway processes on loopback, and simulates the clients, servers, counter and discovery
+//! around them in this process, the lab.
 
 mod clients;
 mod counter;
