--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -290,7 +290,11 @@
             marks.push((run.came, work, Mark::Sent));
         }
         if run.end.1 == Fate::Done && settled.insert(run.txn) {
-            marks.push((run.end.0, work, Mark::Settled(ledger.works[work].guess - ledger.works[work].units)));
+            marks.push((
+                run.end.0,
+                work,
+                Mark::Settled(ledger.works[work].estimated_units - ledger.works[work].units),
+            ));
         }
     }
     for one in &ledger.tries {
@@ -311,14 +315,14 @@
         let store = stores.entry(arrival.customer).or_insert(Store { units: burst, at });
         store.units = (store.units + rate * (at - store.at).max(0.0)).min(burst);
         store.at = at;
-        let room = rate == 0.0 || store.units >= arrival.guess;
+        let room = rate == 0.0 || store.units >= arrival.estimated_units;
         match mark {
             Mark::Sent => {
-                sent += arrival.guess;
+                sent += arrival.estimated_units;
                 if room {
-                    store.units -= arrival.guess;
+                    store.units -= arrival.estimated_units;
                 } else {
-                    beyond += arrival.guess;
+                    beyond += arrival.estimated_units;
                 }
             }
             Mark::Settled(back) => store.units = (store.units + back).min(burst),
@@ -426,9 +430,9 @@
                 customer: work as u32,
                 class,
                 work_ms: 50.0,
-                guess: 2.0,
+                estimated_units: 2.0,
                 units: 2.0,
-                honours: true,
+                honors_retry_after: true,
             });
             ledger.began.push(Some(at));
             let (txn, gateway) = (txn(work, 0), work % 3);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -7,7 +7,7 @@
 use granite_lab::scale::draw::Size;
 use granite_lab::scale::weigh::{self, Heap};
 use granite_lab::scale::{self, forecast, run};
-use granite_lab::stage::{play, play_watched, Options};
+use granite_lab::stage::{play, play_with_ready_callback, Options};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -195,7 +195,7 @@
             let plan = read("demo")?;
             let options = Options::new(program(cli)?);
             println!("starting {} gateways before {} servers ...", plan.fleet.gateways, plan.fleet.servers);
-            let outcome = play_watched(&plan, &options, stopped(), |gateways| {
+            let outcome = play_with_ready_callback(&plan, &options, stopped(), |gateways| {
                 println!(
                     "load runs for {} s; meanwhile, in another shell:\n\n    {}\n",
                     plan.seconds,
@@ -208,7 +208,8 @@
         }
         Verb::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
             let ready = Duration::try_from_secs_f64(*ready_s).map_err(|e| format!("--ready-s: {e}"))?;
-            let options = Options { keep: keep.clone(), ready, ..Options::new(program(cli)?) };
+            let options =
+                Options { keep_dir: keep.clone(), ready_timeout: ready, ..Options::new(program(cli)?) };
             let mut file = json.as_deref().map(append).transpose()?;
             let mut held = true;
             for name in plans {
--- a/lab/src/model/front.rs
+++ b/lab/src/model/front.rs
@@ -28,11 +28,11 @@
     /// Its processing time on an idle core, in ms.
     pub work_ms: f64,
     /// Quota units that the client announces.
-    pub guess: f64,
+    pub estimated_units: f64,
     /// Quota units that it really takes.
     pub units: f64,
     /// Whether the client waits for as long as `Retry-After` says.
-    pub honours: bool,
+    pub honors_retry_after: bool,
 }
 
 impl Arrival {
@@ -71,9 +71,9 @@
             customer,
             class: u8::from(rng.random_bool(traffic.orders)),
             work_ms,
-            guess: (units * guess.sample(rng)).round().clamp(1.0, MAX_UNITS),
+            estimated_units: (units * guess.sample(rng)).round().clamp(1.0, MAX_UNITS),
             units,
-            honours: rng.random_bool(traffic.honour),
+            honors_retry_after: rng.random_bool(traffic.honour),
         }
     };
     let steps: Vec<_> = plan.step.iter().filter_map(|step| Some((step, step.traffic.as_ref()?))).collect();
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -74,7 +74,7 @@
         machine.timers_late_ms.p99,
         machine.clients_late_ms.p99,
     ));
-    for why in &outcome.not_valid {
+    for why in &outcome.invalid_reasons {
         line(format!("  NOT VALID: {why}"));
     }
     for broken in &outcome.verdict.broken {
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -251,7 +251,7 @@
     }
 
     fn cpu_s(&self) -> f64 {
-        machine::used(self.id()).cpu_s
+        machine::process_usage(self.id()).cpu_s
     }
 
     fn peak_mb(&self) -> f64 {
@@ -607,7 +607,7 @@
         outcome.failed = Some(format!("refused: {why}"));
         return Ok(outcome);
     }
-    machine::allow(outcome.needs.descriptors.max(outcome.needs.leader_descriptors))?;
+    machine::raise_descriptor_limit(outcome.needs.descriptors.max(outcome.needs.leader_descriptors))?;
     let mut system = System::start(options, size)?;
     let threads = Threads::start(&system, &drawn, outcome.needs.whole);
     let mut marks = Marks::default();
--- a/lab/src/stage/clients.rs
+++ b/lab/src/stage/clients.rs
@@ -72,7 +72,7 @@
                 _ => arrival.class == 0,
             };
             let retry_after_s = match end {
-                End::Refused(Some(ms)) if arrival.honours => f64::from(ms) / 1000.0,
+                End::Refused(Some(ms)) if arrival.honors_retry_after => f64::from(ms) / 1000.0,
                 _ => 0.0,
             };
             let wait_s = if extra_retries > 0 {
@@ -253,6 +253,6 @@
          X-Plan: {plan}\r\nX-Remaining-Ms: {}\r\nX-Quota: units={},spread={spread},first={first}\r\n{length}\r\n{body}",
         arrival.account(),
         (remaining_s * 1000.0).max(1.0) as u64,
-        arrival.guess,
+        arrival.estimated_units,
     )
 }
--- a/lab/src/stage/gateways.rs
+++ b/lab/src/stage/gateways.rs
@@ -4,7 +4,7 @@
 use crate::model::front::{CLASS_NAMES, MAX_UNITS, PLAN_NAMES};
 use crate::plan::{AIM_MS, DEADLINES_MS};
 use crate::stage::discovery::{registry_json, zone_name};
-use crate::stage::machine::{used, ProcessUsage};
+use crate::stage::machine::{process_usage, ProcessUsage};
 use crate::stage::wire::{Connection, HttpConnection, ReservedPort};
 use crate::stage::RunContext;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
@@ -133,7 +133,8 @@
     /// The CPU time used by all its processes, and the memory and threads of the current one.
     pub fn usage(&self) -> ProcessUsage {
         let past = *self.past_usage.lock().unwrap_or_else(|e| e.into_inner());
-        let current = self.process().as_ref().map(|process| used(process.pid.as_raw_nonzero().get()));
+        let current =
+            self.process().as_ref().map(|process| process_usage(process.pid.as_raw_nonzero().get()));
         let current = current.unwrap_or_default();
         ProcessUsage { cpu_s: past.cpu_s + current.cpu_s, ..current }
     }
@@ -248,7 +249,7 @@
         tokio::spawn(self.clone().supervise(context.clone(), child, process.clone(), exited_sender));
         let start_time = Instant::now();
         while !is_ready(operator).await {
-            let (ready_timeout, exited) = (context.options.ready, *process.exited.borrow());
+            let (ready_timeout, exited) = (context.options.ready_timeout, *process.exited.borrow());
             if exited || start_time.elapsed() > ready_timeout {
                 process.exit_expected.store(true, Ordering::Relaxed);
                 send_signal(&process, Signal::KILL);
@@ -279,7 +280,7 @@
     async fn read_member_address(&self, context: &RunContext, start: u64) {
         let Some(relays) = &context.relays else { return };
         let begin = Instant::now();
-        while begin.elapsed() < context.options.ready {
+        while begin.elapsed() < context.options.ready_timeout {
             let text = std::fs::read_to_string(self.log_path(start)).unwrap_or_default();
             let addresses =
                 text.lines().rev().find_map(|line| line.split_once(", reached at ")?.1.split_once(", on "));
@@ -303,7 +304,7 @@
         let sample_until_exit = async {
             let mut last = ProcessUsage::default();
             loop {
-                last = Some(used(process.pid.as_raw_nonzero().get()))
+                last = Some(process_usage(process.pid.as_raw_nonzero().get()))
                     .filter(|usage| usage.cpu_s >= last.cpu_s)
                     .unwrap_or(last);
                 tokio::select! {
--- a/lab/src/stage/machine.rs
+++ b/lab/src/stage/machine.rs
@@ -31,7 +31,7 @@
 
 /// Raises the soft limit of this process to this number of descriptors, if it is lower. Fails if the hard limit is
 /// lower.
-pub fn allow(descriptors: usize) -> Result<(), String> {
+pub fn raise_descriptor_limit(descriptors: usize) -> Result<(), String> {
     let limit = getrlimit(Resource::Nofile);
     let (soft, hard) = (limit.current.unwrap_or(u64::MAX), limit.maximum.unwrap_or(u64::MAX));
     let needed = descriptors as u64;
@@ -117,7 +117,7 @@
 }
 
 /// The resources that a process uses, by its id; all zero if there is no such process.
-pub fn used(pid: i32) -> ProcessUsage {
+pub fn process_usage(pid: i32) -> ProcessUsage {
     let Ok(stat) = procfs::process::Process::new(pid).and_then(|process| process.stat()) else {
         return ProcessUsage::default();
     };
@@ -147,8 +147,8 @@
         };
         let needed = required_descriptors(&plan(300));
         assert!((10_000..20_000).contains(&needed), "{needed}");
-        assert!(allow(64).is_ok());
-        let error = allow(usize::MAX / 2).unwrap_err();
+        assert!(raise_descriptor_limit(64).is_ok());
+        let error = raise_descriptor_limit(usize::MAX / 2).unwrap_err();
         assert!(error.contains("ulimit -Hn"), "{error}");
     }
 
@@ -161,7 +161,7 @@
         assert!(reason.is_some_and(|reason| reason.contains("timers were 99")), "{summary:?}");
         assert_eq!(starvation_reason("timers", LatenessSummary { p99: 19.0, ..summary }), None);
         assert!((49.0..52.0).contains(&summary.p50) && (98.0..101.0).contains(&summary.p99), "{summary:?}");
-        assert!(used(std::process::id() as i32).resident_mb > 0.5);
-        assert_eq!(used(i32::MAX), ProcessUsage::default());
+        assert!(process_usage(std::process::id() as i32).resident_mb > 0.5);
+        assert_eq!(process_usage(i32::MAX), ProcessUsage::default());
     }
 }
--- a/lab/src/stage/mod.rs
+++ b/lab/src/stage/mod.rs
@@ -42,15 +42,15 @@
     /// The gateway program.
     pub program: PathBuf,
     /// Directory in which logs and configurations of the gateways are kept. Without it they are removed after the run.
-    pub keep: Option<PathBuf>,
+    pub keep_dir: Option<PathBuf>,
     /// A gateway that is not ready after this time is killed, and the run fails.
-    pub ready: Duration,
+    pub ready_timeout: Duration,
 }
 
 impl Options {
     /// Default options for a gateway program.
     pub fn new(program: impl Into<PathBuf>) -> Options {
-        Options { program: program.into(), keep: None, ready: Duration::from_secs(30) }
+        Options { program: program.into(), keep_dir: None, ready_timeout: Duration::from_secs(30) }
     }
 }
 
@@ -87,7 +87,8 @@
     /// The seed of the run.
     pub seed: u64,
     /// Reasons why the results say nothing about the gateways. Empty if the run is valid.
-    pub not_valid: Vec<String>,
+    #[serde(rename = "not_valid")]
+    pub invalid_reasons: Vec<String>,
     /// The results of the checkers.
     pub verdict: Verdict,
     /// Resource usage and lateness.
@@ -97,7 +98,7 @@
 impl Outcome {
     /// Whether the run is valid and no rule was broken.
     pub fn held(&self) -> bool {
-        self.not_valid.is_empty() && self.verdict.held()
+        self.invalid_reasons.is_empty() && self.verdict.held()
     }
 }
 
@@ -363,11 +364,11 @@
 /// Plays a plan to its end, or until `stop` completes. Fails if the plan is invalid, the gateways do not start, or the
 /// run is stopped or times out.
 pub fn play(plan: &Plan, options: &Options, stop: impl Future<Output = ()>) -> Result<Outcome, String> {
-    play_watched(plan, options, stop, |_| ())
+    play_with_ready_callback(plan, options, stop, |_| ())
 }
 
 /// Like [`play`]. When the load begins, calls `ready` with the client address of each gateway.
-pub fn play_watched(
+pub fn play_with_ready_callback(
     plan: &Plan, options: &Options, stop: impl Future<Output = ()>,
     ready: impl FnOnce(&[std::net::SocketAddr]),
 ) -> Result<Outcome, String> {
@@ -375,12 +376,12 @@
     if !faults.is_empty() {
         return Err(faults.join("\n"));
     }
-    machine::allow(machine::required_descriptors(plan))?;
+    machine::raise_descriptor_limit(machine::required_descriptors(plan))?;
     let temporary = tempfile::Builder::new()
         .prefix("granite-lab-")
         .tempdir()
         .map_err(|e| format!("cannot create a temporary directory: {e}"))?;
-    let directory = options.keep.clone().unwrap_or_else(|| temporary.path().to_owned());
+    let directory = options.keep_dir.clone().unwrap_or_else(|| temporary.path().to_owned());
     // Dropped after the runtime, whose tasks can start processes until it has shut down, and before the directory.
     let children = Arc::new(gateways::ChildProcesses::default());
     let runtime =
@@ -430,7 +431,7 @@
     let addresses: Vec<_> = context.gateways.iter().map(|gateway| gateway.address()).collect();
     let gateways_cpu_s =
         |context: &RunContext| context.gateways.iter().map(|gateway| gateway.usage().cpu_s).sum::<f64>();
-    let own_usage = || machine::used(std::process::id() as i32);
+    let own_usage = || machine::process_usage(std::process::id() as i32);
     let (cpu_before, own_before) = (gateways_cpu_s(&context), own_usage());
     let load_start = context.now();
     let _ = context.load_start.set(load_start);
@@ -474,10 +475,10 @@
         timers_late_ms: context.timer_lateness.summary(),
         clients_late_ms: context.client_lateness.summary(),
     };
-    let mut not_valid = lock(&context.errors).clone();
-    not_valid.extend(machine::starvation_reason("timers", machine.timers_late_ms));
-    not_valid.extend(machine::starvation_reason("clients", machine.clients_late_ms));
-    Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, not_valid, verdict, machine })
+    let mut invalid_reasons = lock(&context.errors).clone();
+    invalid_reasons.extend(machine::starvation_reason("timers", machine.timers_late_ms));
+    invalid_reasons.extend(machine::starvation_reason("clients", machine.clients_late_ms));
+    Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, invalid_reasons, verdict, machine })
 }
 
 async fn start_gateways(context: &Arc<RunContext>) -> Result<(), String> {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use granite_lab::plan::Plan;
 use granite_lab::plans;
 use granite_lab::report;
-use granite_lab::stage::{play, play_watched, Options, Outcome};
+use granite_lab::stage::{play, play_with_ready_callback, Options, Outcome};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -27,7 +27,7 @@
 fn valid(plan: &Plan) -> Outcome {
     for _ in 0..PLAYS {
         let outcome = play(plan, &options(), std::future::pending()).unwrap();
-        if outcome.not_valid.is_empty() {
+        if outcome.invalid_reasons.is_empty() {
             return outcome;
         }
         println!("{}", report::text(&outcome));
@@ -149,7 +149,7 @@
     calm.seconds = 60.0;
     let seen = std::cell::Cell::new(0);
     let panicked = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        play_watched(&calm, &options(), std::future::pending(), |_| {
+        play_with_ready_callback(&calm, &options(), std::future::pending(), |_| {
             seen.set(children());
             panic!("on purpose")
         })
@@ -157,7 +157,7 @@
     assert!(panicked.is_err() && seen.get() == calm.fleet.gateways, "{seen:?}");
     assert_gone(folder.path());
     let after = async { tokio::time::sleep(std::time::Duration::from_secs(3)).await };
-    let stopped = play_watched(&calm, &options(), after, |_| seen.set(children()));
+    let stopped = play_with_ready_callback(&calm, &options(), after, |_| seen.set(children()));
     assert!(stopped.unwrap_err().contains("stopped"));
     assert_eq!(seen.get(), calm.fleet.gateways);
     assert_gone(folder.path());
