--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -318,7 +318,7 @@
             events.push((attempt.received_at, request, Event::Forwarded));
         }
         if attempt.outcome.1 == AttemptOutcome::Done && settled.insert(attempt.txn) {
-            let refund = ledger.requests[request].guess - ledger.requests[request].units;
+            let refund = ledger.requests[request].estimated_units - ledger.requests[request].units;
             events.push((attempt.outcome.0, request, Event::Settled(refund)));
         }
     }
@@ -341,14 +341,14 @@
             buckets.entry(arrival.customer).or_insert(TokenBucket { tokens: burst, refilled_at: at });
         bucket.tokens = (bucket.tokens + rate * (at - bucket.refilled_at).max(0.0)).min(burst);
         bucket.refilled_at = at;
-        let within_quota = rate == 0.0 || bucket.tokens >= arrival.guess;
+        let within_quota = rate == 0.0 || bucket.tokens >= arrival.estimated_units;
         match event {
             Event::Forwarded => {
-                units += arrival.guess;
+                units += arrival.estimated_units;
                 if within_quota {
-                    bucket.tokens -= arrival.guess;
+                    bucket.tokens -= arrival.estimated_units;
                 } else {
-                    units_beyond_quota += arrival.guess;
+                    units_beyond_quota += arrival.estimated_units;
                 }
             }
             Event::Settled(refund) => bucket.tokens = (bucket.tokens + refund).min(burst),
@@ -439,7 +439,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::ledger::{transaction_id, Attempt, GatewayEvent, ServerState};
+    use crate::ledger::{transaction_id, Attempt, GatewayEvent, ServerAvailability};
     use crate::model::front::Arrival;
 
     fn plan(rest: &str) -> Plan {
@@ -452,7 +452,7 @@
     /// Ten seconds without faults: ten requests per second, each by a different customer and every second one unsafe.
     fn faultless_ledger() -> Ledger {
         let mut ledger = Ledger { load_end: 10.0, speeds: vec![1.0; 2], ..Ledger::default() };
-        ledger.server_states = vec![(0.0, 0, ServerState::Up), (0.0, 1, ServerState::Up)];
+        ledger.server_states = vec![(0.0, 0, ServerAvailability::Up), (0.0, 1, ServerAvailability::Up)];
         ledger.gateway_events = (0..3).map(|gateway| (-1.0, gateway, GatewayEvent::Ready)).collect();
         for request in 0..100 {
             let at = request as f64 / 10.0;
@@ -462,9 +462,9 @@
                 customer: request as u32,
                 class,
                 work_ms: 50.0,
-                guess: 2.0,
+                estimated_units: 2.0,
                 units: 2.0,
-                honours: true,
+                honors_retry_after: true,
             });
             ledger.first_sent.push(Some(at));
             let (txn, gateway) = (transaction_id(request, 0), request % 3);
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -113,7 +113,7 @@
 
 /// State of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerState {
+pub enum ServerAvailability {
     /// Listed and running.
     Up,
     /// Draining before its removal.
@@ -141,7 +141,7 @@
     /// Events of gateways: time, gateway, event.
     pub gateway_events: Vec<(f64, usize, GatewayEvent)>,
     /// State changes of servers: time, server, new state.
-    pub server_states: Vec<(f64, usize, ServerState)>,
+    pub server_states: Vec<(f64, usize, ServerAvailability)>,
     /// Relative speed of each server. The average is 1.
     pub speeds: Vec<f64>,
     /// Times of tries that were refused while a server had an idle core.
@@ -184,9 +184,9 @@
     }
 
     /// Returns the state of a server at a time.
-    pub fn server_state(&self, server: usize, at: f64) -> ServerState {
+    pub fn server_state(&self, server: usize, at: f64) -> ServerAvailability {
         let mut before = self.server_states.iter().filter(|(then, which, _)| *which == server && *then <= at);
-        before.next_back().map_or(ServerState::Unavailable, |(_, _, state)| *state)
+        before.next_back().map_or(ServerAvailability::Unavailable, |(_, _, state)| *state)
     }
 
     /// Returns the index of the request of a transaction ID, or none for an ID that no client can have sent.
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -7,7 +7,7 @@
 use granite_lab::scale::draw::FleetSize;
 use granite_lab::scale::weigh::{self, Heap};
 use granite_lab::scale::{self, forecast, run};
-use granite_lab::stage::{play, play_watched, Options};
+use granite_lab::stage::{play, play_with_ready_callback, Options};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -199,7 +199,7 @@
             let plan = read_plan("demo")?;
             let options = Options::new(gateway_program(cli)?);
             println!("starting {} gateways and {} servers ...", plan.fleet.gateways, plan.fleet.servers);
-            let outcome = play_watched(&plan, &options, stop_signal(), |gateways| {
+            let outcome = play_with_ready_callback(&plan, &options, stop_signal(), |gateways| {
                 println!(
                     "the load runs for {} s; meanwhile, send a request from another shell:\n\n    {}\n",
                     plan.seconds,
@@ -212,7 +212,11 @@
         }
         LabCommand::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
             let ready = Duration::try_from_secs_f64(*ready_s).map_err(|e| format!("--ready-s: {e}"))?;
-            let options = Options { keep: keep.clone(), ready, ..Options::new(gateway_program(cli)?) };
+            let options = Options {
+                keep_dir: keep.clone(),
+                ready_timeout: ready,
+                ..Options::new(gateway_program(cli)?)
+            };
             let mut file = json.as_deref().map(open_for_append).transpose()?;
             let mut passed = true;
             for name in plans {
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -268,7 +268,7 @@
     }
 
     fn cpu_s(&self) -> f64 {
-        machine::used(self.id()).cpu_s
+        machine::process_usage(self.id()).cpu_s
     }
 
     fn peak_mb(&self) -> f64 {
@@ -669,7 +669,7 @@
         result.failure = Some(format!("refused: {reason}"));
         return Ok(result);
     }
-    machine::allow(result.estimate.descriptors.max(result.estimate.leader_descriptors))?;
+    machine::raise_descriptor_limit(result.estimate.descriptors.max(result.estimate.leader_descriptors))?;
     let mut real = RealProcesses::start(options, size)?;
     let threads = SimulationThreads::start(&real, &fleet, result.estimate.full_gateways);
     let mut samples = PhaseSamples::default();
