--- a/src/bin/heronstage/cli.rs
+++ b/src/bin/heronstage/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what may be asked of the program, and its exit codes.
+//! The command line: commands, arguments and exit codes.
 
 use crate::config::{Named, Source};
 use clap::{Args, Parser, Subcommand};
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use tracing_subscriber::filter::Targets;
 
-/// How a command ends.
+/// Exit status of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It was done, or the answer is yes.
+    /// The command succeeded.
     Done = 0,
-    /// The answer is no.
+    /// The gateway refused the command, or its condition did not hold.
     No = 1,
-    /// The command line or a file is wrong.
+    /// The command line or a file is invalid.
     Bad = 2,
-    /// The gateway was not reached, or gave no answer in time.
+    /// The gateway could not be reached, or did not respond in time.
     Unreached = 3,
 }
 
@@ -39,38 +39,39 @@
     pub command: Option<Command>,
 }
 
+/// Commands of the program.
 #[derive(Subcommand)]
 pub enum Command {
     /// Serve until SIGTERM, by --config or the file that RELAY_CONFIG names
-    Serve(Serve),
+    Serve(ServeArgs),
     /// Tell every mistake of a configuration; 2: it has some
-    Check(Layers),
+    Check(ConfigArgs),
     /// Show what a configuration says, and what may be said
     #[command(subcommand)]
-    Config(Configuration),
+    Config(ConfigCommand),
     /// Show what a running gateway does
-    Status(Call),
+    Status(OperatorArgs),
     /// Show the cluster as a running gateway sees it; 1: it is a member of none
-    Members(Call),
+    Members(OperatorArgs),
     /// Ask clients of a running gateway to go
-    Drain(Drain),
+    Drain(DrainArgs),
     /// Take clients again after a drain; 1: the gateway is ending
-    Resume(Call),
+    Resume(OperatorArgs),
     /// Have the gateway read its configuration anew, and tell which keys changed; 1: it was turned down
-    Reload(Call),
+    Reload(OperatorArgs),
     /// Change what a running gateway logs until its configuration is read anew, like `info,request=debug`
     Log {
         /// A level, and levels for parts by their names in the log
         levels: Targets,
         #[command(flatten)]
-        call: Call,
+        call: OperatorArgs,
     },
     /// Show over and over what a running gateway does; lines where the output is no terminal
     Top {
         #[command(flatten)]
-        call: Call,
+        call: OperatorArgs,
         /// Seconds between two looks
-        #[arg(long, value_name = "SECONDS", default_value = "1", value_parser = seconds)]
+        #[arg(long, value_name = "SECONDS", default_value = "1", value_parser = parse_seconds)]
         every: Duration,
         /// End after so many looks
         #[arg(long, value_name = "NUMBER")]
@@ -85,48 +86,50 @@
     Man,
 }
 
-/// A file and what comes over it.
+/// A configuration file and the keys that override it.
 #[derive(Args)]
-pub struct Layers {
+pub struct ConfigArgs {
     /// TOML or JSON, by its ending; the platform's own form is JSON with `settings`
     #[arg(value_name = "FILE")]
     pub file: PathBuf,
     /// Set a key over the file and the environment
-    #[arg(long, value_name = "KEY=VALUE", value_parser = pair)]
+    #[arg(long, value_name = "KEY=VALUE", value_parser = parse_key_value)]
     pub set: Vec<(String, String)>,
 }
 
-impl From<Layers> for Named {
-    fn from(layers: Layers) -> Self {
-        Named { path: layers.file, set: layers.set }
+impl From<ConfigArgs> for Named {
+    fn from(args: ConfigArgs) -> Self {
+        Named { path: args.file, set: args.set }
     }
 }
 
+/// Arguments of `serve`.
 #[derive(Args)]
-pub struct Serve {
+pub struct ServeArgs {
     /// TOML or JSON, by its ending; variables like HERONSTAGE_LIMITS__DESCRIPTORS come over it
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
     /// Set a key over the file and the environment
-    #[arg(long, value_name = "KEY=VALUE", value_parser = pair, requires = "config")]
+    #[arg(long, value_name = "KEY=VALUE", value_parser = parse_key_value, requires = "config")]
     pub set: Vec<(String, String)>,
 }
 
-impl From<Serve> for Source {
-    fn from(serve: Serve) -> Self {
-        match serve.config {
-            Some(path) => Source::Named(Named { path, set: serve.set }),
+impl From<ServeArgs> for Source {
+    fn from(args: ServeArgs) -> Self {
+        match args.config {
+            Some(path) => Source::Named(Named { path, set: args.set }),
             None => Source::Platform,
         }
     }
 }
 
+/// Subcommands of `config`.
 #[derive(Subcommand)]
-pub enum Configuration {
+pub enum ConfigCommand {
     /// Show what holds, and where each value comes from: default, file, environment or flag
     Show {
         #[command(flatten)]
-        layers: Layers,
+        args: ConfigArgs,
         /// Print JSON
         #[arg(long)]
         json: bool,
@@ -139,15 +142,15 @@
     Keys,
 }
 
-fn pair(text: &str) -> Result<(String, String), String> {
+fn parse_key_value(text: &str) -> Result<(String, String), String> {
     let pair = text.split_once('=').filter(|(key, _)| !key.is_empty());
-    let (key, value) = pair.ok_or_else(|| "KEY=VALUE is wanted".to_owned())?;
+    let (key, value) = pair.ok_or_else(|| "expected KEY=VALUE".to_owned())?;
     Ok((key.to_owned(), value.to_owned()))
 }
 
-/// Whom to call, and how to print.
+/// Arguments of commands that call a running gateway.
 #[derive(Args)]
-pub struct Call {
+pub struct OperatorArgs {
     /// Where the gateway hears operators
     #[arg(long, value_name = "ADDRESS", env = "RELAY_OPERATOR")]
     pub operators: SocketAddr,
@@ -156,20 +159,21 @@
     pub json: bool,
 }
 
+/// Arguments of `drain`.
 #[derive(Args)]
-pub struct Drain {
+pub struct DrainArgs {
     #[command(flatten)]
-    pub call: Call,
+    pub call: OperatorArgs,
     /// Wait until no request is open and no client connected
     #[arg(long)]
     pub wait: bool,
     /// Give up the wait after so many seconds; 1: it was not over
-    #[arg(long, value_name = "SECONDS", default_value = "30", value_parser = seconds, requires = "wait")]
+    #[arg(long, value_name = "SECONDS", default_value = "30", value_parser = parse_seconds, requires = "wait")]
     pub timeout: Duration,
 }
 
-fn seconds(text: &str) -> Result<Duration, String> {
+fn parse_seconds(text: &str) -> Result<Duration, String> {
     let seconds = text.parse::<f64>().ok().filter(|s| *s >= 0.0);
-    let wait = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
-    wait.ok_or_else(|| "a number of seconds is needed".to_owned())
+    let duration = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
+    duration.ok_or_else(|| "expected a number of seconds".to_owned())
 }
--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -1,7 +1,7 @@
-//! The gateway as a member of its cluster: the socket and the timers of the library's `membership`.
+//! Cluster membership: runs the library's `membership` protocol on a UDP socket and timers.
 
 use crate::config;
-use crate::figures::{count, gauge};
+use crate::figures::{register_counter, register_gauge};
 use crate::server::DrainWatch;
 use crate::status;
 use cherrytally::membership::{Action, Event, Membership, State, View, DROP_REASONS, MAX_DATAGRAM_BYTES};
@@ -21,23 +21,27 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Datagrams read in a row, and the pause after so many: a flood takes a bounded part of the processor, and what it
-/// leaves no room for is dropped by the kernel.
-const BATCH: (usize, Duration) = (64, Duration::from_millis(5));
-/// Tries for an address that the process beside this one still holds: so many in a period, at least and at most
-/// so long apart. The others must not miss this gateway meanwhile.
-const TAKEN: (u32, Duration, Duration) = (20, Duration::from_millis(5), Duration::from_millis(50));
-/// A timer that rings no sooner is set anew by then.
-const FAR: Duration = Duration::from_secs(3600);
+/// Maximum number of datagrams read before a pause. This bounds the CPU time that a flood of datagrams takes;
+/// the kernel drops the excess.
+const MAX_BATCH_DATAGRAMS: usize = 64;
+/// Pause after a full batch or a socket error.
+const BATCH_PAUSE: Duration = Duration::from_millis(5);
+/// Attempts per protocol period to bind an address that the old process of an upgrade still holds. They are
+/// frequent enough that the other members do not suspect this gateway in the meantime.
+const BIND_ATTEMPTS_PER_PERIOD: u32 = 20;
+const MIN_BIND_RETRY_DELAY: Duration = Duration::from_millis(5);
+const MAX_BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest sleep before the timer is set again.
+const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// This process as a member.
+/// This process as a cluster member.
 struct Member {
-    machine: RefCell<Membership>,
+    protocol: RefCell<Membership>,
     socket: Rc<UdpSocket>,
-    born: Instant,
-    /// Something came from elsewhere than the socket: the timer may have to ring sooner.
-    changed: Notify,
-    /// Datagrams that the socket did not take.
+    started: Instant,
+    /// Notified after an event that did not come from the socket, as the timer may have to fire earlier.
+    timer_changed: Notify,
+    /// Datagrams that the socket rejected.
     unsent: Cell<u64>,
     driver: Rc<Driver>,
 }
@@ -49,24 +53,34 @@
         let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let mut settings = config.settings.clone();
         settings.start = start;
-        let SocketAddr::V4(at) = socket.local_addr()? else { return Err(io::Error::other("no IPv4")) };
+        let SocketAddr::V4(local) = socket.local_addr()? else {
+            return Err(io::Error::other("the socket's address is not IPv4"));
+        };
         if settings.advertise.port() == 0 {
-            settings.advertise = SocketAddrV4::new(*settings.advertise.ip(), at.port());
+            settings.advertise = SocketAddrV4::new(*settings.advertise.ip(), local.port());
         }
         let (name, cluster, advertise) = (&settings.name, &settings.cluster, settings.advertise);
-        tracing::info!("member {name} of {cluster}, reached at {advertise}, on {at}");
-        let machine = Membership::new(settings, seed ^ start, 0.0);
-        let (changed, unsent) = (Notify::new(), Cell::new(0));
-        Ok(Member { machine: machine.into(), socket, born: Instant::now(), changed, unsent, driver })
+        tracing::info!("member {name} of {cluster}, reached at {advertise}, on {local}");
+        let protocol = Membership::new(settings, seed ^ start, 0.0);
+        let (timer_changed, unsent) = (Notify::new(), Cell::new(0));
+        Ok(Member {
+            protocol: protocol.into(),
+            socket,
+            started: Instant::now(),
+            timer_changed,
+            unsent,
+            driver,
+        })
     }
 
-    fn now(&self) -> f64 {
-        self.born.elapsed().as_secs_f64() * 1000.0
+    /// The protocol's current time, in ms.
+    fn now_ms(&self) -> f64 {
+        self.started.elapsed().as_secs_f64() * 1000.0
     }
 
     fn handle(&self, event: Event) {
         let mut actions = Vec::new();
-        self.machine.borrow_mut().handle(self.now(), event, &mut actions);
+        self.protocol.borrow_mut().handle(self.now_ms(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { to, bytes } => {
@@ -74,14 +88,14 @@
                         self.unsent.set(self.unsent.get() + 1);
                     }
                 }
-                Action::Changed { identity: who, previous: was, state, draining } => {
-                    let was = was.map_or("unknown", name);
-                    let drained = if draining { ", draining" } else { "" };
+                Action::Changed { identity, previous, state, draining } => {
+                    let previous = previous.map_or("unknown", state_name);
+                    let drain_suffix = if draining { ", draining" } else { "" };
                     tracing::info!(
-                        "member {} at {}: {was}, now {}{drained}",
-                        who.name,
-                        who.addr,
-                        name(state)
+                        "member {} at {}: {previous}, now {}{drain_suffix}",
+                        identity.name,
+                        identity.addr,
+                        state_name(state)
                     );
                 }
                 Action::Present { count, majority } => {
@@ -93,57 +107,59 @@
         }
     }
 
-    /// Something that came from elsewhere than the socket.
-    fn tell(&self, event: Event) {
+    /// Handles an event that did not come from the socket.
+    fn handle_local(&self, event: Event) {
         self.handle(event);
-        self.changed.notify_one();
+        self.timer_changed.notify_one();
     }
 
     async fn run(self: Rc<Self>) {
-        let (mut buf, seldom) = ([0; MAX_DATAGRAM_BYTES + 1], WarningLimiter::default());
+        let (mut buf, warnings) = ([0; MAX_DATAGRAM_BYTES + 1], WarningLimiter::default());
         loop {
-            let due = self.machine.borrow().due();
-            let due = self.born + Duration::from_secs_f64((due / 1000.0).clamp(0.0, 1e9));
+            let due = self.protocol.borrow().due();
+            let due = self.started + Duration::from_secs_f64((due / 1000.0).clamp(0.0, 1e9));
             tokio::select! {
                 biased;
                 ready = self.socket.readable() => {
                     if let Err(e) = ready {
-                        warn_limited!(seldom, "cluster", e);
-                        sleep(BATCH.1).await;
+                        warn_limited!(warnings, "cluster", e);
+                        sleep(BATCH_PAUSE).await;
                         continue;
                     }
                     let mut read = 0;
-                    // What came is heard before the timers: after a pause of this process it may refute first.
-                    while let Some(length) = self.read(&mut buf, &seldom).filter(|_| read < BATCH.0) {
+                    // Datagrams are handled before timers, so that after a stall this process refutes suspicions
+                    // of itself before it acts on expired timeouts.
+                    while let Some(length) = self.read(&mut buf, &warnings).filter(|_| read < MAX_BATCH_DATAGRAMS) {
                         read += 1;
                         self.handle(Event::Datagram(buf[..length].to_vec()));
                     }
                     if Instant::now() >= due {
                         self.handle(Event::Due);
                     }
-                    if read == BATCH.0 {
-                        sleep(BATCH.1).await;
+                    if read == MAX_BATCH_DATAGRAMS {
+                        sleep(BATCH_PAUSE).await;
                     }
                 }
-                () = self.changed.notified() => {}
-                () = sleep_until(due.min(Instant::now() + FAR)) => self.handle(Event::Due),
+                () = self.timer_changed.notified() => {}
+                () = sleep_until(due.min(Instant::now() + MAX_SLEEP)) => self.handle(Event::Due),
             }
         }
     }
 
-    fn read(&self, buf: &mut [u8], seldom: &WarningLimiter) -> Option<usize> {
+    /// Reads one datagram; none if there is none or the socket failed.
+    fn read(&self, buf: &mut [u8], warnings: &WarningLimiter) -> Option<usize> {
         match self.socket.try_recv(buf) {
             Ok(length) => Some(length),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => None,
             Err(e) => {
-                warn_limited!(seldom, "cluster", e);
+                warn_limited!(warnings, "cluster", e);
                 None
             }
         }
     }
 }
 
-fn name(state: State) -> &'static str {
+fn state_name(state: State) -> &'static str {
     match state {
         State::Alive => "alive",
         State::Suspect => "suspect",
@@ -152,58 +168,61 @@
     }
 }
 
-/// What a configuration that was read will change, once it is taken.
-pub struct Change(Turn);
+/// A prepared change of the cluster configuration.
+pub struct PreparedChange(Change);
 
-enum Turn {
-    /// The same member goes on.
-    Stays(config::Cluster),
-    /// It is none any more, or another one; with no socket the address is another process's as yet.
-    Becomes(Option<(config::Cluster, Option<Rc<UdpSocket>>)>),
-    Nothing,
+enum Change {
+    /// The member keeps its identity and gets new settings.
+    Update(config::Cluster),
+    /// The process leaves, and joins under a new identity if there is one. Without a socket, another process
+    /// still holds the address.
+    Replace(Option<(config::Cluster, Option<Rc<UdpSocket>>)>),
+    Unchanged,
 }
 
-/// The cluster that this process is a member of, if it is one.
+/// This process's membership of a cluster, if one is configured.
 pub struct Cluster {
     driver: Rc<Driver>,
     seed: u64,
-    /// Another process of this gateway may hold the address.
+    /// Whether another process of this gateway may hold the address.
     shared: bool,
-    drains: DrainWatch,
+    drain: DrainWatch,
     config: RefCell<Option<config::Cluster>>,
     member: RefCell<Option<Rc<Member>>>,
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
 impl Cluster {
-    /// Of no cluster as yet.
-    pub fn new(driver: Rc<Driver>, seed: u64, shared: bool, drains: DrainWatch) -> Rc<Self> {
+    /// Creates the state of a process that is not in a cluster yet.
+    pub fn new(driver: Rc<Driver>, seed: u64, shared: bool, drain: DrainWatch) -> Rc<Self> {
         let (config, member, tasks) = Default::default();
-        Rc::new(Cluster { driver, seed, shared, drains, config, member, tasks })
+        Rc::new(Cluster { driver, seed, shared, drain, config, member, tasks })
     }
 
-    /// Prepares what a configuration asks for. What can fail fails here, and changes nothing.
-    pub fn prepare(&self, next: Option<config::Cluster>) -> Result<Change, String> {
-        let now = self.config.borrow();
-        let turn = match (&*now, next) {
-            (None, None) => Turn::Nothing,
-            (Some(_), None) => Turn::Becomes(None),
-            (Some(now), Some(next)) if now.same(&next) && *now == next => Turn::Nothing,
-            (Some(now), Some(next)) if now.same(&next) => Turn::Stays(next),
-            (now, Some(next)) => {
-                let held = self.member.borrow().as_ref().map(|member| member.socket.clone());
-                let kept = held.filter(|_| now.as_ref().is_some_and(|now| now.listen == next.listen));
-                let socket = match kept {
+    /// Prepares a change to a new configuration. All steps that can fail are done here; an error changes
+    /// nothing.
+    pub fn prepare(&self, next: Option<config::Cluster>) -> Result<PreparedChange, String> {
+        let current = self.config.borrow();
+        let change = match (&*current, next) {
+            (None, None) => Change::Unchanged,
+            (Some(_), None) => Change::Replace(None),
+            (Some(current), Some(next)) if current.same(&next) && *current == next => Change::Unchanged,
+            (Some(current), Some(next)) if current.same(&next) => Change::Update(next),
+            (current, Some(next)) => {
+                let open = self.member.borrow().as_ref().map(|member| member.socket.clone());
+                let reused =
+                    open.filter(|_| current.as_ref().is_some_and(|current| current.listen == next.listen));
+                let socket = match reused {
                     Some(socket) => Some(socket),
                     None => self.bind(next.listen)?,
                 };
-                Turn::Becomes(Some((next, socket)))
+                Change::Replace(Some((next, socket)))
             }
         };
-        Ok(Change(turn))
+        Ok(PreparedChange(change))
     }
 
-    /// None if the process beside this one holds the address.
+    /// Binds the cluster socket; none if another process of this gateway holds the address.
     fn bind(&self, at: SocketAddrV4) -> Result<Option<Rc<UdpSocket>>, String> {
         match bind(at) {
             Ok(socket) => Ok(Some(Rc::new(socket))),
@@ -212,24 +231,24 @@
         }
     }
 
-    /// Does what was prepared.
-    pub fn apply(self: &Rc<Self>, Change(turn): Change) {
-        match turn {
-            Turn::Nothing => {}
-            Turn::Stays(next) => {
+    /// Applies a prepared change.
+    pub fn apply(self: &Rc<Self>, PreparedChange(change): PreparedChange) {
+        match change {
+            Change::Unchanged => {}
+            Change::Update(next) => {
                 if let Some(member) = &*self.member.borrow() {
-                    member.tell(Event::Settings(next.settings.clone()));
+                    member.handle_local(Event::Settings(next.settings.clone()));
                 }
                 *self.config.borrow_mut() = Some(next);
             }
-            Turn::Becomes(next) => {
+            Change::Replace(next) => {
                 self.leave();
                 *self.config.borrow_mut() = next.as_ref().map(|(config, _)| config.clone());
                 match next {
                     Some((config, Some(socket))) => self.join(config, socket),
                     Some((_, None)) => {
                         let cluster = self.clone();
-                        self.spawn(async move { cluster.wait().await });
+                        self.spawn(async move { cluster.join_when_bound().await });
                     }
                     None => {}
                 }
@@ -243,15 +262,16 @@
         tasks.push(tokio::task::spawn_local(task).abort_handle());
     }
 
-    /// Waits for the address, as long as the process beside this one holds it.
-    async fn wait(self: Rc<Self>) {
+    /// Joins once the address can be bound, after the old process of an upgrade has released it.
+    async fn join_when_bound(self: Rc<Self>) {
         loop {
             let Some(config) = self.config.borrow().clone() else { return };
             if let Ok(socket) = bind(config.listen) {
                 return self.join(config, Rc::new(socket));
             }
             let period = Duration::from_secs_f64(config.settings.period_ms / 1000.0);
-            sleep((period / TAKEN.0).clamp(TAKEN.1, TAKEN.2)).await;
+            let delay = period / BIND_ATTEMPTS_PER_PERIOD;
+            sleep(delay.clamp(MIN_BIND_RETRY_DELAY, MAX_BIND_RETRY_DELAY)).await;
         }
     }
 
@@ -262,18 +282,18 @@
         };
         *self.member.borrow_mut() = Some(member.clone());
         self.spawn(member.clone().run());
-        let mut drains = self.drains.clone();
+        let mut drain = self.drain.clone();
         self.spawn(async move {
             loop {
-                member.tell(Event::Drain(drains.draining()));
-                if !drains.changed().await {
+                member.handle_local(Event::Drain(drain.draining()));
+                if !drain.changed().await {
                     return;
                 }
             }
         });
     }
 
-    /// Tells the others that this process goes, and is heard no more.
+    /// Leaves the cluster: announces the departure to other members and stops the protocol.
     pub fn leave(&self) {
         if let Some(member) = self.member.borrow_mut().take() {
             member.handle(Event::Leave);
@@ -281,33 +301,33 @@
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
-    /// Leaves the address to the process beside this one, which goes on under the same name. The others are told
-    /// nothing: for them nobody goes.
+    /// Stops the protocol and releases the address without announcing a departure, as the new process of an
+    /// upgrade continues under the same name.
     pub fn hand_over(&self) {
         if self.member.borrow_mut().take().is_some() {
-            tracing::info!("the cluster's address is left to the next process");
+            tracing::info!("the cluster address is released for the new process");
         }
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
-    /// The view, for operators; none without a cluster.
+    /// This member's view of the cluster; none without one.
     pub fn view(&self) -> Option<View> {
-        self.member.borrow().as_ref().map(|member| member.machine.borrow().view(member.now()))
+        self.member.borrow().as_ref().map(|member| member.protocol.borrow().view(member.now_ms()))
     }
 
-    /// The view in short; none without a cluster.
-    pub fn members(&self) -> Option<status::Members> {
+    /// Summary of the view; none without a cluster.
+    pub fn members(&self) -> Option<status::MembershipSummary> {
         let view = self.view()?;
         let (present, expected, majority) = (view.present, view.expected, view.majority);
-        Some(status::Members { present, expected, missing: view.missing.len(), majority })
+        Some(status::MembershipSummary { present, expected, missing: view.missing.len(), majority })
     }
 
-    /// Puts the figures in; nothing without a cluster.
-    pub fn figures(&self, into: &mut Registry) {
+    /// Registers the membership metrics with their current values; none without a cluster.
+    pub fn register_metrics(&self, registry: &mut Registry) {
         let member = self.member.borrow();
         let (Some(member), Some(view)) = (&*member, self.view()) else { return };
-        let machine = member.machine.borrow();
-        let counts = machine.counts();
+        let protocol = member.protocol.borrow();
+        let counts = protocol.counts();
         let majority = u64::from(view.majority != Some(false));
         for (name, help, value) in [
             ("present", "Members present, this one included", view.present.into()),
@@ -317,7 +337,7 @@
             ("health", "0 while this process keeps time", view.health.into()),
             ("incarnation", "Its incarnation", view.incarnation.into()),
         ] {
-            gauge(into, &format!("members_{name}"), help, value as i64);
+            register_gauge(registry, &format!("members_{name}"), help, value as i64);
         }
         for (name, help, value) in [
             ("suspicions", "Members suspected", counts.suspicions),
@@ -329,18 +349,19 @@
             ("bytes_received", "Their bytes", counts.received_bytes),
             ("datagrams_unsent", "Datagrams that the socket did not take", member.unsent.get()),
         ] {
-            count(into, &format!("members_{name}"), help, value);
+            register_counter(registry, &format!("members_{name}"), help, value);
         }
-        let dropped = Family::<Dropped, Counter>::default();
-        for (why, reason) in DROP_REASONS {
-            dropped.get_or_create(&Dropped { reason }).inc_by(counts.dropped[why as usize]);
+        let dropped = Family::<DropLabels, Counter>::default();
+        for (reason, name) in DROP_REASONS {
+            let labels = DropLabels { reason: name };
+            dropped.get_or_create(&labels).inc_by(counts.dropped[reason as usize]);
         }
-        into.register("members_datagrams_dropped", "Datagrams dropped, by reason", dropped);
+        registry.register("members_datagrams_dropped", "Datagrams dropped, by reason", dropped);
     }
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct Dropped {
+struct DropLabels {
     reason: &'static str,
 }
 
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/figures.rs
@@ -1,8 +1,8 @@
-//! Figures for operators. They are only counted here; nothing is decided by them.
+//! Metrics of the gateway. No decision depends on them.
 
 use crate::status::{self, Process};
 use cherrytally::plane::driver::Observer;
-use cherrytally::{CallResult as Ended, Reason};
+use cherrytally::{CallResult, Reason};
 use prometheus_client::encoding::text::{encode_eof, encode_registry};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -16,23 +16,27 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Names of classes at most that are counted in a process's life.
-const CLASSES_MOST: usize = 256;
-/// Where times are told apart, in seconds: from what a refusal takes to the longest deadlines.
-const BUCKETS: [f64; 14] =
+/// Maximum number of class names that get metrics during the life of a process.
+const MAX_CLASSES: usize = 256;
+/// Upper bounds of the histogram buckets: from the duration of a refusal to the longest deadlines.
+const BUCKET_BOUNDS_S: [f64; 14] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0];
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// Served.
     Fulfilled,
+    /// Refused with status 429.
     Throttled,
+    /// Failed with status 502, or the streamed response broke off.
     Faulted,
-    /// Its client went, or did not send it whole. It counts among no operations.
+    /// The client disconnected or did not send the whole body. Not counted in `operations`.
     Gone,
 }
 
 impl End {
+    /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             End::Fulfilled => "fulfilled",
@@ -45,19 +49,20 @@
 
 const ENDS: [End; 4] = [End::Fulfilled, End::Throttled, End::Faulted, End::Gone];
 
-/// Where a request's time goes.
+/// A stage of a request's processing.
 #[derive(Clone, Copy)]
 pub enum Place {
-    /// The client sends the body. Requests without one spend nothing here, nor in the next place.
+    /// Receiving the body from the client. Requests without a body skip this and the next stage.
     Body,
-    /// The body waits for room in memory.
+    /// Waiting for memory for the body.
     Room,
-    /// The decision: the counter is asked, and a server chosen.
+    /// The admission decision: calls to the quota counter and the choice of a server.
     Decision,
-    /// From the first attempt to the answer's first byte, all attempts and the waits between them.
+    /// From the first attempt to the first byte of the response, including retries and the delays between them.
     Servers,
 }
 
+/// The stages with the values of their label.
 const PLACES: [(Place, &str); 4] = [
     (Place::Body, "body"),
     (Place::Room, "room"),
@@ -67,171 +72,179 @@
 
 const REASONS: [Reason; 4] = [Reason::Room, Reason::Quota, Reason::Unsent, Reason::Time];
 
-const RESULTS: [Ended; 8] = [
-    Ended::Ok,
-    Ended::Error,
-    Ended::Rejected,
-    Ended::Timeout,
-    Ended::ConnectFailed,
-    Ended::Reset,
-    Ended::Cancelled,
-    Ended::NotSent,
+const RESULTS: [CallResult; 8] = [
+    CallResult::Ok,
+    CallResult::Error,
+    CallResult::Rejected,
+    CallResult::Timeout,
+    CallResult::ConnectFailed,
+    CallResult::Reset,
+    CallResult::Cancelled,
+    CallResult::NotSent,
 ];
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct Operation {
+struct OperationLabels {
     priority: String,
     status: &'static str,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByOutcome {
+struct OutcomeLabels {
     class: String,
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByClass {
+struct ClassLabels {
     class: String,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByPlace {
+struct PlaceLabels {
     place: &'static str,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByMoment {
+struct TimeLeftLabels {
     at: &'static str,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByReason {
+struct ReasonLabels {
     reason: &'static str,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByResult {
+struct ResultLabels {
     result: &'static str,
 }
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-struct ByStatus {
+struct StatusLabels {
     status: u16,
 }
 
-/// How many requests of one class ended in which way, and after what time.
+/// Metrics of one request class.
 pub struct Ends {
-    /// What ended with its client gone counts in no operation.
-    counts: [Counter; 3],
-    times: [Histogram; ENDS.len()],
+    /// `Fulfilled`, `Throttled` and `Faulted`; `Gone` is not counted as an operation.
+    operations: [Counter; 3],
+    durations: [Histogram; ENDS.len()],
     first_byte: Histogram,
 }
 
 impl Ends {
-    /// Counts one.
+    /// Records the end of a request and its duration.
     pub fn count(&self, end: End, took: Duration) {
-        if let Some(count) = self.counts.get(end as usize) {
-            count.inc();
+        if let Some(operations) = self.operations.get(end as usize) {
+            operations.inc();
         }
-        self.times[end as usize].observe(took.as_secs_f64());
+        self.durations[end as usize].observe(took.as_secs_f64());
     }
 
-    /// The first byte of an answer from a server is there.
+    /// Records the time to the first byte of a server's response.
     pub fn first_byte(&self, took: Duration) {
         self.first_byte.observe(took.as_secs_f64());
     }
 }
 
-/// What is counted from the start of the process.
+/// Counters and histograms, kept from the start of the process.
 pub struct Figures {
-    /// Those that the operators' page fixes.
-    fixed: Registry,
-    /// All others that are counted.
-    more: Registry,
+    /// Metrics with the prefix `relay`, whose names are part of the operator interface.
+    relay: Registry,
+    /// Metrics with the prefix `heronstage`.
+    heronstage: Registry,
     classes: RefCell<BTreeMap<String, Rc<Ends>>>,
-    operations: Family<Operation, Counter>,
-    times: Family<ByOutcome, Histogram>,
-    first_byte: Family<ByClass, Histogram>,
-    places: [Histogram; PLACES.len()],
+    operations: Family<OperationLabels, Counter>,
+    durations: Family<OutcomeLabels, Histogram>,
+    first_byte: Family<ClassLabels, Histogram>,
+    /// Time spent in each stage.
+    waits: [Histogram; PLACES.len()],
     expired: [Counter; PLACES.len()],
-    left: [Histogram; 2],
+    /// Time left at the first attempt, and at the response.
+    time_left: [Histogram; 2],
     refusals: [Counter; REASONS.len()],
     attempts: [Counter; RESULTS.len()],
-    calls: [Counter; RESULTS.len()],
-    undecided: Family<ByStatus, Counter>,
+    counter_calls: [Counter; RESULTS.len()],
+    undecided: Family<StatusLabels, Counter>,
     relayed: Counter,
-    accepted: Counter,
-    invalid: Counter,
+    reloads_accepted: Counter,
+    reloads_invalid: Counter,
 }
 
-fn histogram() -> Histogram {
-    Histogram::new(BUCKETS)
+fn new_histogram() -> Histogram {
+    Histogram::new(BUCKET_BOUNDS_S)
 }
 
 impl Default for Figures {
     fn default() -> Self {
-        let mut fixed = Registry::with_prefix("relay");
+        let mut relay = Registry::with_prefix("relay");
         let operations = Family::default();
-        fixed.register("operations", "Requests by class and end", operations.clone());
-        let (relayed, accepted, invalid) = <(Counter, Counter, Counter)>::default();
-        fixed.register("relayed", "Attempts written whole to servers", relayed.clone());
-        fixed.register("cfg_accepted", "Configurations taken at a reload", accepted.clone());
-        fixed.register("cfg_invalid", "Configurations turned down at a reload", invalid.clone());
+        relay.register("operations", "Requests by class and end", operations.clone());
+        let (relayed, reloads_accepted, reloads_invalid) = <(Counter, Counter, Counter)>::default();
+        relay.register("relayed", "Attempts written whole to servers", relayed.clone());
+        relay.register("cfg_accepted", "Configurations taken at a reload", reloads_accepted.clone());
+        relay.register("cfg_invalid", "Configurations turned down at a reload", reloads_invalid.clone());
 
-        let mut more = Registry::with_prefix("heronstage");
+        let mut heronstage = Registry::with_prefix("heronstage");
         let seconds = || Unit::Seconds;
-        let times = Family::new_with_constructor(histogram as fn() -> _);
-        more.register_with_unit(
+        let durations = Family::new_with_constructor(new_histogram as fn() -> _);
+        heronstage.register_with_unit(
             "request_duration",
             "From a request's head to its end",
             seconds(),
-            times.clone(),
+            durations.clone(),
         );
-        let first_byte = Family::new_with_constructor(histogram as fn() -> _);
+        let first_byte = Family::new_with_constructor(new_histogram as fn() -> _);
         let help = "From a request's last byte to the first of its answer from a server";
-        more.register_with_unit("first_byte", help, seconds(), first_byte.clone());
-        let places = Family::<ByPlace, Histogram, _>::new_with_constructor(histogram as fn() -> _);
-        more.register_with_unit("request_wait", "Time of requests by place", seconds(), places.clone());
-        let expired = Family::<ByPlace, Counter>::default();
-        more.register("expired", "Requests whose time was over unserved, by place", expired.clone());
-        let left = Family::<ByMoment, Histogram, _>::new_with_constructor(histogram as fn() -> _);
+        heronstage.register_with_unit("first_byte", help, seconds(), first_byte.clone());
+        let waits = Family::<PlaceLabels, Histogram, _>::new_with_constructor(new_histogram as fn() -> _);
+        heronstage.register_with_unit("request_wait", "Time of requests by place", seconds(), waits.clone());
+        let expired = Family::<PlaceLabels, Counter>::default();
+        heronstage.register("expired", "Requests whose time was over unserved, by place", expired.clone());
+        let time_left =
+            Family::<TimeLeftLabels, Histogram, _>::new_with_constructor(new_histogram as fn() -> _);
         let help = "Time left of requests, at the first attempt and at the answer";
-        more.register_with_unit("time_left", help, seconds(), left.clone());
-        let refusals = Family::<ByReason, Counter>::default();
-        more.register("refusals", "Requests refused, by reason", refusals.clone());
-        let attempts = Family::<ByResult, Counter>::default();
-        more.register("attempts", "Attempts at servers, by result", attempts.clone());
-        let calls = Family::<ByResult, Counter>::default();
-        more.register("counter_calls", "Calls to the counter, by result", calls.clone());
+        heronstage.register_with_unit("time_left", help, seconds(), time_left.clone());
+        let refusals = Family::<ReasonLabels, Counter>::default();
+        heronstage.register("refusals", "Requests refused, by reason", refusals.clone());
+        let attempts = Family::<ResultLabels, Counter>::default();
+        heronstage.register("attempts", "Attempts at servers, by result", attempts.clone());
+        let counter_calls = Family::<ResultLabels, Counter>::default();
+        heronstage.register("counter_calls", "Calls to the counter, by result", counter_calls.clone());
         let undecided = Family::default();
-        more.register("undecided", "Requests answered without a decision, by status", undecided.clone());
+        heronstage.register(
+            "undecided",
+            "Requests answered without a decision, by status",
+            undecided.clone(),
+        );
 
-        let by_result = |family: &Family<ByResult, Counter>| {
-            RESULTS.map(|ended| family.get_or_create_owned(&ByResult { result: ended.name() }))
+        let by_result = |family: &Family<ResultLabels, Counter>| {
+            RESULTS.map(|result| family.get_or_create_owned(&ResultLabels { result: result.name() }))
         };
         Figures {
             classes: RefCell::default(),
-            places: PLACES.map(|(_, place)| places.get_or_create_owned(&ByPlace { place })),
-            expired: PLACES.map(|(_, place)| expired.get_or_create_owned(&ByPlace { place })),
-            left: ["sent", "answered"].map(|at| left.get_or_create_owned(&ByMoment { at })),
-            refusals: REASONS.map(|of| refusals.get_or_create_owned(&ByReason { reason: of.name() })),
+            waits: PLACES.map(|(_, place)| waits.get_or_create_owned(&PlaceLabels { place })),
+            expired: PLACES.map(|(_, place)| expired.get_or_create_owned(&PlaceLabels { place })),
+            time_left: ["sent", "answered"].map(|at| time_left.get_or_create_owned(&TimeLeftLabels { at })),
+            refusals: REASONS
+                .map(|reason| refusals.get_or_create_owned(&ReasonLabels { reason: reason.name() })),
             attempts: by_result(&attempts),
-            calls: by_result(&calls),
-            fixed,
-            more,
+            counter_calls: by_result(&counter_calls),
+            relay,
+            heronstage,
             operations,
-            times,
+            durations,
             first_byte,
             undecided,
             relayed,
-            accepted,
-            invalid,
+            reloads_accepted,
+            reloads_invalid,
         }
     }
 }
 
-/// What stands so now.
+/// Current counts of requests, connections and servers.
 pub struct Present {
     pub open: usize,
     pub connections: usize,
@@ -240,93 +253,94 @@
 }
 
 impl Present {
-    /// Puts those in that the operators' page fixes.
-    fn fixed(&self, into: &mut Registry) {
-        gauge(into, "open_requests", "Requests taken and not yet ended", self.open as i64);
-        gauge(into, "registry_entries", "Servers on the list", self.listed as i64);
-        gauge(into, "out_of_rotation", "Servers of the list that get no requests now", self.avoided as i64);
+    /// Registers the gauges with the prefix `relay`.
+    fn register_relay(&self, registry: &mut Registry) {
+        register_gauge(registry, "open_requests", "Requests taken and not yet ended", self.open as i64);
+        register_gauge(registry, "registry_entries", "Servers on the list", self.listed as i64);
+        let help = "Servers of the list that get no requests now";
+        register_gauge(registry, "out_of_rotation", help, self.avoided as i64);
     }
 }
 
-/// Puts a gauge as it stands now into what is told.
-pub fn gauge(into: &mut Registry, name: &str, help: &str, value: i64) {
+/// Registers a gauge with its current value.
+pub fn register_gauge(registry: &mut Registry, name: &str, help: &str, value: i64) {
     let gauge = Gauge::<i64>::default();
     gauge.set(value);
-    into.register(name, help, gauge);
+    registry.register(name, help, gauge);
 }
 
-/// Puts a count as it stands now into what is told.
-pub fn count(into: &mut Registry, name: &str, help: &str, value: u64) {
+/// Registers a counter with its current value.
+pub fn register_counter(registry: &mut Registry, name: &str, help: &str, value: u64) {
     let counter = Counter::<u64>::default();
     counter.inc_by(value);
-    into.register(name, help, counter);
+    registry.register(name, help, counter);
 }
 
 impl Figures {
-    /// Where ends of requests of a class are counted; one that comes again goes on from where it was.
+    /// The metrics of a class. A class that was removed and returns continues with its earlier counts.
     pub fn class(&self, name: &str) -> Result<Rc<Ends>, String> {
         let mut classes = self.classes.borrow_mut();
         if let Some(ends) = classes.get(name) {
             return Ok(ends.clone());
         }
-        if classes.len() >= CLASSES_MOST {
-            return Err(format!("over {CLASSES_MOST} names of classes since the start"));
+        if classes.len() >= MAX_CLASSES {
+            return Err(format!("more than {MAX_CLASSES} class names since the start of the process"));
         }
         let (class, counted) = (name.to_owned(), [End::Fulfilled, End::Throttled, End::Faulted]);
-        let count = |end: End| Operation { priority: class.clone(), status: end.name() };
-        let time = |end: End| ByOutcome { class: class.clone(), outcome: end.name() };
+        let operation = |end: End| OperationLabels { priority: class.clone(), status: end.name() };
+        let outcome = |end: End| OutcomeLabels { class: class.clone(), outcome: end.name() };
         let ends = Rc::new(Ends {
-            counts: counted.map(|end| self.operations.get_or_create_owned(&count(end))),
-            times: ENDS.map(|end| self.times.get_or_create_owned(&time(end))),
-            first_byte: self.first_byte.get_or_create_owned(&ByClass { class: class.clone() }),
+            operations: counted.map(|end| self.operations.get_or_create_owned(&operation(end))),
+            durations: ENDS.map(|end| self.durations.get_or_create_owned(&outcome(end))),
+            first_byte: self.first_byte.get_or_create_owned(&ClassLabels { class: class.clone() }),
         });
         classes.insert(class, ends.clone());
         Ok(ends)
     }
 
-    /// A request was answered without a decision: it was the client's fault, or could not be taken in.
+    /// Records a request that was answered without an admission decision, such as an invalid or incomplete one.
     pub fn undecided(&self, status: u16) {
-        self.undecided.get_or_create(&ByStatus { status }).inc();
+        self.undecided.get_or_create(&StatusLabels { status }).inc();
     }
 
-    /// A request spent time in a place.
+    /// Records the time that a request spent in a stage.
     pub fn waited(&self, place: Place, took: Duration) {
-        self.places[place as usize].observe(took.as_secs_f64());
+        self.waits[place as usize].observe(took.as_secs_f64());
     }
 
-    /// A request's time was over in this place, and it was not served.
+    /// Records that a request's deadline passed in this stage, before it was served.
     pub fn expired(&self, place: Place) {
         self.expired[place as usize].inc();
     }
 
-    /// The time that was left at the first attempt, if there was one, and at the answer.
+    /// Records the time left at the first attempt, if there was one, and at the response.
     pub fn left(&self, sent: Option<Duration>, answered: Duration) {
         if let Some(sent) = sent {
-            self.left[0].observe(sent.as_secs_f64());
+            self.time_left[0].observe(sent.as_secs_f64());
         }
-        self.left[1].observe(answered.as_secs_f64());
+        self.time_left[1].observe(answered.as_secs_f64());
     }
 
-    /// A configuration was read at SIGHUP, and taken or not.
-    pub fn configured(&self, taken: bool) {
-        if taken { &self.accepted } else { &self.invalid }.inc();
+    /// Records whether a reload accepted the configuration.
+    pub fn configured(&self, accepted: bool) {
+        if accepted { &self.reloads_accepted } else { &self.reloads_invalid }.inc();
     }
 
-    /// How requests of each class ended.
-    pub fn classes(&self) -> Vec<status::Class> {
+    /// Counts of ended requests by class.
+    pub fn classes(&self) -> Vec<status::ClassCounts> {
         let class = |(name, ends): (&String, &Rc<Ends>)| {
-            let [fulfilled, throttled, faulted] = ends.counts.each_ref().map(Counter::get);
-            status::Class { name: name.clone(), fulfilled, throttled, faulted }
+            let [fulfilled, throttled, faulted] = ends.operations.each_ref().map(Counter::get);
+            status::ClassCounts { name: name.clone(), fulfilled, throttled, faulted }
         };
         self.classes.borrow().iter().map(class).collect()
     }
 
-    /// Attempts written whole to their backends.
+    /// Number of attempts written completely to their backends.
     pub fn relayed_total(&self) -> u64 {
         self.relayed.get()
     }
 
-    /// Refusals by reason.
+    /// Number of refused requests by reason.
     pub fn refusals(&self) -> BTreeMap<String, u64> {
         REASONS
             .iter()
@@ -334,14 +348,14 @@
             .collect()
     }
 
-    /// The figures that the operators' page fixes, a line each, with what others put in.
-    pub fn stats(&self, present: &Present, others: impl FnOnce(&mut Registry)) -> String {
-        let mut now = Registry::with_prefix("relay");
-        present.fixed(&mut now);
-        others(&mut now);
+    /// The metrics with the prefix `relay`, one per line, including those that `register_others` adds.
+    pub fn stats(&self, present: &Present, register_others: impl FnOnce(&mut Registry)) -> String {
+        let mut current = Registry::with_prefix("relay");
+        present.register_relay(&mut current);
+        register_others(&mut current);
         let mut text = String::with_capacity(4096);
-        // A String takes every write.
-        let _ = encode_registry(&mut text, &self.fixed).and_then(|()| encode_registry(&mut text, &now));
+        // Writing to a String cannot fail.
+        let _ = encode_registry(&mut text, &self.relay).and_then(|()| encode_registry(&mut text, &current));
         let mut lines = String::with_capacity(text.len());
         for line in text.lines().filter(|line| !line.starts_with('#')) {
             lines.push_str(line);
@@ -350,29 +364,38 @@
         lines
     }
 
-    /// All figures as OpenMetrics.
+    /// All metrics in the OpenMetrics text format.
     pub fn open_metrics(
-        &self, present: &Present, process: &Process, lost: u64, others: impl FnOnce(&mut Registry),
+        &self, present: &Present, process: &Process, dropped_log_lines: u64,
+        register_others: impl FnOnce(&mut Registry),
     ) -> String {
-        let mut relay = Registry::with_prefix("relay");
-        present.fixed(&mut relay);
-        others(&mut relay);
-        let mut own = Registry::with_prefix("heronstage");
-        gauge(&mut own, "connections", "Connections of clients", present.connections as i64);
-        count(&mut own, "log_lines_dropped", "Lines of the log that nobody read in time", lost);
-        let mut machine = Registry::with_prefix("process");
+        let mut relay_current = Registry::with_prefix("relay");
+        present.register_relay(&mut relay_current);
+        register_others(&mut relay_current);
+        let mut heronstage_current = Registry::with_prefix("heronstage");
+        register_gauge(
+            &mut heronstage_current,
+            "connections",
+            "Connections of clients",
+            present.connections as i64,
+        );
+        let help = "Lines of the log that nobody read in time";
+        register_counter(&mut heronstage_current, "log_lines_dropped", help, dropped_log_lines);
+        let mut process_registry = Registry::with_prefix("process");
         let resident = process.resident_bytes as i64;
-        gauge(&mut machine, "resident_memory_bytes", "Resident memory", resident);
-        gauge(&mut machine, "open_fds", "Open descriptors", process.descriptors as i64);
-        gauge(&mut machine, "max_fds", "Descriptors that may be open", process.descriptors_most as i64);
+        register_gauge(&mut process_registry, "resident_memory_bytes", "Resident memory", resident);
+        let help = "Open descriptors";
+        register_gauge(&mut process_registry, "open_fds", help, process.descriptors as i64);
+        let help = "Descriptors that may be open";
+        register_gauge(&mut process_registry, "max_fds", help, process.max_descriptors as i64);
         let cpu = Counter::<f64, AtomicU64>::default();
         cpu.inc_by(process.cpu_s);
-        machine.register("cpu_seconds", "Processor time", cpu);
+        process_registry.register("cpu_seconds", "Processor time", cpu);
         let mut text = String::with_capacity(32 * 1024);
-        let written = [&self.fixed, &relay, &self.more, &own, &machine]
+        let written = [&self.relay, &relay_current, &self.heronstage, &heronstage_current, &process_registry]
             .into_iter()
             .try_for_each(|registry| encode_registry(&mut text, registry));
-        // A String takes every write.
+        // Writing to a String cannot fail.
         let _ = written.and_then(|()| encode_eof(&mut text));
         text
     }
@@ -383,12 +406,12 @@
         self.relayed.inc();
     }
 
-    fn attempt_ended(&self, ended: Ended) {
-        self.attempts[ended as usize].inc();
+    fn attempt_ended(&self, result: CallResult) {
+        self.attempts[result as usize].inc();
     }
 
-    fn counter_call_ended(&self, ended: Ended) {
-        self.calls[ended as usize].inc();
+    fn counter_call_ended(&self, result: CallResult) {
+        self.counter_calls[result as usize].inc();
     }
 
     fn request_refused(&self, reason: Reason) {
--- a/src/bin/heronstage/logs.rs
+++ b/src/bin/heronstage/logs.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error, as text or as JSON, written by a thread of their own.
+//! The log: text or JSON lines on standard error, written by a separate thread.
 
 use crate::config::{Customers, Format, Level, Logs};
 use std::hash::{BuildHasher, RandomState};
@@ -11,69 +11,72 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{fmt, Layer, Registry};
 
-/// Lines that may wait to be written; further ones are dropped and counted. A reader that stops reading stalls
-/// nothing but the log.
-const WAITING_MOST: usize = 1024;
-/// Lines on single requests.
+/// Maximum number of queued lines; further ones are dropped and counted, so that a blocked standard error does
+/// not block the gateway.
+const MAX_QUEUED_LINES: usize = 1024;
+/// Target of log lines about single requests.
 pub const REQUEST: &str = "request";
 
 /// The log of this process.
 pub struct Log {
     levels: Handle<Targets, Registry>,
-    lost: ErrorCounter,
-    /// Writes what waits when it is dropped.
+    dropped: ErrorCounter,
+    /// Flushes the queued lines when it is dropped.
     guard: Option<WorkerGuard>,
 }
 
 impl Log {
-    /// Starts the log; there is one in a process.
+    /// Starts the log. A process can start only one.
     pub fn start(logs: &Logs) -> Result<Self, String> {
-        let builder = NonBlockingBuilder::default().buffered_lines_limit(WAITING_MOST).thread_name("log");
+        let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_QUEUED_LINES).thread_name("log");
         let (writer, guard) = builder.finish(io::stderr());
-        let lost = writer.error_counter();
-        let (levels, handle) = reload::Layer::new(targets(logs));
-        let lines = lines(logs, writer).with_filter(levels);
-        tracing_subscriber::registry().with(lines).try_init().map_err(|e| format!("the log: {e}"))?;
-        Ok(Log { levels: handle, lost, guard: Some(guard) })
+        let dropped = writer.error_counter();
+        let (levels, handle) = reload::Layer::new(level_filter(logs));
+        let layer = format_layer(logs, writer).with_filter(levels);
+        tracing_subscriber::registry()
+            .with(layer)
+            .try_init()
+            .map_err(|e| format!("starting the log: {e}"))?;
+        Ok(Log { levels: handle, dropped, guard: Some(guard) })
     }
 
-    /// Other levels from now on.
-    pub fn set(&self, levels: Targets) {
-        // The log lives as long as the program.
+    /// Replaces the log levels.
+    pub fn set_levels(&self, levels: Targets) {
+        // Fails only after the subscriber was dropped; it lives as long as the process.
         let _ = self.levels.reload(levels);
     }
 
-    /// Lines that were dropped for want of room.
-    pub fn lost(&self) -> u64 {
-        self.lost.dropped_lines() as u64
+    /// Number of lines dropped because the queue was full.
+    pub fn dropped_lines(&self) -> u64 {
+        self.dropped.dropped_lines() as u64
     }
 }
 
 impl Drop for Log {
     fn drop(&mut self) {
-        // Nobody reads: there is nothing to wait for.
-        if self.lost() > 0 {
+        // Lines were dropped as standard error is not read: a flush could block forever.
+        if self.dropped_lines() > 0 {
             std::mem::forget(self.guard.take());
         }
     }
 }
 
-fn lines(logs: &Logs, writer: NonBlocking) -> Box<dyn Layer<Registry> + Send + Sync> {
-    let lines = fmt::layer().with_writer(writer).with_ansi(false);
+fn format_layer(logs: &Logs, writer: NonBlocking) -> Box<dyn Layer<Registry> + Send + Sync> {
+    let layer = fmt::layer().with_writer(writer).with_ansi(false);
     match (logs.format, logs.times) {
-        (Format::Json, _) => lines.json().flatten_event(true).with_span_list(false).boxed(),
-        (Format::Text, true) => lines.boxed(),
-        (Format::Text, false) => lines.without_time().boxed(),
+        (Format::Json, _) => layer.json().flatten_event(true).with_span_list(false).boxed(),
+        (Format::Text, true) => layer.boxed(),
+        (Format::Text, false) => layer.without_time().boxed(),
     }
 }
 
-/// The levels that a configuration states.
-pub fn targets(logs: &Logs) -> Targets {
-    let parts = logs.levels.iter().map(|(part, level)| (part.clone(), filter(*level)));
-    Targets::new().with_targets(parts).with_default(filter(logs.level))
+/// The configured levels: a default, and levels of single targets.
+pub fn level_filter(logs: &Logs) -> Targets {
+    let targets = logs.levels.iter().map(|(target, level)| (target.clone(), to_tracing(*level)));
+    Targets::new().with_targets(targets).with_default(to_tracing(logs.level))
 }
 
-fn filter(level: Level) -> LevelFilter {
+fn to_tracing(level: Level) -> LevelFilter {
     match level {
         Level::Off => LevelFilter::OFF,
         Level::Error => LevelFilter::ERROR,
@@ -84,7 +87,8 @@
     }
 }
 
-/// Writes customers' numbers so that their lines belong together, and nobody is named unless it was asked for.
+/// Formats customer numbers for log lines. By default they are hashed with a key of this process, so that lines of
+/// one customer can be correlated without identifying the customer.
 pub struct Names {
     key: RandomState,
     customers: Customers,
@@ -95,6 +99,7 @@
         Names { key: RandomState::new(), customers }
     }
 
+    /// Formats a customer number.
     pub fn customer(&self, number: u64) -> String {
         match self.customers {
             Customers::Hash => format!("{:016x}", self.key.hash_one(number)),
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: their own address, where each connection carries one call.
+//! The operator interface: an HTTP listener of its own, with one request per connection.
 
 use crate::cluster::Cluster;
 use crate::config::Changes;
@@ -6,7 +6,7 @@
 use crate::gateway::Reloader;
 use crate::logs::{self, Log};
 use crate::server::Server;
-use crate::status::{Process, Servers, Status};
+use crate::status::{Process, ServerCounts, Status};
 use bytes::Bytes;
 use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
 use http_body_util::Full;
@@ -26,36 +26,37 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing_subscriber::filter::Targets;
 
-/// Callers at once. Their descriptors are kept for them, so that busy clients can't take them.
+/// Maximum number of operator connections. Their descriptors are reserved, so that clients cannot use them up.
 pub const PLACES: usize = 16;
-/// A caller waits for 1 s; one that has not asked whole by then holds a place for nothing.
-const HEAD_TIME: Duration = Duration::from_secs(1);
-/// And one that does not take its answer is left.
-const CALL_TIME: Duration = Duration::from_secs(2);
+/// Timeout for the head of a request. Callers wait 1 s for their response, so a slower request only occupies a
+/// connection.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for a whole connection, including the response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The form of /metrics.
+/// Content type of /metrics.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What operators are told of, and may change.
+/// The parts of the gateway that operator requests read or change.
 pub struct Desk {
     pub reloads: Reloader,
     pub server: Rc<Server>,
     pub cluster: Rc<Cluster>,
     pub figures: Rc<Figures>,
     pub log: Rc<Log>,
-    /// The gateway's name; empty where its configuration gives none.
+    /// The gateway's name; empty if none is configured.
     pub name: String,
     pub started: Instant,
-    /// Descriptors that the process may hold.
+    /// Limit on open descriptors.
     pub descriptors: usize,
 }
 
 impl Desk {
-    /// Reads the configuration anew.
+    /// Reloads the configuration, including the log levels.
     pub fn reload(&self) -> Result<Changes, String> {
         let changes = self.reloads.reload(&self.server, &self.cluster)?;
         if changes.keys.iter().any(|key| key.starts_with("logs")) {
-            self.log.set(logs::targets(&self.reloads.log_settings()));
+            self.log.set_levels(logs::level_filter(&self.reloads.log_settings()));
         }
         Ok(changes)
     }
@@ -73,103 +74,107 @@
             relayed: self.figures.relayed_total(),
             classes: self.figures.classes(),
             refusals: self.figures.refusals(),
-            servers: Servers { listed, avoided },
+            servers: ServerCounts { listed, avoided },
             members: self.cluster.members(),
-            process: Process::now(self.descriptors),
+            process: Process::current(self.descriptors),
         }
     }
 }
 
-/// Answers operators for as long as the program runs.
+/// Serves operator requests for as long as the program runs.
 pub async fn run(listener: TcpListener, desk: Rc<Desk>) {
-    let (places, seldom) = (Arc::new(Semaphore::new(PLACES)), WarningLimiter::default());
+    let (permits, warnings) = (Arc::new(Semaphore::new(PLACES)), WarningLimiter::default());
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, _)) => {
                 let desk = desk.clone();
                 tokio::task::spawn_local(async move {
-                    // A caller that breaks off or says nothing is its own affair.
-                    let _ = timeout(CALL_TIME, call(stream, &desk)).await;
-                    drop(place);
+                    // Errors and timeouts of one connection are not logged.
+                    let _ = timeout(CALL_TIMEOUT, serve_connection(stream, &desk)).await;
+                    drop(permit);
                 });
             }
             Err(e) => {
-                warn_limited!(seldom, "accept an operator", e);
+                warn_limited!(warnings, "accepting an operator connection", e);
                 sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn call(stream: TcpStream, desk: &Desk) -> hyper::Result<()> {
+async fn serve_connection(stream: TcpStream, desk: &Desk) -> hyper::Result<()> {
     let service = service_fn(|request| {
-        let reply = answer(&request, desk);
-        async move { Ok::<_, Infallible>(reply) }
+        let response = respond(&request, desk);
+        async move { Ok::<_, Infallible>(response) }
     });
     http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIME)
+        .header_read_timeout(HEAD_TIMEOUT)
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), service)
         .await
 }
 
-fn answer(request: &Request<Incoming>, desk: &Desk) -> Response<Full<Bytes>> {
+fn respond(request: &Request<Incoming>, desk: &Desk) -> Response<Full<Bytes>> {
     let (server, cluster) = (&desk.server, &desk.cluster);
     let allowed = match request.uri().path() {
         "/admin/health" | "/metrics" | "/admin/stats" | "/admin/status" | "/admin/members" => Method::GET,
         "/admin/quiesce" | "/admin/resume" | "/admin/reload" | "/admin/log" => Method::POST,
-        _ => return text(StatusCode::NOT_FOUND, "no such call\n"),
+        _ => return text(StatusCode::NOT_FOUND, "unknown path\n"),
     };
     if *request.method() != allowed {
-        let mut reply = text(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
-        reply.headers_mut().extend(HeaderValue::try_from(allowed.as_str()).ok().map(|allow| (ALLOW, allow)));
-        return reply;
+        let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
+        let allow = HeaderValue::try_from(allowed.as_str()).ok().map(|allow| (ALLOW, allow));
+        response.headers_mut().extend(allow);
+        return response;
     }
     match request.uri().path() {
         "/admin/quiesce" => {
             server.drain();
             text(StatusCode::OK, "draining\n")
         }
-        "/admin/resume" if server.resume() => text(StatusCode::OK, "taking clients\n"),
-        "/admin/resume" => text(StatusCode::CONFLICT, "ending after SIGTERM\n"),
+        "/admin/resume" if server.resume() => text(StatusCode::OK, "accepting clients\n"),
+        "/admin/resume" => text(StatusCode::CONFLICT, "shutting down after SIGTERM\n"),
         "/admin/stats" => {
-            text(StatusCode::OK, desk.figures.stats(&server.present(), |now| cluster.figures(now)))
+            let stats = desk.figures.stats(&server.present(), |registry| cluster.register_metrics(registry));
+            text(StatusCode::OK, stats)
         }
         "/metrics" => {
-            let (present, process) = (server.present(), Process::now(desk.descriptors));
-            let lost = desk.log.lost();
-            let told = desk.figures.open_metrics(&present, &process, lost, |now| cluster.figures(now));
-            body(StatusCode::OK, told, OPEN_METRICS)
+            let (present, process) = (server.present(), Process::current(desk.descriptors));
+            let dropped_lines = desk.log.dropped_lines();
+            let metrics = desk.figures.open_metrics(&present, &process, dropped_lines, |registry| {
+                cluster.register_metrics(registry)
+            });
+            body(StatusCode::OK, metrics, OPEN_METRICS)
         }
         "/admin/log" => match request.uri().query().unwrap_or("").parse::<Targets>() {
             Ok(levels) => {
-                tracing::info!("levels of the log: {levels}");
-                desk.log.set(levels);
-                text(StatusCode::OK, "other levels\n")
+                tracing::info!("log levels set: {levels}");
+                desk.log.set_levels(levels);
+                text(StatusCode::OK, "log levels set\n")
             }
-            Err(e) => text(StatusCode::CONFLICT, format!("levels: {e}\n")),
+            Err(e) => text(StatusCode::CONFLICT, format!("invalid log levels: {e}\n")),
         },
         "/admin/reload" => match desk.reload() {
             Ok(changes) => json(&changes),
-            Err(why) => text(StatusCode::CONFLICT, format!("{why}\n")),
+            Err(reason) => text(StatusCode::CONFLICT, format!("{reason}\n")),
         },
         "/admin/status" => json(&desk.status()),
         "/admin/members" => match cluster.view() {
             Some(view) => json(&view),
-            None => text(StatusCode::NOT_FOUND, "not a member of a cluster now\n"),
+            None => text(StatusCode::NOT_FOUND, "not a member of a cluster\n"),
         },
         _ if server.ready() => text(StatusCode::OK, "ready\n"),
         _ => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
     }
 }
 
-fn json(told: &impl Serialize) -> Response<Full<Bytes>> {
-    match serde_json::to_vec_pretty(told) {
-        Ok(mut told) => {
-            told.push(b'\n');
-            body(StatusCode::OK, told, "application/json")
+fn json(value: &impl Serialize) -> Response<Full<Bytes>> {
+    match serde_json::to_vec_pretty(value) {
+        Ok(mut json) => {
+            json.push(b'\n');
+            body(StatusCode::OK, json, "application/json")
         }
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("{e}\n")),
     }
@@ -179,9 +184,9 @@
     body(status, text, "text/plain; charset=utf-8")
 }
 
-fn body(status: StatusCode, body: impl Into<Bytes>, form: &'static str) -> Response<Full<Bytes>> {
-    let mut reply = Response::new(Full::new(body.into()));
-    *reply.status_mut() = status;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(form));
-    reply
+fn body(status: StatusCode, body: impl Into<Bytes>, content_type: &'static str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
+    response
 }
--- a/src/bin/heronstage/remote.rs
+++ b/src/bin/heronstage/remote.rs
@@ -1,6 +1,6 @@
-//! Calls to a running gateway at its operators' address, as a person makes them from a shell.
+//! Implementation of the commands: calls to the operator interface of a running gateway, and their output.
 
-use crate::cli::{Call, Configuration, Drain, Exit};
+use crate::cli::{ConfigCommand, DrainArgs, Exit, OperatorArgs};
 use crate::config::{self, Changes, Named, Shown};
 use crate::status::{Phase, Status};
 use bytes::Bytes;
@@ -18,40 +18,41 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing_subscriber::filter::Targets;
 
-/// A gateway that is there answers within a second, however busy it is.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Longest answer that is read.
-const ANSWER_MOST: usize = 4 << 20;
-/// Between two looks at a gateway.
-const LOOK: Duration = Duration::from_millis(100);
+/// Timeout for a call. A busy gateway responds to operators within one second.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Interval between status calls while waiting for a drain.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a command did not end as wanted.
+/// Failure of a command: its exit status and an error message of one or more lines.
 pub struct Failure {
     pub exit: Exit,
     pub why: String,
 }
 
 impl Failure {
-    fn unreached(at: SocketAddr, why: impl std::fmt::Display) -> Self {
-        Failure { exit: Exit::Unreached, why: format!("{at}: {why}") }
+    fn unreachable(at: SocketAddr, reason: impl std::fmt::Display) -> Self {
+        Failure { exit: Exit::Unreached, why: format!("{at}: {reason}") }
     }
 
-    /// What was answered is not what a gateway answers.
-    fn odd(at: SocketAddr, why: impl std::fmt::Display) -> Self {
-        Failure::unreached(at, format!("not a gateway's answer: {why}"))
+    /// The response is not one that a gateway sends.
+    fn invalid_response(at: SocketAddr, reason: impl std::fmt::Display) -> Self {
+        Failure::unreachable(at, format!("not a gateway's answer: {reason}"))
     }
 }
 
 impl From<io::Error> for Failure {
-    /// Standard output took no more.
+    /// Converts an error of standard output.
     fn from(e: io::Error) -> Self {
-        // Whoever reads has what was wanted: `| head`, or a pager that was left.
+        // A closed pipe is not a failure: `| head` or a pager has read as much as it needs.
         let exit = if e.kind() == io::ErrorKind::BrokenPipe { Exit::Done } else { Exit::No };
         Failure { exit, why: format!("standard output: {e}") }
     }
 }
 
-pub type Outcome = Result<Exit, Failure>;
+/// Result of a command.
+pub type CommandResult = Result<Exit, Failure>;
 
 struct Reply {
     status: StatusCode,
@@ -65,89 +66,96 @@
 }
 
 async fn call(at: SocketAddr, method: Method, path: &str) -> Result<Reply, Failure> {
-    let called = async {
-        let stream = TcpStream::connect(at).await.map_err(|e| Failure::unreached(at, e))?;
-        let hands = http1::handshake(TokioIo::new(stream)).await;
-        let (mut sender, connection) = hands.map_err(|e| Failure::unreached(at, e))?;
+    let exchange = async {
+        let stream = TcpStream::connect(at).await.map_err(|e| Failure::unreachable(at, e))?;
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (mut sender, connection) = handshake.map_err(|e| Failure::unreachable(at, e))?;
         let request = Request::builder().method(method).uri(path).header(HOST, at.to_string());
-        let request = request.body(Empty::<Bytes>::new()).map_err(|e| Failure::unreached(at, e))?;
-        let exchange = async {
-            let reply = sender.send_request(request).await.map_err(|e| Failure::odd(at, e))?;
+        let request = request.body(Empty::<Bytes>::new()).map_err(|e| Failure::unreachable(at, e))?;
+        let response = async {
+            let reply = sender.send_request(request).await.map_err(|e| Failure::invalid_response(at, e))?;
             let (parts, body) = reply.into_parts();
-            let body = Limited::new(body, ANSWER_MOST).collect().await.map_err(|e| Failure::odd(at, e))?;
+            let body = Limited::new(body, MAX_RESPONSE_BYTES)
+                .collect()
+                .await
+                .map_err(|e| Failure::invalid_response(at, e))?;
             Ok(Reply { status: parts.status, body: body.to_bytes() })
         };
-        tokio::pin!(connection, exchange);
+        tokio::pin!(connection, response);
         tokio::select! {
             biased;
-            reply = &mut exchange => reply,
-            // Once the connection has ended the exchange knows how.
-            _ = &mut connection => exchange.await,
+            reply = &mut response => reply,
+            // The connection has ended, so the response is complete or has failed.
+            _ = &mut connection => response.await,
         }
     };
-    timeout(PATIENCE, called).await.unwrap_or_else(|_| Err(Failure::unreached(at, "no answer in time")))
+    timeout(CALL_TIMEOUT, exchange)
+        .await
+        .unwrap_or_else(|_| Err(Failure::unreachable(at, "no answer in time")))
 }
 
-/// A call whose answer is yes or no.
-async fn ask(at: SocketAddr, method: Method, path: &str) -> Result<Reply, Failure> {
+/// Makes a call and checks the status of the response: 404 and 409 are refusals.
+async fn checked_call(at: SocketAddr, method: Method, path: &str) -> Result<Reply, Failure> {
     let reply = call(at, method, path).await?;
     match reply.status {
         StatusCode::OK => Ok(reply),
         StatusCode::CONFLICT | StatusCode::NOT_FOUND => {
             Err(Failure { exit: Exit::No, why: format!("{at}: {}", reply.text()) })
         }
-        status => Err(Failure::odd(at, format!("{status} {}", reply.text()))),
+        status => Err(Failure::invalid_response(at, format!("{status} {}", reply.text()))),
     }
 }
 
-/// What the gateway says of itself, as it came and as it is read.
-pub async fn look(at: SocketAddr) -> Result<(Bytes, Status), Failure> {
-    let reply = ask(at, Method::GET, "/admin/status").await?;
-    let status = serde_json::from_slice(&reply.body).map_err(|e| Failure::odd(at, e))?;
+/// Fetches the gateway's status; returns the response body and the parsed status.
+pub async fn fetch_status(at: SocketAddr) -> Result<(Bytes, Status), Failure> {
+    let reply = checked_call(at, Method::GET, "/admin/status").await?;
+    let status = serde_json::from_slice(&reply.body).map_err(|e| Failure::invalid_response(at, e))?;
     Ok((reply.body, status))
 }
 
+/// Writes to standard output and flushes it.
 pub fn print(text: impl AsRef<[u8]>) -> Result<(), Failure> {
     let mut out = io::stdout().lock();
     out.write_all(text.as_ref())?;
     Ok(out.flush()?)
 }
 
-/// Rows of cells that are parted by tabs, in columns.
-pub fn columns(rows: &str) -> Result<Vec<u8>, Failure> {
+/// Aligns rows of tab-separated cells in columns.
+pub fn align_columns(rows: &str) -> Result<Vec<u8>, Failure> {
     let mut writer = TabWriter::new(Vec::new()).padding(2);
     writer.write_all(rows.as_bytes())?;
     Ok(writer.into_inner().map_err(|e| io::Error::other(e.to_string()))?)
 }
 
-fn table(rows: &str) -> Result<(), Failure> {
-    print(columns(rows)?)
+fn print_table(rows: &str) -> Result<(), Failure> {
+    print(align_columns(rows)?)
 }
 
-/// `status`
-pub async fn status(args: Call) -> Outcome {
-    let (raw, status) = look(args.operators).await?;
+/// The command `status`.
+pub async fn status(args: OperatorArgs) -> CommandResult {
+    let (raw, status) = fetch_status(args.operators).await?;
     if args.json {
         print(raw)?;
     } else {
-        table(&rows(&status))?;
+        print_table(&status_rows(&status))?;
     }
     Ok(Exit::Done)
 }
 
-pub fn rows(s: &Status) -> String {
+/// The status as rows of tab-separated cells.
+pub fn status_rows(s: &Status) -> String {
     let mut rows = String::new();
     let mut row = |name: &str, value: &dyn std::fmt::Display| {
-        // A String takes every write.
+        // Writing to a String cannot fail.
         let _ = writeln!(rows, "{name}\t{value}");
     };
-    let named = if s.name.is_empty() { "-" } else { &s.name };
-    row("gateway", &format!("{named}, version {}, process {}", s.version, s.pid));
-    row("phase", &phase(s.phase));
-    row("up", &format!("{:.0} s", s.uptime_s));
+    let name = if s.name.is_empty() { "-" } else { &s.name };
+    row("gateway", &format!("{name}, version {}, process {}", s.version, s.pid));
+    row("phase", &phase_name(s.phase));
+    row("uptime", &format!("{:.0} s", s.uptime_s));
     row("connections", &s.connections);
     row("open requests", &s.open_requests);
-    row("sent on", &s.relayed);
+    row("relayed", &s.relayed);
     row("servers", &format!("{} listed, {} avoided", s.servers.listed, s.servers.avoided));
     if let Some(m) = &s.members {
         let expected = m.expected.map_or(String::new(), |expected| format!(" of {expected}"));
@@ -155,8 +163,8 @@
         row("members", &format!("{}{expected} present, {} missing{majority}", m.present, m.missing));
     }
     row("memory", &format!("{:.1} MiB", s.process.resident_bytes as f64 / f64::from(1 << 20)));
-    row("descriptors", &format!("{} of {}", s.process.descriptors, s.process.descriptors_most));
-    row("processor", &format!("{:.2} s", s.process.cpu_s));
+    row("descriptors", &format!("{} of {}", s.process.descriptors, s.process.max_descriptors));
+    row("CPU time", &format!("{:.2} s", s.process.cpu_s));
     let refusals = s.refusals.iter().filter(|(_, count)| **count > 0);
     let refusals: Vec<_> = refusals.map(|(reason, count)| format!("{count} {reason}")).collect();
     row("refused", &if refusals.is_empty() { "none".to_owned() } else { refusals.join(", ") });
@@ -167,7 +175,8 @@
     rows
 }
 
-pub fn phase(phase: Phase) -> &'static str {
+/// The phase as shown in text output.
+pub fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "ready",
         Phase::Unready => "not ready",
@@ -176,16 +185,16 @@
     }
 }
 
-/// `members`
-pub async fn members(args: Call) -> Outcome {
-    let reply = ask(args.operators, Method::GET, "/admin/members").await?;
+/// The command `members`.
+pub async fn members(args: OperatorArgs) -> CommandResult {
+    let reply = checked_call(args.operators, Method::GET, "/admin/members").await?;
     if args.json {
         print(reply.body)?;
         return Ok(Exit::Done);
     }
     let view: serde_json::Value =
-        serde_json::from_slice(&reply.body).map_err(|e| Failure::odd(args.operators, e))?;
-    let text = |of: &serde_json::Value, key: &str| match &of[key] {
+        serde_json::from_slice(&reply.body).map_err(|e| Failure::invalid_response(args.operators, e))?;
+    let text = |object: &serde_json::Value, key: &str| match &object[key] {
         serde_json::Value::String(text) => text.clone(),
         serde_json::Value::Null => "-".to_owned(),
         other => other.to_string(),
@@ -196,35 +205,37 @@
         text(&view, "present"),
         text(&view, "expected")
     );
-    let mut row = |of: &serde_json::Value, state: &str, since: &str| {
-        let (name, addr, draining) = (text(of, "name"), text(of, "addr"), text(of, "draining"));
-        let _ = writeln!(rows, "{name}\t{addr}\t{state}\t{since}\t{draining}");
+    let mut row = |member: &serde_json::Value, state: &str, state_age: &str| {
+        let (name, addr) = (text(member, "name"), text(member, "addr"));
+        let draining = text(member, "draining");
+        let _ = writeln!(rows, "{name}\t{addr}\t{state}\t{state_age}\t{draining}");
     };
     row(&view, "this one", "-");
     for member in view["members"].as_array().into_iter().flatten() {
-        let since = member["for_ms"].as_f64().map_or("-".to_owned(), |ms| format!("{:.0} s", ms / 1000.0));
-        row(member, &text(member, "state"), &since);
+        let state_age =
+            member["for_ms"].as_f64().map_or("-".to_owned(), |ms| format!("{:.0} s", ms / 1000.0));
+        row(member, &text(member, "state"), &state_age);
     }
     for name in view["missing"].as_array().into_iter().flatten() {
         let _ = writeln!(rows, "missing: {}", name.as_str().unwrap_or("-"));
     }
-    table(&rows)?;
+    print_table(&rows)?;
     Ok(Exit::Done)
 }
 
-/// `reload`
-pub async fn reload(args: Call) -> Outcome {
-    let reply = ask(args.operators, Method::POST, "/admin/reload").await?;
+/// The command `reload`.
+pub async fn reload(args: OperatorArgs) -> CommandResult {
+    let reply = checked_call(args.operators, Method::POST, "/admin/reload").await?;
     if args.json {
         print(reply.body)?;
         return Ok(Exit::Done);
     }
     let changes: Changes =
-        serde_json::from_slice(&reply.body).map_err(|e| Failure::odd(args.operators, e))?;
+        serde_json::from_slice(&reply.body).map_err(|e| Failure::invalid_response(args.operators, e))?;
     let mut text = String::new();
     for key in &changes.keys {
-        let later = if changes.restart.contains(key) { ", holds after a restart" } else { "" };
-        let _ = writeln!(text, "changed: {key}{later}");
+        let restart_note = if changes.restart.contains(key) { ", holds after a restart" } else { "" };
+        let _ = writeln!(text, "changed: {key}{restart_note}");
     }
     if changes.keys.is_empty() {
         text.push_str("nothing changed\n");
@@ -233,46 +244,49 @@
     Ok(Exit::Done)
 }
 
-/// `log`
-pub async fn log(args: Call, levels: &Targets) -> Outcome {
-    // What was parsed has no character that a query can't hold.
-    ask(args.operators, Method::POST, &format!("/admin/log?{levels}")).await?;
-    told(&args, "logging", "other levels")
+/// The command `log`.
+pub async fn log(args: OperatorArgs, levels: &Targets) -> CommandResult {
+    // Valid levels contain no character that must be escaped in a query.
+    checked_call(args.operators, Method::POST, &format!("/admin/log?{levels}")).await?;
+    print_state(&args, "logging", "log levels set")
 }
 
-/// `resume`
-pub async fn resume(args: Call) -> Outcome {
-    ask(args.operators, Method::POST, "/admin/resume").await?;
-    told(&args, "resumed", "taking clients")
+/// The command `resume`.
+pub async fn resume(args: OperatorArgs) -> CommandResult {
+    checked_call(args.operators, Method::POST, "/admin/resume").await?;
+    print_state(&args, "resumed", "accepting clients")
 }
 
-/// `drain`
-pub async fn drain(args: Drain) -> Outcome {
+/// The command `drain`.
+pub async fn drain(args: DrainArgs) -> CommandResult {
     let at = args.call.operators;
-    ask(at, Method::POST, "/admin/quiesce").await?;
+    checked_call(at, Method::POST, "/admin/quiesce").await?;
     if !args.wait {
-        return told(&args.call, "draining", "draining");
+        return print_state(&args.call, "draining", "draining");
     }
-    let by = Instant::now() + args.timeout;
+    let deadline = Instant::now() + args.timeout;
     loop {
-        let (_, status) = look(at).await?;
+        let (_, status) = fetch_status(at).await?;
         if status.phase != Phase::Draining && status.phase != Phase::Ending {
-            return Err(Failure { exit: Exit::No, why: format!("{at}: the drain was undone") });
+            return Err(Failure {
+                exit: Exit::No,
+                why: format!("{at}: the drain was ended before it was complete"),
+            });
         }
         if status.open_requests == 0 && status.connections == 0 {
-            return told(&args.call, "drained", "drained");
+            return print_state(&args.call, "drained", "drained");
         }
-        if Instant::now() >= by {
+        if Instant::now() >= deadline {
             let (open, clients) = (status.open_requests, status.connections);
             let why = format!("{at}: not drained: {open} requests open, {clients} connections");
             return Err(Failure { exit: Exit::No, why });
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Prints that a call was done.
-fn told(args: &Call, state: &str, text: &str) -> Outcome {
+/// Prints the state after a successful call, as text or JSON.
+fn print_state(args: &OperatorArgs, state: &str, text: &str) -> CommandResult {
     if args.json {
         print(serde_json::json!({ "state": state }).to_string() + "\n")?;
     } else {
@@ -281,14 +295,14 @@
     Ok(Exit::Done)
 }
 
-/// Prints what was made at once.
-pub fn made(text: impl AsRef<[u8]>) -> Outcome {
+/// Prints the output of a command that cannot fail otherwise.
+pub fn made(text: impl AsRef<[u8]>) -> CommandResult {
     print(text)?;
     Ok(Exit::Done)
 }
 
-/// `check`
-pub fn check(file: &Named) -> Outcome {
+/// The command `check`.
+pub fn check(file: &Named) -> CommandResult {
     let mistakes = file.mistakes();
     if mistakes.is_empty() {
         return made("no mistake\n");
@@ -297,23 +311,24 @@
     Err(Failure { exit: Exit::Bad, why: lines.join("\n") })
 }
 
-/// `config`
-pub fn config(show: Configuration) -> Outcome {
-    match show {
-        Configuration::Schema => made(format!("{:#}\n", config::schema())),
-        Configuration::Example => made(config::example()),
-        Configuration::Keys => made(config::keys()),
-        Configuration::Show { layers, json } => {
-            let shown = Named::from(layers).show().map_err(|why| Failure { exit: Exit::Bad, why })?;
+/// The command `config`.
+pub fn config(command: ConfigCommand) -> CommandResult {
+    match command {
+        ConfigCommand::Schema => made(format!("{:#}\n", config::schema())),
+        ConfigCommand::Example => made(config::example()),
+        ConfigCommand::Keys => made(config::keys()),
+        ConfigCommand::Show { args, json } => {
+            let shown = Named::from(args).show().map_err(|why| Failure { exit: Exit::Bad, why })?;
             let Shown(keys) = shown;
             if json {
-                let row = |(key, value, from)| serde_json::json!({"key": key, "value": value, "from": from});
+                let row =
+                    |(key, value, source)| serde_json::json!({"key": key, "value": value, "from": source});
                 let rows: Vec<_> = keys.into_iter().map(row).collect();
                 return made(format!("{:#}\n", serde_json::Value::from(rows)));
             }
             let rows: String =
-                keys.iter().map(|(key, value, from)| format!("{key}\t{value}\t{from}\n")).collect();
-            table(&rows)?;
+                keys.iter().map(|(key, value, source)| format!("{key}\t{value}\t{source}\n")).collect();
+            print_table(&rows)?;
             Ok(Exit::Done)
         }
     }
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,4 +1,4 @@
-//! Each command as a person runs it from a shell, against a gateway on loopback.
+//! The command line against a gateway on loopback: output and exit codes of each command.
 #![allow(missing_docs)]
 
 mod played;
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
 
-/// Runs a command; its exit code and what it printed on standard output and error.
+/// Runs a command against the gateway at this operator address; returns its exit code, standard output and
+/// standard error.
 fn run(args: &[&str], at: Option<SocketAddr>) -> (i32, String, String) {
     let mut command = gateway_command();
     command.args(args);
@@ -18,15 +19,15 @@
 }
 
 #[test]
-fn without_arguments_it_is_the_platforms_gateway() {
+fn without_arguments_it_serves_with_the_file_in_relay_config() {
     let (code, out, err) = run(&[], None);
     assert_eq!((code, out.as_str(), err.as_str()), (2, "", "heronstage: RELAY_CONFIG is not set\n"));
-    // All other tests of real gateways start it so; `serve` does the same.
+    // `serve` without arguments does the same.
     assert_eq!(run(&["serve"], None), (code, out, err));
 }
 
 #[test]
-fn what_is_no_command_is_told_with_2() {
+fn invalid_usage_exits_with_2() {
     for args in
         [&["frobnicate"][..], &["drain"], &["status", "--operators", "nowhere"], &["completions", "tcsh"]]
     {
@@ -39,20 +40,20 @@
 }
 
 #[test]
-fn a_gateway_that_is_not_there_is_told_with_3() {
-    let silent = serve(|_| ServerAction::HangUntilClosed(channel().0));
-    let other = serve(|_| ServerAction::RespondAndClose(response_text(200, "", "hello")));
+fn an_unreachable_gateway_exits_with_3() {
+    let unresponsive = serve(|_| ServerAction::HangUntilClosed(channel().0));
+    let not_a_gateway = serve(|_| ServerAction::RespondAndClose(response_text(200, "", "hello")));
     for command in ["status", "members", "drain", "resume"] {
         let (code, out, err) = run(&[command], Some(refusing_address()));
         assert_eq!((code, out.as_str()), (3, ""), "{command}: {err}");
     }
-    assert_eq!(run(&["status"], Some(silent)).0, 3);
-    let (code, out, err) = run(&["status"], Some(other));
+    assert_eq!(run(&["status"], Some(unresponsive)).0, 3);
+    let (code, out, err) = run(&["status"], Some(not_a_gateway));
     assert!(code == 3 && out.is_empty() && err.contains("not a gateway's answer"), "{code}: {err}");
 }
 
 #[test]
-fn status_tells_what_became_of_requests() {
+fn status_shows_request_counts_and_process_usage() {
     let (backend, _) = healthy_backend();
     let gateway = Gateway::new(&config_with_operator(&[backend]));
     let at = gateway.operator();
@@ -79,30 +80,30 @@
 }
 
 #[test]
-fn a_drain_is_waited_for_and_undone() {
-    let (begun_to, begun) = channel();
-    let (go, gone) = channel::<()>();
-    let gone = std::sync::Mutex::new(gone);
+fn drain_waits_for_open_requests_and_resume_ends_it() {
+    let (received_sender, received) = channel();
+    let (release_sender, release) = channel::<()>();
+    let release = std::sync::Mutex::new(release);
     let backend = serve(move |_| {
-        let _ = begun_to.send(());
-        let _ = gone.lock().unwrap().recv_timeout(TEST_TIMEOUT);
+        let _ = received_sender.send(());
+        let _ = release.lock().unwrap().recv_timeout(TEST_TIMEOUT);
         ServerAction::Respond(response_text(200, "", "done"))
     });
     let gateway = Gateway::new(&config_with_operator(&[backend]));
     let at = gateway.operator();
     let client = std::thread::spawn({
-        let mut open = gateway.connect();
+        let mut connection = gateway.connect();
         move || {
             use std::io::Write;
-            open.get_mut().write_all(get_request(1, 1, 20_000).as_bytes()).unwrap();
-            read_message(&mut open).unwrap().status()
+            connection.get_mut().write_all(get_request(1, 1, 20_000).as_bytes()).unwrap();
+            read_message(&mut connection).unwrap().status()
         }
     });
-    begun.recv_timeout(TEST_TIMEOUT).unwrap();
+    received.recv_timeout(TEST_TIMEOUT).unwrap();
     let (code, out, err) = run(&["drain", "--wait", "--timeout", "0.2"], Some(at));
     assert_eq!((code, out.as_str()), (1, ""));
     assert!(err.contains("not drained: 1 requests open, 1 connections"), "{err}");
-    go.send(()).unwrap();
+    release_sender.send(()).unwrap();
     let (code, out, err) = run(&["drain", "--wait"], Some(at));
     assert_eq!((code, out.as_str(), err.as_str()), (0, "drained\n", ""));
     assert_eq!(client.join().unwrap(), 200);
@@ -115,16 +116,16 @@
 }
 
 #[test]
-fn members_are_shown_or_it_is_told_that_there_are_none() {
-    let alone = Gateway::new(&config_with_operator(&[refusing_address()]));
-    let at = alone.operator();
+fn members_shows_the_cluster_and_exits_with_1_without_one() {
+    let without_cluster = Gateway::new(&config_with_operator(&[refusing_address()]));
+    let at = without_cluster.operator();
     let (code, out, err) = run(&["members"], Some(at));
     assert_eq!((code, out.as_str()), (1, ""));
     assert!(err.contains("not a member of a cluster"), "{err}");
     let mut config = config_with_operator(&[refusing_address()]);
     config["cluster"] = serde_json::json!({"name": "granite", "listen": "127.0.0.1:0"});
     let gateway = Gateway::started(start(&config));
-    // Lines on the cluster come between.
+    // Log lines about the cluster come first.
     let at = loop {
         let line = gateway.log.recv_timeout(TEST_TIMEOUT).unwrap();
         if let Some((_, at)) = line.split_once("operators call at ") {
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn top_writes_lines_where_the_output_is_no_terminal() {
+fn top_prints_lines_if_the_output_is_not_a_terminal() {
     let (backend, _) = healthy_backend();
     let gateway = Gateway::new(&config_with_operator(&[backend]));
     let at = gateway.operator();
@@ -160,20 +161,25 @@
 }
 
 #[test]
-fn levels_of_the_log_are_changed_from_a_shell() {
+fn the_log_command_changes_log_levels() {
     let gateway = Gateway::new(&config_with_operator(&[refusing_address()]));
     let at = gateway.operator();
     assert_eq!(
         run(&["log", "info,request=debug"], Some(at)),
-        (0, "other levels\n".to_owned(), String::new())
+        (0, "log levels set\n".to_owned(), String::new())
     );
     assert_eq!(run(&["log", "request=loud"], Some(at)).0, 2);
     gateway.get(1, 1);
-    while !gateway.log.recv_timeout(TEST_TIMEOUT).expect("a line of the request").contains("request ended") {}
+    while !gateway
+        .log
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("a log line about the request")
+        .contains("request ended")
+    {}
 }
 
 #[test]
-fn completions_and_the_manual_name_every_command() {
+fn completions_and_the_manual_page_name_the_commands() {
     let commands = ["serve", "status", "members", "drain", "resume"];
     for args in [&["completions", "bash"][..], &["completions", "zsh"], &["completions", "fish"], &["man"]] {
         let (code, out, err) = run(args, None);
@@ -183,7 +189,7 @@
 }
 
 #[test]
-fn a_closed_pipe_is_no_failure() {
+fn a_closed_output_pipe_is_not_a_failure() {
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_heronstage"));
