--- a/src/bin/heronstage/cli.rs
+++ b/src/bin/heronstage/cli.rs
@@ -28,12 +28,14 @@
     }
 }
 
-/// A gateway that holds customers to their quotas before a fleet of servers.
+/// A gateway that enforces customers' quotas in front of a fleet of servers.
 ///
-/// Without a command it serves by the file that RELAY_CONFIG names.
+/// Without a command it serves, with the configuration file named by RELAY_CONFIG.
 #[derive(Parser)]
 #[command(name = "heronstage", version, args_conflicts_with_subcommands = true)]
-#[command(after_help = "Exit codes: 0 done, 1 no, 2 usage or bad input, 3 not reached.")]
+#[command(
+    after_help = "Exit codes: 0 success, 1 refused or failed, 2 invalid usage or input, 3 gateway not reached."
+)]
 pub struct Cli {
     #[command(subcommand)]
     pub command: Option<Command>,
@@ -42,44 +44,44 @@
 /// Commands of the program.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve until SIGTERM, by --config or the file that RELAY_CONFIG names
+    /// Serve until SIGTERM, with the configuration file from --config or RELAY_CONFIG
     Serve(ServeArgs),
-    /// Tell every mistake of a configuration; 2: it has some
+    /// Print all errors in a configuration; exit with 2 if there are any
     Check(ConfigArgs),
-    /// Show what a configuration says, and what may be said
+    /// Show the effective configuration, or describe the available keys
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Show what a running gateway does
+    /// Show the status of a running gateway
     Status(OperatorArgs),
-    /// Show the cluster as a running gateway sees it; 1: it is a member of none
+    /// Show the cluster members known to a running gateway; exit with 1 if it is not in a cluster
     Members(OperatorArgs),
-    /// Ask clients of a running gateway to go
+    /// Drain a running gateway: its clients are asked to close their connections
     Drain(DrainArgs),
-    /// Take clients again after a drain; 1: the gateway is ending
+    /// End a drain and accept clients again; exit with 1 if the gateway is shutting down
     Resume(OperatorArgs),
-    /// Have the gateway read its configuration anew, and tell which keys changed; 1: it was turned down
+    /// Reload the configuration and print the changed keys; exit with 1 if the gateway rejects it
     Reload(OperatorArgs),
-    /// Change what a running gateway logs until its configuration is read anew, like `info,request=debug`
+    /// Set the log levels of a running gateway until its next reload, such as `info,request=debug`
     Log {
-        /// A level, and levels for parts by their names in the log
+        /// Default level, and levels for single targets
         levels: Targets,
         #[command(flatten)]
         call: OperatorArgs,
     },
-    /// Show over and over what a running gateway does; lines where the output is no terminal
+    /// Show the status of a running gateway repeatedly; print lines if the output is not a terminal
     Top {
         #[command(flatten)]
         call: OperatorArgs,
-        /// Seconds between two looks
+        /// Interval between samples, in seconds
         #[arg(long, value_name = "SECONDS", default_value = "1", value_parser = parse_seconds)]
         every: Duration,
-        /// End after so many looks
+        /// Exit after this number of samples
         #[arg(long, value_name = "NUMBER")]
         looks: Option<u64>,
     },
-    /// Print a shell's completions
+    /// Print shell completions
     Completions {
-        /// The shell
+        /// Shell to generate completions for
         shell: Shell,
     },
     /// Print the manual page
@@ -89,10 +91,10 @@
 /// A configuration file and the keys that override it.
 #[derive(Args)]
 pub struct ConfigArgs {
-    /// TOML or JSON, by its ending; the platform's own form is JSON with `settings`
+    /// TOML or JSON file, by extension; the platform's format is JSON with a `settings` key
     #[arg(value_name = "FILE")]
     pub file: PathBuf,
-    /// Set a key over the file and the environment
+    /// Set a key; overrides the file and the environment
     #[arg(long, value_name = "KEY=VALUE", value_parser = parse_key_value)]
     pub set: Vec<(String, String)>,
 }
@@ -106,10 +108,10 @@
 /// Arguments of `serve`.
 #[derive(Args)]
 pub struct ServeArgs {
-    /// TOML or JSON, by its ending; variables like HERONSTAGE_LIMITS__DESCRIPTORS come over it
+    /// TOML or JSON file, by extension; overridden by variables such as HERONSTAGE_LIMITS__DESCRIPTORS
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Set a key over the file and the environment
+    /// Set a key; overrides the file and the environment
     #[arg(long, value_name = "KEY=VALUE", value_parser = parse_key_value, requires = "config")]
     pub set: Vec<(String, String)>,
 }
@@ -126,7 +128,7 @@
 /// Subcommands of `config`.
 #[derive(Subcommand)]
 pub enum ConfigCommand {
-    /// Show what holds, and where each value comes from: default, file, environment or flag
+    /// Show the effective value of each key and its source: default, file, environment or flag
     Show {
         #[command(flatten)]
         args: ConfigArgs,
@@ -134,11 +136,11 @@
         #[arg(long)]
         json: bool,
     },
-    /// Print the JSON Schema of the file
+    /// Print the JSON Schema of the configuration file
     Schema,
-    /// Print a commented file that starts as it stands
+    /// Print a commented example file that the gateway can start with
     Example,
-    /// Print all keys as a table in Markdown
+    /// Print all keys as a Markdown table
     Keys,
 }
 
@@ -151,7 +153,7 @@
 /// Arguments of commands that call a running gateway.
 #[derive(Args)]
 pub struct OperatorArgs {
-    /// Where the gateway hears operators
+    /// Address of the gateway's operator listener
     #[arg(long, value_name = "ADDRESS", env = "RELAY_OPERATOR")]
     pub operators: SocketAddr,
     /// Print JSON
@@ -164,10 +166,10 @@
 pub struct DrainArgs {
     #[command(flatten)]
     pub call: OperatorArgs,
-    /// Wait until no request is open and no client connected
+    /// Wait until no request is open and no client is connected
     #[arg(long)]
     pub wait: bool,
-    /// Give up the wait after so many seconds; 1: it was not over
+    /// Timeout of --wait, in seconds; exit with 1 when it expires
     #[arg(long, value_name = "SECONDS", default_value = "30", value_parser = parse_seconds, requires = "wait")]
     pub timeout: Duration,
 }
--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -330,24 +330,32 @@
         let counts = protocol.counts();
         let majority = u64::from(view.majority != Some(false));
         for (name, help, value) in [
-            ("present", "Members present, this one included", view.present.into()),
-            ("expected", "Members that there should be", view.expected.unwrap_or(0).into()),
-            ("majority", "Whether those present are a majority of them", majority),
-            ("missing", "Members that went without a word", view.missing.len() as u64),
-            ("health", "0 while this process keeps time", view.health.into()),
-            ("incarnation", "Its incarnation", view.incarnation.into()),
+            ("present", "Members present, including this one", view.present.into()),
+            ("expected", "Expected cluster size, 0 if not configured", view.expected.unwrap_or(0).into()),
+            (
+                "majority",
+                "0 if the members present are not a majority of the expected size, otherwise 1",
+                majority,
+            ),
+            ("missing", "Members that failed and have not returned", view.missing.len() as u64),
+            (
+                "health",
+                "Local health score: 0 is healthy, higher means that this process is slow",
+                view.health.into(),
+            ),
+            ("incarnation", "Incarnation number of this member", view.incarnation.into()),
         ] {
             register_gauge(registry, &format!("members_{name}"), help, value as i64);
         }
         for (name, help, value) in [
-            ("suspicions", "Members suspected", counts.suspicions),
-            ("suspicions_cleared", "Suspicions that came to nothing", counts.cleared),
-            ("refutations", "Suspicions of itself that it refuted", counts.refutations),
+            ("suspicions", "Suspicions of other members", counts.suspicions),
+            ("suspicions_cleared", "Suspicions of other members that were refuted", counts.cleared),
+            ("refutations", "Reports about this member that it refuted", counts.refutations),
             ("datagrams_sent", "Datagrams sent", counts.sent),
-            ("bytes_sent", "Their bytes", counts.sent_bytes),
+            ("bytes_sent", "Bytes of datagrams sent", counts.sent_bytes),
             ("datagrams_received", "Datagrams received", counts.received),
-            ("bytes_received", "Their bytes", counts.received_bytes),
-            ("datagrams_unsent", "Datagrams that the socket did not take", member.unsent.get()),
+            ("bytes_received", "Bytes of datagrams received", counts.received_bytes),
+            ("datagrams_unsent", "Datagrams that the socket rejected", member.unsent.get()),
         ] {
             register_counter(registry, &format!("members_{name}"), help, value);
         }
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/figures.rs
@@ -180,42 +180,51 @@
     fn default() -> Self {
         let mut relay = Registry::with_prefix("relay");
         let operations = Family::default();
-        relay.register("operations", "Requests by class and end", operations.clone());
+        relay.register("operations", "Requests by class and outcome", operations.clone());
         let (relayed, reloads_accepted, reloads_invalid) = <(Counter, Counter, Counter)>::default();
-        relay.register("relayed", "Attempts written whole to servers", relayed.clone());
-        relay.register("cfg_accepted", "Configurations taken at a reload", reloads_accepted.clone());
-        relay.register("cfg_invalid", "Configurations turned down at a reload", reloads_invalid.clone());
+        relay.register("relayed", "Attempts written completely to servers", relayed.clone());
+        relay.register("cfg_accepted", "Reloads that applied a configuration", reloads_accepted.clone());
+        relay.register("cfg_invalid", "Reloads that rejected a configuration", reloads_invalid.clone());
 
         let mut heronstage = Registry::with_prefix("heronstage");
         let seconds = || Unit::Seconds;
         let durations = Family::new_with_constructor(new_histogram as fn() -> _);
         heronstage.register_with_unit(
             "request_duration",
-            "From a request's head to its end",
+            "Time from the head of a request to its end",
             seconds(),
             durations.clone(),
         );
         let first_byte = Family::new_with_constructor(new_histogram as fn() -> _);
-        let help = "From a request's last byte to the first of its answer from a server";
+        let help = "Time from the last byte of a request to the first byte of the server's response";
         heronstage.register_with_unit("first_byte", help, seconds(), first_byte.clone());
         let waits = Family::<PlaceLabels, Histogram, _>::new_with_constructor(new_histogram as fn() -> _);
-        heronstage.register_with_unit("request_wait", "Time of requests by place", seconds(), waits.clone());
+        heronstage.register_with_unit(
+            "request_wait",
+            "Time that requests spend in each processing stage",
+            seconds(),
+            waits.clone(),
+        );
         let expired = Family::<PlaceLabels, Counter>::default();
-        heronstage.register("expired", "Requests whose time was over unserved, by place", expired.clone());
+        heronstage.register(
+            "expired",
+            "Requests whose deadline passed before they were served, by processing stage",
+            expired.clone(),
+        );
         let time_left =
             Family::<TimeLeftLabels, Histogram, _>::new_with_constructor(new_histogram as fn() -> _);
-        let help = "Time left of requests, at the first attempt and at the answer";
+        let help = "Time left until the deadline, at the first attempt and at the response";
         heronstage.register_with_unit("time_left", help, seconds(), time_left.clone());
         let refusals = Family::<ReasonLabels, Counter>::default();
         heronstage.register("refusals", "Requests refused, by reason", refusals.clone());
         let attempts = Family::<ResultLabels, Counter>::default();
-        heronstage.register("attempts", "Attempts at servers, by result", attempts.clone());
+        heronstage.register("attempts", "Attempts sent to servers, by result", attempts.clone());
         let counter_calls = Family::<ResultLabels, Counter>::default();
-        heronstage.register("counter_calls", "Calls to the counter, by result", counter_calls.clone());
+        heronstage.register("counter_calls", "Calls to the quota counter, by result", counter_calls.clone());
         let undecided = Family::default();
         heronstage.register(
             "undecided",
-            "Requests answered without a decision, by status",
+            "Requests answered without an admission decision, by status",
             undecided.clone(),
         );
 
@@ -255,9 +264,9 @@
 impl Present {
     /// Registers the gauges with the prefix `relay`.
     fn register_relay(&self, registry: &mut Registry) {
-        register_gauge(registry, "open_requests", "Requests taken and not yet ended", self.open as i64);
-        register_gauge(registry, "registry_entries", "Servers on the list", self.listed as i64);
-        let help = "Servers of the list that get no requests now";
+        register_gauge(registry, "open_requests", "Requests accepted and not yet ended", self.open as i64);
+        register_gauge(registry, "registry_entries", "Servers listed by discovery", self.listed as i64);
+        let help = "Listed servers that currently receive no requests";
         register_gauge(registry, "out_of_rotation", help, self.avoided as i64);
     }
 }
@@ -376,21 +385,21 @@
         register_gauge(
             &mut heronstage_current,
             "connections",
-            "Connections of clients",
+            "Open client connections",
             present.connections as i64,
         );
-        let help = "Lines of the log that nobody read in time";
+        let help = "Log lines dropped because the log was not read fast enough";
         register_counter(&mut heronstage_current, "log_lines_dropped", help, dropped_log_lines);
         let mut process_registry = Registry::with_prefix("process");
         let resident = process.resident_bytes as i64;
-        register_gauge(&mut process_registry, "resident_memory_bytes", "Resident memory", resident);
-        let help = "Open descriptors";
+        register_gauge(&mut process_registry, "resident_memory_bytes", "Resident memory size", resident);
+        let help = "Open file descriptors";
         register_gauge(&mut process_registry, "open_fds", help, process.descriptors as i64);
-        let help = "Descriptors that may be open";
+        let help = "Maximum number of open file descriptors";
         register_gauge(&mut process_registry, "max_fds", help, process.max_descriptors as i64);
         let cpu = Counter::<f64, AtomicU64>::default();
         cpu.inc_by(process.cpu_s);
-        process_registry.register("cpu_seconds", "Processor time", cpu);
+        process_registry.register("cpu_seconds", "User and system CPU time", cpu);
         let mut text = String::with_capacity(32 * 1024);
         let written = [&self.relay, &relay_current, &self.heronstage, &heronstage_current, &process_registry]
             .into_iter()
