--- a/src/bin/heronstage/cli.rs
+++ b/src/bin/heronstage/cli.rs
@@ -61,7 +61,7 @@
     Resume(OperatorArgs),
     /// Reload the configuration and print the changed keys; exit with 1 if the gateway rejects it
     Reload(OperatorArgs),
-    /// Set the log levels of a running gateway until its next reload, such as `info,request=debug`
+    /// Set the log levels of a running gateway, such as `info,request=debug`, until a reload changes them
     Log {
         /// Default level, and levels for single targets
         levels: Targets,
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -52,7 +52,7 @@
 }
 
 impl Desk {
-    /// Reloads the configuration, including the log levels.
+    /// Reloads the configuration and applies changed log levels.
     pub fn reload(&self) -> Result<Changes, String> {
         let changes = self.reloads.reload(&self.server, &self.cluster)?;
         if changes.keys.iter().any(|key| key.starts_with("logs")) {
