--- a/src/bin/heronstage/cli.rs
+++ b/src/bin/heronstage/cli.rs
@@ -11,19 +11,19 @@
 
 /// Exit status of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
+pub enum ExitStatus {
     /// The command succeeded.
-    Done = 0,
+    Success = 0,
     /// The gateway refused the command, or its condition did not hold.
-    No = 1,
+    Failed = 1,
     /// The command line or a file is invalid.
-    Bad = 2,
+    InvalidInput = 2,
     /// The gateway could not be reached, or did not respond in time.
-    Unreached = 3,
+    Unreachable = 3,
 }
 
-impl From<Exit> for ExitCode {
-    fn from(exit: Exit) -> Self {
+impl From<ExitStatus> for ExitCode {
+    fn from(exit: ExitStatus) -> Self {
         ExitCode::from(exit as u8)
     }
 }
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/figures.rs
@@ -24,7 +24,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Served.
     Fulfilled,
     /// Refused with status 429.
@@ -35,27 +35,28 @@
     Gone,
 }
 
-impl End {
+impl RequestOutcome {
     /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            End::Fulfilled => "fulfilled",
-            End::Throttled => "throttled",
-            End::Faulted => "faulted",
-            End::Gone => "gone",
+            RequestOutcome::Fulfilled => "fulfilled",
+            RequestOutcome::Throttled => "throttled",
+            RequestOutcome::Faulted => "faulted",
+            RequestOutcome::Gone => "gone",
         }
     }
 }
 
-const ENDS: [End; 4] = [End::Fulfilled, End::Throttled, End::Faulted, End::Gone];
+const OUTCOMES: [RequestOutcome; 4] =
+    [RequestOutcome::Fulfilled, RequestOutcome::Throttled, RequestOutcome::Faulted, RequestOutcome::Gone];
 
 /// A stage of a request's processing.
 #[derive(Clone, Copy)]
-pub enum Place {
+pub enum Stage {
     /// Receiving the body from the client. Requests without a body skip this and the next stage.
     Body,
     /// Waiting for memory for the body.
-    Room,
+    Memory,
     /// The admission decision: calls to the quota counter and the choice of a server.
     Decision,
     /// From the first attempt to the first byte of the response, including retries and the delays between them.
@@ -63,11 +64,11 @@
 }
 
 /// The stages with the values of their label.
-const PLACES: [(Place, &str); 4] = [
-    (Place::Body, "body"),
-    (Place::Room, "room"),
-    (Place::Decision, "decision"),
-    (Place::Servers, "servers"),
+const STAGES: [(Stage, &str); 4] = [
+    (Stage::Body, "body"),
+    (Stage::Memory, "room"),
+    (Stage::Decision, "decision"),
+    (Stage::Servers, "servers"),
 ];
 
 const REASONS: [Reason; 4] = [Reason::Room, Reason::Quota, Reason::Unsent, Reason::Time];
@@ -126,41 +127,41 @@
 }
 
 /// Metrics of one request class.
-pub struct Ends {
+pub struct ClassMetrics {
     /// `Fulfilled`, `Throttled` and `Faulted`; `Gone` is not counted as an operation.
     operations: [Counter; 3],
-    durations: [Histogram; ENDS.len()],
+    durations: [Histogram; OUTCOMES.len()],
     first_byte: Histogram,
 }
 
-impl Ends {
+impl ClassMetrics {
     /// Records the end of a request and its duration.
-    pub fn count(&self, end: End, took: Duration) {
-        if let Some(operations) = self.operations.get(end as usize) {
+    pub fn record_end(&self, outcome: RequestOutcome, duration: Duration) {
+        if let Some(operations) = self.operations.get(outcome as usize) {
             operations.inc();
         }
-        self.durations[end as usize].observe(took.as_secs_f64());
+        self.durations[outcome as usize].observe(duration.as_secs_f64());
     }
 
     /// Records the time to the first byte of a server's response.
-    pub fn first_byte(&self, took: Duration) {
-        self.first_byte.observe(took.as_secs_f64());
+    pub fn record_first_byte(&self, delay: Duration) {
+        self.first_byte.observe(delay.as_secs_f64());
     }
 }
 
 /// Counters and histograms, kept from the start of the process.
-pub struct Figures {
+pub struct Metrics {
     /// Metrics with the prefix `relay`, whose names are part of the operator interface.
     relay: Registry,
     /// Metrics with the prefix `heronstage`.
     heronstage: Registry,
-    classes: RefCell<BTreeMap<String, Rc<Ends>>>,
+    classes: RefCell<BTreeMap<String, Rc<ClassMetrics>>>,
     operations: Family<OperationLabels, Counter>,
     durations: Family<OutcomeLabels, Histogram>,
     first_byte: Family<ClassLabels, Histogram>,
     /// Time spent in each stage.
-    waits: [Histogram; PLACES.len()],
-    expired: [Counter; PLACES.len()],
+    waits: [Histogram; STAGES.len()],
+    expired: [Counter; STAGES.len()],
     /// Time left at the first attempt, and at the response.
     time_left: [Histogram; 2],
     refusals: [Counter; REASONS.len()],
@@ -176,7 +177,7 @@
     Histogram::new(BUCKET_BOUNDS_S)
 }
 
-impl Default for Figures {
+impl Default for Metrics {
     fn default() -> Self {
         let mut relay = Registry::with_prefix("relay");
         let operations = Family::default();
@@ -231,10 +232,10 @@
         let by_result = |family: &Family<ResultLabels, Counter>| {
             RESULTS.map(|result| family.get_or_create_owned(&ResultLabels { result: result.name() }))
         };
-        Figures {
+        Metrics {
             classes: RefCell::default(),
-            waits: PLACES.map(|(_, place)| waits.get_or_create_owned(&PlaceLabels { place })),
-            expired: PLACES.map(|(_, place)| expired.get_or_create_owned(&PlaceLabels { place })),
+            waits: STAGES.map(|(_, place)| waits.get_or_create_owned(&PlaceLabels { place })),
+            expired: STAGES.map(|(_, place)| expired.get_or_create_owned(&PlaceLabels { place })),
             time_left: ["sent", "answered"].map(|at| time_left.get_or_create_owned(&TimeLeftLabels { at })),
             refusals: REASONS
                 .map(|reason| refusals.get_or_create_owned(&ReasonLabels { reason: reason.name() })),
@@ -254,17 +255,22 @@
 }
 
 /// Current counts of requests, connections and servers.
-pub struct Present {
-    pub open: usize,
+pub struct CurrentCounts {
+    pub open_requests: usize,
     pub connections: usize,
     pub listed: usize,
     pub avoided: usize,
 }
 
-impl Present {
+impl CurrentCounts {
     /// Registers the gauges with the prefix `relay`.
     fn register_relay(&self, registry: &mut Registry) {
-        register_gauge(registry, "open_requests", "Requests accepted and not yet ended", self.open as i64);
+        register_gauge(
+            registry,
+            "open_requests",
+            "Requests accepted and not yet ended",
+            self.open_requests as i64,
+        );
         register_gauge(registry, "registry_entries", "Servers listed by discovery", self.listed as i64);
         let help = "Listed servers that currently receive no requests";
         register_gauge(registry, "out_of_rotation", help, self.avoided as i64);
@@ -285,45 +291,51 @@
     registry.register(name, help, counter);
 }
 
-impl Figures {
+impl Metrics {
     /// The metrics of a class. A class that was removed and returns continues with its earlier counts.
-    pub fn class(&self, name: &str) -> Result<Rc<Ends>, String> {
+    pub fn class_metrics(&self, name: &str) -> Result<Rc<ClassMetrics>, String> {
         let mut classes = self.classes.borrow_mut();
-        if let Some(ends) = classes.get(name) {
-            return Ok(ends.clone());
+        if let Some(metrics) = classes.get(name) {
+            return Ok(metrics.clone());
         }
         if classes.len() >= MAX_CLASSES {
             return Err(format!("more than {MAX_CLASSES} class names since the start of the process"));
         }
-        let (class, counted) = (name.to_owned(), [End::Fulfilled, End::Throttled, End::Faulted]);
-        let operation = |end: End| OperationLabels { priority: class.clone(), status: end.name() };
-        let outcome = |end: End| OutcomeLabels { class: class.clone(), outcome: end.name() };
-        let ends = Rc::new(Ends {
-            operations: counted.map(|end| self.operations.get_or_create_owned(&operation(end))),
-            durations: ENDS.map(|end| self.durations.get_or_create_owned(&outcome(end))),
+        let (class, counted) = (
+            name.to_owned(),
+            [RequestOutcome::Fulfilled, RequestOutcome::Throttled, RequestOutcome::Faulted],
+        );
+        let operation_labels =
+            |outcome: RequestOutcome| OperationLabels { priority: class.clone(), status: outcome.name() };
+        let outcome_labels =
+            |outcome: RequestOutcome| OutcomeLabels { class: class.clone(), outcome: outcome.name() };
+        let metrics = Rc::new(ClassMetrics {
+            operations: counted
+                .map(|outcome| self.operations.get_or_create_owned(&operation_labels(outcome))),
+            durations: OUTCOMES.map(|outcome| self.durations.get_or_create_owned(&outcome_labels(outcome))),
             first_byte: self.first_byte.get_or_create_owned(&ClassLabels { class: class.clone() }),
         });
-        classes.insert(class, ends.clone());
-        Ok(ends)
+        classes.insert(class, metrics.clone());
+        Ok(metrics)
     }
 
     /// Records a request that was answered without an admission decision, such as an invalid or incomplete one.
-    pub fn undecided(&self, status: u16) {
+    pub fn record_undecided(&self, status: u16) {
         self.undecided.get_or_create(&StatusLabels { status }).inc();
     }
 
     /// Records the time that a request spent in a stage.
-    pub fn waited(&self, place: Place, took: Duration) {
-        self.waits[place as usize].observe(took.as_secs_f64());
+    pub fn record_wait(&self, stage: Stage, duration: Duration) {
+        self.waits[stage as usize].observe(duration.as_secs_f64());
     }
 
     /// Records that a request's deadline passed in this stage, before it was served.
-    pub fn expired(&self, place: Place) {
-        self.expired[place as usize].inc();
+    pub fn record_expired(&self, stage: Stage) {
+        self.expired[stage as usize].inc();
     }
 
     /// Records the time left at the first attempt, if there was one, and at the response.
-    pub fn left(&self, sent: Option<Duration>, answered: Duration) {
+    pub fn record_time_left(&self, sent: Option<Duration>, answered: Duration) {
         if let Some(sent) = sent {
             self.time_left[0].observe(sent.as_secs_f64());
         }
@@ -331,14 +343,14 @@
     }
 
     /// Records whether a reload accepted the configuration.
-    pub fn configured(&self, accepted: bool) {
+    pub fn record_reload(&self, accepted: bool) {
         if accepted { &self.reloads_accepted } else { &self.reloads_invalid }.inc();
     }
 
     /// Counts of ended requests by class.
     pub fn classes(&self) -> Vec<status::ClassCounts> {
-        let class = |(name, ends): (&String, &Rc<Ends>)| {
-            let [fulfilled, throttled, faulted] = ends.operations.each_ref().map(Counter::get);
+        let class = |(name, metrics): (&String, &Rc<ClassMetrics>)| {
+            let [fulfilled, throttled, faulted] = metrics.operations.each_ref().map(Counter::get);
             status::ClassCounts { name: name.clone(), fulfilled, throttled, faulted }
         };
         self.classes.borrow().iter().map(class).collect()
@@ -358,13 +370,14 @@
     }
 
     /// The metrics with the prefix `relay`, one per line, including those that `register_others` adds.
-    pub fn stats(&self, present: &Present, register_others: impl FnOnce(&mut Registry)) -> String {
-        let mut current = Registry::with_prefix("relay");
-        present.register_relay(&mut current);
-        register_others(&mut current);
+    pub fn stats(&self, current: &CurrentCounts, register_others: impl FnOnce(&mut Registry)) -> String {
+        let mut relay_current = Registry::with_prefix("relay");
+        current.register_relay(&mut relay_current);
+        register_others(&mut relay_current);
         let mut text = String::with_capacity(4096);
         // Writing to a String cannot fail.
-        let _ = encode_registry(&mut text, &self.relay).and_then(|()| encode_registry(&mut text, &current));
+        let _ =
+            encode_registry(&mut text, &self.relay).and_then(|()| encode_registry(&mut text, &relay_current));
         let mut lines = String::with_capacity(text.len());
         for line in text.lines().filter(|line| !line.starts_with('#')) {
             lines.push_str(line);
@@ -375,18 +388,18 @@
 
     /// All metrics in the OpenMetrics text format.
     pub fn open_metrics(
-        &self, present: &Present, process: &Process, dropped_log_lines: u64,
+        &self, current: &CurrentCounts, process: &Process, dropped_log_lines: u64,
         register_others: impl FnOnce(&mut Registry),
     ) -> String {
         let mut relay_current = Registry::with_prefix("relay");
-        present.register_relay(&mut relay_current);
+        current.register_relay(&mut relay_current);
         register_others(&mut relay_current);
         let mut heronstage_current = Registry::with_prefix("heronstage");
         register_gauge(
             &mut heronstage_current,
             "connections",
             "Open client connections",
-            present.connections as i64,
+            current.connections as i64,
         );
         let help = "Log lines dropped because the log was not read fast enough";
         register_counter(&mut heronstage_current, "log_lines_dropped", help, dropped_log_lines);
@@ -410,7 +423,7 @@
     }
 }
 
-impl Observer for Figures {
+impl Observer for Metrics {
     fn request_written(&self) {
         self.relayed.inc();
     }
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -5,9 +5,9 @@
 use crate::config::{Changes, Config, Logs, Places, Source};
 use crate::counter;
 use crate::discovery;
-use crate::figures::Figures;
+use crate::figures::Metrics;
 use crate::logs::{self, Log};
-use crate::operator::{self, Desk};
+use crate::operator::{self, OperatorContext};
 use crate::peers;
 use crate::server::Server;
 use crate::speech::{Names, Platform};
@@ -83,7 +83,7 @@
         }
         None => None,
     };
-    let reserved = RESERVED + operator.as_ref().map_or(0, |_| operator::PLACES + 1);
+    let reserved = RESERVED + operator.as_ref().map_or(0, |_| operator::MAX_CONNECTIONS + 1);
     let max_connections = config.sockets.saturating_sub(reserved).max(2) / 2;
     let backends = Backends::new(max_connections, config.connect_ms, config.idle_ms);
     let counter = config.settings.counter.and(config.places.counter);
@@ -91,7 +91,7 @@
     let (call_senders, call_receivers) = counter::CallSenders::new();
     let names = Names { zones: config.zones.clone(), kinds: config.kinds.clone() };
     let mut settings = config.settings.clone();
-    let (figures, mut tables) = (Rc::new(Figures::default()), Tables::default());
+    let (figures, mut tables) = (Rc::new(Metrics::default()), Tables::default());
     tables.apply(&config.classes, &config.plans, &mut settings, &figures)?;
     let fleet_position = (settings.gateways, settings.position);
     let budget = Rc::new(MemoryBudget::new(config.memory));
@@ -153,24 +153,25 @@
         );
         tokio::task::spawn_local(share.run());
     }
-    let customer_names = logs::Names::new(config.logs.customers);
+    let customer_names = logs::CustomerNames::new(config.logs.customers);
     let server =
         Server::new(driver.clone(), tables, figures.clone(), customer_names, budget, client_permits.clone());
     let cluster = Cluster::new(driver.clone(), config.seed, shared, server.watch_drain());
     let cluster_change = cluster.prepare(config.cluster.clone())?;
     let (name, descriptors) = (config.name.clone(), config.sockets);
-    let reloads = Reloader { source, config: config.into(), places: places_sender, figures: figures.clone() };
-    let desk = Rc::new(Desk {
+    let reloader =
+        Reloader { source, config: config.into(), places: places_sender, figures: figures.clone() };
+    let context = Rc::new(OperatorContext {
         server: server.clone(),
         cluster: cluster.clone(),
         figures,
         log,
-        reloads,
+        reloader,
         name,
         started,
         descriptors,
     });
-    tokio::task::spawn_local(on_hangup(hangup, desk.clone()));
+    tokio::task::spawn_local(on_hangup(hangup, context.clone()));
     tracing::info!("listening on {}", listener.local_addr().map_err(|e| e.to_string())?);
     cluster.apply(cluster_change);
     let accepting = server.clone();
@@ -197,7 +198,7 @@
                 Ok(at) => tracing::info!("operators call at {at}"),
                 Err(e) => tracing::warn!("operators call at {at}: {e}"),
             }
-            operator::run(listener, desk).await;
+            operator::run(listener, context).await;
         });
     }
 
@@ -234,7 +235,7 @@
     /// The configuration applied last.
     config: RefCell<Config>,
     places: watch::Sender<Places>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
 }
 
 impl Reloader {
@@ -246,7 +247,7 @@
     /// Loads and applies the configuration, all of it or nothing. Returns the changed keys.
     pub fn reload(&self, server: &Server, cluster: &Rc<Cluster>) -> Result<Changes, String> {
         let result = self.apply(server, cluster);
-        self.figures.configured(result.is_ok());
+        self.figures.record_reload(result.is_ok());
         match &result {
             Ok(changes) => {
                 let Places { discovery, counter, .. } = *self.places.borrow();
@@ -283,10 +284,10 @@
     }
 }
 
-async fn on_hangup(mut hangup: Signal, desk: Rc<Desk>) {
+async fn on_hangup(mut hangup: Signal, context: Rc<OperatorContext>) {
     while hangup.recv().await.is_some() {
         // The result is logged and counted by the reload.
-        let _ = desk.reload();
+        let _ = context.reload();
     }
 }
 
--- a/src/bin/heronstage/logs.rs
+++ b/src/bin/heronstage/logs.rs
@@ -15,7 +15,7 @@
 /// not block the gateway.
 const MAX_QUEUED_LINES: usize = 1024;
 /// Target of log lines about single requests.
-pub const REQUEST: &str = "request";
+pub const REQUEST_TARGET: &str = "request";
 
 /// The log of this process.
 pub struct Log {
@@ -89,14 +89,14 @@
 
 /// Formats customer numbers for log lines. By default they are hashed with a key of this process, so that lines of
 /// one customer can be correlated without identifying the customer.
-pub struct Names {
+pub struct CustomerNames {
     key: RandomState,
     customers: Customers,
 }
 
-impl Names {
+impl CustomerNames {
     pub fn new(customers: Customers) -> Self {
-        Names { key: RandomState::new(), customers }
+        CustomerNames { key: RandomState::new(), customers }
     }
 
     /// Formats a customer number.
--- a/src/bin/heronstage/main.rs
+++ b/src/bin/heronstage/main.rs
@@ -20,7 +20,7 @@
 mod top;
 
 use clap::{CommandFactory, Parser};
-use cli::{Cli, Command, Exit};
+use cli::{Cli, Command, ExitStatus};
 use config::Source;
 use remote::Failure;
 use std::future::Future;
@@ -42,31 +42,33 @@
         Some(Command::Completions { shell }) => {
             let mut text = Vec::new();
             clap_complete::generate(shell, &mut Cli::command(), "heronstage", &mut text);
-            remote::made(&text)
+            remote::print_output(&text)
         }
         Some(Command::Man) => {
             let mut text = Vec::new();
             // Writing to a Vec cannot fail.
             let _ = clap_mangen::Man::new(Cli::command()).render(&mut text);
-            remote::made(&text)
+            remote::print_output(&text)
         }
     };
     match result {
         Ok(exit) => exit.into(),
-        Err(Failure { exit: Exit::Done, .. }) => Exit::Done.into(),
-        Err(Failure { exit, why }) => {
-            why.lines().for_each(|line| eprintln!("heronstage: {line}"));
+        Err(Failure { exit: ExitStatus::Success, .. }) => ExitStatus::Success.into(),
+        Err(Failure { exit, message }) => {
+            message.lines().for_each(|line| eprintln!("heronstage: {line}"));
             exit.into()
         }
     }
 }
 
-fn serve(source: Source) -> Result<Exit, Failure> {
-    gateway::serve(source).map(|()| Exit::Done).map_err(|why| Failure { exit: Exit::Bad, why })
+fn serve(source: Source) -> Result<ExitStatus, Failure> {
+    gateway::serve(source)
+        .map(|()| ExitStatus::Success)
+        .map_err(|message| Failure { exit: ExitStatus::InvalidInput, message })
 }
 
 /// Runs a command's future on a runtime of its own.
-fn block_on(command: impl Future<Output = Result<Exit, Failure>>) -> Result<Exit, Failure> {
+fn block_on(command: impl Future<Output = Result<ExitStatus, Failure>>) -> Result<ExitStatus, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| Failure { exit: Exit::No, why: e.to_string() })?.block_on(command)
+    runtime.map_err(|e| Failure { exit: ExitStatus::Failed, message: e.to_string() })?.block_on(command)
 }
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::Cluster;
 use crate::config::Changes;
-use crate::figures::{Figures, Present};
+use crate::figures::{CurrentCounts, Metrics};
 use crate::gateway::Reloader;
 use crate::logs::{self, Log};
 use crate::server::Server;
@@ -27,7 +27,7 @@
 use tracing_subscriber::filter::Targets;
 
 /// Maximum number of operator connections. Their descriptors are reserved, so that clients cannot use them up.
-pub const PLACES: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// Timeout for the head of a request. Callers wait 1 s for their response, so a slower request only occupies a
 /// connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
@@ -38,11 +38,11 @@
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// The parts of the gateway that operator requests read or change.
-pub struct Desk {
-    pub reloads: Reloader,
+pub struct OperatorContext {
+    pub reloader: Reloader,
     pub server: Rc<Server>,
     pub cluster: Rc<Cluster>,
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     pub log: Rc<Log>,
     /// The gateway's name; empty if none is configured.
     pub name: String,
@@ -51,18 +51,18 @@
     pub descriptors: usize,
 }
 
-impl Desk {
+impl OperatorContext {
     /// Reloads the configuration and applies changed log levels.
     pub fn reload(&self) -> Result<Changes, String> {
-        let changes = self.reloads.reload(&self.server, &self.cluster)?;
+        let changes = self.reloader.reload(&self.server, &self.cluster)?;
         if changes.keys.iter().any(|key| key.starts_with("logs")) {
-            self.log.set_levels(logs::level_filter(&self.reloads.log_settings()));
+            self.log.set_levels(logs::level_filter(&self.reloader.log_settings()));
         }
         Ok(changes)
     }
 
     fn status(&self) -> Status {
-        let Present { open, connections, listed, avoided } = self.server.present();
+        let CurrentCounts { open_requests, connections, listed, avoided } = self.server.present();
         Status {
             name: self.name.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
@@ -70,7 +70,7 @@
             uptime_s: self.started.elapsed().as_secs_f64(),
             phase: self.server.phase(),
             connections,
-            open_requests: open,
+            open_requests,
             relayed: self.figures.relayed_total(),
             classes: self.figures.classes(),
             refusals: self.figures.refusals(),
@@ -82,16 +82,16 @@
 }
 
 /// Serves operator requests for as long as the program runs.
-pub async fn run(listener: TcpListener, desk: Rc<Desk>) {
-    let (permits, warnings) = (Arc::new(Semaphore::new(PLACES)), WarningLimiter::default());
+pub async fn run(listener: TcpListener, context: Rc<OperatorContext>) {
+    let (permits, warnings) = (Arc::new(Semaphore::new(MAX_CONNECTIONS)), WarningLimiter::default());
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, _)) => {
-                let desk = desk.clone();
+                let context = context.clone();
                 tokio::task::spawn_local(async move {
                     // Errors and timeouts of one connection are not logged.
-                    let _ = timeout(CALL_TIMEOUT, serve_connection(stream, &desk)).await;
+                    let _ = timeout(CALL_TIMEOUT, serve_connection(stream, &context)).await;
                     drop(permit);
                 });
             }
@@ -103,9 +103,9 @@
     }
 }
 
-async fn serve_connection(stream: TcpStream, desk: &Desk) -> hyper::Result<()> {
+async fn serve_connection(stream: TcpStream, context: &OperatorContext) -> hyper::Result<()> {
     let service = service_fn(|request| {
-        let response = respond(&request, desk);
+        let response = respond(&request, context);
         async move { Ok::<_, Infallible>(response) }
     });
     http1::Builder::new()
@@ -116,8 +116,8 @@
         .await
 }
 
-fn respond(request: &Request<Incoming>, desk: &Desk) -> Response<Full<Bytes>> {
-    let (server, cluster) = (&desk.server, &desk.cluster);
+fn respond(request: &Request<Incoming>, context: &OperatorContext) -> Response<Full<Bytes>> {
+    let (server, cluster) = (&context.server, &context.cluster);
     let allowed = match request.uri().path() {
         "/admin/health" | "/metrics" | "/admin/stats" | "/admin/status" | "/admin/members" => Method::GET,
         "/admin/quiesce" | "/admin/resume" | "/admin/reload" | "/admin/log" => Method::POST,
@@ -137,13 +137,14 @@
         "/admin/resume" if server.resume() => text(StatusCode::OK, "accepting clients\n"),
         "/admin/resume" => text(StatusCode::CONFLICT, "shutting down after SIGTERM\n"),
         "/admin/stats" => {
-            let stats = desk.figures.stats(&server.present(), |registry| cluster.register_metrics(registry));
+            let stats =
+                context.figures.stats(&server.present(), |registry| cluster.register_metrics(registry));
             text(StatusCode::OK, stats)
         }
         "/metrics" => {
-            let (present, process) = (server.present(), Process::current(desk.descriptors));
-            let dropped_lines = desk.log.dropped_lines();
-            let metrics = desk.figures.open_metrics(&present, &process, dropped_lines, |registry| {
+            let (current, process) = (server.present(), Process::current(context.descriptors));
+            let dropped_lines = context.log.dropped_lines();
+            let metrics = context.figures.open_metrics(&current, &process, dropped_lines, |registry| {
                 cluster.register_metrics(registry)
             });
             body(StatusCode::OK, metrics, OPEN_METRICS)
@@ -151,16 +152,16 @@
         "/admin/log" => match request.uri().query().unwrap_or("").parse::<Targets>() {
             Ok(levels) => {
                 tracing::info!("log levels set: {levels}");
-                desk.log.set_levels(levels);
+                context.log.set_levels(levels);
                 text(StatusCode::OK, "log levels set\n")
             }
             Err(e) => text(StatusCode::CONFLICT, format!("invalid log levels: {e}\n")),
         },
-        "/admin/reload" => match desk.reload() {
+        "/admin/reload" => match context.reload() {
             Ok(changes) => json(&changes),
             Err(reason) => text(StatusCode::CONFLICT, format!("{reason}\n")),
         },
-        "/admin/status" => json(&desk.status()),
+        "/admin/status" => json(&context.status()),
         "/admin/members" => match cluster.view() {
             Some(view) => json(&view),
             None => text(StatusCode::NOT_FOUND, "not a member of a cluster\n"),
--- a/src/bin/heronstage/remote.rs
+++ b/src/bin/heronstage/remote.rs
@@ -1,6 +1,6 @@
 //! Implementation of the commands: calls to the operator interface of a running gateway, and their output.
 
-use crate::cli::{ConfigCommand, DrainArgs, Exit, OperatorArgs};
+use crate::cli::{ConfigCommand, DrainArgs, ExitStatus, OperatorArgs};
 use crate::config::{self, Changes, Named, Shown};
 use crate::status::{Phase, Status};
 use bytes::Bytes;
@@ -27,13 +27,13 @@
 
 /// Failure of a command: its exit status and an error message of one or more lines.
 pub struct Failure {
-    pub exit: Exit,
-    pub why: String,
+    pub exit: ExitStatus,
+    pub message: String,
 }
 
 impl Failure {
     fn unreachable(at: SocketAddr, reason: impl std::fmt::Display) -> Self {
-        Failure { exit: Exit::Unreached, why: format!("{at}: {reason}") }
+        Failure { exit: ExitStatus::Unreachable, message: format!("{at}: {reason}") }
     }
 
     /// The response is not one that a gateway sends.
@@ -46,13 +46,14 @@
     /// Converts an error of standard output.
     fn from(e: io::Error) -> Self {
         // A closed pipe is not a failure: `| head` or a pager has read as much as it needs.
-        let exit = if e.kind() == io::ErrorKind::BrokenPipe { Exit::Done } else { Exit::No };
-        Failure { exit, why: format!("standard output: {e}") }
+        let exit =
+            if e.kind() == io::ErrorKind::BrokenPipe { ExitStatus::Success } else { ExitStatus::Failed };
+        Failure { exit, message: format!("standard output: {e}") }
     }
 }
 
 /// Result of a command.
-pub type CommandResult = Result<Exit, Failure>;
+pub type CommandResult = Result<ExitStatus, Failure>;
 
 struct Reply {
     status: StatusCode,
@@ -100,7 +101,7 @@
     match reply.status {
         StatusCode::OK => Ok(reply),
         StatusCode::CONFLICT | StatusCode::NOT_FOUND => {
-            Err(Failure { exit: Exit::No, why: format!("{at}: {}", reply.text()) })
+            Err(Failure { exit: ExitStatus::Failed, message: format!("{at}: {}", reply.text()) })
         }
         status => Err(Failure::invalid_response(at, format!("{status} {}", reply.text()))),
     }
@@ -139,7 +140,7 @@
     } else {
         print_table(&status_rows(&status))?;
     }
-    Ok(Exit::Done)
+    Ok(ExitStatus::Success)
 }
 
 /// The status as rows of tab-separated cells.
@@ -190,7 +191,7 @@
     let reply = checked_call(args.operators, Method::GET, "/admin/members").await?;
     if args.json {
         print(reply.body)?;
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Success);
     }
     let view: serde_json::Value =
         serde_json::from_slice(&reply.body).map_err(|e| Failure::invalid_response(args.operators, e))?;
@@ -220,7 +221,7 @@
         let _ = writeln!(rows, "missing: {}", name.as_str().unwrap_or("-"));
     }
     print_table(&rows)?;
-    Ok(Exit::Done)
+    Ok(ExitStatus::Success)
 }
 
 /// The command `reload`.
@@ -228,7 +229,7 @@
     let reply = checked_call(args.operators, Method::POST, "/admin/reload").await?;
     if args.json {
         print(reply.body)?;
-        return Ok(Exit::Done);
+        return Ok(ExitStatus::Success);
     }
     let changes: Changes =
         serde_json::from_slice(&reply.body).map_err(|e| Failure::invalid_response(args.operators, e))?;
@@ -241,7 +242,7 @@
         text.push_str("nothing changed\n");
     }
     print(text)?;
-    Ok(Exit::Done)
+    Ok(ExitStatus::Success)
 }
 
 /// The command `log`.
@@ -269,8 +270,8 @@
         let (_, status) = fetch_status(at).await?;
         if status.phase != Phase::Draining && status.phase != Phase::Ending {
             return Err(Failure {
-                exit: Exit::No,
-                why: format!("{at}: the drain was ended before it was complete"),
+                exit: ExitStatus::Failed,
+                message: format!("{at}: the drain was ended before it was complete"),
             });
         }
         if status.open_requests == 0 && status.connections == 0 {
@@ -278,8 +279,8 @@
         }
         if Instant::now() >= deadline {
             let (open, clients) = (status.open_requests, status.connections);
-            let why = format!("{at}: not drained: {open} requests open, {clients} connections");
-            return Err(Failure { exit: Exit::No, why });
+            let message = format!("{at}: not drained: {open} requests open, {clients} connections");
+            return Err(Failure { exit: ExitStatus::Failed, message });
         }
         sleep(POLL_INTERVAL).await;
     }
@@ -292,44 +293,46 @@
     } else {
         print(format!("{text}\n"))?;
     }
-    Ok(Exit::Done)
+    Ok(ExitStatus::Success)
 }
 
 /// Prints the output of a command that cannot fail otherwise.
-pub fn made(text: impl AsRef<[u8]>) -> CommandResult {
+pub fn print_output(text: impl AsRef<[u8]>) -> CommandResult {
     print(text)?;
-    Ok(Exit::Done)
+    Ok(ExitStatus::Success)
 }
 
 /// The command `check`.
 pub fn check(file: &Named) -> CommandResult {
     let mistakes = file.mistakes();
     if mistakes.is_empty() {
-        return made("no mistake\n");
+        return print_output("no mistake\n");
     }
     let lines: Vec<_> = mistakes.iter().map(ToString::to_string).collect();
-    Err(Failure { exit: Exit::Bad, why: lines.join("\n") })
+    Err(Failure { exit: ExitStatus::InvalidInput, message: lines.join("\n") })
 }
 
 /// The command `config`.
 pub fn config(command: ConfigCommand) -> CommandResult {
     match command {
-        ConfigCommand::Schema => made(format!("{:#}\n", config::schema())),
-        ConfigCommand::Example => made(config::example()),
-        ConfigCommand::Keys => made(config::keys()),
+        ConfigCommand::Schema => print_output(format!("{:#}\n", config::schema())),
+        ConfigCommand::Example => print_output(config::example()),
+        ConfigCommand::Keys => print_output(config::keys()),
         ConfigCommand::Show { args, json } => {
-            let shown = Named::from(args).show().map_err(|why| Failure { exit: Exit::Bad, why })?;
+            let shown = Named::from(args)
+                .show()
+                .map_err(|message| Failure { exit: ExitStatus::InvalidInput, message })?;
             let Shown(keys) = shown;
             if json {
                 let row =
                     |(key, value, source)| serde_json::json!({"key": key, "value": value, "from": source});
                 let rows: Vec<_> = keys.into_iter().map(row).collect();
-                return made(format!("{:#}\n", serde_json::Value::from(rows)));
+                return print_output(format!("{:#}\n", serde_json::Value::from(rows)));
             }
             let rows: String =
                 keys.iter().map(|(key, value, source)| format!("{key}\t{value}\t{source}\n")).collect();
             print_table(&rows)?;
-            Ok(Exit::Done)
+            Ok(ExitStatus::Success)
         }
     }
 }
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 server for clients: parses requests, hands them to the driver and writes the responses.
 
 use crate::config::Config;
-use crate::figures::{End, Figures, Place, Present};
-use crate::logs::{Names, REQUEST};
+use crate::figures::{CurrentCounts, Metrics, RequestOutcome, Stage};
+use crate::logs::{CustomerNames, REQUEST_TARGET};
 use crate::status::Phase;
 use crate::tables::{Class, Tables};
 use bytes::{Bytes, BytesMut};
@@ -54,9 +54,9 @@
 pub struct Server {
     driver: Rc<Driver>,
     tables: RefCell<Tables>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     /// Names of customers in the log.
-    names: Names,
+    names: CustomerNames,
     /// Requests handed to the driver that have not ended.
     open_requests: Cell<usize>,
     budget: Rc<MemoryBudget>,
@@ -122,8 +122,8 @@
         // With a known length, the frame with the last bytes is the last one polled.
         let last = match &frame {
             Some(Ok(_)) if self.content.size_hint().exact() != Some(0) => None,
-            Some(Ok(_)) | None => Some(End::Fulfilled),
-            Some(Err(_)) => Some(End::Faulted),
+            Some(Ok(_)) | None => Some(RequestOutcome::Fulfilled),
+            Some(Err(_)) => Some(RequestOutcome::Faulted),
         };
         if let Some((end, mut guard)) = last.and_then(|end| Some((end, self.guard.take()?))) {
             guard.end(end);
@@ -217,18 +217,18 @@
     }
 
     /// Records the end of the request: it has its final response, or the client disconnected.
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: RequestOutcome) {
         if self.open.is_some() {
             self.end_at(end, Instant::now());
         }
     }
 
-    fn end_at(&mut self, end: End, now: Instant) {
+    fn end_at(&mut self, end: RequestOutcome, now: Instant) {
         let Some((id, class)) = self.open.take() else { return };
         self.server.open_requests.set(self.server.open_requests.get() - 1);
         let took = now.duration_since(self.started);
-        class.ends.count(end, took);
-        if end == End::Gone {
+        class.metrics.record_end(end, took);
+        if end == RequestOutcome::Gone {
             self.server.driver.cancel(id);
         }
         if let Some(log) = self.log.take() {
@@ -243,20 +243,27 @@
     ) -> Instant {
         let figures = &self.server.figures;
         let now = Instant::now();
-        figures.waited(Place::Decision, attempts.first_sent.unwrap_or(now).duration_since(received));
+        figures.record_wait(Stage::Decision, attempts.first_sent.unwrap_or(now).duration_since(received));
         let mut first_byte = None;
         if let Some(sent) = attempts.first_sent {
-            figures.waited(Place::Servers, now.duration_since(sent));
+            figures.record_wait(Stage::Servers, now.duration_since(sent));
         }
         if let Some(deadline) = deadline {
-            figures.left(attempts.first_sent.map(|sent| deadline.remaining(sent)), deadline.remaining(now));
+            figures.record_time_left(
+                attempts.first_sent.map(|sent| deadline.remaining(sent)),
+                deadline.remaining(now),
+            );
             if deadline.expired(now) && !matches!(response, FinalResponse::Served { .. }) {
-                figures.expired(if attempts.first_sent.is_some() { Place::Servers } else { Place::Decision });
+                figures.record_expired(if attempts.first_sent.is_some() {
+                    Stage::Servers
+                } else {
+                    Stage::Decision
+                });
             }
         }
         if let (FinalResponse::Served { .. }, Some((_, class))) = (response, &self.open) {
             let took = now.duration_since(received);
-            class.ends.first_byte(took);
+            class.metrics.record_first_byte(took);
             first_byte = Some(took);
         }
         if let Some(log) = &mut self.log {
@@ -271,13 +278,13 @@
 }
 
 impl RequestLog {
-    fn write(&self, end: End, took: Duration, driver: &Driver) {
+    fn write(&self, end: RequestOutcome, took: Duration, driver: &Driver) {
         let ms = |time: Duration| (time.as_secs_f64() * 1e6).round() / 1e3;
         let until = |from: Instant, to: Instant| ms(to.saturating_duration_since(from));
         let AttemptSummary { first_sent: sent, attempts, backend: server, .. } = self.attempts;
         let now = Instant::now();
         tracing::debug!(
-            target: REQUEST,
+            target: REQUEST_TARGET,
             parent: &self.span,
             outcome = end.name(),
             reason = self.reason,
@@ -297,14 +304,14 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.server.unanswered.set(self.server.unanswered.get() - 1);
-        self.end(End::Gone);
+        self.end(RequestOutcome::Gone);
     }
 }
 
 impl Server {
     pub fn new(
-        driver: Rc<Driver>, tables: Tables, figures: Rc<Figures>, names: Names, budget: Rc<MemoryBudget>,
-        client_permits: Arc<Semaphore>,
+        driver: Rc<Driver>, tables: Tables, figures: Rc<Metrics>, names: CustomerNames,
+        budget: Rc<MemoryBudget>, client_permits: Arc<Semaphore>,
     ) -> Rc<Self> {
         let (tables, drain) = (RefCell::new(tables), watch::Sender::new(Drain::Inactive));
         let (open_requests, unanswered, connections) = Default::default();
@@ -336,9 +343,14 @@
     }
 
     /// Current counts of requests, connections and backends.
-    pub fn present(&self) -> Present {
+    pub fn present(&self) -> CurrentCounts {
         let (listed, avoided) = self.driver.backend_counts();
-        Present { open: self.open_requests.get(), connections: self.connections.get(), listed, avoided }
+        CurrentCounts {
+            open_requests: self.open_requests.get(),
+            connections: self.connections.get(),
+            listed,
+            avoided,
+        }
     }
 
     /// Whether the gateway is ready, and if not why.
@@ -467,7 +479,7 @@
         let mut reply = match self.handle(request, body_due, RequestGuard::new(self)).await {
             Ok(reply) => reply,
             Err(rejection) => {
-                self.figures.undecided(rejection.status.as_u16());
+                self.figures.record_undecided(rejection.status.as_u16());
                 rejection.reply()
             }
         };
@@ -506,7 +518,7 @@
                 let reserve_by = client_deadline.cap(Instant::now() + RESERVE_TIMEOUT);
                 let reserved = timeout_at(reserve_by, self.budget.reserve_request(size)).await;
                 reserved.map_err(|_| {
-                    self.check_deadline(&client_deadline, Place::Room)
+                    self.check_deadline(&client_deadline, Stage::Memory)
                         .unwrap_or_else(Rejection::out_of_memory)
                 })?
             }
@@ -517,7 +529,7 @@
         let unread = loop {
             let bytes = upload.next_bytes().await;
             match bytes.map_err(|error| {
-                self.check_deadline(&client_deadline, Place::Body).unwrap_or_else(|| error.into())
+                self.check_deadline(&client_deadline, Stage::Body).unwrap_or_else(|| error.into())
             })? {
                 None => break None,
                 Some(bytes) => buffered.extend_from_slice(&bytes),
@@ -530,8 +542,8 @@
         let received = Instant::now();
         info.deadline = client_deadline.deadline(received);
         if size != Some(0) {
-            self.figures.waited(Place::Room, reserved_at.duration_since(guard.started));
-            self.figures.waited(Place::Body, received.duration_since(reserved_at));
+            self.figures.record_wait(Stage::Memory, reserved_at.duration_since(guard.started));
+            self.figures.record_wait(Stage::Body, received.duration_since(reserved_at));
         }
         // With a streamed body the deadline counts from its end, which is not known yet.
         let deadline = Some(info.deadline).filter(|_| unread.is_none());
@@ -562,7 +574,7 @@
             FinalResponse::Served { head, body: content } => {
                 let guard = match &content {
                     ResponseBody::Buffered { .. } => {
-                        guard.end_at(End::Fulfilled, now);
+                        guard.end_at(RequestOutcome::Fulfilled, now);
                         None
                     }
                     // The guard ends with the stream.
@@ -576,7 +588,7 @@
                 reply
             }
             FinalResponse::Refused { retry_after_ms, .. } => {
-                guard.end_at(End::Throttled, now);
+                guard.end_at(RequestOutcome::Throttled, now);
                 let mut reply = plain(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless\n");
                 if retry_after_ms > 0.0 {
                     let seconds = format!("{:.3}", retry_after_ms / 1000.0);
@@ -585,7 +597,7 @@
                 reply
             }
             FinalResponse::Failed => {
-                guard.end_at(End::Faulted, now);
+                guard.end_at(RequestOutcome::Faulted, now);
                 plain(StatusCode::BAD_GATEWAY, "failed; it may have run\n")
             }
             FinalResponse::IncompleteBody(error) => return Err(error.into()),
@@ -593,9 +605,9 @@
     }
 
     /// The rejection of a request whose deadline passed before it was complete; it was not sent to a backend.
-    fn check_deadline(&self, client_deadline: &ClientDeadline, place: Place) -> Option<Rejection> {
+    fn check_deadline(&self, client_deadline: &ClientDeadline, place: Stage) -> Option<Rejection> {
         client_deadline.expired(Instant::now()).then(|| {
-            self.figures.expired(place);
+            self.figures.record_expired(place);
             Rejection::new(StatusCode::TOO_MANY_REQUESTS, "its time is over; trying again is harmless\n")
         })
     }
@@ -604,12 +616,12 @@
     fn submit(
         &self, info: &RequestInfo, class: &Class, backend_request: BackendRequest,
     ) -> ((RequestId, ResponseReceiver), Option<Span>) {
-        if !tracing::enabled!(target: REQUEST, Level::DEBUG) {
+        if !tracing::enabled!(target: REQUEST_TARGET, Level::DEBUG) {
             return (self.driver.request(info, backend_request), None);
         }
         let (customer, plan) = (self.names.customer(info.customer), info.plan as usize);
         let span = tracing::debug_span!(
-            target: REQUEST,
+            target: REQUEST_TARGET,
             "request",
             id = tracing::field::Empty,
             class = class.name,
--- a/src/bin/heronstage/tables.rs
+++ b/src/bin/heronstage/tables.rs
@@ -1,7 +1,7 @@
 //! Classes and plans by name, and the numbers by which the library knows them. An open request keeps its
 //! number: a reload gives changed classes new numbers and reuses those that no open request has.
 
-use crate::figures::{Ends, Figures};
+use crate::figures::{ClassMetrics, Metrics};
 use cherrytally::{Idempotency, Settings};
 use hyper::Method;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
     pub number: u32,
     pub method: Method,
     pub keyed: bool,
-    pub ends: Rc<Ends>,
+    pub metrics: Rc<ClassMetrics>,
     settings: cherrytally::Class,
 }
 
@@ -36,7 +36,7 @@
     /// Applies a configuration's classes and plans, and reorders those of `settings` by number. An error
     /// changes nothing.
     pub fn apply(
-        &mut self, classes: &[String], plans: &[String], settings: &mut Settings, figures: &Figures,
+        &mut self, classes: &[String], plans: &[String], settings: &mut Settings, figures: &Metrics,
     ) -> Result<(), String> {
         let mut table: Vec<_> = self.classes.iter().map(|(class, _)| (class.clone(), false)).collect();
         for (name, class_settings) in classes.iter().zip(&settings.classes) {
@@ -64,7 +64,7 @@
                     Method::POST
                 },
                 keyed: matches!(class_settings.idempotency, Idempotency::Keyed { .. }),
-                ends: figures.class(name)?,
+                metrics: figures.class_metrics(name)?,
                 settings: *class_settings,
             });
             match table.get_mut(number) {
--- a/src/bin/heronstage/top.rs
+++ b/src/bin/heronstage/top.rs
@@ -1,6 +1,6 @@
 //! The command `top`: polls a gateway's status and shows it with the request rates between two samples.
 
-use crate::cli::{Exit, OperatorArgs};
+use crate::cli::{ExitStatus, OperatorArgs};
 use crate::remote::{align_columns, fetch_status, phase_name, print, status_rows, CommandResult, Failure};
 use crate::status::{ClassCounts, Status};
 use crossterm::cursor::{Hide, MoveTo, Show};
@@ -30,7 +30,7 @@
     }
     let shown = tokio::select! {
         shown = show(&call, interval, max_samples, is_screen) => shown,
-        interrupted = tokio::signal::ctrl_c() => interrupted.map(|()| Exit::Done).map_err(Failure::from),
+        interrupted = tokio::signal::ctrl_c() => interrupted.map(|()| ExitStatus::Success).map_err(Failure::from),
     };
     if is_screen {
         execute!(io::stdout(), Show)?;
@@ -67,7 +67,7 @@
         }
         samples += 1;
         if max_samples.is_some_and(|max| samples >= max) {
-            return Ok(Exit::Done);
+            return Ok(ExitStatus::Success);
         }
         sleep(interval).await;
     }
