--- a/src/bin/heronstage/cli.rs
+++ b/src/bin/heronstage/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what may be asked of the program, and its exit codes.
+//! The command line: commands, arguments and exit codes.
 
 use crate::config::{FileSource, Source};
 use clap::{Args, Parser, Subcommand};
@@ -9,146 +9,151 @@
 use std::time::Duration;
 use tracing_subscriber::filter::Targets;
 
-/// How a command ends.
+/// Exit status of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
-    /// It was done, or the answer is yes.
-    Done = 0,
-    /// The answer is no.
-    No = 1,
-    /// The command line or a file is wrong.
-    Bad = 2,
-    /// The gateway was not reached, or gave no answer in time.
-    Unreached = 3,
+pub enum ExitStatus {
+    /// The command succeeded.
+    Success = 0,
+    /// The gateway refused the command, or its condition did not hold.
+    Failed = 1,
+    /// The command line or a file is invalid.
+    InvalidInput = 2,
+    /// The gateway could not be reached, or did not respond in time.
+    Unreachable = 3,
 }
 
-impl From<Exit> for ExitCode {
-    fn from(exit: Exit) -> Self {
+impl From<ExitStatus> for ExitCode {
+    fn from(exit: ExitStatus) -> Self {
         ExitCode::from(exit as u8)
     }
 }
 
-/// A gateway that holds customers to their quotas before a fleet of servers.
+/// A gateway that enforces customers' quotas in front of a fleet of servers.
 ///
-/// Without a command it serves by the file that RELAY_CONFIG names.
+/// Without a command it serves, with the configuration file named by RELAY_CONFIG.
 #[derive(Parser)]
 #[command(name = "heronstage", version, args_conflicts_with_subcommands = true)]
-#[command(after_help = "Exit codes: 0 done, 1 no, 2 usage or bad input, 3 not reached.")]
+#[command(
+    after_help = "Exit codes: 0 success, 1 refused or failed, 2 invalid usage or input, 3 gateway not reached."
+)]
 pub struct Cli {
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
+/// Commands of the program.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve until SIGTERM, by --config or the file that RELAY_CONFIG names
-    Serve(Serve),
-    /// Tell every mistake of a configuration; 2: it has some
-    Check(Layers),
-    /// Show what a configuration says, and what may be said
+    /// Serve until SIGTERM, with the configuration file from --config or RELAY_CONFIG
+    Serve(ServeArgs),
+    /// Print all errors in a configuration; exit with 2 if there are any
+    Check(ConfigArgs),
+    /// Show the effective configuration, or describe the available keys
     #[command(subcommand)]
-    Config(Configuration),
-    /// Show what a running gateway does
-    Status(Call),
-    /// Show the cluster as a running gateway sees it; 1: it is a member of none
-    Members(Call),
-    /// Ask clients of a running gateway to go
-    Drain(Drain),
-    /// Take clients again after a drain; 1: the gateway is ending
-    Resume(Call),
-    /// Have the gateway read its configuration anew, and tell which keys changed; 1: it was turned down
-    Reload(Call),
-    /// Change what a running gateway logs until its configuration is read anew, like `info,request=debug`
+    Config(ConfigCommand),
+    /// Show the status of a running gateway
+    Status(OperatorArgs),
+    /// Show the cluster members known to a running gateway; exit with 1 if it is not in a cluster
+    Members(OperatorArgs),
+    /// Drain a running gateway: its clients are asked to close their connections
+    Drain(DrainArgs),
+    /// End a drain and accept clients again; exit with 1 if the gateway is shutting down
+    Resume(OperatorArgs),
+    /// Reload the configuration and print the changed keys; exit with 1 if the gateway rejects it
+    Reload(OperatorArgs),
+    /// Set the log levels of a running gateway, such as `info,request=debug`, until a reload changes them
     Log {
-        /// A level, and levels for parts by their names in the log
+        /// Default level, and levels for single targets
         levels: Targets,
         #[command(flatten)]
-        call: Call,
+        call: OperatorArgs,
     },
-    /// Show over and over what a running gateway does; lines where the output is no terminal
+    /// Show the status of a running gateway repeatedly; print lines if the output is not a terminal
     Top {
         #[command(flatten)]
-        call: Call,
-        /// Seconds between two looks
-        #[arg(long, value_name = "SECONDS", default_value = "1", value_parser = seconds)]
+        call: OperatorArgs,
+        /// Interval between samples, in seconds
+        #[arg(long, value_name = "SECONDS", default_value = "1", value_parser = parse_seconds)]
         every: Duration,
-        /// End after so many looks
+        /// Exit after this number of samples
         #[arg(long, value_name = "NUMBER")]
         looks: Option<u64>,
     },
-    /// Print a shell's completions
+    /// Print shell completions
     Completions {
-        /// The shell
+        /// Shell to generate completions for
         shell: Shell,
     },
     /// Print the manual page
     Man,
 }
 
-/// A file and what comes over it.
+/// A configuration file and the keys that override it.
 #[derive(Args)]
-pub struct Layers {
-    /// TOML or JSON, by its ending; the platform's own form is JSON with `settings`
+pub struct ConfigArgs {
+    /// TOML or JSON file, by extension; the platform's format is JSON with a `settings` key
     #[arg(value_name = "FILE")]
     pub file: PathBuf,
-    /// Set a key over the file and the environment
-    #[arg(long, value_name = "KEY=VALUE", value_parser = pair)]
+    /// Set a key; overrides the file and the environment
+    #[arg(long, value_name = "KEY=VALUE", value_parser = parse_key_value)]
     pub set: Vec<(String, String)>,
 }
 
-impl From<Layers> for FileSource {
-    fn from(layers: Layers) -> Self {
-        FileSource { path: layers.file, set: layers.set }
+impl From<ConfigArgs> for FileSource {
+    fn from(args: ConfigArgs) -> Self {
+        FileSource { path: args.file, set: args.set }
     }
 }
 
+/// Arguments of `serve`.
 #[derive(Args)]
-pub struct Serve {
-    /// TOML or JSON, by its ending; variables like HERONSTAGE_LIMITS__DESCRIPTORS come over it
+pub struct ServeArgs {
+    /// TOML or JSON file, by extension; overridden by variables such as HERONSTAGE_LIMITS__DESCRIPTORS
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Set a key over the file and the environment
-    #[arg(long, value_name = "KEY=VALUE", value_parser = pair, requires = "config")]
+    /// Set a key; overrides the file and the environment
+    #[arg(long, value_name = "KEY=VALUE", value_parser = parse_key_value, requires = "config")]
     pub set: Vec<(String, String)>,
 }
 
-impl From<Serve> for Source {
-    fn from(serve: Serve) -> Self {
-        match serve.config {
-            Some(path) => Source::File(FileSource { path, set: serve.set }),
+impl From<ServeArgs> for Source {
+    fn from(args: ServeArgs) -> Self {
+        match args.config {
+            Some(path) => Source::File(FileSource { path, set: args.set }),
             None => Source::Platform,
         }
     }
 }
 
+/// Subcommands of `config`.
 #[derive(Subcommand)]
-pub enum Configuration {
-    /// Show what holds, and where each value comes from: default, file, environment or flag
+pub enum ConfigCommand {
+    /// Show the effective value of each key and its source: default, file, environment or flag
     Show {
         #[command(flatten)]
-        layers: Layers,
+        args: ConfigArgs,
         /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Print the JSON Schema of the file
+    /// Print the JSON Schema of the configuration file
     Schema,
-    /// Print a commented file that starts as it stands
+    /// Print a commented example file that the gateway can start with
     Example,
-    /// Print all keys as a table in Markdown
+    /// Print all keys as a Markdown table
     Keys,
 }
 
-fn pair(text: &str) -> Result<(String, String), String> {
+fn parse_key_value(text: &str) -> Result<(String, String), String> {
     let pair = text.split_once('=').filter(|(key, _)| !key.is_empty());
-    let (key, value) = pair.ok_or_else(|| "KEY=VALUE is wanted".to_owned())?;
+    let (key, value) = pair.ok_or_else(|| "expected KEY=VALUE".to_owned())?;
     Ok((key.to_owned(), value.to_owned()))
 }
 
-/// Whom to call, and how to print.
+/// Arguments of commands that call a running gateway.
 #[derive(Args)]
-pub struct Call {
-    /// Where the gateway hears operators
+pub struct OperatorArgs {
+    /// Address of the gateway's operator listener
     #[arg(long, value_name = "ADDRESS", env = "RELAY_OPERATOR")]
     pub operators: SocketAddr,
     /// Print JSON
@@ -156,20 +161,21 @@
     pub json: bool,
 }
 
+/// Arguments of `drain`.
 #[derive(Args)]
-pub struct Drain {
+pub struct DrainArgs {
     #[command(flatten)]
-    pub call: Call,
-    /// Wait until no request is open and no client connected
+    pub call: OperatorArgs,
+    /// Wait until no request is open and no client is connected
     #[arg(long)]
     pub wait: bool,
-    /// Give up the wait after so many seconds; 1: it was not over
-    #[arg(long, value_name = "SECONDS", default_value = "30", value_parser = seconds, requires = "wait")]
+    /// Timeout of --wait, in seconds; exit with 1 when it expires
+    #[arg(long, value_name = "SECONDS", default_value = "30", value_parser = parse_seconds, requires = "wait")]
     pub timeout: Duration,
 }
 
-fn seconds(text: &str) -> Result<Duration, String> {
+fn parse_seconds(text: &str) -> Result<Duration, String> {
     let seconds = text.parse::<f64>().ok().filter(|s| *s >= 0.0);
-    let wait = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
-    wait.ok_or_else(|| "a number of seconds is needed".to_owned())
+    let duration = seconds.and_then(|s| Duration::try_from_secs_f64(s).ok());
+    duration.ok_or_else(|| "expected a number of seconds".to_owned())
 }
