--- a/lab/tests/command.rs
+++ b/lab/tests/command.rs
@@ -76,11 +76,6 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn assert_stderr_contains(output: &Output, expected: &str) {
-    let stderr = stderr(output);
-    assert!(stderr.contains(expected), "expected {expected:?} on stderr: {stderr}");
-}
-
 fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
     let start = Instant::now();
     while !is_met() {
@@ -100,8 +95,8 @@
     let (program, plan) = (folder.gateway_script("echo no such luck >&2; exit 3"), folder.plan());
     let output = folder.lab(&program, &["run", plan.to_str().unwrap()]).output().unwrap();
     assert_eq!(output.status.code(), Some(2), "{}", stderr(&output));
-    assert_stderr_contains(&output, "ended at its start");
-    assert_stderr_contains(&output, "no such luck");
+    assert!(stderr(&output).contains("ended at its start"), "unexpected stderr: {}", stderr(&output));
+    assert!(stderr(&output).contains("no such luck"), "unexpected stderr: {}", stderr(&output));
     folder.assert_cleaned_up();
 }
 
@@ -112,7 +107,7 @@
     let arguments = ["run", plan.to_str().unwrap(), "--ready-s", "0.5"];
     let output = folder.lab(&program, &arguments).output().unwrap();
     assert_eq!(output.status.code(), Some(2), "{}", stderr(&output));
-    assert_stderr_contains(&output, "is not ready after 0.5 s");
+    assert!(stderr(&output).contains("is not ready after 0.5 s"), "unexpected stderr: {}", stderr(&output));
     folder.assert_cleaned_up();
 }
 
@@ -121,8 +116,8 @@
     let folder = TestFolder::new();
     let (program, plan) = (folder.file("gateway", "no program"), folder.plan());
     let output = folder.lab(&program, &["run", plan.to_str().unwrap()]).output().unwrap();
-    assert_stderr_contains(&output, "ended at its start");
-    assert_stderr_contains(&output, "Permission denied");
+    assert!(stderr(&output).contains("ended at its start"), "unexpected stderr: {}", stderr(&output));
+    assert!(stderr(&output).contains("Permission denied"), "unexpected stderr: {}", stderr(&output));
     assert_eq!(output.status.code(), Some(2));
 }
 
@@ -140,7 +135,7 @@
         let signal = format!("-{name}");
         assert!(Command::new("kill").args([&signal, &child.id().to_string()]).status().unwrap().success());
         let output = wait_for_exit(child);
-        assert_stderr_contains(&output, "stopped");
+        assert!(stderr(&output).contains("stopped"), "unexpected stderr: {}", stderr(&output));
         folder.assert_cleaned_up();
     }
 }
@@ -153,8 +148,8 @@
     let plan = folder
         .file("bad.toml", "name = \"bad\"\nseconds = 2\n[fleet]\ngateways = 0\nservers = 0\n[traffic]\n");
     let output = folder.lab(&program, &["check", plan.to_str().unwrap()]).output().unwrap();
-    assert_stderr_contains(&output, "fleet.gateways");
-    assert_stderr_contains(&output, "fleet.servers");
+    assert!(stderr(&output).contains("fleet.gateways"), "unexpected stderr: {}", stderr(&output));
+    assert!(stderr(&output).contains("fleet.servers"), "unexpected stderr: {}", stderr(&output));
     // A log folder that cannot be created.
     let plan = folder.plan();
     let output =
@@ -171,7 +166,11 @@
         plan.display()
     );
     let output = Command::new("/bin/sh").args(["-c", &run]).output().unwrap();
-    assert_stderr_contains(&output, "descriptors and may open 256");
+    assert!(
+        stderr(&output).contains("descriptors and may open 256"),
+        "unexpected stderr: {}",
+        stderr(&output)
+    );
     folder.assert_nothing_started();
 }
 
