--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -47,13 +47,13 @@
     pub failed: f64,
     /// Share of tries that did not reach a gateway.
     pub unreached: f64,
-    /// Share of tries whose connection was closed without an answer.
+    /// Share of tries whose connection was closed without a response.
     #[serde(rename = "broken")]
     pub disconnected: f64,
     /// Share of tries that timed out.
     #[serde(rename = "silent")]
     pub timed_out: f64,
-    /// Share of tries that a running gateway accepted but did not answer.
+    /// Share of tries that a running gateway accepted but did not respond to.
     pub unanswered: f64,
     /// Tries per request.
     pub tries: f64,
@@ -122,13 +122,13 @@
             violations.push(Violation { rule, times: cases.count, cases: cases.listed });
         }
     };
-    let (wrong_answers, unanswered) = find_answer_violations(plan, ledger);
+    let (wrong_responses, unanswered) = find_response_violations(plan, ledger);
     metrics.unanswered = unanswered.count as f64 / ledger.tries.len().max(1) as f64;
-    check_rule("each request has one answer, the right one", wrong_answers);
+    check_rule("each request has one answer, the right one", wrong_responses);
     if metrics.unanswered > plan.hold.unanswered {
         check_rule("a request that a living gateway took has its answer", unanswered);
     }
-    check_rule("no unsafe request runs twice", find_repeated_unsafe_requests(ledger));
+    check_rule("no unsafe request runs twice", find_repeated_non_idempotent_requests(ledger));
     check_rule("nothing new to a server that drains or is gone", find_drain_violations(plan, ledger));
     check_rule("servers get what clients sent", find_unknown_requests(ledger));
     check_rule("a gateway does not end by itself", find_crashes(ledger));
@@ -165,16 +165,17 @@
     })
 }
 
-/// Returns the tries with wrong or duplicate answers, and the tries that a running gateway accepted but did not answer.
-fn find_answer_violations(plan: &Plan, ledger: &Ledger) -> (Cases, Cases) {
+/// Returns the tries with wrong or duplicate responses, and the tries that a running gateway accepted but did not
+/// respond to.
+fn find_response_violations(plan: &Plan, ledger: &Ledger) -> (Cases, Cases) {
     let (mut wrong, mut unanswered) = (Cases::default(), Cases::default());
     let accepted: HashSet<u64> =
         ledger.attempts.iter().filter(|attempt| attempt.accepted).map(|attempt| attempt.txn).collect();
     for client_try in &ledger.tries {
         let Try { txn, gateway, sent_at, deadline, .. } = *client_try;
         let name = || format!("{txn:016x} at gateway {gateway}, sent at {sent_at:.3} s");
-        if client_try.extra_answers > 0 {
-            wrong.add(|| format!("{}: {} duplicate answers", name(), client_try.extra_answers));
+        if client_try.extra_responses > 0 {
+            wrong.add(|| format!("{}: {} duplicate responses", name(), client_try.extra_responses));
         }
         match client_try.outcome {
             Some((_, TryOutcome::WrongBody)) => {
@@ -186,7 +187,7 @@
             Some((ended, TryOutcome::Disconnected | TryOutcome::TimedOut)) => {
                 let was_running = ledger.was_running(gateway, sent_at, ended.max(deadline), SHUTDOWN_GRACE_S);
                 if was_running && !is_client_link_faulty(plan, gateway, sent_at, ended) {
-                    unanswered.add(|| format!("{}: no answer by {ended:.3} s", name()));
+                    unanswered.add(|| format!("{}: no response by {ended:.3} s", name()));
                 }
             }
             None => unanswered.add(|| format!("{}: never ended", name())),
@@ -196,27 +197,29 @@
     (wrong, unanswered)
 }
 
-/// Returns the unsafe requests that were accepted twice, in the same try or in two, and the unsafe tries that were
-/// refused although a server may have accepted them.
-fn find_repeated_unsafe_requests(ledger: &Ledger) -> Cases {
+/// Returns the non-idempotent requests that were accepted twice, in the same try or in two, and the non-idempotent
+/// tries that were refused although a server may have accepted them.
+fn find_repeated_non_idempotent_requests(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
-    let is_unsafe = |request: usize| ledger.requests[request].class == 1;
+    let is_non_idempotent = |request_index: usize| ledger.requests[request_index].class == 1;
     let mut by_request: HashMap<usize, Vec<u64>> = HashMap::new();
     for attempt in ledger.attempts.iter().filter(|attempt| attempt.accepted) {
-        if let Some(request) = ledger.request_of(attempt.txn).filter(|request| is_unsafe(*request)) {
-            by_request.entry(request).or_default().push(attempt.txn);
+        if let Some(request_index) =
+            ledger.request_index(attempt.txn).filter(|index| is_non_idempotent(*index))
+        {
+            by_request.entry(request_index).or_default().push(attempt.txn);
         }
     }
-    for (request, txns) in &by_request {
+    for (request_index, txns) in &by_request {
         if txns.len() > 1 {
-            cases.add(|| format!("request {request} ran as {txns:x?}"));
+            cases.add(|| format!("request {request_index} ran as {txns:x?}"));
         }
     }
     for client_try in &ledger.tries {
         let accepted =
-            || by_request.get(&client_try.request).is_some_and(|txns| txns.contains(&client_try.txn));
+            || by_request.get(&client_try.request_index).is_some_and(|txns| txns.contains(&client_try.txn));
         if matches!(client_try.outcome, Some((_, TryOutcome::Refused(_))))
-            && is_unsafe(client_try.request)
+            && is_non_idempotent(client_try.request_index)
             && accepted()
         {
             cases.add(|| format!("{:016x} was refused, but may have run", client_try.txn));
@@ -313,18 +316,19 @@
     let mut events: Vec<(f64, usize, Event)> = Vec::new();
     let (mut forwarded, mut settled) = (HashSet::new(), HashSet::new());
     for attempt in &ledger.attempts {
-        let Some(request) = ledger.request_of(attempt.txn) else { continue };
+        let Some(request_index) = ledger.request_index(attempt.txn) else { continue };
         if forwarded.insert(attempt.txn) {
-            events.push((attempt.received_at, request, Event::Forwarded));
+            events.push((attempt.received_at, request_index, Event::Forwarded));
         }
         if attempt.outcome.1 == AttemptOutcome::Done && settled.insert(attempt.txn) {
-            let refund = ledger.requests[request].estimated_units - ledger.requests[request].units;
-            events.push((attempt.outcome.0, request, Event::Settled(refund)));
+            let refund =
+                ledger.requests[request_index].estimated_units - ledger.requests[request_index].units;
+            events.push((attempt.outcome.0, request_index, Event::Settled(refund)));
         }
     }
     for client_try in &ledger.tries {
         if let Some((at, TryOutcome::Refused(_))) = client_try.outcome {
-            events.push((at, client_try.request, Event::Refused));
+            events.push((at, client_try.request_index, Event::Refused));
         }
     }
     events.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -332,23 +336,23 @@
     needless.sort_by(f64::total_cmp);
     let mut buckets: HashMap<u32, TokenBucket> = HashMap::new();
     let (mut units, mut units_beyond_quota, mut needless_refusals) = (0.0, 0.0, 0usize);
-    for (at, request, event) in events {
-        let arrival = ledger.requests[request];
-        let customer_plan = arrival.plan() as usize;
-        let rate = plan.traffic.rate[customer_plan];
-        let burst = rate * plan.traffic.burst_s[customer_plan];
+    for (at, request_index, event) in events {
+        let request = ledger.requests[request_index];
+        let service_plan = request.service_plan() as usize;
+        let rate = plan.traffic.rate[service_plan];
+        let burst = rate * plan.traffic.burst_s[service_plan];
         let bucket =
-            buckets.entry(arrival.customer).or_insert(TokenBucket { tokens: burst, refilled_at: at });
+            buckets.entry(request.customer).or_insert(TokenBucket { tokens: burst, refilled_at: at });
         bucket.tokens = (bucket.tokens + rate * (at - bucket.refilled_at).max(0.0)).min(burst);
         bucket.refilled_at = at;
-        let within_quota = rate == 0.0 || bucket.tokens >= arrival.estimated_units;
+        let within_quota = rate == 0.0 || bucket.tokens >= request.estimated_units;
         match event {
             Event::Forwarded => {
-                units += arrival.estimated_units;
+                units += request.estimated_units;
                 if within_quota {
-                    bucket.tokens -= arrival.estimated_units;
+                    bucket.tokens -= request.estimated_units;
                 } else {
-                    units_beyond_quota += arrival.estimated_units;
+                    units_beyond_quota += request.estimated_units;
                 }
             }
             Event::Settled(refund) => bucket.tokens = (bucket.tokens + refund).min(burst),
@@ -369,8 +373,8 @@
 fn served_per_second(ledger: &Ledger) -> Vec<Option<f64>> {
     let seconds = ledger.load_end.floor() as usize;
     let mut counts = vec![(0usize, 0usize); seconds];
-    for (request, served_at) in ledger.served().iter().enumerate() {
-        if let Some((due, served)) = counts.get_mut(ledger.requests[request].at as usize) {
+    for (request_index, served_at) in ledger.served_at().iter().enumerate() {
+        if let Some((due, served)) = counts.get_mut(ledger.requests[request_index].due_at as usize) {
             *due += 1;
             *served += usize::from(served_at.is_some());
         }
@@ -395,16 +399,16 @@
     let requests = ledger.first_sent.iter().flatten().count().max(1) as f64;
     let share_of_tries = |matches: &dyn Fn(&TryOutcome) -> bool| {
         let ended = ledger.tries.iter().filter_map(|client_try| client_try.outcome);
-        ended.filter(|(_, end)| matches(end)).count() as f64 / tries
+        ended.filter(|(_, outcome)| matches(outcome)).count() as f64 / tries
     };
     let mut latency =
         Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid histogram bounds");
-    let served = ledger.served();
+    let served_times = ledger.served_at();
     let mut in_time = 0;
-    for (arrival, served_at) in ledger.requests.iter().zip(&served) {
+    for (request, served_at) in ledger.requests.iter().zip(&served_times) {
         if let Some(at) = served_at {
             // Measured from the due time, so that delays of the client are included (coordinated omission).
-            let latency_us = ((at - arrival.at).max(0.0) * 1e6) as u64;
+            let latency_us = ((at - request.due_at).max(0.0) * 1e6) as u64;
             latency.saturating_record(latency_us.clamp(1, MAX_LATENCY_US));
             in_time += usize::from(latency_us as f64 <= TARGET_LATENCY_MS * 1000.0);
         }
@@ -414,13 +418,13 @@
     let (calls, calls_turned_away) = ledger.counter_calls;
     Metrics {
         requests: ledger.first_sent.iter().flatten().count(),
-        served: served.iter().flatten().count() as f64 / requests,
+        served: served_times.iter().flatten().count() as f64 / requests,
         in_time: in_time as f64 / requests,
-        refused: share_of_tries(&|end| matches!(end, TryOutcome::Refused(_))),
-        failed: share_of_tries(&|end| matches!(end, TryOutcome::Failed(_))),
-        unreached: share_of_tries(&|end| *end == TryOutcome::Unreached),
-        disconnected: share_of_tries(&|end| *end == TryOutcome::Disconnected),
-        timed_out: share_of_tries(&|end| *end == TryOutcome::TimedOut),
+        refused: share_of_tries(&|outcome| matches!(outcome, TryOutcome::Refused(_))),
+        failed: share_of_tries(&|outcome| matches!(outcome, TryOutcome::Failed(_))),
+        unreached: share_of_tries(&|outcome| *outcome == TryOutcome::Unreached),
+        disconnected: share_of_tries(&|outcome| *outcome == TryOutcome::Disconnected),
+        timed_out: share_of_tries(&|outcome| *outcome == TryOutcome::TimedOut),
         unanswered: 0.0, // set by the rule check
         tries: ledger.tries.len() as f64 / requests,
         attempts: ledger.attempts.len() as f64 / requests,
@@ -440,7 +444,7 @@
 mod tests {
     use super::*;
     use crate::ledger::{transaction_id, Attempt, GatewayEvent, ServerAvailability};
-    use crate::model::front::Arrival;
+    use crate::model::front::Request;
 
     fn plan(rest: &str) -> Plan {
         Plan::read(&format!(
@@ -449,17 +453,18 @@
         .unwrap()
     }
 
-    /// Ten seconds without faults: ten requests per second, each by a different customer and every second one unsafe.
+    /// Ten seconds without faults: ten requests per second, each by a different customer and every second one
+    /// non-idempotent.
     fn faultless_ledger() -> Ledger {
         let mut ledger = Ledger { load_end: 10.0, speeds: vec![1.0; 2], ..Ledger::default() };
-        ledger.server_states = vec![(0.0, 0, ServerAvailability::Up), (0.0, 1, ServerAvailability::Up)];
+        ledger.server_availability = vec![(0.0, 0, ServerAvailability::Up), (0.0, 1, ServerAvailability::Up)];
         ledger.gateway_events = (0..3).map(|gateway| (-1.0, gateway, GatewayEvent::Ready)).collect();
-        for request in 0..100 {
-            let at = request as f64 / 10.0;
-            let class = (request % 2) as u8;
-            ledger.requests.push(Arrival {
-                at,
-                customer: request as u32,
+        for request_index in 0..100 {
+            let at = request_index as f64 / 10.0;
+            let class = (request_index % 2) as u8;
+            ledger.requests.push(Request {
+                due_at: at,
+                customer: request_index as u32,
                 class,
                 work_ms: 50.0,
                 estimated_units: 2.0,
@@ -467,20 +472,20 @@
                 honors_retry_after: true,
             });
             ledger.first_sent.push(Some(at));
-            let (txn, gateway) = (transaction_id(request, 0), request % 3);
+            let (txn, gateway) = (transaction_id(request_index, 0), request_index % 3);
             ledger.tries.push(Try {
                 txn,
-                request,
+                request_index,
                 gateway,
                 sent_at: at,
                 written: true,
                 deadline: at + 2.0,
                 outcome: Some((at + 0.06, TryOutcome::Served)),
-                extra_answers: 0,
+                extra_responses: 0,
             });
             ledger.attempts.push(Attempt {
                 txn,
-                server: request / 2 % 2,
+                server: request_index / 2 % 2,
                 gateway,
                 first_byte_at: at + 0.001,
                 received_at: at + 0.002,
@@ -520,7 +525,7 @@
         const DRAIN: &str = "nothing new to a server that drains or is gone";
         type Damage = fn(&mut Ledger);
         let cases: [(&str, Damage); 13] = [
-            (ANSWER, |l| l.tries[4].extra_answers = 1),
+            (ANSWER, |l| l.tries[4].extra_responses = 1),
             (ANSWER, |l| l.tries[4].outcome = Some((0.5, TryOutcome::WrongBody))),
             (ANSWER, |l| l.attempts.retain(|attempt| attempt.txn != transaction_id(4, 0))),
             (UNANSWERED, |l| l.tries[4].outcome = Some((2.5, TryOutcome::TimedOut))),
@@ -549,7 +554,7 @@
 
     #[test]
     fn allowed_effects_of_faults_violate_no_rule() {
-        // The gateway was killed before it could answer.
+        // The gateway was killed before it could respond.
         let mut ledger = faultless_ledger();
         ledger.tries[4].outcome = Some((0.5, TryOutcome::Disconnected));
         ledger.gateway_events.push((0.45, 1, GatewayEvent::Killed));
@@ -559,7 +564,7 @@
         let cut =
             "[[step]]\nat = 0.1\nfor = 1\nlink = { from = \"clients\", to = \"gateways 1\", do = \"cut\" }";
         assert_eq!(violated_rules(&plan(cut), &ledger), [""; 0]);
-        // A safe request may run twice, and a server may be used again once it is ready again.
+        // An idempotent request may run twice, and a server may be used again once it is ready again.
         ledger = faultless_ledger();
         ledger.attempts.push(Attempt { server: 1, ..ledger.attempts[4] });
         ledger.notifications = vec![(5.0, 0, 0, true), (5.2, 0, 0, false)];
@@ -594,9 +599,8 @@
         let step = "[[step]]\nat = 2\nfor = 2\ncounter = { do = \"out\" }\n[hold]\nrecovery_s = 1.5";
         let mut ledger = faultless_ledger();
         assert_eq!(check_run(&plan(step), &ledger).figures.recovery_s, Some(0.0));
-        for request in 20..60 {
-            ledger.tries[request].outcome =
-                Some((ledger.tries[request].sent_at + 0.1, TryOutcome::Failed(502)));
+        for index in 20..60 {
+            ledger.tries[index].outcome = Some((ledger.tries[index].sent_at + 0.1, TryOutcome::Failed(502)));
         }
         let verdict = check_run(&plan(step), &ledger);
         assert_eq!(verdict.figures.recovery_s, Some(2.0));
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -100,9 +100,11 @@
 impl Links {
     /// Injects the link fault of a plan's step.
     pub fn inject(&self, plan: &Plan, step: usize, fault: &LinkFault, now: f64) -> FaultHandle {
-        let nodes = |end: &crate::plan::Endpoint| match end.kind {
-            EndpointKind::Gateways => plan.gateways(end.who, step).into_iter().map(Node::Gateway).collect(),
-            EndpointKind::Servers => plan.servers(end.who, step).into_iter().map(Node::Server).collect(),
+        let nodes = |endpoint: &crate::plan::Endpoint| match endpoint.kind {
+            EndpointKind::Gateways => {
+                plan.gateways(endpoint.who, step).into_iter().map(Node::Gateway).collect()
+            }
+            EndpointKind::Servers => plan.servers(endpoint.who, step).into_iter().map(Node::Server).collect(),
             EndpointKind::Counter => vec![Node::Counter],
             EndpointKind::Discovery => vec![Node::Discovery],
             EndpointKind::Clients => vec![Node::Client],
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -4,16 +4,16 @@
 //! A client sends a request in one or more tries, each through one gateway. A gateway forwards a try to servers in any
 //! number of attempts.
 
-use crate::model::front::Arrival;
+use crate::model::front::Request;
 
 /// Returns the transaction ID of a try: the index of its request and the number of the try.
-pub fn transaction_id(request: usize, try_number: u32) -> u64 {
-    ((request as u64) << 8) | u64::from(try_number.min(255))
+pub fn transaction_id(request_index: usize, try_number: u32) -> u64 {
+    ((request_index as u64) << 8) | u64::from(try_number.min(255))
 }
 
-/// Returns the index of the request of a transaction ID, or none if it is not below `requests`.
-pub fn request_of(txn: u64, requests: usize) -> Option<usize> {
-    usize::try_from(txn >> 8).ok().filter(|request| *request < requests)
+/// Returns the index of the request that a transaction ID belongs to, or none if it is not below `request_count`.
+pub fn request_index(txn: u64, request_count: usize) -> Option<usize> {
+    usize::try_from(txn >> 8).ok().filter(|index| *index < request_count)
 }
 
 /// Result of a try, as seen by its client.
@@ -29,9 +29,9 @@
     Failed(u16),
     /// No connection was established, or it was closed before the whole request was written.
     Unreached,
-    /// The connection was closed without an answer.
+    /// The connection was closed without a response.
     Disconnected,
-    /// The client timed out waiting for an answer.
+    /// The client timed out waiting for a response.
     TimedOut,
 }
 
@@ -41,7 +41,7 @@
     /// Transaction ID on the wire.
     pub txn: u64,
     /// Index of the request.
-    pub request: usize,
+    pub request_index: usize,
     /// Index of the gateway.
     pub gateway: usize,
     /// When the last byte was written, in s, or when the try started if it was not written completely.
@@ -52,8 +52,8 @@
     pub deadline: f64,
     /// Time and result, or none while the try is in progress.
     pub outcome: Option<(f64, TryOutcome)>,
-    /// Number of answers beyond the first.
-    pub extra_answers: u32,
+    /// Number of responses beyond the first.
+    pub extra_responses: u32,
 }
 
 /// Result of an attempt at a server, as seen by the server.
@@ -61,10 +61,10 @@
 pub enum AttemptOutcome {
     /// In progress.
     InProgress,
-    /// The request was processed and its answer was sent.
+    /// The request was processed and its response was sent.
     Done,
-    /// The request was processed, but a fault dropped or corrupted its answer.
-    AnswerLost,
+    /// The request was processed, but a fault dropped or corrupted its response.
+    ResponseLost,
     /// The server returned an error without processing the request.
     Error,
     /// The server rejected the request without processing it.
@@ -111,7 +111,7 @@
     Crashed,
 }
 
-/// State of a server.
+/// Availability of a server for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAvailability {
     /// Listed and running.
@@ -126,7 +126,7 @@
 #[derive(Default)]
 pub struct Ledger {
     /// All planned requests, in order of their due times. Other records refer to a request by its index here.
-    pub requests: Vec<Arrival>,
+    pub requests: Vec<Request>,
     /// When each request was first sent, in s, or none if the run ended before.
     pub first_sent: Vec<Option<f64>>,
     /// All tries, in order of their start.
@@ -140,15 +140,15 @@
     pub notifications: Vec<(f64, usize, usize, bool)>,
     /// Events of gateways: time, gateway, event.
     pub gateway_events: Vec<(f64, usize, GatewayEvent)>,
-    /// State changes of servers: time, server, new state.
-    pub server_states: Vec<(f64, usize, ServerAvailability)>,
+    /// Changes of the availability of servers: time, server, new availability.
+    pub server_availability: Vec<(f64, usize, ServerAvailability)>,
     /// Relative speed of each server. The average is 1.
     pub speeds: Vec<f64>,
     /// Times of tries that were refused while a server had an idle core.
     pub needless_refusals: Vec<f64>,
     /// Connections that servers accepted: time, server.
     pub connections: Vec<(f64, usize)>,
-    /// Number of probes that servers answered.
+    /// Number of probes that servers responded to.
     pub probes: u64,
     /// Number of calls to the quota counter, and how many of them it rejected.
     pub counter_calls: (u64, u64),
@@ -157,8 +157,8 @@
 }
 
 impl Ledger {
-    /// Whether a gateway ran without interruption from `from` until `until`, so that it had to answer a request received
-    /// at `from`. After SIGTERM it accepts requests for another `shutdown_grace` seconds.
+    /// Whether a gateway ran without interruption from `from` until `until`, so that it had to respond to a request
+    /// received at `from`. After SIGTERM it accepts requests for another `shutdown_grace` seconds.
     pub fn was_running(&self, gateway: usize, from: f64, until: f64, shutdown_grace: f64) -> bool {
         let interrupts = |event: &GatewayEvent| {
             matches!(event, GatewayEvent::Killed | GatewayEvent::Paused | GatewayEvent::Crashed)
@@ -183,27 +183,29 @@
         })
     }
 
-    /// Returns the state of a server at a time.
-    pub fn server_state(&self, server: usize, at: f64) -> ServerAvailability {
-        let mut before = self.server_states.iter().filter(|(then, which, _)| *which == server && *then <= at);
-        before.next_back().map_or(ServerAvailability::Unavailable, |(_, _, state)| *state)
+    /// Returns the availability of a server at a time.
+    pub fn server_availability_at(&self, server: usize, at: f64) -> ServerAvailability {
+        let mut before =
+            self.server_availability.iter().filter(|(then, which, _)| *which == server && *then <= at);
+        before.next_back().map_or(ServerAvailability::Unavailable, |(_, _, availability)| *availability)
     }
 
-    /// Returns the index of the request of a transaction ID, or none for an ID that no client can have sent.
-    pub fn request_of(&self, txn: u64) -> Option<usize> {
-        request_of(txn, self.requests.len())
+    /// Returns the index of the request that a transaction ID belongs to, or none for an ID that no client can have
+    /// sent.
+    pub fn request_index(&self, txn: u64) -> Option<usize> {
+        request_index(txn, self.requests.len())
     }
 
     /// Returns for each request the time of its first `Served` result.
-    pub fn served(&self) -> Vec<Option<f64>> {
-        let mut served = vec![None; self.requests.len()];
+    pub fn served_at(&self) -> Vec<Option<f64>> {
+        let mut served_at = vec![None; self.requests.len()];
         for client_try in &self.tries {
-            if let (Some((at, TryOutcome::Served)), Some(first)) =
-                (client_try.outcome, served.get_mut(client_try.request))
+            if let (Some((at, TryOutcome::Served)), Some(first_served_at)) =
+                (client_try.outcome, served_at.get_mut(client_try.request_index))
             {
-                *first = first.or(Some(at));
+                *first_served_at = first_served_at.or(Some(at));
             }
         }
-        served
+        served_at
     }
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,9 +1,9 @@
 //! Fault-injection tests for a fleet of gateways. Gateways are real processes on loopback. Servers, the quota counter,
 //! service discovery and clients are simulated behind real sockets, and faults can be injected on every link.
 //!
-//! [`stage::play`] runs a [`plan::Plan`] and records all requests in a [`ledger::Ledger`], which [`check::judge`] checks
-//! against the plan. The models under [`model`] use neither sockets nor clocks. [`scale`] tests the control plane at
-//! larger sizes.
+//! [`stage::play`] runs a [`plan::Plan`] and records all requests in a [`ledger::Ledger`], which
+//! [`check::check_run`] checks against the plan. The models under [`model`] use neither sockets nor clocks. [`scale`]
+//! tests the control plane at larger sizes.
 
 pub mod check;
 pub mod fault;
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -77,9 +77,9 @@
         // Servers that were up during the whole window.
         let up: Vec<_> = (0..servers)
             .filter(|server| {
-                ledger.server_state(*server, starts) == ServerAvailability::Up
+                ledger.server_availability_at(*server, starts) == ServerAvailability::Up
                     && !ledger
-                        .server_states
+                        .server_availability
                         .iter()
                         .any(|(at, which, _)| which == server && (starts..ends).contains(at))
             })
@@ -156,7 +156,7 @@
     /// Ten seconds of four servers with these numbers of arrivals per second, spread over the second or all at once.
     fn ledger(arrivals_per_s: [usize; 4], all_at_once: bool) -> Ledger {
         let mut ledger = Ledger { load_end: 10.0, speeds: vec![1.0; 4], ..Ledger::default() };
-        ledger.server_states = (0..4).map(|server| (0.0, server, ServerAvailability::Up)).collect();
+        ledger.server_availability = (0..4).map(|server| (0.0, server, ServerAvailability::Up)).collect();
         for second in 0..10 {
             for (server, count) in arrivals_per_s.into_iter().enumerate() {
                 for number in 0..count {
@@ -206,7 +206,7 @@
         let mut idle_server = ledger([10, 10, 10, 0], false);
         let max_to_mean = measure(&plan(), &idle_server).max_to_mean;
         assert!(max_to_mean > 1.3, "expected more than 1.3 with an idle server: {max_to_mean}");
-        idle_server.server_states[3].2 = ServerAvailability::Unavailable;
+        idle_server.server_availability[3].2 = ServerAvailability::Unavailable;
         assert_eq!(measure(&plan(), &idle_server).max_to_mean, 1.0);
     }
 }
--- a/lab/src/model/front.rs
+++ b/lab/src/model/front.rs
@@ -1,4 +1,4 @@
-//! Model of the clients and of the edge router between clients and gateways: the requests of a plan, drawn in
+//! Model of the clients and of the edge router between clients and gateways: the requests of a plan, generated in
 //! advance, and the gateway that each one is sent to.
 
 use crate::plan::{Plan, TrafficAction};
@@ -16,11 +16,11 @@
 /// Account number of customer 0. Accounts below it are left to other tools.
 const FIRST_ACCOUNT: u64 = 0x1000;
 
-/// One request, as drawn for its first try.
+/// One request of a client, which is sent in one or more tries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Arrival {
-    /// When it is due, in s from the start of the load.
-    pub at: f64,
+pub struct Request {
+    /// When its first try is due, in s from the start of the load.
+    pub due_at: f64,
     /// The customer that sends it.
     pub customer: u32,
     /// Index into [`CLASS_NAMES`].
@@ -35,9 +35,9 @@
     pub honors_retry_after: bool,
 }
 
-impl Arrival {
+impl Request {
     /// Index of the customer's service plan in [`PLAN_NAMES`].
-    pub fn plan(&self) -> u8 {
+    pub fn service_plan(&self) -> u8 {
         (self.customer % 2) as u8
     }
 
@@ -54,35 +54,39 @@
     LogNormal::new(mean.ln() - sigma2 / 2.0, sigma2.sqrt()).expect("finite standard deviation")
 }
 
-/// Draws the first tries of a plan, in order of time.
-pub fn draw_arrivals(plan: &Plan) -> Vec<Arrival> {
+/// Generates the requests of a plan, in order of their due times.
+pub fn generate_requests(plan: &Plan) -> Vec<Request> {
     let traffic = &plan.traffic;
     let mut rng = plan.rng(1);
     let zipf = Zipf::new(traffic.customers as f64, traffic.skew).expect("non-negative exponent");
-    let work = lognormal(traffic.work_ms, traffic.work_cv);
-    let guess = lognormal(1.0, ESTIMATE_CV);
-    let draw = |at: f64, hot: bool, rng: &mut rand_pcg::Pcg64| {
-        let work_ms: f64 = work.sample(rng);
+    let processing_time = lognormal(traffic.work_ms, traffic.work_cv);
+    let estimate_factor = lognormal(1.0, ESTIMATE_CV);
+    let generate = |due_at: f64, hot: bool, rng: &mut rand_pcg::Pcg64| {
+        let work_ms: f64 = processing_time.sample(rng);
         let units = (work_ms / traffic.work_ms * 2.0).ceil().clamp(1.0, MAX_UNITS);
         // The hot customer is an additional one, on the same service plan as the busiest of the others.
         let customer = if hot { 2 * traffic.customers as u32 } else { zipf.sample(rng) as u32 - 1 };
-        Arrival {
-            at,
+        Request {
+            due_at,
             customer,
             class: u8::from(rng.random_bool(traffic.orders)),
             work_ms,
-            estimated_units: (units * guess.sample(rng)).round().clamp(1.0, MAX_UNITS),
+            estimated_units: (units * estimate_factor.sample(rng)).round().clamp(1.0, MAX_UNITS),
             units,
             honors_retry_after: rng.random_bool(traffic.honour),
         }
     };
     let steps: Vec<_> = plan.step.iter().filter_map(|step| Some((step, step.traffic.as_ref()?))).collect();
-    let active_steps = |at: f64, act: TrafficAction| {
-        steps.iter().filter(move |(step, on)| on.action == act && (step.at..step.end_s(plan)).contains(&at))
+    let active_steps = |at: f64, action: TrafficAction| {
+        steps.iter().filter(move |(step, change)| {
+            change.action == action && (step.at..step.end_s(plan)).contains(&at)
+        })
     };
-    let mut all = Vec::new();
-    let max_factor =
-        steps.iter().filter(|(_, on)| on.action == TrafficAction::Burst).map(|(_, on)| on.by.max(1.0));
+    let mut requests = Vec::new();
+    let max_factor = steps
+        .iter()
+        .filter(|(_, change)| change.action == TrafficAction::Burst)
+        .map(|(_, change)| change.by.max(1.0));
     let max_rate = traffic.per_s * max_factor.product::<f64>();
     let mut at = 0.0;
     loop {
@@ -91,25 +95,25 @@
         if at >= plan.seconds {
             break;
         }
-        let rate =
-            traffic.per_s * active_steps(at, TrafficAction::Burst).map(|(_, on)| on.by).product::<f64>();
+        let rate = traffic.per_s
+            * active_steps(at, TrafficAction::Burst).map(|(_, change)| change.by).product::<f64>();
         if rng.random_bool((rate / max_rate).min(1.0)) {
-            all.push(draw(at, false, &mut rng));
+            requests.push(generate(at, false, &mut rng));
         }
     }
-    for (step, on) in steps.iter().filter(|(_, on)| on.action == TrafficAction::Hot) {
+    for (step, change) in steps.iter().filter(|(_, change)| change.action == TrafficAction::Hot) {
         let mut at = step.at;
         loop {
             let gap: f64 = Exp1.sample(&mut rng);
-            at += gap / on.by;
+            at += gap / change.by;
             if at >= step.end_s(plan).min(plan.seconds) {
                 break;
             }
-            all.push(draw(at, true, &mut rng));
+            requests.push(generate(at, true, &mut rng));
         }
     }
-    all.sort_by(|a, b| a.at.total_cmp(&b.at));
-    all
+    requests.sort_by(|a, b| a.due_at.total_cmp(&b.due_at));
+    requests
 }
 
 /// Routes the requests of each customer to the gateways of its subset that the router considers up.
@@ -170,19 +174,20 @@
     }
 
     #[test]
-    fn the_same_seed_draws_the_same_arrivals_at_the_planned_rate() {
+    fn the_same_seed_generates_the_same_requests_at_the_planned_rate() {
         let (mut plan, other) = (plan(""), plan("[[step]]\nat = 50\ntraffic = { do = \"burst\", by = 3.0 }"));
-        let all = draw_arrivals(&plan);
-        assert_eq!(all, draw_arrivals(&plan));
-        assert!((4_500..5_500).contains(&all.len()), "{}", all.len());
-        let orders = all.iter().filter(|arrival| arrival.class == 1).count() as f64 / all.len() as f64;
+        let requests = generate_requests(&plan);
+        assert_eq!(requests, generate_requests(&plan));
+        assert!((4_500..5_500).contains(&requests.len()), "{}", requests.len());
+        let orders =
+            requests.iter().filter(|request| request.class == 1).count() as f64 / requests.len() as f64;
         assert!((0.13..0.19).contains(&orders), "{orders}");
-        let mean = all.iter().map(|arrival| arrival.work_ms).sum::<f64>() / all.len() as f64;
+        let mean = requests.iter().map(|request| request.work_ms).sum::<f64>() / requests.len() as f64;
         assert!((55.0..65.0).contains(&mean), "{mean}");
-        let late = draw_arrivals(&other).iter().filter(|arrival| arrival.at >= 50.0).count();
+        let late = generate_requests(&other).iter().filter(|request| request.due_at >= 50.0).count();
         assert!((6_900..8_100).contains(&late), "{late}");
         plan.seed = 2;
-        assert_ne!(all, draw_arrivals(&plan));
+        assert_ne!(requests, generate_requests(&plan));
     }
 
     #[test]
--- a/lab/src/model/registry.rs
+++ b/lab/src/model/registry.rs
@@ -75,7 +75,7 @@
     pub delay_s: f64,
     /// If set, changes after this time do not reach it.
     pub stale_since: Option<f64>,
-    /// Whether it does not answer.
+    /// Whether it does not respond.
     pub is_silent: bool,
     /// The newest version that it has received. It never goes back.
     version: usize,
--- a/lab/src/model/server.rs
+++ b/lab/src/model/server.rs
@@ -13,7 +13,7 @@
 pub struct ServerFaults {
     /// Factor by which requests take longer.
     pub slowdown: f64,
-    /// Share of requests that are answered with an error at once.
+    /// Share of requests that get an error response at once.
     pub error_rate: f64,
     /// Share of requests that are rejected without being processed.
     pub reject_rate: f64,
@@ -46,7 +46,7 @@
     Accepted,
     /// It was rejected without being processed.
     Rejected,
-    /// It was answered with an error at once.
+    /// It got an error response at once.
     Error,
     /// The server has crashed: it was overloaded during its warm-up.
     Crashed,
@@ -76,7 +76,7 @@
     time: f64,
     running: Vec<Request>,
     queued: VecDeque<Request>,
-    /// Arrival time and processing time in ms of the requests within the overload window.
+    /// Time of receipt and processing time in ms of the requests within the overload window.
     recent: VecDeque<(f64, f64)>,
     recent_ms: f64,
     is_crashed: bool,
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -10,9 +10,9 @@
 const MAX_DURATION_S: f64 = 3_600.0;
 const MAX_REQUESTS_PER_S: f64 = 100_000.0;
 const MAX_STEPS: usize = 1_000;
-/// Deadlines of the safe and the unsafe request class, in ms.
+/// Deadlines of the idempotent and the non-idempotent request class, in ms.
 pub const DEADLINES_MS: [f64; 2] = [1_500.0, 2_000.0];
-/// Target latency, in ms. Answers within it count as in time.
+/// Target latency, in ms. Requests that are served within it count as in time.
 pub const TARGET_LATENCY_MS: f64 = 600.0;
 
 /// A fault-injection plan.
@@ -80,7 +80,7 @@
     pub fall_ms: f64,
     /// Maximum number of connections of a server.
     pub connections: usize,
-    /// Share of requests that a server without a fault answers with an error.
+    /// Share of requests that a server without a fault responds to with an error.
     pub errors: f64,
     /// Delay from a change of a server to its publication by discovery, in s.
     pub notice_s: f64,
@@ -118,13 +118,13 @@
 pub struct Traffic {
     /// Requests per second over the whole fleet, without retries.
     pub per_s: f64,
-    /// Share of unsafe requests, which must not run twice.
+    /// Share of non-idempotent requests, which must not run twice.
     pub orders: f64,
     /// Mean processing time of a request on an idle core, in ms.
     pub work_ms: f64,
     /// Coefficient of variation of the processing time, which is lognormal.
     pub work_cv: f64,
-    /// Number of customers, half of them with each of the two customer plans.
+    /// Number of customers, half of them with each of the two service plans.
     pub customers: usize,
     /// Zipf exponent of the customers' request rates.
     pub skew: f64,
@@ -136,13 +136,13 @@
     pub retries: u32,
     /// Delay before the first retry, in ms. It doubles with each retry.
     pub backoff_ms: f64,
-    /// Share of clients that honour the Retry-After of a refusal.
+    /// Share of clients that wait for the Retry-After of a refusal.
     pub honour: f64,
-    /// Time until the front detects that a gateway is down or up again, in s.
+    /// Time until the edge router detects that a gateway is down or up again, in s.
     pub notice_s: f64,
-    /// Quota of a customer in units per second, for each customer plan. 0 means unlimited.
+    /// Quota of a customer in units per second, for each service plan. 0 means unlimited.
     pub rate: [f64; 2],
-    /// Burst size of the quota in seconds of its rate, for each customer plan.
+    /// Burst size of the quota in seconds of its rate, for each service plan.
     pub burst_s: [f64; 2],
 }
 
@@ -171,13 +171,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Counter {
-    /// Number of partitions.
+    /// Number of shards.
     pub parts: usize,
-    /// Calls per second that a partition serves.
+    /// Calls per second that a shard serves.
     pub per_s: f64,
     /// Latency of a call without its time in the queue, in ms.
     pub answer_ms: f64,
-    /// Maximum number of calls in the queue of a partition. Further calls are rejected.
+    /// Maximum number of calls in the queue of a shard. Further calls are rejected.
     pub queue: usize,
 }
 
@@ -287,7 +287,7 @@
     TurnAway,
     /// A share `by` of requests ends with a connection reset after it was processed.
     Reset,
-    /// A share `by` of answers is malformed.
+    /// A share `by` of responses is malformed.
     Spoil,
     /// Load reports claim `by` requests in progress, regardless of the real number.
     Report,
@@ -358,11 +358,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CounterAction {
-    /// Answers are delayed by `by` ms.
+    /// Replies are delayed by `by` ms.
     Slow,
-    /// The counter is unreachable. It is back with no counts when the step ends.
+    /// The counter is unreachable. It is back without totals when the step ends.
     Out,
-    /// All counts are lost.
+    /// All totals are lost.
     Flush,
     /// A share `by` of calls is rejected.
     TurnAway,
@@ -424,7 +424,7 @@
 pub struct Expectations {
     /// Minimum share of requests that were served in the end.
     pub served: f64,
-    /// Maximum share of tries that a running gateway accepted but did not answer.
+    /// Maximum share of tries that a running gateway accepted but did not respond to.
     pub unanswered: f64,
     /// Maximum share of forwarded units that exceeded quotas.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -590,8 +590,8 @@
 }
 
 impl From<Endpoint> for String {
-    fn from(end: Endpoint) -> String {
-        end.to_string()
+    fn from(endpoint: Endpoint) -> String {
+        endpoint.to_string()
     }
 }
 
@@ -698,9 +698,9 @@
             for (second, other) in self.step.iter().enumerate().skip(first + 1) {
                 let (Some(a), Some(b)) = (process_fault(one), process_fault(other)) else { continue };
                 // A pause may overlap a restart or an upgrade, but not a kill.
-                let both_end = a.1 != GatewayAction::Pause && b.1 != GatewayAction::Pause;
+                let both_end_process = a.1 != GatewayAction::Pause && b.1 != GatewayAction::Pause;
                 let killed = a.1 == GatewayAction::Kill || b.1 == GatewayAction::Kill;
-                if one.overlaps(other) && (both_end || killed) && self.may_share_gateway(a.0, b.0) {
+                if one.overlaps(other) && (both_end_process || killed) && self.may_share_gateway(a.0, b.0) {
                     errors.push(format!(
                         "steps {} and {} overlap and affect the same gateway process",
                         first + 1,
@@ -836,9 +836,9 @@
             }
         }
         if let Some(fault) = &self.link {
-            let endpoint_exists = |end: &Endpoint| match end.kind {
-                EndpointKind::Gateways => matches_any(plan.gateways(end.who, 0)),
-                EndpointKind::Servers => matches_any(plan.servers(end.who, 0)),
+            let endpoint_exists = |endpoint: &Endpoint| match endpoint.kind {
+                EndpointKind::Gateways => matches_any(plan.gateways(endpoint.who, 0)),
+                EndpointKind::Servers => matches_any(plan.servers(endpoint.who, 0)),
                 _ => true,
             };
             require(
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -23,8 +23,8 @@
         percent(metrics.in_time),
     ));
     line(format!(
-        "  tries: refused {}, failed {}, gateway not reached {}, connection closed {}, timed out {}; not answered by a \
-         running gateway {}",
+        "  tries: refused {}, failed {}, gateway not reached {}, connection closed {}, timed out {}; without a \
+         response from a running gateway {}",
         percent(metrics.refused),
         percent(metrics.failed),
         percent(metrics.unreached),
@@ -56,8 +56,8 @@
         load.herds,
         load.herd_gateways,
     ));
-    if let Some(after) = metrics.recovery_s {
-        line(format!("  service recovered {after:.1} s after the end of the last step"));
+    if let Some(recovery_s) = metrics.recovery_s {
+        line(format!("  service recovered {recovery_s:.1} s after the end of the last step"));
     }
     line(format!(
         "  all gateways ready in {:.1} s; per gateway: {:.1} MB, {:.1} ms of CPU per second, {:.0} us of CPU per request; \
@@ -66,16 +66,16 @@
         machine.start_s,
         machine.gateway_mb[0],
         machine.gateway_cpu_ms_per_s,
-        machine.gateway_cpu_us_per_work,
-        machine.stage_cpu_ms_per_s,
-        machine.stage_mb,
-        machine.stage_threads,
-        machine.stage_descriptors,
+        machine.gateway_cpu_us_per_request,
+        machine.lab_cpu_ms_per_s,
+        machine.lab_mb,
+        machine.lab_threads,
+        machine.lab_descriptors,
         machine.timers_late_ms.p99,
         machine.clients_late_ms.p99,
     ));
-    for why in &outcome.invalid_reasons {
-        line(format!("  NOT VALID: {why}"));
+    for reason in &outcome.invalid_reasons {
+        line(format!("  NOT VALID: {reason}"));
     }
     for violation in &outcome.verdict.broken {
         line(format!("  VIOLATED, {} times: {}", violation.times, violation.rule));
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -303,9 +303,9 @@
 /// Statistics of heartbeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HeartbeatStats {
-    /// Heartbeats answered with status 200.
+    /// Heartbeats with a response of status 200.
     pub succeeded: u64,
-    /// Heartbeats with another answer, or without one before the timeout.
+    /// Heartbeats with another response, or without one before the timeout.
     pub failed: u64,
     /// Sum of the response times of successful heartbeats, in s.
     pub total_response_s: f64,
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -1,4 +1,4 @@
-//! Predicts the figures of a run from measured slopes, and compares them with the run.
+//! Predicts the metrics of a run from measured slopes, and compares them with the run.
 
 use super::draw::FleetSize;
 use super::run::{RunResult, GATEWAY_THREADS};
@@ -16,17 +16,17 @@
 /// Throughput of one thread over loopback, in MB/s.
 const LOOPBACK_MB_PER_S: f64 = 1500.0;
 
-/// A predicted and a measured figure.
+/// A predicted and a measured metric.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Name of the figure.
+    /// Name of the metric.
     pub what: &'static str,
     /// Its unit.
     pub unit: &'static str,
     /// The prediction from the slopes.
     #[serde(rename = "foretold")]
     pub predicted: f64,
-    /// The figure of the run.
+    /// The metric of the run.
     pub measured: f64,
 }
 
@@ -93,7 +93,7 @@
         self.leader_change_s(size, percent) + lab_ms / 1000.0
     }
 
-    /// Compares the predictions for a run with its figures.
+    /// Compares the predictions for a run with its metrics.
     pub fn compare(&self, run: &RunResult) -> Vec<Comparison> {
         let RunResult { size, percent, .. } = *run;
         let config_mb = self.value_at("a whole configuration on the wire", percent);
@@ -129,7 +129,7 @@
     }
 }
 
-/// Formats comparisons as text, one per line, with the ratio of the measured figure to the predicted one.
+/// Formats comparisons as text, one per line, with the ratio of the measured metric to the predicted one.
 pub fn text(comparisons: &[Comparison]) -> String {
     let line = |comparison: &Comparison| {
         let Comparison { what, unit, predicted, measured } = comparison;
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -104,7 +104,7 @@
 const COLOURS: [RGBColor; 4] =
     [RGBColor(31, 119, 180), RGBColor(214, 110, 20), RGBColor(44, 140, 60), RGBColor(150, 50, 160)];
 
-/// The figures of a run in the plots.
+/// The metrics of a run in the plots.
 struct PlottedRun {
     /// Routes and tenants, in percent of the full size's.
     percent: f64,
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -154,10 +154,10 @@
     pub changing: GatewayStats,
     /// Duration of the changes, in s.
     pub changing_s: f64,
-    /// Number of heartbeats answered with status 200.
+    /// Number of heartbeats with a response of status 200.
     #[serde(rename = "beats_taken")]
     pub heartbeats_succeeded: u64,
-    /// Number of heartbeats that were not answered with status 200 within a second.
+    /// Number of heartbeats without a response of status 200 within a second.
     #[serde(rename = "beats_lost")]
     pub heartbeats_failed: u64,
     /// Mean response time of a heartbeat, in ms.
--- a/lab/src/stage/clients.rs
+++ b/lab/src/stage/clients.rs
@@ -1,10 +1,10 @@
-//! Simulated clients. The load is open-loop: each request is sent when it is due, whatever became of the others, and
+//! Simulated clients. The load is open-loop: each request is sent when it is due, without waiting for earlier ones, and
 //! is retried as far as its deadline and the protocol allow.
 
 use crate::check::TIMING_SLACK_S;
 use crate::fault::Node;
 use crate::ledger::{transaction_id, Try, TryOutcome};
-use crate::model::front::{Arrival, CLASS_NAMES, PLAN_NAMES};
+use crate::model::front::{Request, CLASS_NAMES, PLAN_NAMES};
 use crate::plan::{TrafficAction, DEADLINES_MS};
 use crate::stage::servers::is_response_for;
 use crate::stage::wire::{Connection, HttpConnection};
@@ -34,11 +34,13 @@
 /// Sends all requests of the plan as they fall due. Returns once the last one has ended.
 pub async fn run(context: &Arc<RunContext>) {
     let mut clients = tokio::task::JoinSet::new();
-    for (work, arrival) in context.arrivals.iter().enumerate() {
-        context.sleep_until(context.load_start() + arrival.at).await;
+    for (request_index, request) in context.requests.iter().enumerate() {
+        context.sleep_until(context.load_start() + request.due_at).await;
         let context = context.clone();
         clients.spawn(async move {
-            Client { context: &context, work, rng: context.plan.rng(1 << 40 | work as u64) }.run().await
+            Client { context: &context, request_index, rng: context.plan.rng(1 << 40 | request_index as u64) }
+                .run()
+                .await
         });
         while clients.try_join_next().is_some() {}
     }
@@ -48,31 +50,31 @@
 /// The client of one request, which sends it and its retries.
 struct Client<'a> {
     context: &'a Arc<RunContext>,
-    /// Index of the request in [`RunContext::arrivals`].
-    work: usize,
+    /// Index of the request in [`RunContext::requests`].
+    request_index: usize,
     rng: Pcg64,
 }
 
 impl Client<'_> {
     async fn run(&mut self) {
         let context = self.context;
-        let arrival = context.arrivals[self.work];
-        let began = context.now();
-        context.record_client_lateness(began - context.load_start() - arrival.at);
-        context.ledger().first_sent[self.work] = Some(began);
-        let deadline = began + DEADLINES_MS[usize::from(arrival.class)] / 1000.0;
+        let request = context.requests[self.request_index];
+        let first_sent_at = context.now();
+        context.record_client_lateness(first_sent_at - context.load_start() - request.due_at);
+        context.ledger().first_sent[self.request_index] = Some(first_sent_at);
+        let deadline = first_sent_at + DEADLINES_MS[usize::from(request.class)] / 1000.0;
         let (extra_retries, mut backoff_s) = (self.extra_retries(), context.plan.traffic.backoff_ms / 1000.0);
-        for attempt in 0..=context.plan.traffic.retries + extra_retries {
-            let gateway = context.router().choose_gateway(arrival.customer, &mut self.rng);
-            let end = self.send_try(gateway, attempt, &arrival, deadline).await;
-            let may_retry = match end {
+        for try_number in 0..=context.plan.traffic.retries + extra_retries {
+            let gateway = context.router().choose_gateway(request.customer, &mut self.rng);
+            let outcome = self.send_try(gateway, try_number, &request, deadline).await;
+            let may_retry = match outcome {
                 TryOutcome::Served => return,
                 TryOutcome::Refused(_) | TryOutcome::Unreached => true,
                 // A non-idempotent request may have run.
-                _ => arrival.class == 0,
+                _ => request.class == 0,
             };
-            let retry_after_s = match end {
-                TryOutcome::Refused(Some(ms)) if arrival.honors_retry_after => f64::from(ms) / 1000.0,
+            let retry_after_s = match outcome {
+                TryOutcome::Refused(Some(ms)) if request.honors_retry_after => f64::from(ms) / 1000.0,
                 _ => 0.0,
             };
             let wait_s = if extra_retries > 0 {
@@ -90,50 +92,51 @@
 
     /// Additional retries during a retry storm of the plan.
     fn extra_retries(&self) -> u32 {
-        let (context, at) = (self.context, self.context.arrivals[self.work].at);
+        let (context, due_at) = (self.context, self.context.requests[self.request_index].due_at);
         let steps =
-            context.plan.step.iter().filter(|step| (step.at..step.end_s(&context.plan)).contains(&at));
-        let storms =
-            steps.filter_map(|step| step.traffic.as_ref().filter(|on| on.action == TrafficAction::Storm));
-        storms.map(|on| on.by as u32).max().unwrap_or(0)
+            context.plan.step.iter().filter(|step| (step.at..step.end_s(&context.plan)).contains(&due_at));
+        let storms = steps
+            .filter_map(|step| step.traffic.as_ref().filter(|change| change.action == TrafficAction::Storm));
+        storms.map(|change| change.by as u32).max().unwrap_or(0)
     }
 
     /// Sends one try to one gateway and records it in the ledger.
-    async fn send_try(&mut self, gateway: usize, attempt: u32, arrival: &Arrival, until: f64) -> TryOutcome {
-        let (context, txn) = (self.context, transaction_id(self.work, attempt));
+    async fn send_try(
+        &mut self, gateway: usize, try_number: u32, request: &Request, deadline: f64,
+    ) -> TryOutcome {
+        let (context, txn) = (self.context, transaction_id(self.request_index, try_number));
         let try_index = {
             let mut ledger = context.ledger();
             let at = context.now();
-            let (work, written, end) = (self.work, false, None);
             ledger.tries.push(Try {
                 txn,
-                request: work,
+                request_index: self.request_index,
                 gateway,
                 sent_at: at,
-                written,
-                deadline: until,
-                outcome: end,
-                extra_answers: 0,
+                written: false,
+                deadline,
+                outcome: None,
+                extra_responses: 0,
             });
             ledger.tries.len() - 1
         };
         // A response that the gateway sends just in time may arrive a little later.
-        let end = tokio::select! {
-            end = self.exchange(gateway, try_index, arrival, until) => end,
-            () = context.sleep_until(until + TIMING_SLACK_S) => None,
+        let completed = tokio::select! {
+            completed = self.exchange(gateway, try_index, request, deadline) => completed,
+            () = context.sleep_until(deadline + TIMING_SLACK_S) => None,
         };
-        let (end, connection) = match end {
-            Some((end, connection)) => (end, connection),
-            None => (self.end_if_written(try_index, TryOutcome::TimedOut), None),
+        let (outcome, connection) = match completed {
+            Some((outcome, connection)) => (outcome, connection),
+            None => (self.outcome_if_written(try_index, TryOutcome::TimedOut), None),
         };
-        if matches!(end, TryOutcome::Refused(_)) && context.has_idle_server(gateway) {
+        if matches!(outcome, TryOutcome::Refused(_)) && context.has_idle_server(gateway) {
             // The checkers match this entry to the refused try by its time.
             let mut ledger = context.ledger();
             let at = context.now();
-            ledger.tries[try_index].outcome = Some((at, end));
+            ledger.tries[try_index].outcome = Some((at, outcome));
             ledger.needless_refusals.push(at);
         } else {
-            context.ledger().tries[try_index].outcome = Some((context.now(), end));
+            context.ledger().tries[try_index].outcome = Some((context.now(), outcome));
         }
         if let Some(connection) = connection {
             let mut idle = context.idle_connections(gateway);
@@ -141,21 +144,23 @@
                 idle.push(connection);
             }
         }
-        end
+        outcome
     }
 
-    /// The end of a try without a response: `end` if the request was written in full, else [`End::Unreached`].
-    fn end_if_written(&self, try_index: usize, end: TryOutcome) -> TryOutcome {
+    /// Returns the outcome of a try without a response: `outcome` if the request was written in full, else
+    /// [`TryOutcome::Unreached`].
+    fn outcome_if_written(&self, try_index: usize, outcome: TryOutcome) -> TryOutcome {
         if self.context.ledger().tries[try_index].written {
-            end
+            outcome
         } else {
             TryOutcome::Unreached
         }
     }
 
-    /// Sends a request and reads its response. Returns the end of the try and, if it can be reused, the connection.
+    /// Sends a request and reads its response. Returns the outcome of the try and, if it can be reused, the
+    /// connection.
     async fn exchange(
-        &self, gateway: usize, try_index: usize, arrival: &Arrival, until: f64,
+        &self, gateway: usize, try_index: usize, request: &Request, deadline: f64,
     ) -> Option<(TryOutcome, Option<IdleConnection>)> {
         let context = self.context;
         let txn = context.ledger().tries[try_index].txn;
@@ -172,11 +177,11 @@
                 },
             };
             let now = context.now();
-            if now >= until {
+            if now >= deadline {
                 // The deadline passed while connecting: the request is not sent.
                 return Some((TryOutcome::Unreached, None));
             }
-            let text = format_request(txn, arrival, until - now, context);
+            let text = format_request(txn, request, deadline - now, context);
             let written = http.write(text.as_bytes()).await;
             if written.is_ok() {
                 let (mut ledger, at) = (context.ledger(), context.now());
@@ -188,18 +193,18 @@
             };
             let error_kind = match response {
                 Ok(Some((head, body))) => {
-                    let end = match head.status {
+                    let outcome = match head.status {
                         200 if is_response_for(&body, txn) => TryOutcome::Served,
                         200 => TryOutcome::WrongBody,
                         429 | 503 => TryOutcome::Refused(head.retry_after_ms),
                         status => TryOutcome::Failed(status),
                     };
                     if http.has_buffered_bytes() {
-                        context.ledger().tries[try_index].extra_answers += 1;
+                        context.ledger().tries[try_index].extra_responses += 1;
                     }
                     let idle =
                         (!head.close).then_some(IdleConnection { http, last_try: try_index, generation });
-                    return Some((end, idle));
+                    return Some((outcome, idle));
                 }
                 Ok(None) => io::ErrorKind::UnexpectedEof,
                 Err(e) => e.kind(),
@@ -211,13 +216,13 @@
                 && context.is_link_healthy(Node::Client, Node::Gateway(gateway))
                 && error_kind != io::ErrorKind::InvalidData;
             if !closed_while_idle {
-                return Some((self.end_if_written(try_index, TryOutcome::Disconnected), None));
+                return Some((self.outcome_if_written(try_index, TryOutcome::Disconnected), None));
             }
             context.ledger().tries[try_index].written = false;
         }
     }
 
-    /// Takes an idle connection to the current process that is still open. Unread data on one counts as a surplus
+    /// Takes an idle connection to the current process that is still open. Unread data on one counts as an extra
     /// response to its last try.
     fn take_idle_connection(&self, gateway: usize) -> Option<HttpConnection> {
         let context = self.context;
@@ -229,7 +234,7 @@
             match &idle.http.io {
                 Connection::Direct(stream) => match stream.try_read(&mut [0]) {
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Some(idle.http),
-                    Ok(1..) => context.ledger().tries[idle.last_try].extra_answers += 1,
+                    Ok(1..) => context.ledger().tries[idle.last_try].extra_responses += 1,
                     _ => {}
                 },
                 Connection::Proxied(..) => return Some(idle.http),
@@ -253,17 +258,18 @@
     }
 }
 
-fn format_request(txn: u64, arrival: &Arrival, remaining_s: f64, context: &RunContext) -> String {
-    let (class, plan) = (CLASS_NAMES[usize::from(arrival.class)], PLAN_NAMES[usize::from(arrival.plan())]);
-    let (method, body) = if arrival.class == 0 { ("GET", "") } else { ("POST", POST_BODY) };
+fn format_request(txn: u64, request: &Request, remaining_s: f64, context: &RunContext) -> String {
+    let (class, plan) =
+        (CLASS_NAMES[usize::from(request.class)], PLAN_NAMES[usize::from(request.service_plan())]);
+    let (method, body) = if request.class == 0 { ("GET", "") } else { ("POST", POST_BODY) };
     let length =
-        if arrival.class == 0 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-    let (spread, first) = (context.plan.traffic.spread, context.router().first_gateway(arrival.customer));
+        if request.class == 0 { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    let (spread, first) = (context.plan.traffic.spread, context.router().first_gateway(request.customer));
     format!(
         "{method} /{class}?account={:016x} HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: {txn:016x}\r\nX-Lane: {class}\r\n\
          X-Plan: {plan}\r\nX-Remaining-Ms: {}\r\nX-Quota: units={},spread={spread},first={first}\r\n{length}\r\n{body}",
-        arrival.account(),
+        request.account(),
         (remaining_s * 1000.0).max(1.0) as u64,
-        arrival.estimated_units,
+        request.estimated_units,
     )
 }
--- a/lab/src/stage/gateways.rs
+++ b/lab/src/stage/gateways.rs
@@ -253,13 +253,13 @@
             if exited || start_time.elapsed() > ready_timeout {
                 process.exit_expected.store(true, Ordering::Relaxed);
                 send_signal(&process, Signal::KILL);
-                let why = if exited {
+                let reason = if exited {
                     "ended at its start".to_owned()
                 } else {
                     format!("is not ready after {} s", ready_timeout.as_secs_f64())
                 };
                 return Err(format!(
-                    "gateway {} {why}; end of its log:\n{}",
+                    "gateway {} {reason}; end of its log:\n{}",
                     self.index,
                     self.log_tail(start)
                 ));
@@ -279,8 +279,8 @@
     /// Reads the address of its member socket from its log and passes it to the datagram relays.
     async fn read_member_address(&self, context: &RunContext, start: u64) {
         let Some(relays) = &context.relays else { return };
-        let begin = Instant::now();
-        while begin.elapsed() < context.options.ready_timeout {
+        let start_time = Instant::now();
+        while start_time.elapsed() < context.options.ready_timeout {
             let text = std::fs::read_to_string(self.log_path(start)).unwrap_or_default();
             let addresses =
                 text.lines().rev().find_map(|line| line.split_once(", reached at ")?.1.split_once(", on "));
--- a/lab/src/stage/mod.rs
+++ b/lab/src/stage/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a plan: starts real gateway processes on loopback, and simulates the clients, servers, counter and discovery
+//! Runs a plan: starts real gateway processes on loopback, and simulates the clients, servers, counter and discovery
 //! around them in this process, the lab.
 
 mod clients;
@@ -14,7 +14,7 @@
 use crate::check::{self, Verdict};
 use crate::fault::{Effect, FaultHandle, Links, Node};
 use crate::ledger::{GatewayEvent, Ledger, ServerAvailability};
-use crate::model::front::{self, Arrival, EdgeRouter};
+use crate::model::front::{self, EdgeRouter, Request};
 use crate::model::registry::{Registry, ServerEntry, ServerState};
 use crate::plan::{EndpointKind, GatewayAction, Plan, ServerAction};
 use machine::{Lateness, LatenessSummary};
@@ -62,17 +62,22 @@
     /// Mean CPU time of a gateway, in ms per second of load.
     pub gateway_cpu_ms_per_s: f64,
     /// CPU time of all gateways per request of a client, in us.
-    pub gateway_cpu_us_per_work: f64,
+    #[serde(rename = "gateway_cpu_us_per_work")]
+    pub gateway_cpu_us_per_request: f64,
     /// Resident memory of a gateway at the end, mean and maximum, in MB.
     pub gateway_mb: [f64; 2],
     /// CPU time of the lab process, in ms per second of load.
-    pub stage_cpu_ms_per_s: f64,
+    #[serde(rename = "stage_cpu_ms_per_s")]
+    pub lab_cpu_ms_per_s: f64,
     /// Resident memory of the lab process at the end, in MB.
-    pub stage_mb: f64,
+    #[serde(rename = "stage_mb")]
+    pub lab_mb: f64,
     /// Threads of the lab process.
-    pub stage_threads: u64,
+    #[serde(rename = "stage_threads")]
+    pub lab_threads: u64,
     /// Open descriptors of the lab process under load.
-    pub stage_descriptors: usize,
+    #[serde(rename = "stage_descriptors")]
+    pub lab_descriptors: usize,
     /// How late timers of the lab fired, in ms.
     pub timers_late_ms: LatenessSummary,
     /// How late simulated clients sent their requests, in ms.
@@ -96,7 +101,7 @@
 }
 
 impl Outcome {
-    /// Whether the run is valid and no rule was broken.
+    /// Whether the run is valid and no rule was violated.
     pub fn held(&self) -> bool {
         self.invalid_reasons.is_empty() && self.verdict.held()
     }
@@ -106,8 +111,8 @@
 pub struct RunContext {
     /// The plan.
     pub plan: Plan,
-    /// The requests of its clients, in order of time.
-    pub arrivals: Vec<Arrival>,
+    /// The requests of its clients, in order of their due times.
+    pub requests: Vec<Request>,
     /// Current link faults.
     pub links: Links,
     options: Options,
@@ -157,17 +162,16 @@
             plan.step
                 .iter()
                 .filter_map(|step| step.link.as_ref())
-                .any(|on| [on.from.kind, on.to.kind].contains(&kind))
+                .any(|fault| [fault.from.kind, fault.to.kind].contains(&kind))
         };
-        let has_server_act = |act: ServerAction| {
-            plan.step.iter().any(|s| s.servers.as_ref().is_some_and(|on| on.action == act))
+        let has_server_action = |action: ServerAction| {
+            plan.step.iter().any(|step| step.servers.as_ref().is_some_and(|fault| fault.action == action))
         };
-        let has_counter_outage = plan
-            .step
-            .iter()
-            .any(|step| step.counter.as_ref().is_some_and(|on| on.action == crate::plan::CounterAction::Out));
+        let has_counter_outage = plan.step.iter().any(|step| {
+            step.counter.as_ref().is_some_and(|fault| fault.action == crate::plan::CounterAction::Out)
+        });
         let proxied = [
-            has_link_step(EndpointKind::Servers) || has_server_act(ServerAction::Vanish),
+            has_link_step(EndpointKind::Servers) || has_server_action(ServerAction::Vanish),
             has_link_step(EndpointKind::Counter) || has_counter_outage,
             has_link_step(EndpointKind::Discovery),
             has_link_step(EndpointKind::Clients),
@@ -182,8 +186,8 @@
             .map(|(index, speed)| servers::SimulatedServer::new(plan, index, *speed).map(Arc::new))
             .collect();
         let upgraded = plan.step.iter().enumerate().filter_map(|(index, step)| {
-            let on = step.gateways.as_ref().filter(|on| on.action == GatewayAction::Upgrade)?;
-            Some(plan.gateways(on.who, index))
+            let fault = step.gateways.as_ref().filter(|fault| fault.action == GatewayAction::Upgrade)?;
+            Some(plan.gateways(fault.who, index))
         });
         let upgraded: Vec<usize> = upgraded.flatten().collect();
         let gateways: std::io::Result<Vec<_>> = (0..plan.fleet.gateways)
@@ -195,11 +199,11 @@
         } else {
             None
         };
-        let arrivals = front::draw_arrivals(plan);
-        let began = vec![None; arrivals.len()];
-        let ledger = Ledger { requests: arrivals.clone(), first_sent: began, speeds, ..Ledger::default() };
+        let requests = front::generate_requests(plan);
+        let first_sent = vec![None; requests.len()];
+        let ledger = Ledger { requests: requests.clone(), first_sent, speeds, ..Ledger::default() };
         Ok(Arc::new(RunContext {
-            arrivals,
+            requests,
             links: Links::default(),
             options: options.clone(),
             children,
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Whether connections of `own`, a party that the lab simulates, go through the fault-injecting proxy.
+    /// Whether connections of `own`, a node that the lab simulates, go through the fault-injecting proxy.
     fn is_proxied(&self, own: Node) -> bool {
         match own {
             Node::Server(_) => self.proxied[0],
@@ -287,17 +291,17 @@
         self.client_lateness.record(late_s.max(0.0));
     }
 
-    fn record_gateway_event(&self, gateway: usize, life: GatewayEvent) {
+    fn record_gateway_event(&self, gateway: usize, event: GatewayEvent) {
         let mut ledger = self.ledger();
         let at = self.now();
-        ledger.gateway_events.push((at, gateway, life));
+        ledger.gateway_events.push((at, gateway, event));
     }
 
-    fn set_server_standing(&self, server: usize, standing: ServerAvailability) {
+    fn set_server_availability(&self, server: usize, availability: ServerAvailability) {
         let mut ledger = self.ledger();
         let at = self.now();
-        ledger.server_states.push((at, server, standing));
-        self.servers[server].set_up(standing == ServerAvailability::Up);
+        ledger.server_availability.push((at, server, availability));
+        self.servers[server].set_up(availability == ServerAvailability::Up);
     }
 
     /// Records an error of the lab itself, which makes the run invalid.
@@ -362,7 +366,7 @@
     }
 }
 
-/// Plays a plan to its end, or until `stop` completes. Fails if the plan is invalid, the gateways do not start, or the
+/// Runs a plan to its end, or until `stop` completes. Fails if the plan is invalid, the gateways do not start, or the
 /// run is stopped or times out.
 pub fn play(plan: &Plan, options: &Options, stop: impl Future<Output = ()>) -> Result<Outcome, String> {
     play_with_ready_callback(plan, options, stop, |_| ())
@@ -373,9 +377,9 @@
     plan: &Plan, options: &Options, stop: impl Future<Output = ()>,
     ready: impl FnOnce(&[std::net::SocketAddr]),
 ) -> Result<Outcome, String> {
-    let faults = plan.validation_errors();
-    if !faults.is_empty() {
-        return Err(faults.join("\n"));
+    let errors = plan.validation_errors();
+    if !errors.is_empty() {
+        return Err(errors.join("\n"));
     }
     machine::raise_descriptor_limit(machine::required_descriptors(plan))?;
     let temporary = tempfile::Builder::new()
@@ -418,7 +422,7 @@
                 context.now(),
                 ServerEntry { server: index, state: ServerState::Ready, started_ms: 0.0 },
             );
-            context.set_server_standing(index, ServerAvailability::Up);
+            context.set_server_availability(index, ServerAvailability::Up);
         }
     }
     context.counter.run(&context).await.map_err(cannot_listen)?;
@@ -460,19 +464,19 @@
     let mut ledger = std::mem::take(&mut *context.ledger());
     normalize_ledger(&mut ledger, load_start, plan.seconds);
     let verdict = check::check_run(plan, &ledger);
-    let works = verdict.figures.requests.max(1) as f64;
+    let requests = verdict.figures.requests.max(1) as f64;
     let machine = ResourceUsage {
         start_s,
         gateway_cpu_ms_per_s: (cpu_after - cpu_before) * 1000.0 / plan.fleet.gateways as f64 / plan.seconds,
-        gateway_cpu_us_per_work: (cpu_after - cpu_before) * 1e6 / works,
+        gateway_cpu_us_per_request: (cpu_after - cpu_before) * 1e6 / requests,
         gateway_mb: [
             memory.iter().sum::<f64>() / memory.len().max(1) as f64,
             memory.iter().copied().fold(0.0, f64::max),
         ],
-        stage_cpu_ms_per_s: (own_after.cpu_s - own_before.cpu_s) * 1000.0 / plan.seconds,
-        stage_mb: own_after.resident_mb,
-        stage_threads: own_after.threads,
-        stage_descriptors: descriptors,
+        lab_cpu_ms_per_s: (own_after.cpu_s - own_before.cpu_s) * 1000.0 / plan.seconds,
+        lab_mb: own_after.resident_mb,
+        lab_threads: own_after.threads,
+        lab_descriptors: descriptors,
         timers_late_ms: context.timer_lateness.summary(),
         clients_late_ms: context.client_lateness.summary(),
     };
@@ -514,27 +518,27 @@
 /// Makes all times in the ledger relative to the start of the load, and sorts the records that the checkers read in
 /// order of time.
 fn normalize_ledger(ledger: &mut Ledger, load_start: f64, seconds: f64) {
-    for each in &mut ledger.tries {
-        each.sent_at -= load_start;
-        each.deadline -= load_start;
-        if let Some((at, _)) = &mut each.outcome {
+    for client_try in &mut ledger.tries {
+        client_try.sent_at -= load_start;
+        client_try.deadline -= load_start;
+        if let Some((at, _)) = &mut client_try.outcome {
             *at -= load_start;
         }
     }
-    for run in &mut ledger.attempts {
-        run.first_byte_at -= load_start;
-        run.received_at -= load_start;
-        run.outcome.0 -= load_start;
+    for attempt in &mut ledger.attempts {
+        attempt.first_byte_at -= load_start;
+        attempt.received_at -= load_start;
+        attempt.outcome.0 -= load_start;
     }
     ledger.attempts.sort_by(|a, b| a.received_at.total_cmp(&b.received_at));
     ledger.first_sent.iter_mut().flatten().for_each(|at| *at -= load_start);
     ledger.notifications.iter_mut().for_each(|(at, ..)| *at -= load_start);
     ledger.gateway_events.iter_mut().for_each(|(at, ..)| *at -= load_start);
-    ledger.server_states.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    ledger.server_availability.iter_mut().for_each(|(at, ..)| *at -= load_start);
     ledger.needless_refusals.iter_mut().for_each(|at| *at -= load_start);
     ledger.connections.iter_mut().for_each(|(at, _)| *at -= load_start);
     ledger.notifications.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.server_states.sort_by(|a, b| a.0.total_cmp(&b.0));
+    ledger.server_availability.sort_by(|a, b| a.0.total_cmp(&b.0));
     ledger.gateway_events.sort_by(|a, b| a.0.total_cmp(&b.0));
     ledger.load_end = seconds;
 }
--- a/lab/src/stage/servers.rs
+++ b/lab/src/stage/servers.rs
@@ -1,7 +1,7 @@
 //! The simulated servers: their model, served over HTTP.
 
 use crate::fault::{FaultHandle, Node};
-use crate::ledger::{request_of, Attempt, AttemptOutcome, ServerAvailability};
+use crate::ledger::{request_index, Attempt, AttemptOutcome, ServerAvailability};
 use crate::model::registry::ServerState;
 use crate::model::server::{Admission, Server, ServerFaults};
 use crate::stage::wire::{format_response, Connection, HttpConnection, ServiceListener};
@@ -13,8 +13,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::{oneshot, watch, Notify};
 
-/// Requests whose `X-Txn` is at least this are sent by hand, for example with curl. They are answered at once and not
-/// recorded.
+/// Requests whose `X-Txn` is at least this are sent by hand, for example with curl. They get a response at once and are
+/// not recorded.
 pub const FIRST_MANUAL_TXN: u64 = 0xF << 60;
 
 /// A simulated server.
@@ -52,24 +52,24 @@
     }
 }
 
-/// An attempt that is recorded in the ledger when this is dropped: as dropped, unless [`AttemptRecorder::end`] was called.
+/// Records an attempt in the ledger when dropped: as aborted, unless [`AttemptRecorder::finish`] was called.
 struct AttemptRecorder<'a> {
     context: &'a RunContext,
-    run: Attempt,
+    attempt: Attempt,
 }
 
 impl AttemptRecorder<'_> {
-    fn end(mut self, fate: AttemptOutcome) {
-        self.run.outcome = (self.context.now(), fate);
+    fn finish(mut self, outcome: AttemptOutcome) {
+        self.attempt.outcome = (self.context.now(), outcome);
     }
 }
 
 impl Drop for AttemptRecorder<'_> {
     fn drop(&mut self) {
-        if self.run.outcome.1 == AttemptOutcome::InProgress {
-            self.run.outcome = (self.context.now(), AttemptOutcome::Aborted);
+        if self.attempt.outcome.1 == AttemptOutcome::InProgress {
+            self.attempt.outcome = (self.context.now(), AttemptOutcome::Aborted);
         }
-        self.context.ledger().attempts.push(self.run);
+        self.context.ledger().attempts.push(self.attempt);
     }
 }
 
@@ -149,7 +149,7 @@
     pub fn kill(&self, context: &RunContext) {
         self.listener.close();
         self.kills.send_modify(|kills| *kills += 1);
-        context.set_server_standing(self.index, ServerAvailability::Unavailable);
+        context.set_server_availability(self.index, ServerAvailability::Unavailable);
     }
 
     /// Starts a new, cold process.
@@ -158,7 +158,7 @@
         if let Err(e) = self.open(context).await {
             context.record_error(format!("server {}: cannot open its listener: {e}", self.index));
         }
-        context.set_server_standing(self.index, ServerAvailability::Up);
+        context.set_server_availability(self.index, ServerAvailability::Up);
     }
 
     /// Cuts the machine off from the network, or connects it again.
@@ -217,7 +217,7 @@
             if !matches!(http.wait_for_message().await, Ok(true)) {
                 return false;
             }
-            let first = context.now();
+            let first_byte_at = context.now();
             let Ok(Some((head, _))) = http.read_message(false).await else { return false };
             let path = head.target.split('?').next().unwrap_or("");
             if path == "/health/live" || path == "/stats" {
@@ -239,19 +239,20 @@
             }
             let known = head
                 .txn
-                .and_then(|txn| Some((txn, context.arrivals[request_of(txn, context.arrivals.len())?])));
-            let Some((txn, arrival)) = known else {
+                .and_then(|txn| Some((txn, context.requests[request_index(txn, context.requests.len())?])));
+            let Some((txn, request)) = known else {
                 context.ledger().unknown_requests += 1;
                 let _ = http.write(&format_response(404, "", "no such request\n")).await;
                 return false;
             };
-            let came = context.now();
+            let received_at = context.now();
             let (id, admission, completion, fault_draws) = {
                 let (mut state, mut completed) = (self.state(), Vec::new());
                 let id = state.next_id;
                 state.next_id += 1;
                 let (admission_draw, fault_draws) = (state.rng.random(), state.rng.random::<(f64, f64)>());
-                let admission = state.model.submit(came, id, arrival.work_ms, admission_draw, &mut completed);
+                let admission =
+                    state.model.submit(received_at, id, request.work_ms, admission_draw, &mut completed);
                 state.complete(completed);
                 let (sender, completion) = oneshot::channel();
                 if admission == Admission::Accepted {
@@ -260,23 +261,23 @@
                 (id, admission, completion, fault_draws)
             };
             self.wake.notify_one();
-            let began = admission == Admission::Accepted;
-            let end = (came, AttemptOutcome::InProgress);
-            let attempt = AttemptRecorder {
+            let accepted = admission == Admission::Accepted;
+            let outcome = (received_at, AttemptOutcome::InProgress);
+            let recorder = AttemptRecorder {
                 context,
-                run: Attempt {
+                attempt: Attempt {
                     txn,
                     server: self.index,
                     gateway,
-                    first_byte_at: first,
-                    received_at: came,
-                    accepted: began,
-                    outcome: end,
+                    first_byte_at,
+                    received_at,
+                    accepted,
+                    outcome,
                 },
             };
             match admission {
                 Admission::Rejected => {
-                    attempt.end(AttemptOutcome::Rejected);
+                    recorder.finish(AttemptOutcome::Rejected);
                     let text = format_response(503, "X-Turned-Away: 1\r\n", "no room\n");
                     if http.write(&text).await.is_err() {
                         return false;
@@ -284,14 +285,14 @@
                     continue;
                 }
                 Admission::Error => {
-                    attempt.end(AttemptOutcome::Error);
+                    recorder.finish(AttemptOutcome::Error);
                     if http.write(&format_response(500, "", "error\n")).await.is_err() {
                         return false;
                     }
                     continue;
                 }
                 Admission::Crashed => {
-                    drop(attempt);
+                    drop(recorder);
                     self.kill(context);
                     context.update_discovery(self.index, ServerState::Gone, false);
                     return true;
@@ -311,17 +312,17 @@
             }
             let faults = self.state().model.faults();
             if fault_draws.0 < faults.reset_rate {
-                attempt.end(AttemptOutcome::AnswerLost);
+                recorder.finish(AttemptOutcome::ResponseLost);
                 return true;
             }
             if fault_draws.1 < faults.corrupt_rate {
-                attempt.end(AttemptOutcome::AnswerLost);
+                recorder.finish(AttemptOutcome::ResponseLost);
                 let _ = http.write(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nspoilt").await;
                 return true;
             }
-            // Recorded before the response is written, so that no client can receive one without a recorded run.
-            attempt.end(AttemptOutcome::Done);
-            let units = format!("X-Units-Charged: {}\r\n", arrival.units);
+            // Recorded before the response is written, so that no client can receive one without a recorded attempt.
+            recorder.finish(AttemptOutcome::Done);
+            let units = format!("X-Units-Charged: {}\r\n", request.units);
             if http.write(&format_response(200, &units, &response_body(txn, self.index))).await.is_err() {
                 return false;
             }
--- a/lab/src/stage/timeline.rs
+++ b/lab/src/stage/timeline.rs
@@ -1,4 +1,4 @@
-//! Plays the steps of a plan: each takes effect at its time and is undone at its end.
+//! Runs the steps of a plan: each takes effect at its time and is undone at its end.
 
 use crate::model::registry::ServerState;
 use crate::plan::{
@@ -15,72 +15,72 @@
     End,
 }
 
-/// Plays all steps concurrently. Returns once the last one has ended.
+/// Runs all steps concurrently. Returns once the last one has ended.
 pub async fn run(context: &Arc<RunContext>) {
     let mut steps = tokio::task::JoinSet::new();
     for index in 0..context.plan.step.len() {
         let context = context.clone();
-        steps.spawn(async move { play_step(&context, index).await });
+        steps.spawn(async move { run_step(&context, index).await });
     }
     while steps.join_next().await.is_some() {}
 }
 
-async fn play_step(context: &Arc<RunContext>, index: usize) {
+async fn run_step(context: &Arc<RunContext>, index: usize) {
     let step = context.plan.step[index].clone();
     let at = context.load_start() + step.at;
-    let ends = step.duration_s.map(|lasts| at + lasts);
-    if let Some(on) = &step.gateways {
-        play_gateway_step(context, index, on, (at, ends)).await;
-    } else if let Some(on) = &step.servers {
-        play_server_step(context, index, on, (at, ends)).await;
+    let ends_at = step.duration_s.map(|duration_s| at + duration_s);
+    if let Some(fault) = &step.gateways {
+        run_gateway_step(context, index, fault, (at, ends_at)).await;
+    } else if let Some(fault) = &step.servers {
+        run_server_step(context, index, fault, (at, ends_at)).await;
     } else {
         context.sleep_until(at).await;
-        let mut fault = None;
-        if let Some(on) = &step.link {
-            fault = Some(inject_link_fault(context, index, on));
+        let mut link_fault = None;
+        if let Some(fault) = &step.link {
+            link_fault = Some(inject_link_fault(context, index, fault));
         }
         apply_phase(context, index, &step, Phase::Begin);
-        if let Some(ends) = ends {
-            context.sleep_until(ends).await;
+        if let Some(ends_at) = ends_at {
+            context.sleep_until(ends_at).await;
             apply_phase(context, index, &step, Phase::End);
-            if let Some(fault) = fault {
-                context.links.heal(&fault);
-                context.update_filters(&fault);
+            if let Some(link_fault) = link_fault {
+                context.links.heal(&link_fault);
+                context.update_filters(&link_fault);
             }
         }
     }
 }
 
-fn inject_link_fault(context: &RunContext, index: usize, on: &LinkFault) -> crate::fault::FaultHandle {
-    let fault = context.links.inject(&context.plan, index, on, context.now());
-    context.update_filters(&fault);
-    fault
+fn inject_link_fault(context: &RunContext, index: usize, fault: &LinkFault) -> crate::fault::FaultHandle {
+    let handle = context.links.inject(&context.plan, index, fault, context.now());
+    context.update_filters(&handle);
+    handle
 }
 
 fn apply_phase(context: &RunContext, index: usize, step: &crate::plan::Step, phase: Phase) {
-    if let Some(on) = &step.counter {
-        apply_to_counter(context, on, phase);
+    if let Some(fault) = &step.counter {
+        apply_to_counter(context, fault, phase);
     }
-    if let Some(on) = &step.discovery {
-        apply_to_discovery(context, index, on, phase);
+    if let Some(fault) = &step.discovery {
+        apply_to_discovery(context, index, fault, phase);
     }
 }
 
-async fn play_gateway_step(
-    context: &Arc<RunContext>, index: usize, on: &GatewayFault, (at, ends): (f64, Option<f64>),
+async fn run_gateway_step(
+    context: &Arc<RunContext>, index: usize, fault: &GatewayFault, (at, ends_at): (f64, Option<f64>),
 ) {
     let mut tasks = tokio::task::JoinSet::new();
-    for (position, gateway) in context.plan.gateways(on.who, index).into_iter().enumerate() {
-        let (context, act, offset) = (context.clone(), on.action, on.every * position as f64);
+    for (position, gateway) in context.plan.gateways(fault.who, index).into_iter().enumerate() {
+        let (context, action, offset) = (context.clone(), fault.action, fault.every * position as f64);
         tasks.spawn(async move {
             context.sleep_until(at + offset).await;
             let gateway = context.gateways[gateway].clone();
-            let result = match act {
+            let result = match action {
                 GatewayAction::Kill => {
                     gateway.kill(&context).await;
-                    match ends {
-                        Some(ends) => {
-                            context.sleep_until(ends + offset).await;
+                    match ends_at {
+                        Some(ends_at) => {
+                            context.sleep_until(ends_at + offset).await;
                             gateway.start(&context).await
                         }
                         None => Ok(()),
@@ -88,7 +88,7 @@
                 }
                 GatewayAction::Pause => {
                     gateway.set_paused(&context, true);
-                    context.sleep_until(ends.unwrap_or(at) + offset).await;
+                    context.sleep_until(ends_at.unwrap_or(at) + offset).await;
                     gateway.set_paused(&context, false);
                     Ok(())
                 }
@@ -104,29 +104,29 @@
     while tasks.join_next().await.is_some() {}
 }
 
-async fn play_server_step(
-    context: &Arc<RunContext>, index: usize, on: &ServerFault, (at, ends): (f64, Option<f64>),
+async fn run_server_step(
+    context: &Arc<RunContext>, index: usize, fault: &ServerFault, (at, ends_at): (f64, Option<f64>),
 ) {
     let mut tasks = tokio::task::JoinSet::new();
-    for (position, server) in context.plan.servers(on.who, index).into_iter().enumerate() {
-        let (context, on, offset) = (context.clone(), on.clone(), on.every * position as f64);
+    for (position, server) in context.plan.servers(fault.who, index).into_iter().enumerate() {
+        let (context, fault, offset) = (context.clone(), fault.clone(), fault.every * position as f64);
         tasks.spawn(async move {
             context.sleep_until(at + offset).await;
-            apply_to_server(&context, server, &on, Phase::Begin).await;
-            if let Some(ends) = ends {
-                context.sleep_until(ends + offset).await;
-                apply_to_server(&context, server, &on, Phase::End).await;
+            apply_to_server(&context, server, &fault, Phase::Begin).await;
+            if let Some(ends_at) = ends_at {
+                context.sleep_until(ends_at + offset).await;
+                apply_to_server(&context, server, &fault, Phase::End).await;
             }
         });
     }
     while tasks.join_next().await.is_some() {}
 }
 
-async fn apply_to_server(context: &Arc<RunContext>, index: usize, on: &ServerFault, phase: Phase) {
+async fn apply_to_server(context: &Arc<RunContext>, index: usize, fault: &ServerFault, phase: Phase) {
     use crate::ledger::ServerAvailability;
     let (server, begins) = (context.servers[index].clone(), phase == Phase::Begin);
-    let share = if begins { on.by } else { 0.0 };
-    match on.action {
+    let share = if begins { fault.by } else { 0.0 };
+    match fault.action {
         ServerAction::Kill if begins => {
             server.kill(context);
             context.update_discovery(index, ServerState::Gone, false);
@@ -137,7 +137,7 @@
         }
         ServerAction::Vanish if begins => {
             server.set_unreachable(context, true);
-            context.set_server_standing(index, ServerAvailability::Unavailable);
+            context.set_server_availability(index, ServerAvailability::Unavailable);
             context.update_discovery(index, ServerState::Gone, false);
         }
         ServerAction::Vanish => {
@@ -148,7 +148,7 @@
             context.update_discovery(index, ServerState::Ready, true);
         }
         ServerAction::Drain if begins => {
-            context.set_server_standing(index, ServerAvailability::Draining);
+            context.set_server_availability(index, ServerAvailability::Draining);
             context.update_discovery(index, ServerState::Draining, false);
         }
         ServerAction::Drain => {
@@ -162,7 +162,7 @@
             }
         }
         ServerAction::Slow => {
-            server.update_faults(context, |faults| faults.slowdown = if begins { on.by } else { 1.0 });
+            server.update_faults(context, |faults| faults.slowdown = if begins { fault.by } else { 1.0 });
         }
         ServerAction::Errors => {
             let default_rate = context.plan.fleet.errors;
@@ -172,16 +172,16 @@
         ServerAction::Reset => server.update_faults(context, |faults| faults.reset_rate = share),
         ServerAction::Spoil => server.update_faults(context, |faults| faults.corrupt_rate = share),
         ServerAction::Report => {
-            server.update_faults(context, |faults| faults.reported_in_flight = begins.then_some(on.by));
+            server.update_faults(context, |faults| faults.reported_in_flight = begins.then_some(fault.by));
         }
     }
 }
 
-fn apply_to_counter(context: &RunContext, on: &CounterFault, phase: Phase) {
+fn apply_to_counter(context: &RunContext, fault: &CounterFault, phase: Phase) {
     let begins = phase == Phase::Begin;
-    match on.action {
+    match fault.action {
         CounterAction::Slow => {
-            context.counter.model().extra_latency_s = if begins { on.by / 1000.0 } else { 0.0 };
+            context.counter.model().extra_latency_s = if begins { fault.by / 1000.0 } else { 0.0 };
         }
         CounterAction::Out => context.counter.set_outage(context, begins),
         CounterAction::Flush => {
@@ -189,21 +189,21 @@
                 context.counter.model().flush();
             }
         }
-        CounterAction::TurnAway => context.counter.model().reject_rate = if begins { on.by } else { 0.0 },
+        CounterAction::TurnAway => context.counter.model().reject_rate = if begins { fault.by } else { 0.0 },
     }
 }
 
-fn apply_to_discovery(context: &RunContext, index: usize, on: &DiscoveryFault, phase: Phase) {
+fn apply_to_discovery(context: &RunContext, index: usize, fault: &DiscoveryFault, phase: Phase) {
     let begins = phase == Phase::Begin;
-    for gateway in context.plan.gateways(on.who, index) {
+    for gateway in context.plan.gateways(fault.who, index) {
         let mut agent = context.discovery.agent(gateway);
-        match on.action {
+        match fault.action {
             DiscoveryAction::Silent => agent.is_silent = begins,
-            DiscoveryAction::Late => agent.delay_s = if begins { on.by } else { 0.0 },
+            DiscoveryAction::Late => agent.delay_s = if begins { fault.by } else { 0.0 },
             DiscoveryAction::Stale => agent.stale_since = begins.then(|| context.now()),
         }
     }
-    if on.action == DiscoveryAction::Silent && begins {
+    if fault.action == DiscoveryAction::Silent && begins {
         context.discovery.close_silent();
     }
     // Open streams check again which changes have reached their agent.
--- a/lab/src/stage/wire.rs
+++ b/lab/src/stage/wire.rs
@@ -316,7 +316,7 @@
             if effect.throttle.is_finite() {
                 sleep(Duration::from_secs_f64(segment.len() as f64 / effect.throttle)).await;
             }
-            let until_reset = effect.reset_at.map(|end| end.saturating_sub(sent_bytes) as usize);
+            let until_reset = effect.reset_at.map(|limit| limit.saturating_sub(sent_bytes) as usize);
             let part = &segment[..until_reset.unwrap_or(segment.len()).min(segment.len())];
             if to.write_all(part).await.is_err() {
                 return Ok(());
@@ -509,8 +509,8 @@
         let (head, head_bytes) = parse_head(request, false).unwrap().unwrap();
         assert_eq!((head.method.as_str(), head.target.as_str(), head.txn), ("POST", "/a?x=1", Some(255)));
         assert_eq!(&request[head_bytes..head_bytes + head.body_bytes], b"hi");
-        let answer = b"HTTP/1.1 429 No\r\nRetry-After: 0.25\r\nConnection: close\r\n\r\n";
-        let (head, _) = parse_head(answer, true).unwrap().unwrap();
+        let response = b"HTTP/1.1 429 No\r\nRetry-After: 0.25\r\nConnection: close\r\n\r\n";
+        let (head, _) = parse_head(response, true).unwrap().unwrap();
         assert_eq!((head.status, head.retry_after_ms, head.close), (429, Some(250), true));
         assert!(parse_head(b"HTTP/1.1 200 OK\r\nConte", true).unwrap().is_none());
         for bad in [
