--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -125,7 +125,7 @@
     let (wrong_responses, unanswered) = find_response_violations(plan, ledger);
     metrics.unanswered = unanswered.count as f64 / ledger.tries.len().max(1) as f64;
     check_rule("each request has one answer, the right one", wrong_responses);
-    if metrics.unanswered > plan.hold.unanswered {
+    if metrics.unanswered > plan.expectations.unanswered {
         check_rule("a request that a living gateway took has its answer", unanswered);
     }
     check_rule("no unsafe request runs twice", find_repeated_non_idempotent_requests(ledger));
@@ -138,13 +138,13 @@
             unmet.add(|| format!("{name} is {value:.4}, over {maximum}"));
         }
     };
-    check_maximum("beyond_quota", metrics.beyond_quota, plan.hold.beyond_quota);
-    check_maximum("refused_needlessly", metrics.refused_needlessly, plan.hold.refused_needlessly);
-    check_maximum("idle", metrics.load_balance.idle, plan.hold.idle);
-    check_maximum("max_to_mean", metrics.load_balance.max_to_mean, plan.hold.max_to_mean);
-    check_maximum("recovery_s", metrics.recovery_s.unwrap_or(f64::INFINITY), plan.hold.recovery_s);
-    if metrics.served < plan.hold.served {
-        unmet.add(|| format!("served is {:.4}, under {}", metrics.served, plan.hold.served));
+    check_maximum("beyond_quota", metrics.beyond_quota, plan.expectations.beyond_quota);
+    check_maximum("refused_needlessly", metrics.refused_needlessly, plan.expectations.refused_needlessly);
+    check_maximum("idle", metrics.load_balance.idle, plan.expectations.idle);
+    check_maximum("max_to_mean", metrics.load_balance.max_to_mean, plan.expectations.max_to_mean);
+    check_maximum("recovery_s", metrics.recovery_s.unwrap_or(f64::INFINITY), plan.expectations.recovery_s);
+    if metrics.served < plan.expectations.served {
+        unmet.add(|| format!("served is {:.4}, under {}", metrics.served, plan.expectations.served));
     }
     check_rule("what the plan says must hold", unmet);
     Verdict { figures: metrics, broken: violations }
@@ -252,7 +252,7 @@
     for (at, gateway, server, draining_or_gone) in &ledger.notifications {
         notifications.entry((*gateway, *server)).or_default().push((*at, *draining_or_gone));
     }
-    let grace_s = plan.hold.drain_grace_ms / 1000.0 + TIMING_SLACK_S + max_link_delay_s(plan);
+    let grace_s = plan.expectations.drain_grace_ms / 1000.0 + TIMING_SLACK_S + max_link_delay_s(plan);
     for attempt in &ledger.attempts {
         let Some(notifications) = notifications.get(&(attempt.gateway, attempt.server)) else { continue };
         let Some((at, true)) = notifications.iter().rev().find(|(at, _)| *at <= attempt.first_byte_at) else {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -283,7 +283,7 @@
         let outcome = run::run_size(options, *size, *percent, &log_progress)?;
         print!("{}", scale::report::text(&outcome));
         if outcome.failure.is_none() && !slopes.is_empty() {
-            print!("{}", forecast::text(&forecast::Model(&slopes).compare(&outcome)));
+            print!("{}", forecast::text(&forecast::CostModel(&slopes).compare(&outcome)));
         }
         if let Some(folder) = out {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -40,8 +40,8 @@
     #[serde(default)]
     pub step: Vec<Step>,
     /// Expected results.
-    #[serde(default)]
-    pub hold: Expectations,
+    #[serde(default, rename = "hold")]
+    pub expectations: Expectations,
 }
 
 fn default_seed() -> u64 {
@@ -674,10 +674,10 @@
         );
         require(is_non_negative(counter.answer_ms), "counter.answer_ms: 0 or more");
         require(
-            is_share(self.hold.served) && is_share(self.hold.unanswered),
+            is_share(self.expectations.served) && is_share(self.expectations.unanswered),
             "hold.served, unanswered: 0 to 1",
         );
-        require(is_non_negative(self.hold.drain_grace_ms), "hold.drain_grace_ms: 0 or more");
+        require(is_non_negative(self.expectations.drain_grace_ms), "hold.drain_grace_ms: 0 or more");
         require(self.step.len() <= MAX_STEPS, "step: 1000 at most");
         for (number, step) in self.step.iter().enumerate() {
             let step_errors = step.validation_errors(self).into_iter();
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -30,10 +30,10 @@
     pub measured: f64,
 }
 
-/// Predictions from measured slopes.
-pub struct Model<'a>(pub &'a [Slope]);
+/// A model that predicts the costs of a run from measured slopes.
+pub struct CostModel<'a>(pub &'a [Slope]);
 
-impl Model<'_> {
+impl CostModel<'_> {
     /// The value of a slope at `n`; 0 for a slope that was not measured.
     fn value_at(&self, what: &str, n: f64) -> f64 {
         self.0.iter().find(|slope| slope.what == what).map_or(0.0, |slope| slope.fit.value_at(n).max(0.0))
@@ -73,7 +73,7 @@
         self.value_at("leader: peak during a Put", percent) + size.gateways as f64 * config_mb
     }
 
-    /// Processor time of the leader for a change, in s.
+    /// CPU time of the leader for a change, in s.
     pub fn leader_change_s(&self, size: FleetSize, percent: f64) -> f64 {
         let codec_ms = self.table_cost("decoding a whole state", percent)
             + self.table_cost("encoding a whole state", percent);
@@ -113,7 +113,7 @@
                 run.leader.rest_cores,
             ),
             comparison(
-                "leader: processor time for a change",
+                "leader: CPU time for a change",
                 "s",
                 self.leader_change_s(size, percent),
                 run.leader.change_cpu_s,
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -28,7 +28,7 @@
     pub messages: u64,
     /// Their bytes, with the length before each.
     pub bytes: u64,
-    /// Processor time to handle them, in s.
+    /// CPU time to handle them, in s.
     pub cpu_s: f64,
 }
 
@@ -102,7 +102,7 @@
         self.snapshots.bytes + self.changes.bytes + self.heartbeat_replies.bytes + self.agent_messages.bytes
     }
 
-    /// Processor time of agent and proxy, in s.
+    /// CPU time of agent and proxy, in s.
     pub fn cpu_s(&self) -> f64 {
         [self.snapshots, self.changes, self.heartbeat_replies, self.agent_messages, self.proxy_updates]
             .iter()
@@ -111,7 +111,7 @@
     }
 }
 
-/// Processor time of this thread, in s.
+/// CPU time of this thread, in s.
 pub fn thread_cpu_s() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
@@ -340,7 +340,7 @@
             // The agent applies an edition before its proxy does.
             outputs.insert(position, Output::AgentApplied(self.edition()));
         }
-        // The proxy's processor time is counted separately.
+        // The proxy's CPU time is counted separately.
         let cpu_s = thread_cpu_s() - start - (self.stats.proxy_updates.cpu_s - proxy_cpu_before);
         self.stats.kinds().into_iter().nth(kind).into_iter().for_each(|stats| stats.cpu_s += cpu_s);
     }
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,6 +1,6 @@
 //! Reports of scale runs: text and plots.
 
-use super::run::{ChangeResult, ProcessUsage, RunResult};
+use super::run::{ChangeResult, ProcessMetrics, RunResult};
 use super::weigh::format_short;
 use plotters::prelude::*;
 use serde_json::Value;
@@ -48,7 +48,7 @@
     if !run.changes.is_empty() && run.changing_s > 0.0 {
         let (agent, proxy) = (&run.changing.changes, &run.changing.proxy_updates);
         line(format!(
-            "a change at a gateway: {} MB; processor time: agent {} ms, proxy {} ms",
+            "a change at a gateway: {} MB; CPU time: agent {} ms, proxy {} ms",
             format_short(run.change_bytes() / 1e6),
             format_short(1000.0 * agent.cpu_s / agent.messages.max(1) as f64),
             format_short(1000.0 * proxy.cpu_s / size.gateways as f64 / run.changes.len() as f64),
@@ -81,7 +81,7 @@
         run.heartbeats_failed,
         format_short(run.heartbeat_ms)
     ));
-    let processes: [(&str, &ProcessUsage); 4] = [
+    let processes: [(&str, &ProcessMetrics); 4] = [
         ("leader", &run.leader),
         ("follower", &run.follower),
         ("real agent", &run.agent),
@@ -89,7 +89,7 @@
     ];
     for (name, usage) in processes {
         line(format!(
-            "{name}: {} cores at rest, {} s of processor time per change, {} MB peak memory, {} MB of disk, {} descriptors",
+            "{name}: {} cores at rest, {} s of CPU time per change, {} MB peak memory, {} MB of disk, {} descriptors",
             format_short(usage.rest_cores),
             format_short(usage.change_cpu_s),
             format_short(usage.peak_mb),
@@ -144,7 +144,7 @@
     let plots = [
         ("force", "s from Put until in effect at all gateways", 7.0),
         ("bytes", "MB per gateway and change", 0.0),
-        ("leader-cores", "s of the leader's processor time per change", 0.0),
+        ("leader-cores", "s of the leader's CPU time per change", 0.0),
         ("leader-memory", "MB of peak memory of the leader", 256.0),
     ];
     for (index, (name, caption, limit)) in plots.into_iter().enumerate() {
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -93,12 +93,12 @@
     pub restarted_gateway: Option<usize>,
 }
 
-/// Resource usage of one process.
+/// Metrics of one process over the phases of a run.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct ProcessUsage {
+pub struct ProcessMetrics {
     /// Cores used while nothing changes.
     pub rest_cores: f64,
-    /// Processor time per change, in s. It includes the usage at rest between the changes, the restarts, and the restart of
+    /// CPU time per change, in s. It includes the usage at rest between the changes, the restarts, and the restart of
     /// the zone.
     pub change_cpu_s: f64,
     /// Peak memory, in MB.
@@ -139,13 +139,13 @@
     #[serde(rename = "zone_back_s")]
     pub zone_restart_s: f64,
     /// The leader at the end of the run.
-    pub leader: ProcessUsage,
+    pub leader: ProcessMetrics,
     /// The follower with the highest peak memory.
-    pub follower: ProcessUsage,
+    pub follower: ProcessMetrics,
     /// The real agent.
-    pub agent: ProcessUsage,
+    pub agent: ProcessMetrics,
     /// The real proxy.
-    pub proxy: ProcessUsage,
+    pub proxy: ProcessMetrics,
     /// Messages of all simulated gateways while nothing changes.
     pub rest: GatewayStats,
     /// Duration of the measurement without changes, in s.
@@ -183,10 +183,10 @@
             changes: Vec::new(),
             restart_s: [f64::INFINITY; 3],
             zone_restart_s: f64::INFINITY,
-            leader: ProcessUsage::default(),
-            follower: ProcessUsage::default(),
-            agent: ProcessUsage::default(),
-            proxy: ProcessUsage::default(),
+            leader: ProcessMetrics::default(),
+            follower: ProcessMetrics::default(),
+            agent: ProcessMetrics::default(),
+            proxy: ProcessMetrics::default(),
             rest: GatewayStats::default(),
             rest_s: 0.0,
             changing: GatewayStats::default(),
@@ -390,18 +390,18 @@
         })
     }
 
-    /// Processor time of each process so far, in s: core processes, agent, proxy.
+    /// CPU time of each process so far, in s: core processes, agent, proxy.
     fn cpu_s(&self) -> Vec<f64> {
         self.cores.iter().chain([&self.agent, &self.proxy]).map(ChildProcess::cpu_s).collect()
     }
 
-    /// Usage of the process with this index. `rest` has the processor times before and after the rest, and its duration;
+    /// Metrics of the process with this index. `rest` has the CPU times before and after the rest, and its duration;
     /// `changes` those before and after the changes, and the number of changes.
     fn usage(
         &self, index: usize, rest: (&[f64], &[f64], f64), changes: (&[f64], &[f64], usize),
-    ) -> ProcessUsage {
+    ) -> ProcessMetrics {
         let process = self.cores.iter().chain([&self.agent, &self.proxy]).nth(index);
-        let Some(process) = process else { return ProcessUsage::default() };
+        let Some(process) = process else { return ProcessMetrics::default() };
         let difference =
             |from: &[f64], to: &[f64]| to.get(index).zip(from.get(index)).map_or(0.0, |(to, from)| to - from);
         let disk_mb = if index < self.cores.len() {
@@ -409,7 +409,7 @@
         } else {
             0.0
         };
-        ProcessUsage {
+        ProcessMetrics {
             rest_cores: difference(rest.0, rest.1) / rest.2.max(1e-9),
             change_cpu_s: difference(changes.0, changes.1) / changes.2.max(1) as f64,
             peak_mb: process.peak_mb(),
@@ -646,7 +646,7 @@
     }
 }
 
-/// Processor times of all processes at the boundaries of the phases, in s, and the index of the leader.
+/// CPU times of all processes at the boundaries of the phases, in s, and the index of the leader.
 #[derive(Default)]
 struct PhaseSamples {
     /// Before and after the rest.
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/weigh.rs
@@ -1,6 +1,6 @@
 //! Measures the cost of single messages and of the parts of the state, by size, and fits a line to each.
 //!
-//! A core member, agents and proxies run in this process in virtual time, without sockets. Costs are the processor time
+//! A core member, agents and proxies run in this process in virtual time, without sockets. Costs are the CPU time
 //! of this thread, and heap memory.
 //!
 //! Files with measured slopes contain the names of the costs, and [`super::forecast`] looks them up by name.
@@ -41,7 +41,7 @@
 
 /// Number of samples of a cost, of which the median is the result.
 const SAMPLES: usize = 5;
-/// Processor time after which a sample ends, in s.
+/// CPU time after which a sample ends, in s.
 const SAMPLE_S: f64 = 0.02;
 /// Number of repeats after which a sample ends.
 const MAX_REPEATS: usize = 20_000;
@@ -84,7 +84,7 @@
     }
 }
 
-/// Processor time of one repeat, in s: the median of several samples, each the mean of its repeats.
+/// CPU time of one repeat, in s: the median of several samples, each the mean of its repeats.
 fn cpu_cost_s(mut repeat: impl FnMut()) -> f64 {
     let mut samples: Vec<f64> = (0..SAMPLES)
         .map(|_| {
