--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -4,8 +4,8 @@
 use granite_lab::plan::Plan;
 use granite_lab::plans::{self, PLANS};
 use granite_lab::report;
-use granite_lab::scale::draw::FleetSize;
-use granite_lab::scale::weigh::{self, Heap};
+use granite_lab::scale::cost_measurement::{self, Heap};
+use granite_lab::scale::generator::FleetSize;
 use granite_lab::scale::{self, forecast, run};
 use granite_lab::stage::{play, play_with_ready_callback, Options};
 use std::io::Write;
@@ -164,8 +164,8 @@
         }
         LabCommand::Slopes { seed, json } => {
             let log_progress = |what: &str| eprintln!("measuring: {what}");
-            let slopes = weigh::measure_slopes(*seed, &TrackedHeap, &log_progress)?;
-            print!("{}", weigh::text(&slopes));
+            let slopes = cost_measurement::measure_slopes(*seed, &TrackedHeap, &log_progress)?;
+            print!("{}", cost_measurement::text(&slopes));
             if let Some(file) = json {
                 let text = serde_json::to_string(&slopes).map_err(|e| e.to_string())?;
                 std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
@@ -270,7 +270,7 @@
     if sizes.iter().any(|(_, size)| size.gateways == 0 || size.backends == 0) || options.changes == 0 {
         return Err("--gateways, --backends and --changes: must be 1 or more".to_owned());
     }
-    let slopes: Vec<weigh::Slope> = match slopes {
+    let slopes: Vec<cost_measurement::Slope> = match slopes {
         Some(file) => {
             let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
             serde_json::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))?
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/cost_measurement.rs
@@ -5,9 +5,9 @@
 //!
 //! Files with measured slopes contain the names of the costs, and [`super::forecast`] looks them up by name.
 
-use super::draw::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
-use super::fit::LinearFit;
-use super::hollow::{thread_cpu_s, ProxyDetail, SimulatedProxy};
+use super::generator::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
+use super::regression::LinearFit;
+use super::simulated_gateway::{thread_cpu_s, ProxyDetail, SimulatedProxy};
 use cherrytally::Millis;
 use overland::agreement::MAX_ENTRY_VERSION;
 use overland::config::Config;
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -1,7 +1,7 @@
 //! Connections and timers of simulated gateways, many on one thread, and heartbeats of simulated backends.
 
-use super::draw::{zone_of, GeneratedFleet, NodeSettings};
-use super::hollow::{GatewayStats, Output, ProxyDetail, SimulatedGateway};
+use super::generator::{zone_of, GeneratedFleet, NodeSettings};
+use super::simulated_gateway::{GatewayStats, Output, ProxyDetail, SimulatedGateway};
 use overland::follow::Event;
 use overland::link::{self, MessageReader, MessageSender};
 use overland::news::{Hello, Purpose, ToAgent};
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -1,8 +1,8 @@
 //! Predicts the metrics of a run from measured slopes, and compares them with the run.
 
-use super::draw::FleetSize;
+use super::cost_measurement::{format_short, Slope};
+use super::generator::FleetSize;
 use super::run::{RunResult, GATEWAY_THREADS};
-use super::weigh::{format_short, Slope};
 use serde::Serialize;
 
 /// Interval between messages of an agent to the leader, in ms (`overland::follow`).
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,12 +1,12 @@
 //! Measures how the system scales: the cost of its single parts, and real core processes under simulated gateways
 //! and backends.
 
-pub mod bounds;
-pub mod draw;
-pub mod fit;
+pub mod cost_measurement;
 pub mod fleet;
 pub mod forecast;
-pub mod hollow;
+pub mod generator;
+pub mod regression;
 pub mod report;
+pub mod resource_limits;
 pub mod run;
-pub mod weigh;
+pub mod simulated_gateway;
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,7 +1,7 @@
 //! Reports of scale runs: text and plots.
 
+use super::cost_measurement::format_short;
 use super::run::{ChangeResult, ProcessMetrics, RunResult};
-use super::weigh::format_short;
 use plotters::prelude::*;
 use serde_json::Value;
 use std::path::Path;
--- a/lab/src/scale/bounds.rs
+++ b/lab/src/scale/resource_limits.rs
@@ -1,6 +1,6 @@
 //! Estimates the resources of a run, and refuses a run that this machine cannot hold.
 
-use super::draw::FleetSize;
+use super::generator::FleetSize;
 use serde::Serialize;
 
 /// Largest share of the machine's memory that a run may use.
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -3,10 +3,10 @@
 //! The run changes the configuration several times, restarts a gateway after each change, and at the end restarts all
 //! gateways of a zone at once.
 
-use super::bounds::{MachineResources, ResourceEstimate};
-use super::draw::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
 use super::fleet::{self, EditionEvent, GatewayThread, HeartbeatStats, Heartbeats};
-use super::hollow::{GatewayStats, ProxyDetail};
+use super::generator::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
+use super::resource_limits::{MachineResources, ResourceEstimate};
+use super::simulated_gateway::{GatewayStats, ProxyDetail};
 use crate::stage::machine;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -1,11 +1,11 @@
 //! Tests of scale runs: generated fleets, resource limits, linear fits, plots, and the command's argument checks.
 #![allow(missing_docs)]
 
-use granite_lab::scale::bounds::{MachineResources, ResourceEstimate};
-use granite_lab::scale::draw::{FleetSize, GeneratedFleet, NodeSettings};
-use granite_lab::scale::fit::LinearFit;
+use granite_lab::scale::cost_measurement::SingleCore;
+use granite_lab::scale::generator::{FleetSize, GeneratedFleet, NodeSettings};
+use granite_lab::scale::regression::LinearFit;
+use granite_lab::scale::resource_limits::{MachineResources, ResourceEstimate};
 use granite_lab::scale::run::{percentiles, GATEWAY_THREADS};
-use granite_lab::scale::weigh::SingleCore;
 use overland::config::{Config, ConfigDocument};
 use overland::settings::Settings;
 use std::process::Command;
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -1,8 +1,8 @@
 //! The lab's simulated gateway sends a core process the same messages as the real agent and proxy, for the
 //! same history.
 
-use granite_lab::scale::draw::{FleetSize, GeneratedFleet, NodeSettings};
-use granite_lab::scale::hollow::{Output, ProxyDetail, SimulatedGateway};
+use granite_lab::scale::generator::{FleetSize, GeneratedFleet, NodeSettings};
+use granite_lab::scale::simulated_gateway::{Output, ProxyDetail, SimulatedGateway};
 use overland::config::ConfigDocument;
 use overland::follow::Event;
 use overland::link::encode_frame;
