--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fault-injection tests for a fleet of gateways. Gateways are real processes on loopback. Servers, the quota counter,
 //! service discovery and clients are simulated behind real sockets, and faults can be injected on every link.
 //!
-//! [`stage::play`] runs a [`plan::Plan`] and records all requests in a [`ledger::Ledger`], which
+//! [`testbed::play`] runs a [`plan::Plan`] and records all requests in a [`ledger::Ledger`], which
 //! [`check::check_run`] checks against the plan. The models under [`model`] use neither sockets nor clocks. [`scale`]
 //! tests the control plane at larger sizes.
 
@@ -14,4 +14,4 @@
 pub mod plans;
 pub mod report;
 pub mod scale;
-pub mod stage;
+pub mod testbed;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -7,7 +7,7 @@
 use granite_lab::scale::cost_measurement::{self, Heap};
 use granite_lab::scale::generator::FleetSize;
 use granite_lab::scale::{self, forecast, run};
-use granite_lab::stage::{play, play_with_ready_callback, Options};
+use granite_lab::testbed::{play, play_with_ready_callback, Options};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,6 +1,6 @@
 //! Reports of a run as text and as JSON.
 
-use crate::stage::Outcome;
+use crate::testbed::Outcome;
 use std::fmt::Write;
 
 fn percent(share: f64) -> String {
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -7,7 +7,7 @@
 use super::generator::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
 use super::resource_limits::{MachineResources, ResourceEstimate};
 use super::simulated_gateway::{GatewayStats, ProxyDetail};
-use crate::stage::machine;
+use crate::testbed::resource_usage;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -268,7 +268,7 @@
     }
 
     fn cpu_s(&self) -> f64 {
-        machine::process_usage(self.id()).cpu_s
+        resource_usage::process_usage(self.id()).cpu_s
     }
 
     fn peak_mb(&self) -> f64 {
@@ -669,7 +669,9 @@
         result.failure = Some(format!("refused: {reason}"));
         return Ok(result);
     }
-    machine::raise_descriptor_limit(result.estimate.descriptors.max(result.estimate.leader_descriptors))?;
+    resource_usage::raise_descriptor_limit(
+        result.estimate.descriptors.max(result.estimate.leader_descriptors),
+    )?;
     let mut real = RealProcesses::start(options, size)?;
     let threads = SimulationThreads::start(&real, &fleet, result.estimate.full_gateways);
     let mut samples = PhaseSamples::default();
--- a/lab/src/stage/counter.rs
+++ b/lab/src/testbed/counter.rs
@@ -2,8 +2,8 @@
 
 use crate::fault::{FaultHandle, Node};
 use crate::model::counter::{Counter, Reply};
-use crate::stage::wire::{format_response, HttpConnection, ServiceListener};
-use crate::stage::RunContext;
+use crate::testbed::wire::{format_response, HttpConnection, ServiceListener};
+use crate::testbed::RunContext;
 use rand::Rng;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
--- a/lab/src/stage/discovery.rs
+++ b/lab/src/testbed/discovery.rs
@@ -2,8 +2,8 @@
 
 use crate::fault::Node;
 use crate::model::registry::{Agent, ServerEntry, ServerState};
-use crate::stage::wire::{format_response, HttpConnection, ServiceListener};
-use crate::stage::RunContext;
+use crate::testbed::wire::{format_response, HttpConnection, ServiceListener};
+use crate::testbed::RunContext;
 use serde_json::json;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
--- a/lab/src/stage/timeline.rs
+++ b/lab/src/testbed/fault_schedule.rs
@@ -5,7 +5,7 @@
     CounterAction, CounterFault, DiscoveryAction, DiscoveryFault, GatewayAction, GatewayFault, LinkFault,
     ServerAction, ServerFault,
 };
-use crate::stage::RunContext;
+use crate::testbed::RunContext;
 use std::sync::Arc;
 
 /// Whether a step begins or ends.
--- a/lab/src/stage/gateways.rs
+++ b/lab/src/testbed/gateways.rs
@@ -3,10 +3,10 @@
 use crate::ledger::GatewayEvent;
 use crate::model::front::{CLASS_NAMES, MAX_UNITS, PLAN_NAMES};
 use crate::plan::{DEADLINES_MS, TARGET_LATENCY_MS};
-use crate::stage::discovery::{registry_json, zone_name};
-use crate::stage::machine::{process_usage, ProcessUsage};
-use crate::stage::wire::{Connection, HttpConnection, ReservedPort};
-use crate::stage::RunContext;
+use crate::testbed::discovery::{registry_json, zone_name};
+use crate::testbed::resource_usage::{process_usage, ProcessUsage};
+use crate::testbed::wire::{Connection, HttpConnection, ReservedPort};
+use crate::testbed::RunContext;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
 use serde_json::{json, Value};
 use std::fs::File;
--- a/lab/src/stage/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -3,12 +3,12 @@
 
 mod clients;
 mod counter;
-mod datagrams;
 mod discovery;
+mod fault_schedule;
 mod gateways;
-pub mod machine;
+pub mod resource_usage;
 mod servers;
-mod timeline;
+mod udp_relay;
 mod wire;
 
 use crate::check::{self, Verdict};
@@ -17,9 +17,9 @@
 use crate::model::front::{self, EdgeRouter, Request};
 use crate::model::registry::{Registry, ServerEntry, ServerState};
 use crate::plan::{EndpointKind, GatewayAction, Plan, ServerAction};
-use machine::{Lateness, LatenessSummary};
 use rand::RngCore;
 use rand_distr::Distribution;
+use resource_usage::{Lateness, LatenessSummary};
 use serde::Serialize;
 use std::future::Future;
 use std::path::{Path, PathBuf};
@@ -138,7 +138,7 @@
     counter: Arc<counter::CounterService>,
     discovery: Arc<discovery::DiscoveryService>,
     gateways: Vec<Arc<gateways::Gateway>>,
-    relays: Option<Arc<datagrams::DatagramRelays>>,
+    relays: Option<Arc<udp_relay::DatagramRelays>>,
     timer_lateness: Lateness,
     client_lateness: Lateness,
     /// Errors of the lab itself.
@@ -194,7 +194,7 @@
             .map(|index| gateways::Gateway::new(index, directory, upgraded.contains(&index)).map(Arc::new))
             .collect();
         let relays = if plan.fleet.cluster {
-            let relays = datagrams::DatagramRelays::new(plan.fleet.gateways).await;
+            let relays = udp_relay::DatagramRelays::new(plan.fleet.gateways).await;
             Some(Arc::new(relays.map_err(cannot_create("datagram relays"))?))
         } else {
             None
@@ -381,7 +381,7 @@
     if !errors.is_empty() {
         return Err(errors.join("\n"));
     }
-    machine::raise_descriptor_limit(machine::required_descriptors(plan))?;
+    resource_usage::raise_descriptor_limit(resource_usage::required_descriptors(plan))?;
     let temporary = tempfile::Builder::new()
         .prefix("granite-lab-")
         .tempdir()
@@ -436,14 +436,14 @@
     let addresses: Vec<_> = context.gateways.iter().map(|gateway| gateway.address()).collect();
     let gateways_cpu_s =
         |context: &RunContext| context.gateways.iter().map(|gateway| gateway.usage().cpu_s).sum::<f64>();
-    let own_usage = || machine::process_usage(std::process::id() as i32);
+    let own_usage = || resource_usage::process_usage(std::process::id() as i32);
     let (cpu_before, own_before) = (gateways_cpu_s(&context), own_usage());
     let load_start = context.now();
     let _ = context.load_start.set(load_start);
     ready(&addresses);
     let load = async {
         let router_updates = apply_router_updates(&context);
-        let clients_and_steps = async { tokio::join!(clients::run(&context), timeline::run(&context)) };
+        let clients_and_steps = async { tokio::join!(clients::run(&context), fault_schedule::run(&context)) };
         tokio::select! {
             _ = clients_and_steps => {}
             () = router_updates => {}
@@ -452,7 +452,7 @@
     };
     let descriptors_under_load = async {
         context.sleep_until(load_start + plan.seconds * 0.8).await;
-        machine::open_descriptors()
+        resource_usage::open_descriptors()
     };
     let ((), descriptors) = tokio::join!(load, descriptors_under_load);
     let (cpu_after, own_after) = (gateways_cpu_s(&context), own_usage());
@@ -481,8 +481,8 @@
         clients_late_ms: context.client_lateness.summary(),
     };
     let mut invalid_reasons = lock(&context.errors).clone();
-    invalid_reasons.extend(machine::starvation_reason("timers", machine.timers_late_ms));
-    invalid_reasons.extend(machine::starvation_reason("clients", machine.clients_late_ms));
+    invalid_reasons.extend(resource_usage::starvation_reason("timers", machine.timers_late_ms));
+    invalid_reasons.extend(resource_usage::starvation_reason("clients", machine.clients_late_ms));
     Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, invalid_reasons, verdict, machine })
 }
 
--- a/lab/src/stage/datagrams.rs
+++ b/lab/src/testbed/udp_relay.rs
@@ -2,7 +2,7 @@
 //! identifies the sender by its address and applies the link faults.
 
 use crate::fault::Node;
-use crate::stage::RunContext;
+use crate::testbed::RunContext;
 use rand::Rng;
 use std::io;
 use std::net::SocketAddr;
--- a/lab/src/stage/wire.rs
+++ b/lab/src/testbed/wire.rs
@@ -2,7 +2,7 @@
 //! faults, and a small HTTP/1.1 implementation.
 
 use crate::fault::{Links, Node};
-use crate::stage::RunContext;
+use crate::testbed::RunContext;
 use rand::Rng;
 use socket2::{Domain, SockFilter, SockRef, Socket, Type};
 use std::io::{self, ErrorKind};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use granite_lab::plan::Plan;
 use granite_lab::plans;
 use granite_lab::report;
-use granite_lab::stage::{play, play_with_ready_callback, Options, Outcome};
+use granite_lab::testbed::{play, play_with_ready_callback, Options, Outcome};
 use std::path::Path;
 use std::sync::Mutex;
 
