--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,7 +1,7 @@
 //! Checks the ledger of a run against the rules and the plan's expectations, and computes its metrics.
 
-use crate::ledger::{AttemptOutcome, Ledger, Try, TryOutcome};
-use crate::load::{self, LoadBalance};
+use crate::history::{AttemptOutcome, Ledger, Try, TryOutcome};
+use crate::load_balance::{self, LoadBalance};
 use crate::plan::{EndpointKind, LinkAction, Plan, Step, TARGET_LATENCY_MS};
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -261,7 +261,10 @@
         // A gateway that was paused or not running at that time reads the notification once it runs.
         let resumed = ledger.gateway_events.iter().filter(|(_, gateway, event)| {
             *gateway == attempt.gateway
-                && matches!(event, crate::ledger::GatewayEvent::Resumed | crate::ledger::GatewayEvent::Ready)
+                && matches!(
+                    event,
+                    crate::history::GatewayEvent::Resumed | crate::history::GatewayEvent::Ready
+                )
         });
         let at = resumed.map(|(at, _, _)| *at).filter(|at| *at <= attempt.first_byte_at).fold(*at, f64::max);
         if attempt.first_byte_at > at + grace_s {
@@ -290,7 +293,7 @@
 fn find_crashes(ledger: &Ledger) -> Cases {
     let mut cases = Cases::default();
     for (at, gateway, _) in
-        ledger.gateway_events.iter().filter(|(_, _, event)| *event == crate::ledger::GatewayEvent::Crashed)
+        ledger.gateway_events.iter().filter(|(_, _, event)| *event == crate::history::GatewayEvent::Crashed)
     {
         cases.add(|| format!("gateway {gateway} exited at {at:.3} s"));
     }
@@ -431,7 +434,7 @@
         latency_ms: [latency_ms_at(0.5), latency_ms_at(0.9), latency_ms_at(0.99), latency_ms_at(1.0)],
         beyond_quota,
         refused_needlessly,
-        load_balance: load::measure(plan, ledger),
+        load_balance: load_balance::measure(plan, ledger),
         recovery_s: recovery_time_s(plan, ledger),
         connections: ledger.connections.len() as f64 / requests,
         probes: ledger.probes as f64 / requests,
@@ -443,8 +446,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::ledger::{transaction_id, Attempt, GatewayEvent, ServerAvailability};
-    use crate::model::front::Request;
+    use crate::history::{transaction_id, Attempt, GatewayEvent, ServerAvailability};
+    use crate::model::workload::Request;
 
     fn plan(rest: &str) -> Plan {
         Plan::read(&format!(
--- a/lab/src/ledger.rs
+++ b/lab/src/history.rs
@@ -4,7 +4,7 @@
 //! A client sends a request in one or more tries, each through one gateway. A gateway forwards a try to servers in any
 //! number of attempts.
 
-use crate::model::front::Request;
+use crate::model::workload::Request;
 
 /// Returns the transaction ID of a try: the index of its request and the number of the try.
 pub fn transaction_id(request_index: usize, try_number: u32) -> u64 {
--- a/lab/src/load.rs
+++ b/lab/src/load_balance.rs
@@ -1,6 +1,6 @@
 //! Load balance metrics: how evenly the load is distributed over the servers, relative to their speeds.
 
-use crate::ledger::{Ledger, ServerAvailability};
+use crate::history::{Ledger, ServerAvailability};
 use crate::plan::Plan;
 use serde::Serialize;
 
@@ -151,7 +151,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::ledger::{Attempt, AttemptOutcome};
+    use crate::history::{Attempt, AttemptOutcome};
 
     /// Ten seconds of four servers with these numbers of arrivals per second, spread over the second or all at once.
     fn ledger(arrivals_per_s: [usize; 4], all_at_once: bool) -> Ledger {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,8 +1,8 @@
 //! Command line of `granite-lab`, which runs fault-injection plans and scale tests on a fleet of gateways.
 
 use clap::{Parser, Subcommand};
+use granite_lab::builtin_plans::{self, PLANS};
 use granite_lab::plan::Plan;
-use granite_lab::plans::{self, PLANS};
 use granite_lab::report;
 use granite_lab::scale::cost_measurement::{self, Heap};
 use granite_lab::scale::generator::FleetSize;
@@ -140,7 +140,7 @@
 
 /// Reads the plan of this name that comes with the program, or else the file at this path.
 fn read_plan(name: &str) -> Result<Plan, String> {
-    let text = match plans::plan(name) {
+    let text = match builtin_plans::plan(name) {
         Some(text) => text.to_owned(),
         None => std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
     };
@@ -157,7 +157,7 @@
             Ok(true)
         }
         LabCommand::Plans { name: Some(name) } => {
-            let text = plans::plan(name)
+            let text = builtin_plans::plan(name)
                 .ok_or_else(|| format!("unknown plan `{name}`: `granite-lab plans` lists the known ones"))?;
             print!("{text}");
             Ok(true)
--- a/lab/src/testbed/clients.rs
+++ b/lab/src/testbed/clients.rs
@@ -3,8 +3,8 @@
 
 use crate::check::TIMING_SLACK_S;
 use crate::fault::Node;
-use crate::ledger::{transaction_id, Try, TryOutcome};
-use crate::model::front::{Request, CLASS_NAMES, PLAN_NAMES};
+use crate::history::{transaction_id, Try, TryOutcome};
+use crate::model::workload::{Request, CLASS_NAMES, PLAN_NAMES};
 use crate::plan::{TrafficAction, DEADLINES_MS};
 use crate::testbed::servers::is_response_for;
 use crate::testbed::wire::{Connection, HttpConnection};
--- a/lab/src/testbed/fault_schedule.rs
+++ b/lab/src/testbed/fault_schedule.rs
@@ -123,7 +123,7 @@
 }
 
 async fn apply_to_server(context: &Arc<RunContext>, index: usize, fault: &ServerFault, phase: Phase) {
-    use crate::ledger::ServerAvailability;
+    use crate::history::ServerAvailability;
     let (server, begins) = (context.servers[index].clone(), phase == Phase::Begin);
     let share = if begins { fault.by } else { 0.0 };
     match fault.action {
--- a/lab/src/testbed/gateways.rs
+++ b/lab/src/testbed/gateways.rs
@@ -1,7 +1,7 @@
 //! Gateway processes: start, kill, pause, resume, reload, upgrade and restart.
 
-use crate::ledger::GatewayEvent;
-use crate::model::front::{CLASS_NAMES, MAX_UNITS, PLAN_NAMES};
+use crate::history::GatewayEvent;
+use crate::model::workload::{CLASS_NAMES, MAX_UNITS, PLAN_NAMES};
 use crate::plan::{DEADLINES_MS, TARGET_LATENCY_MS};
 use crate::testbed::discovery::{registry_json, zone_name};
 use crate::testbed::resource_usage::{process_usage, ProcessUsage};
--- a/lab/src/testbed/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -13,9 +13,9 @@
 
 use crate::check::{self, Verdict};
 use crate::fault::{Effect, FaultHandle, Links, Node};
-use crate::ledger::{GatewayEvent, Ledger, ServerAvailability};
-use crate::model::front::{self, EdgeRouter, Request};
+use crate::history::{GatewayEvent, Ledger, ServerAvailability};
 use crate::model::registry::{Registry, ServerEntry, ServerState};
+use crate::model::workload::{self, EdgeRouter, Request};
 use crate::plan::{EndpointKind, GatewayAction, Plan, ServerAction};
 use rand::RngCore;
 use rand_distr::Distribution;
@@ -177,7 +177,7 @@
             has_link_step(EndpointKind::Clients),
         ];
         let mut rng = plan.rng(3);
-        let speed_distribution = front::lognormal(1.0, plan.fleet.speed_cv);
+        let speed_distribution = workload::lognormal(1.0, plan.fleet.speed_cv);
         let server_count = plan.fleet.servers + plan.fleet.spare;
         let speeds: Vec<f64> = (0..server_count).map(|_| speed_distribution.sample(&mut rng)).collect();
         let servers: std::io::Result<Vec<_>> = speeds
@@ -199,7 +199,7 @@
         } else {
             None
         };
-        let requests = front::generate_requests(plan);
+        let requests = workload::generate_requests(plan);
         let first_sent = vec![None; requests.len()];
         let ledger = Ledger { requests: requests.clone(), first_sent, speeds, ..Ledger::default() };
         Ok(Arc::new(RunContext {
--- a/lab/src/testbed/servers.rs
+++ b/lab/src/testbed/servers.rs
@@ -1,7 +1,7 @@
 //! The simulated servers: their model, served over HTTP.
 
 use crate::fault::{FaultHandle, Node};
-use crate::ledger::{request_index, Attempt, AttemptOutcome, ServerAvailability};
+use crate::history::{request_index, Attempt, AttemptOutcome, ServerAvailability};
 use crate::model::registry::ServerState;
 use crate::model::server::{Admission, Server, ServerFaults};
 use crate::testbed::wire::{format_response, Connection, HttpConnection, ServiceListener};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 mod played;
 
+use granite_lab::builtin_plans;
 use granite_lab::plan::Plan;
-use granite_lab::plans;
 use granite_lab::report;
 use granite_lab::testbed::{play, play_with_ready_callback, Options, Outcome};
 use std::path::Path;
@@ -20,7 +20,7 @@
 }
 
 fn plan(name: &str) -> Plan {
-    Plan::read(plans::plan(name).expect("it comes with the stage")).unwrap()
+    Plan::read(builtin_plans::plan(name).expect("it comes with the stage")).unwrap()
 }
 
 /// Plays a plan until a run of it is valid.
