--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,6 +1,6 @@
-//! Checks the ledger of a run against the rules and the plan's expectations, and computes its metrics.
+//! Checks the history of a run against the rules and the plan's expectations, and computes its metrics.
 
-use crate::history::{AttemptOutcome, Ledger, Try, TryOutcome};
+use crate::history::{AttemptOutcome, History, Try, TryOutcome};
 use crate::load_balance::{self, LoadBalance};
 use crate::plan::{EndpointKind, LinkAction, Plan, Step, TARGET_LATENCY_MS};
 use hdrhistogram::Histogram;
@@ -114,24 +114,24 @@
 }
 
 /// Checks a run against the rules and the plan's expectations.
-pub fn check_run(plan: &Plan, ledger: &Ledger) -> Verdict {
-    let mut metrics = compute_metrics(plan, ledger);
+pub fn check_run(plan: &Plan, history: &History) -> Verdict {
+    let mut metrics = compute_metrics(plan, history);
     let mut violations = Vec::new();
     let mut check_rule = |rule: &'static str, cases: Cases| {
         if cases.count > 0 {
             violations.push(Violation { rule, times: cases.count, cases: cases.listed });
         }
     };
-    let (wrong_responses, unanswered) = find_response_violations(plan, ledger);
-    metrics.unanswered = unanswered.count as f64 / ledger.tries.len().max(1) as f64;
+    let (wrong_responses, unanswered) = find_response_violations(plan, history);
+    metrics.unanswered = unanswered.count as f64 / history.tries.len().max(1) as f64;
     check_rule("each request has one answer, the right one", wrong_responses);
     if metrics.unanswered > plan.expectations.unanswered {
         check_rule("a request that a living gateway took has its answer", unanswered);
     }
-    check_rule("no unsafe request runs twice", find_repeated_non_idempotent_requests(ledger));
-    check_rule("nothing new to a server that drains or is gone", find_drain_violations(plan, ledger));
-    check_rule("servers get what clients sent", find_unknown_requests(ledger));
-    check_rule("a gateway does not end by itself", find_crashes(ledger));
+    check_rule("no unsafe request runs twice", find_repeated_non_idempotent_requests(history));
+    check_rule("nothing new to a server that drains or is gone", find_drain_violations(plan, history));
+    check_rule("servers get what clients sent", find_unknown_requests(history));
+    check_rule("a gateway does not end by itself", find_crashes(history));
     let mut unmet = Cases::default();
     let mut check_maximum = |name: &str, value: f64, maximum: Option<f64>| {
         if let Some(maximum) = maximum.filter(|maximum| value > *maximum) {
@@ -167,11 +167,11 @@
 
 /// Returns the tries with wrong or duplicate responses, and the tries that a running gateway accepted but did not
 /// respond to.
-fn find_response_violations(plan: &Plan, ledger: &Ledger) -> (Cases, Cases) {
+fn find_response_violations(plan: &Plan, history: &History) -> (Cases, Cases) {
     let (mut wrong, mut unanswered) = (Cases::default(), Cases::default());
     let accepted: HashSet<u64> =
-        ledger.attempts.iter().filter(|attempt| attempt.accepted).map(|attempt| attempt.txn).collect();
-    for client_try in &ledger.tries {
+        history.attempts.iter().filter(|attempt| attempt.accepted).map(|attempt| attempt.txn).collect();
+    for client_try in &history.tries {
         let Try { txn, gateway, sent_at, deadline, .. } = *client_try;
         let name = || format!("{txn:016x} at gateway {gateway}, sent at {sent_at:.3} s");
         if client_try.extra_responses > 0 {
@@ -185,7 +185,8 @@
                 wrong.add(|| format!("{}: served, but no server accepted it", name()));
             }
             Some((ended, TryOutcome::Disconnected | TryOutcome::TimedOut)) => {
-                let was_running = ledger.was_running(gateway, sent_at, ended.max(deadline), SHUTDOWN_GRACE_S);
+                let was_running =
+                    history.was_running(gateway, sent_at, ended.max(deadline), SHUTDOWN_GRACE_S);
                 if was_running && !is_client_link_faulty(plan, gateway, sent_at, ended) {
                     unanswered.add(|| format!("{}: no response by {ended:.3} s", name()));
                 }
@@ -199,13 +200,13 @@
 
 /// Returns the non-idempotent requests that were accepted twice, in the same try or in two, and the non-idempotent
 /// tries that were refused although a server may have accepted them.
-fn find_repeated_non_idempotent_requests(ledger: &Ledger) -> Cases {
+fn find_repeated_non_idempotent_requests(history: &History) -> Cases {
     let mut cases = Cases::default();
-    let is_non_idempotent = |request_index: usize| ledger.requests[request_index].class == 1;
+    let is_non_idempotent = |request_index: usize| history.requests[request_index].class == 1;
     let mut by_request: HashMap<usize, Vec<u64>> = HashMap::new();
-    for attempt in ledger.attempts.iter().filter(|attempt| attempt.accepted) {
+    for attempt in history.attempts.iter().filter(|attempt| attempt.accepted) {
         if let Some(request_index) =
-            ledger.request_index(attempt.txn).filter(|index| is_non_idempotent(*index))
+            history.request_index(attempt.txn).filter(|index| is_non_idempotent(*index))
         {
             by_request.entry(request_index).or_default().push(attempt.txn);
         }
@@ -215,7 +216,7 @@
             cases.add(|| format!("request {request_index} ran as {txns:x?}"));
         }
     }
-    for client_try in &ledger.tries {
+    for client_try in &history.tries {
         let accepted =
             || by_request.get(&client_try.request_index).is_some_and(|txns| txns.contains(&client_try.txn));
         if matches!(client_try.outcome, Some((_, TryOutcome::Refused(_))))
@@ -246,20 +247,20 @@
 }
 
 /// Returns the attempts at a server after the gateway was notified that it is draining or gone.
-fn find_drain_violations(plan: &Plan, ledger: &Ledger) -> Cases {
+fn find_drain_violations(plan: &Plan, history: &History) -> Cases {
     let mut cases = Cases::default();
     let mut notifications: HashMap<(usize, usize), Vec<(f64, bool)>> = HashMap::new();
-    for (at, gateway, server, draining_or_gone) in &ledger.notifications {
+    for (at, gateway, server, draining_or_gone) in &history.notifications {
         notifications.entry((*gateway, *server)).or_default().push((*at, *draining_or_gone));
     }
     let grace_s = plan.expectations.drain_grace_ms / 1000.0 + TIMING_SLACK_S + max_link_delay_s(plan);
-    for attempt in &ledger.attempts {
+    for attempt in &history.attempts {
         let Some(notifications) = notifications.get(&(attempt.gateway, attempt.server)) else { continue };
         let Some((at, true)) = notifications.iter().rev().find(|(at, _)| *at <= attempt.first_byte_at) else {
             continue;
         };
         // A gateway that was paused or not running at that time reads the notification once it runs.
-        let resumed = ledger.gateway_events.iter().filter(|(_, gateway, event)| {
+        let resumed = history.gateway_events.iter().filter(|(_, gateway, event)| {
             *gateway == attempt.gateway
                 && matches!(
                     event,
@@ -282,18 +283,18 @@
     cases
 }
 
-fn find_unknown_requests(ledger: &Ledger) -> Cases {
+fn find_unknown_requests(history: &History) -> Cases {
     let mut cases = Cases::default();
-    if ledger.unknown_requests > 0 {
-        cases.add(|| format!("{} requests that no client sent", ledger.unknown_requests));
+    if history.unknown_requests > 0 {
+        cases.add(|| format!("{} requests that no client sent", history.unknown_requests));
     }
     cases
 }
 
-fn find_crashes(ledger: &Ledger) -> Cases {
+fn find_crashes(history: &History) -> Cases {
     let mut cases = Cases::default();
     for (at, gateway, _) in
-        ledger.gateway_events.iter().filter(|(_, _, event)| *event == crate::history::GatewayEvent::Crashed)
+        history.gateway_events.iter().filter(|(_, _, event)| *event == crate::history::GatewayEvent::Crashed)
     {
         cases.add(|| format!("gateway {gateway} exited at {at:.3} s"));
     }
@@ -308,7 +309,7 @@
 
 /// Returns the share of forwarded units that exceeded quotas, and the share of tries that were refused within the quota
 /// while a server had an idle core.
-fn quota_metrics(plan: &Plan, ledger: &Ledger) -> (f64, f64) {
+fn quota_metrics(plan: &Plan, history: &History) -> (f64, f64) {
     enum Event {
         /// The estimated units are charged.
         Forwarded,
@@ -318,29 +319,29 @@
     }
     let mut events: Vec<(f64, usize, Event)> = Vec::new();
     let (mut forwarded, mut settled) = (HashSet::new(), HashSet::new());
-    for attempt in &ledger.attempts {
-        let Some(request_index) = ledger.request_index(attempt.txn) else { continue };
+    for attempt in &history.attempts {
+        let Some(request_index) = history.request_index(attempt.txn) else { continue };
         if forwarded.insert(attempt.txn) {
             events.push((attempt.received_at, request_index, Event::Forwarded));
         }
         if attempt.outcome.1 == AttemptOutcome::Done && settled.insert(attempt.txn) {
             let refund =
-                ledger.requests[request_index].estimated_units - ledger.requests[request_index].units;
+                history.requests[request_index].estimated_units - history.requests[request_index].units;
             events.push((attempt.outcome.0, request_index, Event::Settled(refund)));
         }
     }
-    for client_try in &ledger.tries {
+    for client_try in &history.tries {
         if let Some((at, TryOutcome::Refused(_))) = client_try.outcome {
             events.push((at, client_try.request_index, Event::Refused));
         }
     }
     events.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut needless: Vec<f64> = ledger.needless_refusals.clone();
+    let mut needless: Vec<f64> = history.needless_refusals.clone();
     needless.sort_by(f64::total_cmp);
     let mut buckets: HashMap<u32, TokenBucket> = HashMap::new();
     let (mut units, mut units_beyond_quota, mut needless_refusals) = (0.0, 0.0, 0usize);
     for (at, request_index, event) in events {
-        let request = ledger.requests[request_index];
+        let request = history.requests[request_index];
         let service_plan = request.service_plan() as usize;
         let rate = plan.traffic.rate[service_plan];
         let burst = rate * plan.traffic.burst_s[service_plan];
@@ -368,16 +369,16 @@
     }
     (
         if units > 0.0 { units_beyond_quota / units } else { 0.0 },
-        needless_refusals as f64 / ledger.tries.len().max(1) as f64,
+        needless_refusals as f64 / history.tries.len().max(1) as f64,
     )
 }
 
 /// Returns the share of requests that were served, for each second in which they were due. None if none was due.
-fn served_per_second(ledger: &Ledger) -> Vec<Option<f64>> {
-    let seconds = ledger.load_end.floor() as usize;
+fn served_per_second(history: &History) -> Vec<Option<f64>> {
+    let seconds = history.load_end.floor() as usize;
     let mut counts = vec![(0usize, 0usize); seconds];
-    for (request_index, served_at) in ledger.served_at().iter().enumerate() {
-        if let Some((due, served)) = counts.get_mut(ledger.requests[request_index].due_at as usize) {
+    for (request_index, served_at) in history.served_at().iter().enumerate() {
+        if let Some((due, served)) = counts.get_mut(history.requests[request_index].due_at as usize) {
             *due += 1;
             *served += usize::from(served_at.is_some());
         }
@@ -386,9 +387,9 @@
 }
 
 /// Returns the time from the end of the last step until the service recovers, in s.
-fn recovery_time_s(plan: &Plan, ledger: &Ledger) -> Option<f64> {
+fn recovery_time_s(plan: &Plan, history: &History) -> Option<f64> {
     let (start, end) = plan.fault_window()?;
-    let served = served_per_second(ledger);
+    let served = served_per_second(history);
     let before: Vec<_> = served.iter().take(start.floor() as usize).skip(1).flatten().copied().collect();
     let before = before.iter().sum::<f64>() / before.len().max(1) as f64;
     let after: Vec<_> = served.iter().skip(end.ceil() as usize).map(|share| share.unwrap_or(1.0)).collect();
@@ -397,18 +398,18 @@
     Some(end.ceil() - end + recovered as f64)
 }
 
-fn compute_metrics(plan: &Plan, ledger: &Ledger) -> Metrics {
-    let tries = ledger.tries.len().max(1) as f64;
-    let requests = ledger.first_sent.iter().flatten().count().max(1) as f64;
+fn compute_metrics(plan: &Plan, history: &History) -> Metrics {
+    let tries = history.tries.len().max(1) as f64;
+    let requests = history.first_sent.iter().flatten().count().max(1) as f64;
     let share_of_tries = |matches: &dyn Fn(&TryOutcome) -> bool| {
-        let ended = ledger.tries.iter().filter_map(|client_try| client_try.outcome);
+        let ended = history.tries.iter().filter_map(|client_try| client_try.outcome);
         ended.filter(|(_, outcome)| matches(outcome)).count() as f64 / tries
     };
     let mut latency =
         Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid histogram bounds");
-    let served_times = ledger.served_at();
+    let served_times = history.served_at();
     let mut in_time = 0;
-    for (request, served_at) in ledger.requests.iter().zip(&served_times) {
+    for (request, served_at) in history.requests.iter().zip(&served_times) {
         if let Some(at) = served_at {
             // Measured from the due time, so that delays of the client are included (coordinated omission).
             let latency_us = ((at - request.due_at).max(0.0) * 1e6) as u64;
@@ -417,10 +418,10 @@
         }
     }
     let latency_ms_at = |quantile: f64| latency.value_at_quantile(quantile) as f64 / 1000.0;
-    let (beyond_quota, refused_needlessly) = quota_metrics(plan, ledger);
-    let (calls, calls_turned_away) = ledger.counter_calls;
+    let (beyond_quota, refused_needlessly) = quota_metrics(plan, history);
+    let (calls, calls_turned_away) = history.counter_calls;
     Metrics {
-        requests: ledger.first_sent.iter().flatten().count(),
+        requests: history.first_sent.iter().flatten().count(),
         served: served_times.iter().flatten().count() as f64 / requests,
         in_time: in_time as f64 / requests,
         refused: share_of_tries(&|outcome| matches!(outcome, TryOutcome::Refused(_))),
@@ -429,15 +430,15 @@
         disconnected: share_of_tries(&|outcome| *outcome == TryOutcome::Disconnected),
         timed_out: share_of_tries(&|outcome| *outcome == TryOutcome::TimedOut),
         unanswered: 0.0, // set by the rule check
-        tries: ledger.tries.len() as f64 / requests,
-        attempts: ledger.attempts.len() as f64 / requests,
+        tries: history.tries.len() as f64 / requests,
+        attempts: history.attempts.len() as f64 / requests,
         latency_ms: [latency_ms_at(0.5), latency_ms_at(0.9), latency_ms_at(0.99), latency_ms_at(1.0)],
         beyond_quota,
         refused_needlessly,
-        load_balance: load_balance::measure(plan, ledger),
-        recovery_s: recovery_time_s(plan, ledger),
-        connections: ledger.connections.len() as f64 / requests,
-        probes: ledger.probes as f64 / requests,
+        load_balance: load_balance::measure(plan, history),
+        recovery_s: recovery_time_s(plan, history),
+        connections: history.connections.len() as f64 / requests,
+        probes: history.probes as f64 / requests,
         calls: calls as f64 / requests,
         calls_turned_away: calls_turned_away as f64 / calls.max(1) as f64,
     }
@@ -458,14 +459,15 @@
 
     /// Ten seconds without faults: ten requests per second, each by a different customer and every second one
     /// non-idempotent.
-    fn faultless_ledger() -> Ledger {
-        let mut ledger = Ledger { load_end: 10.0, speeds: vec![1.0; 2], ..Ledger::default() };
-        ledger.server_availability = vec![(0.0, 0, ServerAvailability::Up), (0.0, 1, ServerAvailability::Up)];
-        ledger.gateway_events = (0..3).map(|gateway| (-1.0, gateway, GatewayEvent::Ready)).collect();
+    fn faultless_history() -> History {
+        let mut history = History { load_end: 10.0, speeds: vec![1.0; 2], ..History::default() };
+        history.server_availability =
+            vec![(0.0, 0, ServerAvailability::Up), (0.0, 1, ServerAvailability::Up)];
+        history.gateway_events = (0..3).map(|gateway| (-1.0, gateway, GatewayEvent::Ready)).collect();
         for request_index in 0..100 {
             let at = request_index as f64 / 10.0;
             let class = (request_index % 2) as u8;
-            ledger.requests.push(Request {
+            history.requests.push(Request {
                 due_at: at,
                 customer: request_index as u32,
                 class,
@@ -474,9 +476,9 @@
                 units: 2.0,
                 honors_retry_after: true,
             });
-            ledger.first_sent.push(Some(at));
+            history.first_sent.push(Some(at));
             let (txn, gateway) = (transaction_id(request_index, 0), request_index % 3);
-            ledger.tries.push(Try {
+            history.tries.push(Try {
                 txn,
                 request_index,
                 gateway,
@@ -486,7 +488,7 @@
                 outcome: Some((at + 0.06, TryOutcome::Served)),
                 extra_responses: 0,
             });
-            ledger.attempts.push(Attempt {
+            history.attempts.push(Attempt {
                 txn,
                 server: request_index / 2 % 2,
                 gateway,
@@ -496,17 +498,17 @@
                 outcome: (at + 0.055, AttemptOutcome::Done),
             });
         }
-        ledger
+        history
     }
 
-    fn violated_rules(plan: &Plan, ledger: &Ledger) -> Vec<&'static str> {
-        check_run(plan, ledger).broken.iter().map(|violation| violation.rule).collect()
+    fn violated_rules(plan: &Plan, history: &History) -> Vec<&'static str> {
+        check_run(plan, history).broken.iter().map(|violation| violation.rule).collect()
     }
 
     #[test]
     fn faultless_run_violates_no_rule() {
         let hold = "[hold]\nserved = 1.0\nbeyond_quota = 0.0\nrefused_needlessly = 0.0\nidle = 0.0\nmax_to_mean = 1.5";
-        let verdict = check_run(&plan(hold), &faultless_ledger());
+        let verdict = check_run(&plan(hold), &faultless_history());
         assert!(verdict.held(), "expected no violation: {verdict:?}");
         let metrics = verdict.figures;
         assert_eq!(
@@ -526,7 +528,7 @@
         const UNANSWERED: &str = "a request that a living gateway took has its answer";
         const TWICE: &str = "no unsafe request runs twice";
         const DRAIN: &str = "nothing new to a server that drains or is gone";
-        type Damage = fn(&mut Ledger);
+        type Damage = fn(&mut History);
         let cases: [(&str, Damage); 13] = [
             (ANSWER, |l| l.tries[4].extra_responses = 1),
             (ANSWER, |l| l.tries[4].outcome = Some((0.5, TryOutcome::WrongBody))),
@@ -549,63 +551,64 @@
         ];
         let plan = plan("[hold]\nserved = 0.95");
         for (number, (rule, damage)) in cases.into_iter().enumerate() {
-            let mut ledger = faultless_ledger();
-            damage(&mut ledger);
-            assert_eq!(violated_rules(&plan, &ledger), [rule], "case {number}");
+            let mut history = faultless_history();
+            damage(&mut history);
+            assert_eq!(violated_rules(&plan, &history), [rule], "case {number}");
         }
     }
 
     #[test]
     fn allowed_effects_of_faults_violate_no_rule() {
         // The gateway was killed before it could respond.
-        let mut ledger = faultless_ledger();
-        ledger.tries[4].outcome = Some((0.5, TryOutcome::Disconnected));
-        ledger.gateway_events.push((0.45, 1, GatewayEvent::Killed));
-        assert_eq!(violated_rules(&plan(""), &ledger), [""; 0]);
+        let mut history = faultless_history();
+        history.tries[4].outcome = Some((0.5, TryOutcome::Disconnected));
+        history.gateway_events.push((0.45, 1, GatewayEvent::Killed));
+        assert_eq!(violated_rules(&plan(""), &history), [""; 0]);
         // The link to the client was cut.
-        ledger.gateway_events.pop();
+        history.gateway_events.pop();
         let cut =
             "[[step]]\nat = 0.1\nfor = 1\nlink = { from = \"clients\", to = \"gateways 1\", do = \"cut\" }";
-        assert_eq!(violated_rules(&plan(cut), &ledger), [""; 0]);
+        assert_eq!(violated_rules(&plan(cut), &history), [""; 0]);
         // An idempotent request may run twice, and a server may be used again once it is ready again.
-        ledger = faultless_ledger();
-        ledger.attempts.push(Attempt { server: 1, ..ledger.attempts[4] });
-        ledger.notifications = vec![(5.0, 0, 0, true), (5.2, 0, 0, false)];
-        assert_eq!(violated_rules(&plan(""), &ledger), [""; 0]);
+        history = faultless_history();
+        history.attempts.push(Attempt { server: 1, ..history.attempts[4] });
+        history.notifications = vec![(5.0, 0, 0, true), (5.2, 0, 0, false)];
+        assert_eq!(violated_rules(&plan(""), &history), [""; 0]);
     }
 
     #[test]
     fn units_beyond_a_quota_and_needless_refusals_are_counted() {
-        let mut ledger = faultless_ledger();
+        let mut history = faultless_history();
         // A quota of 4 units per second with a burst of 20 against a demand of 20 units per second.
-        ledger.requests.iter_mut().for_each(|request| request.customer = 0);
-        let verdict = check_run(&plan("[hold]\nbeyond_quota = 0.5"), &ledger);
+        history.requests.iter_mut().for_each(|request| request.customer = 0);
+        let verdict = check_run(&plan("[hold]\nbeyond_quota = 0.5"), &history);
         assert!(
             (0.65..0.8).contains(&verdict.figures.beyond_quota),
             "expected 65% to 80% of units beyond the quota: {:?}",
             verdict.figures
         );
         assert_eq!(verdict.broken[0].rule, "what the plan says must hold");
-        let mut ledger = faultless_ledger();
+        let mut history = faultless_history();
         for number in [10, 20, 30] {
-            let at = ledger.tries[number].sent_at;
-            ledger.tries[number].outcome = Some((at, TryOutcome::Refused(Some(100))));
-            ledger.attempts.retain(|attempt| attempt.txn != transaction_id(number, 0));
+            let at = history.tries[number].sent_at;
+            history.tries[number].outcome = Some((at, TryOutcome::Refused(Some(100))));
+            history.attempts.retain(|attempt| attempt.txn != transaction_id(number, 0));
         }
-        assert_eq!(check_run(&plan(""), &ledger).figures.refused_needlessly, 0.0);
-        ledger.needless_refusals = vec![ledger.tries[10].sent_at, ledger.tries[30].sent_at];
-        assert_eq!(check_run(&plan(""), &ledger).figures.refused_needlessly, 0.02);
+        assert_eq!(check_run(&plan(""), &history).figures.refused_needlessly, 0.0);
+        history.needless_refusals = vec![history.tries[10].sent_at, history.tries[30].sent_at];
+        assert_eq!(check_run(&plan(""), &history).figures.refused_needlessly, 0.02);
     }
 
     #[test]
     fn recovery_time_is_measured_from_the_end_of_the_last_step() {
         let step = "[[step]]\nat = 2\nfor = 2\ncounter = { do = \"out\" }\n[hold]\nrecovery_s = 1.5";
-        let mut ledger = faultless_ledger();
-        assert_eq!(check_run(&plan(step), &ledger).figures.recovery_s, Some(0.0));
+        let mut history = faultless_history();
+        assert_eq!(check_run(&plan(step), &history).figures.recovery_s, Some(0.0));
         for index in 20..60 {
-            ledger.tries[index].outcome = Some((ledger.tries[index].sent_at + 0.1, TryOutcome::Failed(502)));
+            history.tries[index].outcome =
+                Some((history.tries[index].sent_at + 0.1, TryOutcome::Failed(502)));
         }
-        let verdict = check_run(&plan(step), &ledger);
+        let verdict = check_run(&plan(step), &history);
         assert_eq!(verdict.figures.recovery_s, Some(2.0));
         assert!(
             verdict.broken[0].cases[0].contains("recovery_s is 2"),
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -124,7 +124,7 @@
 
 /// All records of a run.
 #[derive(Default)]
-pub struct Ledger {
+pub struct History {
     /// All planned requests, in order of their due times. Other records refer to a request by its index here.
     pub requests: Vec<Request>,
     /// When each request was first sent, in s, or none if the run ended before.
@@ -156,7 +156,7 @@
     pub load_end: f64,
 }
 
-impl Ledger {
+impl History {
     /// Whether a gateway ran without interruption from `from` until `until`, so that it had to respond to a request
     /// received at `from`. After SIGTERM it accepts requests for another `shutdown_grace` seconds.
     pub fn was_running(&self, gateway: usize, from: f64, until: f64, shutdown_grace: f64) -> bool {
--- a/lab/src/load_balance.rs
+++ b/lab/src/load_balance.rs
@@ -1,6 +1,6 @@
 //! Load balance metrics: how evenly the load is distributed over the servers, relative to their speeds.
 
-use crate::history::{Ledger, ServerAvailability};
+use crate::history::{History, ServerAvailability};
 use crate::plan::Plan;
 use serde::Serialize;
 
@@ -46,27 +46,27 @@
 }
 
 /// Computes the load balance metrics of a run.
-pub fn measure(plan: &Plan, ledger: &Ledger) -> LoadBalance {
-    let servers = ledger.speeds.len();
-    let windows = (ledger.load_end / WINDOW_S).floor() as usize;
+pub fn measure(plan: &Plan, history: &History) -> LoadBalance {
+    let servers = history.speeds.len();
+    let windows = (history.load_end / WINDOW_S).floor() as usize;
     let mut arrivals = vec![vec![0.0f64; servers]; windows];
     let mut in_hand = vec![vec![0.0f64; servers]; windows];
-    for attempt in &ledger.attempts {
+    for attempt in &history.attempts {
         let window = (attempt.received_at / WINDOW_S) as usize;
         if window < windows {
-            arrivals[window][attempt.server] += 1.0 / ledger.speeds[attempt.server];
+            arrivals[window][attempt.server] += 1.0 / history.speeds[attempt.server];
         }
         if !attempt.accepted {
             continue;
         }
         // Adds the time that the request spent at the server to each window that it overlaps.
         let (from, until) =
-            (attempt.received_at, attempt.outcome.0.max(attempt.received_at).min(ledger.load_end));
+            (attempt.received_at, attempt.outcome.0.max(attempt.received_at).min(history.load_end));
         let last = ((until / WINDOW_S) as usize).min(windows.saturating_sub(1));
         for (window, concurrent) in in_hand.iter_mut().enumerate().take(last + 1).skip(window) {
             let (starts, ends) = (window as f64 * WINDOW_S, (window + 1) as f64 * WINDOW_S);
             concurrent[attempt.server] +=
-                (until.min(ends) - from.max(starts)).max(0.0) / ledger.speeds[attempt.server];
+                (until.min(ends) - from.max(starts)).max(0.0) / history.speeds[attempt.server];
         }
     }
     let cores = plan.fleet.cores as f64;
@@ -77,8 +77,8 @@
         // Servers that were up during the whole window.
         let up: Vec<_> = (0..servers)
             .filter(|server| {
-                ledger.server_availability_at(*server, starts) == ServerAvailability::Up
-                    && !ledger
+                history.server_availability_at(*server, starts) == ServerAvailability::Up
+                    && !history
                         .server_availability
                         .iter()
                         .any(|(at, which, _)| which == server && (starts..ends).contains(at))
@@ -107,7 +107,7 @@
             idle = idle.max(idle_servers as f64 / up.len() as f64);
         }
     }
-    let (herds, herd_gateways) = count_herds(ledger, servers);
+    let (herds, herd_gateways) = count_herds(history, servers);
     let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
     ratios.sort_by(f64::total_cmp);
     let p99 = ratios.get((ratios.len() * 99 / 100).min(ratios.len().saturating_sub(1))).copied();
@@ -124,10 +124,10 @@
 }
 
 /// Returns the number of herds, and the average number of gateways that contributed to one.
-fn count_herds(ledger: &Ledger, servers: usize) -> (usize, f64) {
-    let windows = (ledger.load_end / HERD_WINDOW_S).ceil() as usize + 1;
+fn count_herds(history: &History, servers: usize) -> (usize, f64) {
+    let windows = (history.load_end / HERD_WINDOW_S).ceil() as usize + 1;
     let mut arrivals: Vec<Vec<(usize, usize)>> = vec![Vec::new(); windows];
-    for attempt in &ledger.attempts {
+    for attempt in &history.attempts {
         if let Some(window) = arrivals.get_mut((attempt.received_at / HERD_WINDOW_S) as usize) {
             window.push((attempt.server, attempt.gateway));
         }
@@ -154,9 +154,9 @@
     use crate::history::{Attempt, AttemptOutcome};
 
     /// Ten seconds of four servers with these numbers of arrivals per second, spread over the second or all at once.
-    fn ledger(arrivals_per_s: [usize; 4], all_at_once: bool) -> Ledger {
-        let mut ledger = Ledger { load_end: 10.0, speeds: vec![1.0; 4], ..Ledger::default() };
-        ledger.server_availability = (0..4).map(|server| (0.0, server, ServerAvailability::Up)).collect();
+    fn history(arrivals_per_s: [usize; 4], all_at_once: bool) -> History {
+        let mut history = History { load_end: 10.0, speeds: vec![1.0; 4], ..History::default() };
+        history.server_availability = (0..4).map(|server| (0.0, server, ServerAvailability::Up)).collect();
         for second in 0..10 {
             for (server, count) in arrivals_per_s.into_iter().enumerate() {
                 for number in 0..count {
@@ -171,11 +171,11 @@
                         accepted: true,
                         outcome: (received_at + 0.1, AttemptOutcome::Done),
                     };
-                    ledger.attempts.push(attempt);
+                    history.attempts.push(attempt);
                 }
             }
         }
-        ledger
+        history
     }
 
     fn plan() -> Plan {
@@ -185,25 +185,25 @@
 
     #[test]
     fn metrics_show_imbalance_idle_servers_and_herds() {
-        let even = measure(&plan(), &ledger([10; 4], false));
+        let even = measure(&plan(), &history([10; 4], false));
         assert_eq!((even.max_to_mean, even.jain, even.idle, even.herds), (1.0, 1.0, 0.0, 0));
         assert!((0.95..=1.0).contains(&even.used), "expected full utilization: {even:?}");
-        let uneven = measure(&plan(), &ledger([30, 10, 0, 0], false));
+        let uneven = measure(&plan(), &history([30, 10, 0, 0], false));
         assert_eq!((uneven.max_to_mean, uneven.idle), (3.0, 0.5));
         assert!(
             (uneven.jain - 0.4).abs() < 1e-9 && uneven.in_hand_max_to_mean > 2.9,
             "expected an uneven load: {uneven:?}"
         );
-        let herd = measure(&plan(), &ledger([10, 1, 1, 1], true));
+        let herd = measure(&plan(), &history([10, 1, 1, 1], true));
         assert_eq!((herd.herds, herd.herd_gateways), (10, 10.0));
     }
 
     #[test]
     fn load_is_relative_to_speed_and_ignores_servers_that_are_down() {
-        let mut fast_server = ledger([20, 10, 10, 10], false);
+        let mut fast_server = history([20, 10, 10, 10], false);
         fast_server.speeds[0] = 2.0;
         assert_eq!(measure(&plan(), &fast_server).max_to_mean, 1.0);
-        let mut idle_server = ledger([10, 10, 10, 0], false);
+        let mut idle_server = history([10, 10, 10, 0], false);
         let max_to_mean = measure(&plan(), &idle_server).max_to_mean;
         assert!(max_to_mean > 1.3, "expected more than 1.3 with an idle server: {max_to_mean}");
         idle_server.server_availability[3].2 = ServerAvailability::Unavailable;
--- a/lab/src/testbed/clients.rs
+++ b/lab/src/testbed/clients.rs
@@ -61,7 +61,7 @@
         let request = context.requests[self.request_index];
         let first_sent_at = context.now();
         context.record_client_lateness(first_sent_at - context.load_start() - request.due_at);
-        context.ledger().first_sent[self.request_index] = Some(first_sent_at);
+        context.history().first_sent[self.request_index] = Some(first_sent_at);
         let deadline = first_sent_at + DEADLINES_MS[usize::from(request.class)] / 1000.0;
         let (extra_retries, mut backoff_s) = (self.extra_retries(), context.plan.traffic.backoff_ms / 1000.0);
         for try_number in 0..=context.plan.traffic.retries + extra_retries {
@@ -100,15 +100,15 @@
         storms.map(|change| change.by as u32).max().unwrap_or(0)
     }
 
-    /// Sends one try to one gateway and records it in the ledger.
+    /// Sends one try to one gateway and records it in the history.
     async fn send_try(
         &mut self, gateway: usize, try_number: u32, request: &Request, deadline: f64,
     ) -> TryOutcome {
         let (context, txn) = (self.context, transaction_id(self.request_index, try_number));
         let try_index = {
-            let mut ledger = context.ledger();
+            let mut history = context.history();
             let at = context.now();
-            ledger.tries.push(Try {
+            history.tries.push(Try {
                 txn,
                 request_index: self.request_index,
                 gateway,
@@ -118,7 +118,7 @@
                 outcome: None,
                 extra_responses: 0,
             });
-            ledger.tries.len() - 1
+            history.tries.len() - 1
         };
         // A response that the gateway sends just in time may arrive a little later.
         let completed = tokio::select! {
@@ -131,12 +131,12 @@
         };
         if matches!(outcome, TryOutcome::Refused(_)) && context.has_idle_server(gateway) {
             // The checkers match this entry to the refused try by its time.
-            let mut ledger = context.ledger();
+            let mut history = context.history();
             let at = context.now();
-            ledger.tries[try_index].outcome = Some((at, outcome));
-            ledger.needless_refusals.push(at);
+            history.tries[try_index].outcome = Some((at, outcome));
+            history.needless_refusals.push(at);
         } else {
-            context.ledger().tries[try_index].outcome = Some((context.now(), outcome));
+            context.history().tries[try_index].outcome = Some((context.now(), outcome));
         }
         if let Some(connection) = connection {
             let mut idle = context.idle_connections(gateway);
@@ -150,7 +150,7 @@
     /// Returns the outcome of a try without a response: `outcome` if the request was written in full, else
     /// [`TryOutcome::Unreached`].
     fn outcome_if_written(&self, try_index: usize, outcome: TryOutcome) -> TryOutcome {
-        if self.context.ledger().tries[try_index].written {
+        if self.context.history().tries[try_index].written {
             outcome
         } else {
             TryOutcome::Unreached
@@ -163,7 +163,7 @@
         &self, gateway: usize, try_index: usize, request: &Request, deadline: f64,
     ) -> Option<(TryOutcome, Option<IdleConnection>)> {
         let context = self.context;
-        let txn = context.ledger().tries[try_index].txn;
+        let txn = context.history().tries[try_index].txn;
         let mut reused = true;
         loop {
             let generation = context.gateway_generation(gateway);
@@ -184,8 +184,8 @@
             let text = format_request(txn, request, deadline - now, context);
             let written = http.write(text.as_bytes()).await;
             if written.is_ok() {
-                let (mut ledger, at) = (context.ledger(), context.now());
-                (ledger.tries[try_index].sent_at, ledger.tries[try_index].written) = (at, true);
+                let (mut history, at) = (context.history(), context.now());
+                (history.tries[try_index].sent_at, history.tries[try_index].written) = (at, true);
             }
             let response = match written {
                 Ok(()) => http.read_message(true).await,
@@ -200,7 +200,7 @@
                         status => TryOutcome::Failed(status),
                     };
                     if http.has_buffered_bytes() {
-                        context.ledger().tries[try_index].extra_responses += 1;
+                        context.history().tries[try_index].extra_responses += 1;
                     }
                     let idle =
                         (!head.close).then_some(IdleConnection { http, last_try: try_index, generation });
@@ -218,7 +218,7 @@
             if !closed_while_idle {
                 return Some((self.outcome_if_written(try_index, TryOutcome::Disconnected), None));
             }
-            context.ledger().tries[try_index].written = false;
+            context.history().tries[try_index].written = false;
         }
     }
 
@@ -234,7 +234,7 @@
             match &idle.http.io {
                 Connection::Direct(stream) => match stream.try_read(&mut [0]) {
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Some(idle.http),
-                    Ok(1..) => context.ledger().tries[idle.last_try].extra_responses += 1,
+                    Ok(1..) => context.history().tries[idle.last_try].extra_responses += 1,
                     _ => {}
                 },
                 Connection::Proxied(..) => return Some(idle.http),
--- a/lab/src/testbed/counter.rs
+++ b/lab/src/testbed/counter.rs
@@ -112,12 +112,12 @@
             return (now, format_response(400, "", "no such call\n"));
         };
         let reply = self.model().add(now, name, amount, ttl_ms / 1000.0, rand::rng().random());
-        let mut ledger = context.ledger();
-        ledger.counter_calls.0 += 1;
+        let mut history = context.history();
+        history.counter_calls.0 += 1;
         match reply {
             Reply::Total { at, total } => (at, format_response(200, "", &format!("{total:.3}"))),
             Reply::Rejected { at } => {
-                ledger.counter_calls.1 += 1;
+                history.counter_calls.1 += 1;
                 (at, format_response(503, "", "full\n"))
             }
         }
--- a/lab/src/testbed/discovery.rs
+++ b/lab/src/testbed/discovery.rs
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Records in the ledger the changes that were sent to a gateway.
+    /// Records in the history the changes that were sent to a gateway.
     fn record_sent(&self, context: &RunContext, gateway: usize, from: usize, to: usize) {
         let effect = context.links.effect(Node::Discovery, Node::Gateway(gateway), context.now());
         let at = context.now() + effect.delay_s + effect.jitter_s;
         let entries = context.registry().changes_between(from, to);
-        let mut ledger = context.ledger();
+        let mut history = context.history();
         for ServerEntry { server, state, .. } in entries {
-            ledger.notifications.push((at, gateway, server, state != ServerState::Ready));
+            history.notifications.push((at, gateway, server, state != ServerState::Ready));
         }
     }
 }
--- a/lab/src/testbed/gateways.rs
+++ b/lab/src/testbed/gateways.rs
@@ -355,7 +355,7 @@
         self.wait_for_exit(&process, EXIT_TIMEOUT).await;
     }
 
-    /// Kills the process after the run, without a record in the ledger.
+    /// Kills the process after the run, without a record in the history.
     pub async fn kill_unrecorded(&self) {
         let process = self.process().take();
         if let Some(process) = process {
--- a/lab/src/testbed/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::check::{self, Verdict};
 use crate::fault::{Effect, FaultHandle, Links, Node};
-use crate::history::{GatewayEvent, Ledger, ServerAvailability};
+use crate::history::{GatewayEvent, History, ServerAvailability};
 use crate::model::registry::{Registry, ServerEntry, ServerState};
 use crate::model::workload::{self, EdgeRouter, Request};
 use crate::plan::{EndpointKind, GatewayAction, Plan, ServerAction};
@@ -125,7 +125,7 @@
     load_start: std::sync::OnceLock<f64>,
     /// Whether connections of servers, counter, discovery and clients go through the fault-injecting proxy.
     proxied: [bool; 4],
-    ledger: Mutex<Ledger>,
+    history: Mutex<History>,
     registry: Mutex<Registry>,
     /// Changes when discovery streams have to check for new versions.
     registry_changed: watch::Sender<u64>,
@@ -201,7 +201,7 @@
         };
         let requests = workload::generate_requests(plan);
         let first_sent = vec![None; requests.len()];
-        let ledger = Ledger { requests: requests.clone(), first_sent, speeds, ..Ledger::default() };
+        let history = History { requests: requests.clone(), first_sent, speeds, ..History::default() };
         Ok(Arc::new(RunContext {
             requests,
             links: Links::default(),
@@ -211,7 +211,7 @@
             epoch: Instant::now(),
             load_start: std::sync::OnceLock::new(),
             proxied,
-            ledger: Mutex::new(ledger),
+            history: Mutex::new(history),
             registry: Mutex::default(),
             registry_changed: watch::channel(0).0,
             router: Mutex::new(EdgeRouter::new(plan)),
@@ -262,8 +262,8 @@
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        lock(&self.ledger)
+    fn history(&self) -> MutexGuard<'_, History> {
+        lock(&self.history)
     }
 
     fn registry(&self) -> MutexGuard<'_, Registry> {
@@ -292,15 +292,15 @@
     }
 
     fn record_gateway_event(&self, gateway: usize, event: GatewayEvent) {
-        let mut ledger = self.ledger();
+        let mut history = self.history();
         let at = self.now();
-        ledger.gateway_events.push((at, gateway, event));
+        history.gateway_events.push((at, gateway, event));
     }
 
     fn set_server_availability(&self, server: usize, availability: ServerAvailability) {
-        let mut ledger = self.ledger();
+        let mut history = self.history();
         let at = self.now();
-        ledger.server_availability.push((at, server, availability));
+        history.server_availability.push((at, server, availability));
         self.servers[server].set_up(availability == ServerAvailability::Up);
     }
 
@@ -461,9 +461,9 @@
     for gateway in &context.gateways {
         gateway.kill_unrecorded().await;
     }
-    let mut ledger = std::mem::take(&mut *context.ledger());
-    normalize_ledger(&mut ledger, load_start, plan.seconds);
-    let verdict = check::check_run(plan, &ledger);
+    let mut history = std::mem::take(&mut *context.history());
+    normalize_history(&mut history, load_start, plan.seconds);
+    let verdict = check::check_run(plan, &history);
     let requests = verdict.figures.requests.max(1) as f64;
     let machine = ResourceUsage {
         start_s,
@@ -515,30 +515,30 @@
     }
 }
 
-/// Makes all times in the ledger relative to the start of the load, and sorts the records that the checkers read in
+/// Makes all times in the history relative to the start of the load, and sorts the records that the checkers read in
 /// order of time.
-fn normalize_ledger(ledger: &mut Ledger, load_start: f64, seconds: f64) {
-    for client_try in &mut ledger.tries {
+fn normalize_history(history: &mut History, load_start: f64, seconds: f64) {
+    for client_try in &mut history.tries {
         client_try.sent_at -= load_start;
         client_try.deadline -= load_start;
         if let Some((at, _)) = &mut client_try.outcome {
             *at -= load_start;
         }
     }
-    for attempt in &mut ledger.attempts {
+    for attempt in &mut history.attempts {
         attempt.first_byte_at -= load_start;
         attempt.received_at -= load_start;
         attempt.outcome.0 -= load_start;
     }
-    ledger.attempts.sort_by(|a, b| a.received_at.total_cmp(&b.received_at));
-    ledger.first_sent.iter_mut().flatten().for_each(|at| *at -= load_start);
-    ledger.notifications.iter_mut().for_each(|(at, ..)| *at -= load_start);
-    ledger.gateway_events.iter_mut().for_each(|(at, ..)| *at -= load_start);
-    ledger.server_availability.iter_mut().for_each(|(at, ..)| *at -= load_start);
-    ledger.needless_refusals.iter_mut().for_each(|at| *at -= load_start);
-    ledger.connections.iter_mut().for_each(|(at, _)| *at -= load_start);
-    ledger.notifications.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.server_availability.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.gateway_events.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.load_end = seconds;
+    history.attempts.sort_by(|a, b| a.received_at.total_cmp(&b.received_at));
+    history.first_sent.iter_mut().flatten().for_each(|at| *at -= load_start);
+    history.notifications.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    history.gateway_events.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    history.server_availability.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    history.needless_refusals.iter_mut().for_each(|at| *at -= load_start);
+    history.connections.iter_mut().for_each(|(at, _)| *at -= load_start);
+    history.notifications.sort_by(|a, b| a.0.total_cmp(&b.0));
+    history.server_availability.sort_by(|a, b| a.0.total_cmp(&b.0));
+    history.gateway_events.sort_by(|a, b| a.0.total_cmp(&b.0));
+    history.load_end = seconds;
 }
--- a/lab/src/testbed/servers.rs
+++ b/lab/src/testbed/servers.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Records an attempt in the ledger when dropped: as aborted, unless [`AttemptRecorder::finish`] was called.
+/// Records an attempt in the history when dropped: as aborted, unless [`AttemptRecorder::finish`] was called.
 struct AttemptRecorder<'a> {
     context: &'a RunContext,
     attempt: Attempt,
@@ -69,7 +69,7 @@
         if self.attempt.outcome.1 == AttemptOutcome::InProgress {
             self.attempt.outcome = (self.context.now(), AttemptOutcome::Aborted);
         }
-        self.context.ledger().attempts.push(self.attempt);
+        self.context.history().attempts.push(self.attempt);
     }
 }
 
@@ -193,7 +193,7 @@
             state.connections += 1;
             state.connections <= context.plan.fleet.connections
         };
-        context.ledger().connections.push((now, self.index));
+        context.history().connections.push((now, self.index));
         let mut http = HttpConnection::new(io);
         let is_reset = if within_limit {
             // Biased, so that a killed process does not handle data that arrives at the same time.
@@ -241,7 +241,7 @@
                 .txn
                 .and_then(|txn| Some((txn, context.requests[request_index(txn, context.requests.len())?])));
             let Some((txn, request)) = known else {
-                context.ledger().unknown_requests += 1;
+                context.history().unknown_requests += 1;
                 let _ = http.write(&format_response(404, "", "no such request\n")).await;
                 return false;
             };
@@ -336,7 +336,7 @@
         state.complete(completed);
         let ((running, queued), faults) = (state.model.in_flight(), state.model.faults());
         drop(state);
-        context.ledger().probes += 1;
+        context.history().probes += 1;
         let in_flight = faults.reported_in_flight.unwrap_or((running + queued) as f64);
         format!("inflight={in_flight},queue={}", if faults.reported_in_flight.is_some() { 0 } else { queued })
     }
