--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -76,9 +76,11 @@
     /// Probes of servers per request.
     pub probes: f64,
     /// Calls to the quota counter per request.
-    pub calls: f64,
+    #[serde(rename = "calls")]
+    pub counter_calls: f64,
     /// Share of calls that the quota counter rejected.
-    pub calls_turned_away: f64,
+    #[serde(rename = "calls_turned_away")]
+    pub counter_calls_rejected: f64,
 }
 
 /// Metrics and violated rules of a run.
@@ -419,7 +421,7 @@
     }
     let latency_ms_at = |quantile: f64| latency.value_at_quantile(quantile) as f64 / 1000.0;
     let (beyond_quota, refused_needlessly) = quota_metrics(plan, history);
-    let (calls, calls_turned_away) = history.counter_calls;
+    let (counter_calls, counter_calls_rejected) = history.counter_calls;
     Metrics {
         requests: history.first_sent.iter().flatten().count(),
         served: served_times.iter().flatten().count() as f64 / requests,
@@ -439,8 +441,8 @@
         recovery_s: recovery_time_s(plan, history),
         connections: history.connections.len() as f64 / requests,
         probes: history.probes as f64 / requests,
-        calls: calls as f64 / requests,
-        calls_turned_away: calls_turned_away as f64 / calls.max(1) as f64,
+        counter_calls: counter_calls as f64 / requests,
+        counter_calls_rejected: counter_calls_rejected as f64 / counter_calls.max(1) as f64,
     }
 }
 
--- a/lab/src/load_balance.rs
+++ b/lab/src/load_balance.rs
@@ -25,7 +25,8 @@
     /// 99th percentile of that ratio over windows.
     pub max_to_mean_p99: f64,
     /// Ratio of the busiest server's concurrent requests to the mean, averaged over windows.
-    pub in_hand_max_to_mean: f64,
+    #[serde(rename = "in_hand_max_to_mean")]
+    pub concurrency_max_to_mean: f64,
     /// Jain's fairness index of arrivals, averaged over windows. 1 means an even load.
     pub jain: f64,
     /// Maximum share of listed servers that were idle during a window.
@@ -35,7 +36,8 @@
     /// Average number of gateways that contributed to a herd.
     pub herd_gateways: f64,
     /// Average share of the fleet's cores that were busy.
-    pub used: f64,
+    #[serde(rename = "used")]
+    pub utilization: f64,
 }
 
 /// Returns the ratio of the maximum to the mean, and Jain's fairness index. None if all values are 0.
@@ -50,7 +52,7 @@
     let servers = history.speeds.len();
     let windows = (history.load_end / WINDOW_S).floor() as usize;
     let mut arrivals = vec![vec![0.0f64; servers]; windows];
-    let mut in_hand = vec![vec![0.0f64; servers]; windows];
+    let mut concurrency = vec![vec![0.0f64; servers]; windows];
     for attempt in &history.attempts {
         let window = (attempt.received_at / WINDOW_S) as usize;
         if window < windows {
@@ -63,14 +65,14 @@
         let (from, until) =
             (attempt.received_at, attempt.outcome.0.max(attempt.received_at).min(history.load_end));
         let last = ((until / WINDOW_S) as usize).min(windows.saturating_sub(1));
-        for (window, concurrent) in in_hand.iter_mut().enumerate().take(last + 1).skip(window) {
+        for (window, concurrent) in concurrency.iter_mut().enumerate().take(last + 1).skip(window) {
             let (starts, ends) = (window as f64 * WINDOW_S, (window + 1) as f64 * WINDOW_S);
             concurrent[attempt.server] +=
                 (until.min(ends) - from.max(starts)).max(0.0) / history.speeds[attempt.server];
         }
     }
     let cores = plan.fleet.cores as f64;
-    let (mut ratios, mut jains, mut in_hand_ratios) = (vec![], vec![], vec![]);
+    let (mut ratios, mut jains, mut concurrency_ratios) = (vec![], vec![], vec![]);
     let (mut idle, mut utilizations) = (0.0f64, vec![]);
     for window in 0..windows {
         let (starts, ends) = (window as f64 * WINDOW_S, (window + 1) as f64 * WINDOW_S);
@@ -89,7 +91,7 @@
         }
         let of_window =
             |table: &[Vec<f64>]| up.iter().map(|server| table[window][*server]).collect::<Vec<_>>();
-        let (arrived, concurrent) = (of_window(&arrivals), of_window(&in_hand));
+        let (arrived, concurrent) = (of_window(&arrivals), of_window(&concurrency));
         let utilization =
             concurrent.iter().map(|count| count.min(cores)).sum::<f64>() / (up.len() as f64 * cores);
         utilizations.push(utilization);
@@ -98,7 +100,7 @@
                 ratios.push(ratio);
                 jains.push(jain);
             }
-            in_hand_ratios.extend(max_to_mean_and_jain(&concurrent).map(|(ratio, _)| ratio));
+            concurrency_ratios.extend(max_to_mean_and_jain(&concurrent).map(|(ratio, _)| ratio));
         }
         if utilization >= IDLE_MIN_UTILIZATION {
             let servers = arrived.iter().zip(&concurrent);
@@ -114,12 +116,12 @@
     LoadBalance {
         max_to_mean: mean(&ratios),
         max_to_mean_p99: p99.unwrap_or(0.0),
-        in_hand_max_to_mean: mean(&in_hand_ratios),
+        concurrency_max_to_mean: mean(&concurrency_ratios),
         jain: mean(&jains),
         idle,
         herds,
         herd_gateways,
-        used: mean(&utilizations),
+        utilization: mean(&utilizations),
     }
 }
 
@@ -187,11 +189,11 @@
     fn metrics_show_imbalance_idle_servers_and_herds() {
         let even = measure(&plan(), &history([10; 4], false));
         assert_eq!((even.max_to_mean, even.jain, even.idle, even.herds), (1.0, 1.0, 0.0, 0));
-        assert!((0.95..=1.0).contains(&even.used), "expected full utilization: {even:?}");
+        assert!((0.95..=1.0).contains(&even.utilization), "expected full utilization: {even:?}");
         let uneven = measure(&plan(), &history([30, 10, 0, 0], false));
         assert_eq!((uneven.max_to_mean, uneven.idle), (3.0, 0.5));
         assert!(
-            (uneven.jain - 0.4).abs() < 1e-9 && uneven.in_hand_max_to_mean > 2.9,
+            (uneven.jain - 0.4).abs() < 1e-9 && uneven.concurrency_max_to_mean > 2.9,
             "expected an uneven load: {uneven:?}"
         );
         let herd = measure(&plan(), &history([10, 1, 1, 1], true));
--- a/lab/src/model/counter.rs
+++ b/lab/src/model/counter.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasher, BuildHasherDefault, DefaultHasher};
 
-/// Longest time to live of a total, in s.
+/// Maximum time to live of a total, in s.
 const MAX_TTL_S: f64 = 60.0;
 /// Number of totals past which expired ones are removed. It bounds the memory that a faulty gateway can use.
 const MAX_TOTALS: usize = 1_000_000;
--- a/lab/src/model/server.rs
+++ b/lab/src/model/server.rs
@@ -3,7 +3,7 @@
 use crate::plan::Fleet;
 use std::collections::VecDeque;
 
-/// Longest step, in s, over which the changing speed of a server that warms up is taken as constant.
+/// Maximum step, in s, over which the changing speed of a server that warms up is taken as constant.
 const WARM_UP_STEP_S: f64 = 0.02;
 /// Processing time of a health probe, in ms.
 const PROBE_WORK_MS: f64 = 0.3;
--- a/lab/src/model/workload.rs
+++ b/lab/src/model/workload.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 
-/// Most quota units that a request can take.
+/// Maximum number of quota units that a request can take.
 pub const MAX_UNITS: f64 = 6.0;
 /// Coefficient of variation of the estimated units around the real ones.
 const ESTIMATE_CV: f64 = 0.45;
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -41,16 +41,16 @@
         metrics.attempts,
         metrics.connections,
         metrics.probes,
-        metrics.calls,
+        metrics.counter_calls,
     ));
     let load = &metrics.load_balance;
     line(format!(
         "  server utilization {}; busiest to mean: arrivals {:.2} (99th {:.2}), concurrent requests {:.2}; Jain index \
          {:.3}; idle servers at most {}; {} herds, from {:.1} gateways on average",
-        percent(load.used),
+        percent(load.utilization),
         load.max_to_mean,
         load.max_to_mean_p99,
-        load.in_hand_max_to_mean,
+        load.concurrency_max_to_mean,
         load.jain,
         percent(load.idle),
         load.herds,
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -28,7 +28,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
 /// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest response to a call. A list of all gateways is smaller.
+/// Maximum size of a response to a call. A list of all gateways is smaller.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 /// Time between the end of a restarted gateway and its new start.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
--- a/lab/src/scale/resource_limits.rs
+++ b/lab/src/scale/resource_limits.rs
@@ -3,11 +3,11 @@
 use super::generator::FleetSize;
 use serde::Serialize;
 
-/// Largest share of the machine's memory that a run may use.
+/// Maximum share of the machine's memory that a run may use.
 const MAX_MEMORY_SHARE: f64 = 0.5;
-/// Largest share of the free memory that a run may use.
+/// Maximum share of the free memory that a run may use.
 const MAX_FREE_MEMORY_SHARE: f64 = 0.7;
-/// Smallest number of simulated gateways that build the route table.
+/// Minimum number of simulated gateways that build the route table.
 const MIN_FULL_GATEWAYS: usize = 8;
 /// Upper bound of the time that one thread spends on building route tables for one change, in s. It limits how long a
 /// gateway waits for others on its thread.
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -48,7 +48,7 @@
 const PUT_BACKOFF: Duration = Duration::from_millis(200);
 /// Timeout of a status call.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest number of gateways listed in the result of a change that timed out.
+/// Maximum number of gateways listed in the result of a change that timed out.
 const MAX_LISTED_GATEWAYS: usize = 20;
 /// Interval between progress reports.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
--- a/lab/src/testbed/clients.rs
+++ b/lab/src/testbed/clients.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use tokio::net::TcpStream;
 
-/// Most idle connections that clients keep open to a gateway.
+/// Maximum number of idle connections that clients keep open to a gateway.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 /// Body of POST requests.
 const POST_BODY: &str = "{\"items\":[4711,4712],\"pickup\":\"hall\"}";
--- a/lab/src/testbed/counter.rs
+++ b/lab/src/testbed/counter.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::watch;
 
-/// Most pending calls of one connection; further ones are not read until a reply has been sent.
+/// Maximum number of pending calls of one connection. Further ones are not read until a reply has been sent.
 const MAX_PIPELINED_CALLS: usize = 1024;
 
 /// The counter service.
--- a/lab/src/testbed/gateways.rs
+++ b/lab/src/testbed/gateways.rs
@@ -77,7 +77,7 @@
     /// Operator ports, used alternately, as two processes run side by side during an upgrade.
     operator_ports: [ReservedPort; 2],
     /// The client listener that its processes inherit; only if the plan upgrades it.
-    inherited: Option<std::net::TcpListener>,
+    inherited_listener: Option<std::net::TcpListener>,
     /// Increases when another process takes over and when the process is killed.
     generation: AtomicU64,
     /// The process that serves.
@@ -102,7 +102,7 @@
         let client_port = ReservedPort::new(Ipv4Addr::LOCALHOST)?;
         Ok(Gateway {
             index,
-            inherited: if is_upgraded { Some(client_port.listen()?) } else { None },
+            inherited_listener: if is_upgraded { Some(client_port.listen()?) } else { None },
             client_port,
             operator_ports: [
                 ReservedPort::new(Ipv4Addr::LOCALHOST)?,
@@ -202,7 +202,7 @@
     fn launch(&self, program: &Path, start: u64, config: &str) -> io::Result<Child> {
         std::fs::write(self.config_path(), config)?;
         let log = File::create(self.log_path(start))?;
-        let mut command = match &self.inherited {
+        let mut command = match &self.inherited_listener {
             None => {
                 let mut command = Command::new("nice");
                 command.args(["-n", NICENESS]).arg(program).stdin(Stdio::null());
@@ -288,7 +288,7 @@
                 return relays.set_member_address(self.index, address);
             }
             // During an upgrade the new process joins the cluster only after the old one has left it.
-            if self.inherited.is_some() && start > 0 {
+            if self.inherited_listener.is_some() && start > 0 {
                 return;
             }
             sleep(POLL_INTERVAL).await;
@@ -395,7 +395,7 @@
             context.record_gateway_event(self.index, GatewayEvent::Killed);
             send_signal(process, Signal::KILL);
             self.wait_for_exit(process, EXIT_TIMEOUT).await;
-        } else if self.inherited.is_none() {
+        } else if self.inherited_listener.is_none() {
             context.record_gateway_event(self.index, GatewayEvent::Exited);
         }
     }
--- a/lab/src/testbed/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -29,11 +29,11 @@
 
 /// Worker threads of the async runtime.
 const WORKER_THREADS: usize = 3;
-/// Most gateway processes that are started at the same time.
+/// Maximum number of gateway processes that are started at the same time.
 const MAX_CONCURRENT_STARTS: usize = 6;
 /// Time that a run may take beyond the duration of the plan and a second for each gateway.
 const RUN_TIMEOUT_MARGIN: Duration = Duration::from_secs(60);
-/// Most errors of the lab itself that are reported.
+/// Maximum number of errors of the lab itself that are reported.
 const MAX_REPORTED_ERRORS: usize = 10;
 
 /// Options of a run.
--- a/lab/src/testbed/resource_usage.rs
+++ b/lab/src/testbed/resource_usage.rs
@@ -12,7 +12,7 @@
 pub const MAX_P99_LATENESS_MS: f64 = 20.0;
 /// Descriptors for each gateway: reserved ports, log, discovery connection, datagram relay and counter connections.
 const DESCRIPTORS_PER_GATEWAY: usize = 12;
-/// Most connections to servers for each gateway, which uses a subset of the servers.
+/// Maximum number of connections to servers for each gateway, which uses a subset of the servers.
 const MAX_SERVER_CONNECTIONS_PER_GATEWAY: usize = 24;
 /// Upper estimate of the mean duration of a request, in s. Each request in flight holds a client connection.
 const REQUEST_DURATION_S: f64 = 0.5;
--- a/lab/src/testbed/udp_relay.rs
+++ b/lab/src/testbed/udp_relay.rs
@@ -12,7 +12,7 @@
 
 /// Additional delay of a datagram that is reordered, in s.
 const REORDER_DELAY_S: f64 = 0.03;
-/// Most delayed datagrams in flight through one relay; further ones are dropped.
+/// Maximum number of delayed datagrams in flight through one relay. Further ones are dropped.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 4096;
 
 /// The relays of a cluster, one for each gateway.
--- a/lab/src/testbed/wire.rs
+++ b/lab/src/testbed/wire.rs
@@ -18,15 +18,15 @@
 
 /// Accept queue length of a listener.
 const BACKLOG: i32 = 4096;
-/// Largest HTTP message.
+/// Maximum size of an HTTP message.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Largest segment that is forwarded at once, and that a fault applies to.
+/// Maximum size of a segment, the unit that is forwarded and that a fault applies to.
 const SEGMENT_BYTES: usize = 16 * 1024;
-/// Most segments in flight in one direction of a connection; then the sender blocks.
+/// Maximum number of segments in flight in one direction of a connection. Beyond it the sender blocks.
 const MAX_SEGMENTS_IN_FLIGHT: usize = 64;
 /// Delay of a lost segment, as of a TCP retransmission.
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
-/// Longest wait for a closed listener to release its port.
+/// Maximum wait for a closed listener to release its port.
 const PORT_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often the state of a link is polled while nothing passes, and the pause after a failed accept.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
