--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -87,15 +87,17 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// Metrics.
-    pub figures: Metrics,
+    #[serde(rename = "figures")]
+    pub metrics: Metrics,
     /// Violated rules.
-    pub broken: Vec<Violation>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<Violation>,
 }
 
 impl Verdict {
     /// Whether no rule was violated.
-    pub fn held(&self) -> bool {
-        self.broken.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty()
     }
 }
 
@@ -149,7 +151,7 @@
         unmet.add(|| format!("served is {:.4}, under {}", metrics.served, plan.expectations.served));
     }
     check_rule("what the plan says must hold", unmet);
-    Verdict { figures: metrics, broken: violations }
+    Verdict { metrics, violations }
 }
 
 /// Whether a step affects the link between clients and a gateway in a period.
@@ -504,15 +506,15 @@
     }
 
     fn violated_rules(plan: &Plan, history: &History) -> Vec<&'static str> {
-        check_run(plan, history).broken.iter().map(|violation| violation.rule).collect()
+        check_run(plan, history).violations.iter().map(|violation| violation.rule).collect()
     }
 
     #[test]
     fn faultless_run_violates_no_rule() {
         let hold = "[hold]\nserved = 1.0\nbeyond_quota = 0.0\nrefused_needlessly = 0.0\nidle = 0.0\nmax_to_mean = 1.5";
         let verdict = check_run(&plan(hold), &faultless_history());
-        assert!(verdict.held(), "expected no violation: {verdict:?}");
-        let metrics = verdict.figures;
+        assert!(verdict.passed(), "expected no violation: {verdict:?}");
+        let metrics = verdict.metrics;
         assert_eq!(
             (metrics.requests, metrics.served, metrics.in_time, metrics.refused),
             (100, 1.0, 1.0, 0.0)
@@ -585,35 +587,35 @@
         history.requests.iter_mut().for_each(|request| request.customer = 0);
         let verdict = check_run(&plan("[hold]\nbeyond_quota = 0.5"), &history);
         assert!(
-            (0.65..0.8).contains(&verdict.figures.beyond_quota),
+            (0.65..0.8).contains(&verdict.metrics.beyond_quota),
             "expected 65% to 80% of units beyond the quota: {:?}",
-            verdict.figures
+            verdict.metrics
         );
-        assert_eq!(verdict.broken[0].rule, "what the plan says must hold");
+        assert_eq!(verdict.violations[0].rule, "what the plan says must hold");
         let mut history = faultless_history();
         for number in [10, 20, 30] {
             let at = history.tries[number].sent_at;
             history.tries[number].outcome = Some((at, TryOutcome::Refused(Some(100))));
             history.attempts.retain(|attempt| attempt.txn != transaction_id(number, 0));
         }
-        assert_eq!(check_run(&plan(""), &history).figures.refused_needlessly, 0.0);
+        assert_eq!(check_run(&plan(""), &history).metrics.refused_needlessly, 0.0);
         history.needless_refusals = vec![history.tries[10].sent_at, history.tries[30].sent_at];
-        assert_eq!(check_run(&plan(""), &history).figures.refused_needlessly, 0.02);
+        assert_eq!(check_run(&plan(""), &history).metrics.refused_needlessly, 0.02);
     }
 
     #[test]
     fn recovery_time_is_measured_from_the_end_of_the_last_step() {
         let step = "[[step]]\nat = 2\nfor = 2\ncounter = { do = \"out\" }\n[hold]\nrecovery_s = 1.5";
         let mut history = faultless_history();
-        assert_eq!(check_run(&plan(step), &history).figures.recovery_s, Some(0.0));
+        assert_eq!(check_run(&plan(step), &history).metrics.recovery_s, Some(0.0));
         for index in 20..60 {
             history.tries[index].outcome =
                 Some((history.tries[index].sent_at + 0.1, TryOutcome::Failed(502)));
         }
         let verdict = check_run(&plan(step), &history);
-        assert_eq!(verdict.figures.recovery_s, Some(2.0));
+        assert_eq!(verdict.metrics.recovery_s, Some(2.0));
         assert!(
-            verdict.broken[0].cases[0].contains("recovery_s is 2"),
+            verdict.violations[0].cases[0].contains("recovery_s is 2"),
             "expected a recovery of 2 s: {verdict:?}"
         );
     }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -7,7 +7,7 @@
 use granite_lab::scale::cost_measurement::{self, Heap};
 use granite_lab::scale::generator::FleetSize;
 use granite_lab::scale::{self, forecast, run};
-use granite_lab::testbed::{play, play_with_ready_callback, Options};
+use granite_lab::testbed::{run_plan, run_plan_with_ready_callback, Options};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -199,7 +199,7 @@
             let plan = read_plan("demo")?;
             let options = Options::new(gateway_program(cli)?);
             println!("starting {} gateways and {} servers ...", plan.fleet.gateways, plan.fleet.servers);
-            let outcome = play_with_ready_callback(&plan, &options, stop_signal(), |gateways| {
+            let outcome = run_plan_with_ready_callback(&plan, &options, stop_signal(), |gateways| {
                 println!(
                     "the load runs for {} s; meanwhile, send a request from another shell:\n\n    {}\n",
                     plan.seconds,
@@ -208,7 +208,7 @@
                 println!("at 4 s gateway 1 is killed, at 5 s gateway 2 loses its link to half of the servers, and at 9 s both faults end");
             })?;
             print!("{}", report::text(&outcome));
-            Ok(outcome.held())
+            Ok(outcome.passed())
         }
         LabCommand::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
             let ready = Duration::try_from_secs_f64(*ready_s).map_err(|e| format!("--ready-s: {e}"))?;
@@ -233,13 +233,13 @@
                 let seeds = if seeds.is_empty() { vec![plan.seed] } else { seeds.clone() };
                 for seed in seeds {
                     plan.seed = seed;
-                    let outcome = play(&plan, &options, stop_signal())?;
+                    let outcome = run_plan(&plan, &options, stop_signal())?;
                     print!("{}", report::text(&outcome));
                     if let Some(file) = &mut file {
                         writeln!(file, "{}", report::json(&outcome))
                             .map_err(|e| format!("writing the results: {e}"))?;
                     }
-                    passed &= outcome.held();
+                    passed &= outcome.passed();
                 }
             }
             Ok(passed)
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -9,7 +9,7 @@
 
 /// Returns a summary of several lines.
 pub fn text(outcome: &Outcome) -> String {
-    let (metrics, machine) = (&outcome.verdict.figures, &outcome.machine);
+    let (metrics, usage) = (&outcome.verdict.metrics, &outcome.resource_usage);
     let mut text = String::new();
     let mut line = |line: String| {
         // Writing to a string cannot fail.
@@ -63,27 +63,27 @@
         "  all gateways ready in {:.1} s; per gateway: {:.1} MB, {:.1} ms of CPU per second, {:.0} us of CPU per request; \
          lab: {:.0} ms of CPU per second, {:.0} MB, {} threads, {} descriptors, timers {:.1} ms and clients {:.1} ms \
          late (99th)",
-        machine.start_s,
-        machine.gateway_mb[0],
-        machine.gateway_cpu_ms_per_s,
-        machine.gateway_cpu_us_per_request,
-        machine.lab_cpu_ms_per_s,
-        machine.lab_mb,
-        machine.lab_threads,
-        machine.lab_descriptors,
-        machine.timers_late_ms.p99,
-        machine.clients_late_ms.p99,
+        usage.start_s,
+        usage.gateway_mb[0],
+        usage.gateway_cpu_ms_per_s,
+        usage.gateway_cpu_us_per_request,
+        usage.lab_cpu_ms_per_s,
+        usage.lab_mb,
+        usage.lab_threads,
+        usage.lab_descriptors,
+        usage.timers_late_ms.p99,
+        usage.clients_late_ms.p99,
     ));
     for reason in &outcome.invalid_reasons {
         line(format!("  NOT VALID: {reason}"));
     }
-    for violation in &outcome.verdict.broken {
+    for violation in &outcome.verdict.violations {
         line(format!("  VIOLATED, {} times: {}", violation.times, violation.rule));
         for case in &violation.cases {
             line(format!("    {case}"));
         }
     }
-    line(if outcome.held() { "  passed".to_owned() } else { "  FAILED".to_owned() });
+    line(if outcome.passed() { "  passed".to_owned() } else { "  FAILED".to_owned() });
     text
 }
 
--- a/lab/src/testbed/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -97,13 +97,14 @@
     /// The results of the checkers.
     pub verdict: Verdict,
     /// Resource usage and lateness.
-    pub machine: ResourceUsage,
+    #[serde(rename = "machine")]
+    pub resource_usage: ResourceUsage,
 }
 
 impl Outcome {
     /// Whether the run is valid and no rule was violated.
-    pub fn held(&self) -> bool {
-        self.invalid_reasons.is_empty() && self.verdict.held()
+    pub fn passed(&self) -> bool {
+        self.invalid_reasons.is_empty() && self.verdict.passed()
     }
 }
 
@@ -368,12 +369,12 @@
 
 /// Runs a plan to its end, or until `stop` completes. Fails if the plan is invalid, the gateways do not start, or the
 /// run is stopped or times out.
-pub fn play(plan: &Plan, options: &Options, stop: impl Future<Output = ()>) -> Result<Outcome, String> {
-    play_with_ready_callback(plan, options, stop, |_| ())
+pub fn run_plan(plan: &Plan, options: &Options, stop: impl Future<Output = ()>) -> Result<Outcome, String> {
+    run_plan_with_ready_callback(plan, options, stop, |_| ())
 }
 
-/// Like [`play`]. When the load begins, calls `ready` with the client address of each gateway.
-pub fn play_with_ready_callback(
+/// Like [`run_plan`]. When the load begins, calls `ready` with the client address of each gateway.
+pub fn run_plan_with_ready_callback(
     plan: &Plan, options: &Options, stop: impl Future<Output = ()>,
     ready: impl FnOnce(&[std::net::SocketAddr]),
 ) -> Result<Outcome, String> {
@@ -464,8 +465,8 @@
     let mut history = std::mem::take(&mut *context.history());
     normalize_history(&mut history, load_start, plan.seconds);
     let verdict = check::check_run(plan, &history);
-    let requests = verdict.figures.requests.max(1) as f64;
-    let machine = ResourceUsage {
+    let requests = verdict.metrics.requests.max(1) as f64;
+    let resource_usage = ResourceUsage {
         start_s,
         gateway_cpu_ms_per_s: (cpu_after - cpu_before) * 1000.0 / plan.fleet.gateways as f64 / plan.seconds,
         gateway_cpu_us_per_request: (cpu_after - cpu_before) * 1e6 / requests,
@@ -481,9 +482,9 @@
         clients_late_ms: context.client_lateness.summary(),
     };
     let mut invalid_reasons = lock(&context.errors).clone();
-    invalid_reasons.extend(resource_usage::starvation_reason("timers", machine.timers_late_ms));
-    invalid_reasons.extend(resource_usage::starvation_reason("clients", machine.clients_late_ms));
-    Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, invalid_reasons, verdict, machine })
+    invalid_reasons.extend(resource_usage::starvation_reason("timers", resource_usage.timers_late_ms));
+    invalid_reasons.extend(resource_usage::starvation_reason("clients", resource_usage.clients_late_ms));
+    Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, invalid_reasons, verdict, resource_usage })
 }
 
 async fn start_gateways(context: &Arc<RunContext>) -> Result<(), String> {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,7 +6,7 @@
 use granite_lab::builtin_plans;
 use granite_lab::plan::Plan;
 use granite_lab::report;
-use granite_lab::testbed::{play, play_with_ready_callback, Options, Outcome};
+use granite_lab::testbed::{run_plan, run_plan_with_ready_callback, Options, Outcome};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -26,7 +26,7 @@
 /// Plays a plan until a run of it is valid.
 fn valid(plan: &Plan) -> Outcome {
     for _ in 0..PLAYS {
-        let outcome = play(plan, &options(), std::future::pending()).unwrap();
+        let outcome = run_plan(plan, &options(), std::future::pending()).unwrap();
         if outcome.invalid_reasons.is_empty() {
             return outcome;
         }
@@ -58,7 +58,7 @@
                 let Some(name) = plans.lock().unwrap().pop() else { return };
                 let outcome = valid(&plan(name));
                 println!("{}", report::text(&outcome));
-                if !outcome.verdict.held() {
+                if !outcome.verdict.passed() {
                     failed.lock().unwrap().push(name);
                 }
             });
@@ -109,8 +109,9 @@
     std::fs::write(&program, text).unwrap();
     std::fs::set_permissions(&program, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
     let text = "name = \"broken\"\nseconds = 2\n[fleet]\ngateways = 2\nservers = 2\n[traffic]\nspread = 2\nper_s = 30.0\n[hold]\nserved = 0.9";
-    let outcome = play(&Plan::read(text).unwrap(), &Options::new(&program), std::future::pending()).unwrap();
-    let rules: Vec<_> = outcome.verdict.broken.iter().map(|broken| broken.rule).collect();
+    let outcome =
+        run_plan(&Plan::read(text).unwrap(), &Options::new(&program), std::future::pending()).unwrap();
+    let rules: Vec<_> = outcome.verdict.violations.iter().map(|broken| broken.rule).collect();
     for rule in [
         "each request has one answer, the right one",
         "a request that a living gateway took has its answer",
@@ -149,7 +150,7 @@
     calm.seconds = 60.0;
     let seen = std::cell::Cell::new(0);
     let panicked = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        play_with_ready_callback(&calm, &options(), std::future::pending(), |_| {
+        run_plan_with_ready_callback(&calm, &options(), std::future::pending(), |_| {
             seen.set(children());
             panic!("on purpose")
         })
@@ -157,7 +158,7 @@
     assert!(panicked.is_err() && seen.get() == calm.fleet.gateways, "{seen:?}");
     assert_gone(folder.path());
     let after = async { tokio::time::sleep(std::time::Duration::from_secs(3)).await };
-    let stopped = play_with_ready_callback(&calm, &options(), after, |_| seen.set(children()));
+    let stopped = run_plan_with_ready_callback(&calm, &options(), after, |_| seen.set(children()));
     assert!(stopped.unwrap_err().contains("stopped"));
     assert_eq!(seen.get(), calm.fleet.gateways);
     assert_gone(folder.path());
