--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,13 +1,13 @@
 //! Command line of `granite-lab`, which runs fault-injection plans and scale tests on a fleet of gateways.
 
 use clap::{Parser, Subcommand};
+use granite_lab::builtin_plans::{self, PLANS};
 use granite_lab::plan::Plan;
-use granite_lab::plans::{self, PLANS};
 use granite_lab::report;
-use granite_lab::scale::draw::FleetSize;
-use granite_lab::scale::weigh::{self, Heap};
+use granite_lab::scale::cost_measurement::{self, Heap};
+use granite_lab::scale::generator::FleetSize;
 use granite_lab::scale::{self, forecast, run};
-use granite_lab::stage::{play, play_with_ready_callback, Options};
+use granite_lab::testbed::{run_plan, run_plan_with_ready_callback, Options};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -140,7 +140,7 @@
 
 /// Reads the plan of this name that comes with the program, or else the file at this path.
 fn read_plan(name: &str) -> Result<Plan, String> {
-    let text = match plans::plan(name) {
+    let text = match builtin_plans::plan(name) {
         Some(text) => text.to_owned(),
         None => std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?,
     };
@@ -157,15 +157,15 @@
             Ok(true)
         }
         LabCommand::Plans { name: Some(name) } => {
-            let text = plans::plan(name)
+            let text = builtin_plans::plan(name)
                 .ok_or_else(|| format!("unknown plan `{name}`: `granite-lab plans` lists the known ones"))?;
             print!("{text}");
             Ok(true)
         }
         LabCommand::Slopes { seed, json } => {
             let log_progress = |what: &str| eprintln!("measuring: {what}");
-            let slopes = weigh::measure_slopes(*seed, &TrackedHeap, &log_progress)?;
-            print!("{}", weigh::text(&slopes));
+            let slopes = cost_measurement::measure_slopes(*seed, &TrackedHeap, &log_progress)?;
+            print!("{}", cost_measurement::text(&slopes));
             if let Some(file) = json {
                 let text = serde_json::to_string(&slopes).map_err(|e| e.to_string())?;
                 std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
@@ -199,7 +199,7 @@
             let plan = read_plan("demo")?;
             let options = Options::new(gateway_program(cli)?);
             println!("starting {} gateways and {} servers ...", plan.fleet.gateways, plan.fleet.servers);
-            let outcome = play_with_ready_callback(&plan, &options, stop_signal(), |gateways| {
+            let outcome = run_plan_with_ready_callback(&plan, &options, stop_signal(), |gateways| {
                 println!(
                     "the load runs for {} s; meanwhile, send a request from another shell:\n\n    {}\n",
                     plan.seconds,
@@ -208,7 +208,7 @@
                 println!("at 4 s gateway 1 is killed, at 5 s gateway 2 loses its link to half of the servers, and at 9 s both faults end");
             })?;
             print!("{}", report::text(&outcome));
-            Ok(outcome.held())
+            Ok(outcome.passed())
         }
         LabCommand::Run { plans, seeds, json, ready_s, gateways, servers, per_s, seconds, keep } => {
             let ready = Duration::try_from_secs_f64(*ready_s).map_err(|e| format!("--ready-s: {e}"))?;
@@ -233,13 +233,13 @@
                 let seeds = if seeds.is_empty() { vec![plan.seed] } else { seeds.clone() };
                 for seed in seeds {
                     plan.seed = seed;
-                    let outcome = play(&plan, &options, stop_signal())?;
+                    let outcome = run_plan(&plan, &options, stop_signal())?;
                     print!("{}", report::text(&outcome));
                     if let Some(file) = &mut file {
                         writeln!(file, "{}", report::json(&outcome))
                             .map_err(|e| format!("writing the results: {e}"))?;
                     }
-                    passed &= outcome.held();
+                    passed &= outcome.passed();
                 }
             }
             Ok(passed)
@@ -270,7 +270,7 @@
     if sizes.iter().any(|(_, size)| size.gateways == 0 || size.backends == 0) || options.changes == 0 {
         return Err("--gateways, --backends and --changes: must be 1 or more".to_owned());
     }
-    let slopes: Vec<weigh::Slope> = match slopes {
+    let slopes: Vec<cost_measurement::Slope> = match slopes {
         Some(file) => {
             let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
             serde_json::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))?
@@ -283,7 +283,7 @@
         let outcome = run::run_size(options, *size, *percent, &log_progress)?;
         print!("{}", scale::report::text(&outcome));
         if outcome.failure.is_none() && !slopes.is_empty() {
-            print!("{}", forecast::text(&forecast::Model(&slopes).compare(&outcome)));
+            print!("{}", forecast::text(&forecast::CostModel(&slopes).compare(&outcome)));
         }
         if let Some(folder) = out {
             std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,6 +1,6 @@
 //! Reports of a run as text and as JSON.
 
-use crate::stage::Outcome;
+use crate::testbed::Outcome;
 use std::fmt::Write;
 
 fn percent(share: f64) -> String {
@@ -9,7 +9,7 @@
 
 /// Returns a summary of several lines.
 pub fn text(outcome: &Outcome) -> String {
-    let (metrics, machine) = (&outcome.verdict.figures, &outcome.machine);
+    let (metrics, usage) = (&outcome.verdict.metrics, &outcome.resource_usage);
     let mut text = String::new();
     let mut line = |line: String| {
         // Writing to a string cannot fail.
@@ -23,8 +23,8 @@
         percent(metrics.in_time),
     ));
     line(format!(
-        "  tries: refused {}, failed {}, gateway not reached {}, connection closed {}, timed out {}; not answered by a \
-         running gateway {}",
+        "  tries: refused {}, failed {}, gateway not reached {}, connection closed {}, timed out {}; without a \
+         response from a running gateway {}",
         percent(metrics.refused),
         percent(metrics.failed),
         percent(metrics.unreached),
@@ -41,49 +41,49 @@
         metrics.attempts,
         metrics.connections,
         metrics.probes,
-        metrics.calls,
+        metrics.counter_calls,
     ));
     let load = &metrics.load_balance;
     line(format!(
         "  server utilization {}; busiest to mean: arrivals {:.2} (99th {:.2}), concurrent requests {:.2}; Jain index \
          {:.3}; idle servers at most {}; {} herds, from {:.1} gateways on average",
-        percent(load.used),
+        percent(load.utilization),
         load.max_to_mean,
         load.max_to_mean_p99,
-        load.in_hand_max_to_mean,
+        load.concurrency_max_to_mean,
         load.jain,
         percent(load.idle),
         load.herds,
         load.herd_gateways,
     ));
-    if let Some(after) = metrics.recovery_s {
-        line(format!("  service recovered {after:.1} s after the end of the last step"));
+    if let Some(recovery_s) = metrics.recovery_s {
+        line(format!("  service recovered {recovery_s:.1} s after the end of the last step"));
     }
     line(format!(
         "  all gateways ready in {:.1} s; per gateway: {:.1} MB, {:.1} ms of CPU per second, {:.0} us of CPU per request; \
          lab: {:.0} ms of CPU per second, {:.0} MB, {} threads, {} descriptors, timers {:.1} ms and clients {:.1} ms \
          late (99th)",
-        machine.start_s,
-        machine.gateway_mb[0],
-        machine.gateway_cpu_ms_per_s,
-        machine.gateway_cpu_us_per_work,
-        machine.stage_cpu_ms_per_s,
-        machine.stage_mb,
-        machine.stage_threads,
-        machine.stage_descriptors,
-        machine.timers_late_ms.p99,
-        machine.clients_late_ms.p99,
+        usage.start_s,
+        usage.gateway_mb[0],
+        usage.gateway_cpu_ms_per_s,
+        usage.gateway_cpu_us_per_request,
+        usage.lab_cpu_ms_per_s,
+        usage.lab_mb,
+        usage.lab_threads,
+        usage.lab_descriptors,
+        usage.timers_late_ms.p99,
+        usage.clients_late_ms.p99,
     ));
-    for why in &outcome.invalid_reasons {
-        line(format!("  NOT VALID: {why}"));
+    for reason in &outcome.invalid_reasons {
+        line(format!("  NOT VALID: {reason}"));
     }
-    for violation in &outcome.verdict.broken {
+    for violation in &outcome.verdict.violations {
         line(format!("  VIOLATED, {} times: {}", violation.times, violation.rule));
         for case in &violation.cases {
             line(format!("    {case}"));
         }
     }
-    line(if outcome.held() { "  passed".to_owned() } else { "  FAILED".to_owned() });
+    line(if outcome.passed() { "  passed".to_owned() } else { "  FAILED".to_owned() });
     text
 }
 
--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -1,7 +1,7 @@
 //! Connections and timers of simulated gateways, many on one thread, and heartbeats of simulated backends.
 
-use super::draw::{zone_of, GeneratedFleet, NodeSettings};
-use super::hollow::{GatewayStats, Output, ProxyDetail, SimulatedGateway};
+use super::generator::{zone_of, GeneratedFleet, NodeSettings};
+use super::simulated_gateway::{GatewayStats, Output, ProxyDetail, SimulatedGateway};
 use overland::follow::Event;
 use overland::link::{self, MessageReader, MessageSender};
 use overland::news::{Hello, Purpose, ToAgent};
@@ -28,7 +28,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
 /// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest response to a call. A list of all gateways is smaller.
+/// Maximum size of a response to a call. A list of all gateways is smaller.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 /// Time between the end of a restarted gateway and its new start.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
@@ -303,9 +303,9 @@
 /// Statistics of heartbeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HeartbeatStats {
-    /// Heartbeats answered with status 200.
+    /// Heartbeats with a response of status 200.
     pub succeeded: u64,
-    /// Heartbeats with another answer, or without one before the timeout.
+    /// Heartbeats with another response, or without one before the timeout.
     pub failed: u64,
     /// Sum of the response times of successful heartbeats, in s.
     pub total_response_s: f64,
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -1,8 +1,8 @@
-//! Predicts the figures of a run from measured slopes, and compares them with the run.
+//! Predicts the metrics of a run from measured slopes, and compares them with the run.
 
-use super::draw::FleetSize;
+use super::cost_measurement::{format_short, Slope};
+use super::generator::FleetSize;
 use super::run::{RunResult, GATEWAY_THREADS};
-use super::weigh::{format_short, Slope};
 use serde::Serialize;
 
 /// Interval between messages of an agent to the leader, in ms (`overland::follow`).
@@ -16,24 +16,24 @@
 /// Throughput of one thread over loopback, in MB/s.
 const LOOPBACK_MB_PER_S: f64 = 1500.0;
 
-/// A predicted and a measured figure.
+/// A predicted and a measured metric.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Name of the figure.
+    /// Name of the metric.
     pub what: &'static str,
     /// Its unit.
     pub unit: &'static str,
     /// The prediction from the slopes.
     #[serde(rename = "foretold")]
     pub predicted: f64,
-    /// The figure of the run.
+    /// The metric of the run.
     pub measured: f64,
 }
 
-/// Predictions from measured slopes.
-pub struct Model<'a>(pub &'a [Slope]);
+/// A model that predicts the costs of a run from measured slopes.
+pub struct CostModel<'a>(pub &'a [Slope]);
 
-impl Model<'_> {
+impl CostModel<'_> {
     /// The value of a slope at `n`; 0 for a slope that was not measured.
     fn value_at(&self, what: &str, n: f64) -> f64 {
         self.0.iter().find(|slope| slope.what == what).map_or(0.0, |slope| slope.fit.value_at(n).max(0.0))
@@ -73,7 +73,7 @@
         self.value_at("leader: peak during a Put", percent) + size.gateways as f64 * config_mb
     }
 
-    /// Processor time of the leader for a change, in s.
+    /// CPU time of the leader for a change, in s.
     pub fn leader_change_s(&self, size: FleetSize, percent: f64) -> f64 {
         let codec_ms = self.table_cost("decoding a whole state", percent)
             + self.table_cost("encoding a whole state", percent);
@@ -93,7 +93,7 @@
         self.leader_change_s(size, percent) + lab_ms / 1000.0
     }
 
-    /// Compares the predictions for a run with its figures.
+    /// Compares the predictions for a run with its metrics.
     pub fn compare(&self, run: &RunResult) -> Vec<Comparison> {
         let RunResult { size, percent, .. } = *run;
         let config_mb = self.value_at("a whole configuration on the wire", percent);
@@ -113,7 +113,7 @@
                 run.leader.rest_cores,
             ),
             comparison(
-                "leader: processor time for a change",
+                "leader: CPU time for a change",
                 "s",
                 self.leader_change_s(size, percent),
                 run.leader.change_cpu_s,
@@ -129,7 +129,7 @@
     }
 }
 
-/// Formats comparisons as text, one per line, with the ratio of the measured figure to the predicted one.
+/// Formats comparisons as text, one per line, with the ratio of the measured metric to the predicted one.
 pub fn text(comparisons: &[Comparison]) -> String {
     let line = |comparison: &Comparison| {
         let Comparison { what, unit, predicted, measured } = comparison;
--- a/lab/src/scale/run.rs
+++ b/lab/src/scale/run.rs
@@ -3,11 +3,11 @@
 //! The run changes the configuration several times, restarts a gateway after each change, and at the end restarts all
 //! gateways of a zone at once.
 
-use super::bounds::{MachineResources, ResourceEstimate};
-use super::draw::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
 use super::fleet::{self, EditionEvent, GatewayThread, HeartbeatStats, Heartbeats};
-use super::hollow::{GatewayStats, ProxyDetail};
-use crate::stage::machine;
+use super::generator::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
+use super::resource_limits::{MachineResources, ResourceEstimate};
+use super::simulated_gateway::{GatewayStats, ProxyDetail};
+use crate::testbed::resource_usage;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -48,7 +48,7 @@
 const PUT_BACKOFF: Duration = Duration::from_millis(200);
 /// Timeout of a status call.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest number of gateways listed in the result of a change that timed out.
+/// Maximum number of gateways listed in the result of a change that timed out.
 const MAX_LISTED_GATEWAYS: usize = 20;
 /// Interval between progress reports.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
@@ -93,12 +93,12 @@
     pub restarted_gateway: Option<usize>,
 }
 
-/// Resource usage of one process.
+/// Metrics of one process over the phases of a run.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct ProcessUsage {
+pub struct ProcessMetrics {
     /// Cores used while nothing changes.
     pub rest_cores: f64,
-    /// Processor time per change, in s. It includes the usage at rest between the changes, the restarts, and the restart of
+    /// CPU time per change, in s. It includes the usage at rest between the changes, the restarts, and the restart of
     /// the zone.
     pub change_cpu_s: f64,
     /// Peak memory, in MB.
@@ -139,13 +139,13 @@
     #[serde(rename = "zone_back_s")]
     pub zone_restart_s: f64,
     /// The leader at the end of the run.
-    pub leader: ProcessUsage,
+    pub leader: ProcessMetrics,
     /// The follower with the highest peak memory.
-    pub follower: ProcessUsage,
+    pub follower: ProcessMetrics,
     /// The real agent.
-    pub agent: ProcessUsage,
+    pub agent: ProcessMetrics,
     /// The real proxy.
-    pub proxy: ProcessUsage,
+    pub proxy: ProcessMetrics,
     /// Messages of all simulated gateways while nothing changes.
     pub rest: GatewayStats,
     /// Duration of the measurement without changes, in s.
@@ -154,10 +154,10 @@
     pub changing: GatewayStats,
     /// Duration of the changes, in s.
     pub changing_s: f64,
-    /// Number of heartbeats answered with status 200.
+    /// Number of heartbeats with a response of status 200.
     #[serde(rename = "beats_taken")]
     pub heartbeats_succeeded: u64,
-    /// Number of heartbeats that were not answered with status 200 within a second.
+    /// Number of heartbeats without a response of status 200 within a second.
     #[serde(rename = "beats_lost")]
     pub heartbeats_failed: u64,
     /// Mean response time of a heartbeat, in ms.
@@ -183,10 +183,10 @@
             changes: Vec::new(),
             restart_s: [f64::INFINITY; 3],
             zone_restart_s: f64::INFINITY,
-            leader: ProcessUsage::default(),
-            follower: ProcessUsage::default(),
-            agent: ProcessUsage::default(),
-            proxy: ProcessUsage::default(),
+            leader: ProcessMetrics::default(),
+            follower: ProcessMetrics::default(),
+            agent: ProcessMetrics::default(),
+            proxy: ProcessMetrics::default(),
             rest: GatewayStats::default(),
             rest_s: 0.0,
             changing: GatewayStats::default(),
@@ -268,7 +268,7 @@
     }
 
     fn cpu_s(&self) -> f64 {
-        machine::process_usage(self.id()).cpu_s
+        resource_usage::process_usage(self.id()).cpu_s
     }
 
     fn peak_mb(&self) -> f64 {
@@ -390,18 +390,18 @@
         })
     }
 
-    /// Processor time of each process so far, in s: core processes, agent, proxy.
+    /// CPU time of each process so far, in s: core processes, agent, proxy.
     fn cpu_s(&self) -> Vec<f64> {
         self.cores.iter().chain([&self.agent, &self.proxy]).map(ChildProcess::cpu_s).collect()
     }
 
-    /// Usage of the process with this index. `rest` has the processor times before and after the rest, and its duration;
+    /// Metrics of the process with this index. `rest` has the CPU times before and after the rest, and its duration;
     /// `changes` those before and after the changes, and the number of changes.
     fn usage(
         &self, index: usize, rest: (&[f64], &[f64], f64), changes: (&[f64], &[f64], usize),
-    ) -> ProcessUsage {
+    ) -> ProcessMetrics {
         let process = self.cores.iter().chain([&self.agent, &self.proxy]).nth(index);
-        let Some(process) = process else { return ProcessUsage::default() };
+        let Some(process) = process else { return ProcessMetrics::default() };
         let difference =
             |from: &[f64], to: &[f64]| to.get(index).zip(from.get(index)).map_or(0.0, |(to, from)| to - from);
         let disk_mb = if index < self.cores.len() {
@@ -409,7 +409,7 @@
         } else {
             0.0
         };
-        ProcessUsage {
+        ProcessMetrics {
             rest_cores: difference(rest.0, rest.1) / rest.2.max(1e-9),
             change_cpu_s: difference(changes.0, changes.1) / changes.2.max(1) as f64,
             peak_mb: process.peak_mb(),
@@ -646,7 +646,7 @@
     }
 }
 
-/// Processor times of all processes at the boundaries of the phases, in s, and the index of the leader.
+/// CPU times of all processes at the boundaries of the phases, in s, and the index of the leader.
 #[derive(Default)]
 struct PhaseSamples {
     /// Before and after the rest.
@@ -669,7 +669,9 @@
         result.failure = Some(format!("refused: {reason}"));
         return Ok(result);
     }
-    machine::raise_descriptor_limit(result.estimate.descriptors.max(result.estimate.leader_descriptors))?;
+    resource_usage::raise_descriptor_limit(
+        result.estimate.descriptors.max(result.estimate.leader_descriptors),
+    )?;
     let mut real = RealProcesses::start(options, size)?;
     let threads = SimulationThreads::start(&real, &fleet, result.estimate.full_gateways);
     let mut samples = PhaseSamples::default();
--- a/lab/src/stage/discovery.rs
+++ b/lab/src/testbed/discovery.rs
@@ -2,8 +2,8 @@
 
 use crate::fault::Node;
 use crate::model::registry::{Agent, ServerEntry, ServerState};
-use crate::stage::wire::{format_response, HttpConnection, ServiceListener};
-use crate::stage::RunContext;
+use crate::testbed::wire::{format_response, HttpConnection, ServiceListener};
+use crate::testbed::RunContext;
 use serde_json::json;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Records in the ledger the changes that were sent to a gateway.
+    /// Records in the history the changes that were sent to a gateway.
     fn record_sent(&self, context: &RunContext, gateway: usize, from: usize, to: usize) {
         let effect = context.links.effect(Node::Discovery, Node::Gateway(gateway), context.now());
         let at = context.now() + effect.delay_s + effect.jitter_s;
         let entries = context.registry().changes_between(from, to);
-        let mut ledger = context.ledger();
+        let mut history = context.history();
         for ServerEntry { server, state, .. } in entries {
-            ledger.notifications.push((at, gateway, server, state != ServerState::Ready));
+            history.notifications.push((at, gateway, server, state != ServerState::Ready));
         }
     }
 }
--- a/lab/src/stage/gateways.rs
+++ b/lab/src/testbed/gateways.rs
@@ -1,12 +1,12 @@
 //! Gateway processes: start, kill, pause, resume, reload, upgrade and restart.
 
-use crate::ledger::GatewayEvent;
-use crate::model::front::{CLASS_NAMES, MAX_UNITS, PLAN_NAMES};
+use crate::history::GatewayEvent;
+use crate::model::workload::{CLASS_NAMES, MAX_UNITS, PLAN_NAMES};
 use crate::plan::{DEADLINES_MS, TARGET_LATENCY_MS};
-use crate::stage::discovery::{registry_json, zone_name};
-use crate::stage::machine::{process_usage, ProcessUsage};
-use crate::stage::wire::{Connection, HttpConnection, ReservedPort};
-use crate::stage::RunContext;
+use crate::testbed::discovery::{registry_json, zone_name};
+use crate::testbed::resource_usage::{process_usage, ProcessUsage};
+use crate::testbed::wire::{Connection, HttpConnection, ReservedPort};
+use crate::testbed::RunContext;
 use rustix::process::{kill_process, waitpid, Pid, Signal, WaitOptions};
 use serde_json::{json, Value};
 use std::fs::File;
@@ -77,7 +77,7 @@
     /// Operator ports, used alternately, as two processes run side by side during an upgrade.
     operator_ports: [ReservedPort; 2],
     /// The client listener that its processes inherit; only if the plan upgrades it.
-    inherited: Option<std::net::TcpListener>,
+    inherited_listener: Option<std::net::TcpListener>,
     /// Increases when another process takes over and when the process is killed.
     generation: AtomicU64,
     /// The process that serves.
@@ -102,7 +102,7 @@
         let client_port = ReservedPort::new(Ipv4Addr::LOCALHOST)?;
         Ok(Gateway {
             index,
-            inherited: if is_upgraded { Some(client_port.listen()?) } else { None },
+            inherited_listener: if is_upgraded { Some(client_port.listen()?) } else { None },
             client_port,
             operator_ports: [
                 ReservedPort::new(Ipv4Addr::LOCALHOST)?,
@@ -202,7 +202,7 @@
     fn launch(&self, program: &Path, start: u64, config: &str) -> io::Result<Child> {
         std::fs::write(self.config_path(), config)?;
         let log = File::create(self.log_path(start))?;
-        let mut command = match &self.inherited {
+        let mut command = match &self.inherited_listener {
             None => {
                 let mut command = Command::new("nice");
                 command.args(["-n", NICENESS]).arg(program).stdin(Stdio::null());
@@ -253,13 +253,13 @@
             if exited || start_time.elapsed() > ready_timeout {
                 process.exit_expected.store(true, Ordering::Relaxed);
                 send_signal(&process, Signal::KILL);
-                let why = if exited {
+                let reason = if exited {
                     "ended at its start".to_owned()
                 } else {
                     format!("is not ready after {} s", ready_timeout.as_secs_f64())
                 };
                 return Err(format!(
-                    "gateway {} {why}; end of its log:\n{}",
+                    "gateway {} {reason}; end of its log:\n{}",
                     self.index,
                     self.log_tail(start)
                 ));
@@ -279,8 +279,8 @@
     /// Reads the address of its member socket from its log and passes it to the datagram relays.
     async fn read_member_address(&self, context: &RunContext, start: u64) {
         let Some(relays) = &context.relays else { return };
-        let begin = Instant::now();
-        while begin.elapsed() < context.options.ready_timeout {
+        let start_time = Instant::now();
+        while start_time.elapsed() < context.options.ready_timeout {
             let text = std::fs::read_to_string(self.log_path(start)).unwrap_or_default();
             let addresses =
                 text.lines().rev().find_map(|line| line.split_once(", reached at ")?.1.split_once(", on "));
@@ -288,7 +288,7 @@
                 return relays.set_member_address(self.index, address);
             }
             // During an upgrade the new process joins the cluster only after the old one has left it.
-            if self.inherited.is_some() && start > 0 {
+            if self.inherited_listener.is_some() && start > 0 {
                 return;
             }
             sleep(POLL_INTERVAL).await;
@@ -355,7 +355,7 @@
         self.wait_for_exit(&process, EXIT_TIMEOUT).await;
     }
 
-    /// Kills the process after the run, without a record in the ledger.
+    /// Kills the process after the run, without a record in the history.
     pub async fn kill_unrecorded(&self) {
         let process = self.process().take();
         if let Some(process) = process {
@@ -395,7 +395,7 @@
             context.record_gateway_event(self.index, GatewayEvent::Killed);
             send_signal(process, Signal::KILL);
             self.wait_for_exit(process, EXIT_TIMEOUT).await;
-        } else if self.inherited.is_none() {
+        } else if self.inherited_listener.is_none() {
             context.record_gateway_event(self.index, GatewayEvent::Exited);
         }
     }
--- a/lab/src/stage/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -1,25 +1,25 @@
-//! Plays a plan: starts real gateway processes on loopback, and simulates the clients, servers, counter and discovery
+//! Runs a plan: starts real gateway processes on loopback, and simulates the clients, servers, counter and discovery
 //! around them in this process, the lab.
 
 mod clients;
 mod counter;
-mod datagrams;
 mod discovery;
+mod fault_schedule;
 mod gateways;
-pub mod machine;
+pub mod resource_usage;
 mod servers;
-mod timeline;
+mod udp_relay;
 mod wire;
 
 use crate::check::{self, Verdict};
 use crate::fault::{Effect, FaultHandle, Links, Node};
-use crate::ledger::{GatewayEvent, Ledger, ServerAvailability};
-use crate::model::front::{self, Arrival, EdgeRouter};
+use crate::history::{GatewayEvent, History, ServerAvailability};
 use crate::model::registry::{Registry, ServerEntry, ServerState};
+use crate::model::workload::{self, EdgeRouter, Request};
 use crate::plan::{EndpointKind, GatewayAction, Plan, ServerAction};
-use machine::{Lateness, LatenessSummary};
 use rand::RngCore;
 use rand_distr::Distribution;
+use resource_usage::{Lateness, LatenessSummary};
 use serde::Serialize;
 use std::future::Future;
 use std::path::{Path, PathBuf};
@@ -29,11 +29,11 @@
 
 /// Worker threads of the async runtime.
 const WORKER_THREADS: usize = 3;
-/// Most gateway processes that are started at the same time.
+/// Maximum number of gateway processes that are started at the same time.
 const MAX_CONCURRENT_STARTS: usize = 6;
 /// Time that a run may take beyond the duration of the plan and a second for each gateway.
 const RUN_TIMEOUT_MARGIN: Duration = Duration::from_secs(60);
-/// Most errors of the lab itself that are reported.
+/// Maximum number of errors of the lab itself that are reported.
 const MAX_REPORTED_ERRORS: usize = 10;
 
 /// Options of a run.
@@ -62,17 +62,22 @@
     /// Mean CPU time of a gateway, in ms per second of load.
     pub gateway_cpu_ms_per_s: f64,
     /// CPU time of all gateways per request of a client, in us.
-    pub gateway_cpu_us_per_work: f64,
+    #[serde(rename = "gateway_cpu_us_per_work")]
+    pub gateway_cpu_us_per_request: f64,
     /// Resident memory of a gateway at the end, mean and maximum, in MB.
     pub gateway_mb: [f64; 2],
     /// CPU time of the lab process, in ms per second of load.
-    pub stage_cpu_ms_per_s: f64,
+    #[serde(rename = "stage_cpu_ms_per_s")]
+    pub lab_cpu_ms_per_s: f64,
     /// Resident memory of the lab process at the end, in MB.
-    pub stage_mb: f64,
+    #[serde(rename = "stage_mb")]
+    pub lab_mb: f64,
     /// Threads of the lab process.
-    pub stage_threads: u64,
+    #[serde(rename = "stage_threads")]
+    pub lab_threads: u64,
     /// Open descriptors of the lab process under load.
-    pub stage_descriptors: usize,
+    #[serde(rename = "stage_descriptors")]
+    pub lab_descriptors: usize,
     /// How late timers of the lab fired, in ms.
     pub timers_late_ms: LatenessSummary,
     /// How late simulated clients sent their requests, in ms.
@@ -92,13 +97,14 @@
     /// The results of the checkers.
     pub verdict: Verdict,
     /// Resource usage and lateness.
-    pub machine: ResourceUsage,
+    #[serde(rename = "machine")]
+    pub resource_usage: ResourceUsage,
 }
 
 impl Outcome {
-    /// Whether the run is valid and no rule was broken.
-    pub fn held(&self) -> bool {
-        self.invalid_reasons.is_empty() && self.verdict.held()
+    /// Whether the run is valid and no rule was violated.
+    pub fn passed(&self) -> bool {
+        self.invalid_reasons.is_empty() && self.verdict.passed()
     }
 }
 
@@ -106,8 +112,8 @@
 pub struct RunContext {
     /// The plan.
     pub plan: Plan,
-    /// The requests of its clients, in order of time.
-    pub arrivals: Vec<Arrival>,
+    /// The requests of its clients, in order of their due times.
+    pub requests: Vec<Request>,
     /// Current link faults.
     pub links: Links,
     options: Options,
@@ -120,7 +126,7 @@
     load_start: std::sync::OnceLock<f64>,
     /// Whether connections of servers, counter, discovery and clients go through the fault-injecting proxy.
     proxied: [bool; 4],
-    ledger: Mutex<Ledger>,
+    history: Mutex<History>,
     registry: Mutex<Registry>,
     /// Changes when discovery streams have to check for new versions.
     registry_changed: watch::Sender<u64>,
@@ -133,7 +139,7 @@
     counter: Arc<counter::CounterService>,
     discovery: Arc<discovery::DiscoveryService>,
     gateways: Vec<Arc<gateways::Gateway>>,
-    relays: Option<Arc<datagrams::DatagramRelays>>,
+    relays: Option<Arc<udp_relay::DatagramRelays>>,
     timer_lateness: Lateness,
     client_lateness: Lateness,
     /// Errors of the lab itself.
@@ -157,23 +163,22 @@
             plan.step
                 .iter()
                 .filter_map(|step| step.link.as_ref())
-                .any(|on| [on.from.kind, on.to.kind].contains(&kind))
+                .any(|fault| [fault.from.kind, fault.to.kind].contains(&kind))
         };
-        let has_server_act = |act: ServerAction| {
-            plan.step.iter().any(|s| s.servers.as_ref().is_some_and(|on| on.action == act))
+        let has_server_action = |action: ServerAction| {
+            plan.step.iter().any(|step| step.servers.as_ref().is_some_and(|fault| fault.action == action))
         };
-        let has_counter_outage = plan
-            .step
-            .iter()
-            .any(|step| step.counter.as_ref().is_some_and(|on| on.action == crate::plan::CounterAction::Out));
+        let has_counter_outage = plan.step.iter().any(|step| {
+            step.counter.as_ref().is_some_and(|fault| fault.action == crate::plan::CounterAction::Out)
+        });
         let proxied = [
-            has_link_step(EndpointKind::Servers) || has_server_act(ServerAction::Vanish),
+            has_link_step(EndpointKind::Servers) || has_server_action(ServerAction::Vanish),
             has_link_step(EndpointKind::Counter) || has_counter_outage,
             has_link_step(EndpointKind::Discovery),
             has_link_step(EndpointKind::Clients),
         ];
         let mut rng = plan.rng(3);
-        let speed_distribution = front::lognormal(1.0, plan.fleet.speed_cv);
+        let speed_distribution = workload::lognormal(1.0, plan.fleet.speed_cv);
         let server_count = plan.fleet.servers + plan.fleet.spare;
         let speeds: Vec<f64> = (0..server_count).map(|_| speed_distribution.sample(&mut rng)).collect();
         let servers: std::io::Result<Vec<_>> = speeds
@@ -182,24 +187,24 @@
             .map(|(index, speed)| servers::SimulatedServer::new(plan, index, *speed).map(Arc::new))
             .collect();
         let upgraded = plan.step.iter().enumerate().filter_map(|(index, step)| {
-            let on = step.gateways.as_ref().filter(|on| on.action == GatewayAction::Upgrade)?;
-            Some(plan.gateways(on.who, index))
+            let fault = step.gateways.as_ref().filter(|fault| fault.action == GatewayAction::Upgrade)?;
+            Some(plan.gateways(fault.who, index))
         });
         let upgraded: Vec<usize> = upgraded.flatten().collect();
         let gateways: std::io::Result<Vec<_>> = (0..plan.fleet.gateways)
             .map(|index| gateways::Gateway::new(index, directory, upgraded.contains(&index)).map(Arc::new))
             .collect();
         let relays = if plan.fleet.cluster {
-            let relays = datagrams::DatagramRelays::new(plan.fleet.gateways).await;
+            let relays = udp_relay::DatagramRelays::new(plan.fleet.gateways).await;
             Some(Arc::new(relays.map_err(cannot_create("datagram relays"))?))
         } else {
             None
         };
-        let arrivals = front::draw_arrivals(plan);
-        let began = vec![None; arrivals.len()];
-        let ledger = Ledger { requests: arrivals.clone(), first_sent: began, speeds, ..Ledger::default() };
+        let requests = workload::generate_requests(plan);
+        let first_sent = vec![None; requests.len()];
+        let history = History { requests: requests.clone(), first_sent, speeds, ..History::default() };
         Ok(Arc::new(RunContext {
-            arrivals,
+            requests,
             links: Links::default(),
             options: options.clone(),
             children,
@@ -207,7 +212,7 @@
             epoch: Instant::now(),
             load_start: std::sync::OnceLock::new(),
             proxied,
-            ledger: Mutex::new(ledger),
+            history: Mutex::new(history),
             registry: Mutex::default(),
             registry_changed: watch::channel(0).0,
             router: Mutex::new(EdgeRouter::new(plan)),
@@ -247,7 +252,7 @@
         }
     }
 
-    /// Whether connections of `own`, a party that the lab simulates, go through the fault-injecting proxy.
+    /// Whether connections of `own`, a node that the lab simulates, go through the fault-injecting proxy.
     fn is_proxied(&self, own: Node) -> bool {
         match own {
             Node::Server(_) => self.proxied[0],
@@ -258,8 +263,8 @@
         }
     }
 
-    fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        lock(&self.ledger)
+    fn history(&self) -> MutexGuard<'_, History> {
+        lock(&self.history)
     }
 
     fn registry(&self) -> MutexGuard<'_, Registry> {
@@ -287,17 +292,17 @@
         self.client_lateness.record(late_s.max(0.0));
     }
 
-    fn record_gateway_event(&self, gateway: usize, life: GatewayEvent) {
-        let mut ledger = self.ledger();
+    fn record_gateway_event(&self, gateway: usize, event: GatewayEvent) {
+        let mut history = self.history();
         let at = self.now();
-        ledger.gateway_events.push((at, gateway, life));
+        history.gateway_events.push((at, gateway, event));
     }
 
-    fn set_server_standing(&self, server: usize, standing: ServerAvailability) {
-        let mut ledger = self.ledger();
+    fn set_server_availability(&self, server: usize, availability: ServerAvailability) {
+        let mut history = self.history();
         let at = self.now();
-        ledger.server_states.push((at, server, standing));
-        self.servers[server].set_up(standing == ServerAvailability::Up);
+        history.server_availability.push((at, server, availability));
+        self.servers[server].set_up(availability == ServerAvailability::Up);
     }
 
     /// Records an error of the lab itself, which makes the run invalid.
@@ -362,22 +367,22 @@
     }
 }
 
-/// Plays a plan to its end, or until `stop` completes. Fails if the plan is invalid, the gateways do not start, or the
+/// Runs a plan to its end, or until `stop` completes. Fails if the plan is invalid, the gateways do not start, or the
 /// run is stopped or times out.
-pub fn play(plan: &Plan, options: &Options, stop: impl Future<Output = ()>) -> Result<Outcome, String> {
-    play_with_ready_callback(plan, options, stop, |_| ())
+pub fn run_plan(plan: &Plan, options: &Options, stop: impl Future<Output = ()>) -> Result<Outcome, String> {
+    run_plan_with_ready_callback(plan, options, stop, |_| ())
 }
 
-/// Like [`play`]. When the load begins, calls `ready` with the client address of each gateway.
-pub fn play_with_ready_callback(
+/// Like [`run_plan`]. When the load begins, calls `ready` with the client address of each gateway.
+pub fn run_plan_with_ready_callback(
     plan: &Plan, options: &Options, stop: impl Future<Output = ()>,
     ready: impl FnOnce(&[std::net::SocketAddr]),
 ) -> Result<Outcome, String> {
-    let faults = plan.validation_errors();
-    if !faults.is_empty() {
-        return Err(faults.join("\n"));
+    let errors = plan.validation_errors();
+    if !errors.is_empty() {
+        return Err(errors.join("\n"));
     }
-    machine::raise_descriptor_limit(machine::required_descriptors(plan))?;
+    resource_usage::raise_descriptor_limit(resource_usage::required_descriptors(plan))?;
     let temporary = tempfile::Builder::new()
         .prefix("granite-lab-")
         .tempdir()
@@ -418,7 +423,7 @@
                 context.now(),
                 ServerEntry { server: index, state: ServerState::Ready, started_ms: 0.0 },
             );
-            context.set_server_standing(index, ServerAvailability::Up);
+            context.set_server_availability(index, ServerAvailability::Up);
         }
     }
     context.counter.run(&context).await.map_err(cannot_listen)?;
@@ -432,14 +437,14 @@
     let addresses: Vec<_> = context.gateways.iter().map(|gateway| gateway.address()).collect();
     let gateways_cpu_s =
         |context: &RunContext| context.gateways.iter().map(|gateway| gateway.usage().cpu_s).sum::<f64>();
-    let own_usage = || machine::process_usage(std::process::id() as i32);
+    let own_usage = || resource_usage::process_usage(std::process::id() as i32);
     let (cpu_before, own_before) = (gateways_cpu_s(&context), own_usage());
     let load_start = context.now();
     let _ = context.load_start.set(load_start);
     ready(&addresses);
     let load = async {
         let router_updates = apply_router_updates(&context);
-        let clients_and_steps = async { tokio::join!(clients::run(&context), timeline::run(&context)) };
+        let clients_and_steps = async { tokio::join!(clients::run(&context), fault_schedule::run(&context)) };
         tokio::select! {
             _ = clients_and_steps => {}
             () = router_updates => {}
@@ -448,7 +453,7 @@
     };
     let descriptors_under_load = async {
         context.sleep_until(load_start + plan.seconds * 0.8).await;
-        machine::open_descriptors()
+        resource_usage::open_descriptors()
     };
     let ((), descriptors) = tokio::join!(load, descriptors_under_load);
     let (cpu_after, own_after) = (gateways_cpu_s(&context), own_usage());
@@ -457,29 +462,29 @@
     for gateway in &context.gateways {
         gateway.kill_unrecorded().await;
     }
-    let mut ledger = std::mem::take(&mut *context.ledger());
-    normalize_ledger(&mut ledger, load_start, plan.seconds);
-    let verdict = check::check_run(plan, &ledger);
-    let works = verdict.figures.requests.max(1) as f64;
-    let machine = ResourceUsage {
+    let mut history = std::mem::take(&mut *context.history());
+    normalize_history(&mut history, load_start, plan.seconds);
+    let verdict = check::check_run(plan, &history);
+    let requests = verdict.metrics.requests.max(1) as f64;
+    let resource_usage = ResourceUsage {
         start_s,
         gateway_cpu_ms_per_s: (cpu_after - cpu_before) * 1000.0 / plan.fleet.gateways as f64 / plan.seconds,
-        gateway_cpu_us_per_work: (cpu_after - cpu_before) * 1e6 / works,
+        gateway_cpu_us_per_request: (cpu_after - cpu_before) * 1e6 / requests,
         gateway_mb: [
             memory.iter().sum::<f64>() / memory.len().max(1) as f64,
             memory.iter().copied().fold(0.0, f64::max),
         ],
-        stage_cpu_ms_per_s: (own_after.cpu_s - own_before.cpu_s) * 1000.0 / plan.seconds,
-        stage_mb: own_after.resident_mb,
-        stage_threads: own_after.threads,
-        stage_descriptors: descriptors,
+        lab_cpu_ms_per_s: (own_after.cpu_s - own_before.cpu_s) * 1000.0 / plan.seconds,
+        lab_mb: own_after.resident_mb,
+        lab_threads: own_after.threads,
+        lab_descriptors: descriptors,
         timers_late_ms: context.timer_lateness.summary(),
         clients_late_ms: context.client_lateness.summary(),
     };
     let mut invalid_reasons = lock(&context.errors).clone();
-    invalid_reasons.extend(machine::starvation_reason("timers", machine.timers_late_ms));
-    invalid_reasons.extend(machine::starvation_reason("clients", machine.clients_late_ms));
-    Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, invalid_reasons, verdict, machine })
+    invalid_reasons.extend(resource_usage::starvation_reason("timers", resource_usage.timers_late_ms));
+    invalid_reasons.extend(resource_usage::starvation_reason("clients", resource_usage.clients_late_ms));
+    Ok(Outcome { plan: plan.name.clone(), seed: plan.seed, invalid_reasons, verdict, resource_usage })
 }
 
 async fn start_gateways(context: &Arc<RunContext>) -> Result<(), String> {
@@ -511,30 +516,30 @@
     }
 }
 
-/// Makes all times in the ledger relative to the start of the load, and sorts the records that the checkers read in
+/// Makes all times in the history relative to the start of the load, and sorts the records that the checkers read in
 /// order of time.
-fn normalize_ledger(ledger: &mut Ledger, load_start: f64, seconds: f64) {
-    for each in &mut ledger.tries {
-        each.sent_at -= load_start;
-        each.deadline -= load_start;
-        if let Some((at, _)) = &mut each.outcome {
+fn normalize_history(history: &mut History, load_start: f64, seconds: f64) {
+    for client_try in &mut history.tries {
+        client_try.sent_at -= load_start;
+        client_try.deadline -= load_start;
+        if let Some((at, _)) = &mut client_try.outcome {
             *at -= load_start;
         }
     }
-    for run in &mut ledger.attempts {
-        run.first_byte_at -= load_start;
-        run.received_at -= load_start;
-        run.outcome.0 -= load_start;
+    for attempt in &mut history.attempts {
+        attempt.first_byte_at -= load_start;
+        attempt.received_at -= load_start;
+        attempt.outcome.0 -= load_start;
     }
-    ledger.attempts.sort_by(|a, b| a.received_at.total_cmp(&b.received_at));
-    ledger.first_sent.iter_mut().flatten().for_each(|at| *at -= load_start);
-    ledger.notifications.iter_mut().for_each(|(at, ..)| *at -= load_start);
-    ledger.gateway_events.iter_mut().for_each(|(at, ..)| *at -= load_start);
-    ledger.server_states.iter_mut().for_each(|(at, ..)| *at -= load_start);
-    ledger.needless_refusals.iter_mut().for_each(|at| *at -= load_start);
-    ledger.connections.iter_mut().for_each(|(at, _)| *at -= load_start);
-    ledger.notifications.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.server_states.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.gateway_events.sort_by(|a, b| a.0.total_cmp(&b.0));
-    ledger.load_end = seconds;
+    history.attempts.sort_by(|a, b| a.received_at.total_cmp(&b.received_at));
+    history.first_sent.iter_mut().flatten().for_each(|at| *at -= load_start);
+    history.notifications.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    history.gateway_events.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    history.server_availability.iter_mut().for_each(|(at, ..)| *at -= load_start);
+    history.needless_refusals.iter_mut().for_each(|at| *at -= load_start);
+    history.connections.iter_mut().for_each(|(at, _)| *at -= load_start);
+    history.notifications.sort_by(|a, b| a.0.total_cmp(&b.0));
+    history.server_availability.sort_by(|a, b| a.0.total_cmp(&b.0));
+    history.gateway_events.sort_by(|a, b| a.0.total_cmp(&b.0));
+    history.load_end = seconds;
 }
--- a/lab/src/stage/wire.rs
+++ b/lab/src/testbed/wire.rs
@@ -2,7 +2,7 @@
 //! faults, and a small HTTP/1.1 implementation.
 
 use crate::fault::{Links, Node};
-use crate::stage::RunContext;
+use crate::testbed::RunContext;
 use rand::Rng;
 use socket2::{Domain, SockFilter, SockRef, Socket, Type};
 use std::io::{self, ErrorKind};
@@ -18,15 +18,15 @@
 
 /// Accept queue length of a listener.
 const BACKLOG: i32 = 4096;
-/// Largest HTTP message.
+/// Maximum size of an HTTP message.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Largest segment that is forwarded at once, and that a fault applies to.
+/// Maximum size of a segment, the unit that is forwarded and that a fault applies to.
 const SEGMENT_BYTES: usize = 16 * 1024;
-/// Most segments in flight in one direction of a connection; then the sender blocks.
+/// Maximum number of segments in flight in one direction of a connection. Beyond it the sender blocks.
 const MAX_SEGMENTS_IN_FLIGHT: usize = 64;
 /// Delay of a lost segment, as of a TCP retransmission.
 const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
-/// Longest wait for a closed listener to release its port.
+/// Maximum wait for a closed listener to release its port.
 const PORT_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often the state of a link is polled while nothing passes, and the pause after a failed accept.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -316,7 +316,7 @@
             if effect.throttle.is_finite() {
                 sleep(Duration::from_secs_f64(segment.len() as f64 / effect.throttle)).await;
             }
-            let until_reset = effect.reset_at.map(|end| end.saturating_sub(sent_bytes) as usize);
+            let until_reset = effect.reset_at.map(|limit| limit.saturating_sub(sent_bytes) as usize);
             let part = &segment[..until_reset.unwrap_or(segment.len()).min(segment.len())];
             if to.write_all(part).await.is_err() {
                 return Ok(());
@@ -509,8 +509,8 @@
         let (head, head_bytes) = parse_head(request, false).unwrap().unwrap();
         assert_eq!((head.method.as_str(), head.target.as_str(), head.txn), ("POST", "/a?x=1", Some(255)));
         assert_eq!(&request[head_bytes..head_bytes + head.body_bytes], b"hi");
-        let answer = b"HTTP/1.1 429 No\r\nRetry-After: 0.25\r\nConnection: close\r\n\r\n";
-        let (head, _) = parse_head(answer, true).unwrap().unwrap();
+        let response = b"HTTP/1.1 429 No\r\nRetry-After: 0.25\r\nConnection: close\r\n\r\n";
+        let (head, _) = parse_head(response, true).unwrap().unwrap();
         assert_eq!((head.status, head.retry_after_ms, head.close), (429, Some(250), true));
         assert!(parse_head(b"HTTP/1.1 200 OK\r\nConte", true).unwrap().is_none());
         for bad in [
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,10 +3,10 @@
 
 mod played;
 
+use granite_lab::builtin_plans;
 use granite_lab::plan::Plan;
-use granite_lab::plans;
 use granite_lab::report;
-use granite_lab::stage::{play, play_with_ready_callback, Options, Outcome};
+use granite_lab::testbed::{run_plan, run_plan_with_ready_callback, Options, Outcome};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -20,13 +20,13 @@
 }
 
 fn plan(name: &str) -> Plan {
-    Plan::read(plans::plan(name).expect("the plan is built into the lab")).unwrap()
+    Plan::read(builtin_plans::plan(name).expect("the plan is built into the lab")).unwrap()
 }
 
 /// Runs a plan until a run is valid.
 fn run_until_valid(plan: &Plan) -> Outcome {
     for _ in 0..MAX_RUNS {
-        let outcome = play(plan, &options(), std::future::pending()).unwrap();
+        let outcome = run_plan(plan, &options(), std::future::pending()).unwrap();
         if outcome.invalid_reasons.is_empty() {
             return outcome;
         }
@@ -58,7 +58,7 @@
                 let Some(name) = plans.lock().unwrap().pop() else { return };
                 let outcome = run_until_valid(&plan(name));
                 println!("{}", report::text(&outcome));
-                if !outcome.verdict.held() {
+                if !outcome.verdict.passed() {
                     failed.lock().unwrap().push(name);
                 }
             });
@@ -109,8 +109,9 @@
     std::fs::write(&program, script).unwrap();
     std::fs::set_permissions(&program, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
     let text = "name = \"broken\"\nseconds = 2\n[fleet]\ngateways = 2\nservers = 2\n[traffic]\nspread = 2\nper_s = 30.0\n[hold]\nserved = 0.9";
-    let outcome = play(&Plan::read(text).unwrap(), &Options::new(&program), std::future::pending()).unwrap();
-    let rules: Vec<_> = outcome.verdict.broken.iter().map(|broken| broken.rule).collect();
+    let outcome =
+        run_plan(&Plan::read(text).unwrap(), &Options::new(&program), std::future::pending()).unwrap();
+    let rules: Vec<_> = outcome.verdict.violations.iter().map(|broken| broken.rule).collect();
     for rule in [
         "each request has one answer, the right one",
         "a request that a living gateway took has its answer",
@@ -151,7 +152,7 @@
     calm.seconds = 60.0;
     let running = std::cell::Cell::new(0);
     let panicked = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-        play_with_ready_callback(&calm, &options(), std::future::pending(), |_| {
+        run_plan_with_ready_callback(&calm, &options(), std::future::pending(), |_| {
             running.set(child_gateways());
             panic!("intended by the test")
         })
@@ -159,7 +160,7 @@
     assert!(panicked.is_err() && running.get() == calm.fleet.gateways, "{running:?}");
     assert_cleaned_up(directory.path());
     let stop = async { tokio::time::sleep(std::time::Duration::from_secs(3)).await };
-    let stopped = play_with_ready_callback(&calm, &options(), stop, |_| running.set(child_gateways()));
+    let stopped = run_plan_with_ready_callback(&calm, &options(), stop, |_| running.set(child_gateways()));
     assert!(stopped.unwrap_err().contains("stopped"));
     assert_eq!(running.get(), calm.fleet.gateways);
     assert_cleaned_up(directory.path());
