--- a/overland/tests/plane/mod.rs
+++ b/overland/tests/plane/mod.rs
@@ -175,7 +175,7 @@
 tariffs:\n  bounds:\n    ack: \"8000ms\"\n    grace: \"6s\"\n    closed: false\n    retry_ratio: 5.0\n    retry_slack: 500\n    \
 ttl_max: \"5s\"\n";
 
-fn news(index: u64, backends: &[Rc<TestBackend>]) -> ToProxy {
+fn state_update(index: u64, backends: &[Rc<TestBackend>]) -> ToProxy {
     let backends = backends.iter().filter(|backend| backend.listed.get()).map(|backend| Backend {
         id: backend.id.clone(),
         service: "s1".into(),
@@ -210,7 +210,7 @@
 
 /// Runs one history; returns the first violation and the numbers of events, responses and successes.
 pub fn run_history(
-    seed: u64, speech: impl Fn() -> Rc<dyn BackendProtocol>,
+    seed: u64, protocol: impl Fn() -> Rc<dyn BackendProtocol>,
 ) -> (Option<String>, usize, usize, usize) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -243,7 +243,7 @@
                 });
                 let settings = Settings::read(SETTINGS).expect("invalid settings");
                 let seed = world.rng.borrow_mut().u64(..);
-                Proxy::standalone(settings, seed, speech(), dial, news(1, &world.backends))
+                Proxy::standalone(settings, seed, protocol(), dial, state_update(1, &world.backends))
                     .expect("cannot create the proxy")
             })
             .collect();
@@ -258,7 +258,7 @@
             sleep(Duration::from_millis(world.random_below(900) as u64)).await;
             world.backends[0].listed.set(false);
             world.backends[count].listed.set(true);
-            proxies.iter().for_each(|proxy| proxy.apply_update(news(2, &world.backends)));
+            proxies.iter().for_each(|proxy| proxy.apply_update(state_update(2, &world.backends)));
         }
         if world.chance(30) {
             sleep(Duration::from_millis(world.random_below(900) as u64)).await;
--- a/overland/tests/soak.rs
+++ b/overland/tests/soak.rs
@@ -36,24 +36,24 @@
     settings: PathBuf,
     process: Option<Process>,
     /// Incremented before the process is paused or killed.
-    kills: Arc<AtomicU64>,
+    interruptions: Arc<AtomicU64>,
 }
 
 impl Node {
     fn new(program: &'static str, settings: PathBuf) -> Self {
         let process = Some(start(program, &settings));
-        Node { program, settings, process, kills: Arc::default() }
+        Node { program, settings, process, interruptions: Arc::default() }
     }
 
     fn signal(&self, name: &str) {
         if let Some(process) = &self.process {
-            self.kills.fetch_add(u64::from(name == "-STOP"), Ordering::SeqCst);
+            self.interruptions.fetch_add(u64::from(name == "-STOP"), Ordering::SeqCst);
             signal(process, name);
         }
     }
 
     fn kill(&mut self) {
-        self.kills.fetch_add(1, Ordering::SeqCst);
+        self.interruptions.fetch_add(1, Ordering::SeqCst);
         self.process = None;
     }
 
@@ -364,10 +364,10 @@
     let (targets, shared) = (cores.clone(), results.clone());
     callers.push(thread::spawn(move || callers::run_reader(seed, targets, shared)));
     for (number, address) in system.client_addrs.iter().enumerate() {
-        let (address, shared, kills) =
-            (address.clone(), results.clone(), system.proxies[number].kills.clone());
+        let (address, shared, interruptions) =
+            (address.clone(), results.clone(), system.proxies[number].interruptions.clone());
         let client_seed = seed * 10 + number as u64;
-        callers.push(thread::spawn(move || callers::run_client(client_seed, address, kills, shared)));
+        callers.push(thread::spawn(move || callers::run_client(client_seed, address, interruptions, shared)));
     }
 
     let faults = inject_faults(&mut rng, &mut system, &results, duration_s);
--- a/overland/tests/soak/callers.rs
+++ b/overland/tests/soak/callers.rs
@@ -109,7 +109,7 @@
 
 /// A client of one gateway: sends safe and unsafe requests over a keep-alive connection. An unsafe one that
 /// runs must get a response unless the proxy is killed or paused meanwhile.
-pub fn run_client(seed: u64, gateway: String, kills: Arc<AtomicU64>, results: Arc<Results>) {
+pub fn run_client(seed: u64, gateway: String, interruptions: Arc<AtomicU64>, results: Arc<Results>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut connection: Option<TcpStream> = None;
     for number in 0u64.. {
@@ -127,17 +127,17 @@
             }
         };
         connection =
-            send_request(&mut rng, stream, &format!("{seed:x}-{number}"), &gateway, &kills, &results);
+            send_request(&mut rng, stream, &format!("{seed:x}-{number}"), &gateway, &interruptions, &results);
     }
 }
 
 /// Sends one request and checks the response. Returns the connection if it can be reused.
 fn send_request(
-    rng: &mut fastrand::Rng, mut stream: TcpStream, id: &str, gateway: &str, kills: &AtomicU64,
+    rng: &mut fastrand::Rng, mut stream: TcpStream, id: &str, gateway: &str, interruptions: &AtomicU64,
     results: &Results,
 ) -> Option<TcpStream> {
     let is_unsafe = rng.bool();
-    let kills_before = kills.load(Ordering::SeqCst);
+    let interruptions_before = interruptions.load(Ordering::SeqCst);
     let (method, path) = if is_unsafe { ("POST", "/x/1") } else { ("GET", "/s/1") };
     let body = if is_unsafe { "body" } else { "" };
     let request = format!(
@@ -164,7 +164,7 @@
         // A gateway may close an idle connection as the request arrives; it must not have forwarded the
         // request then.
         let ran = results.runs.lock().expect("not poisoned").contains_key(id);
-        if ran && kills.load(Ordering::SeqCst) == kills_before {
+        if ran && interruptions.load(Ordering::SeqCst) == interruptions_before {
             results.fail(format!(
                 "request {id} ran, but {gateway} sent no complete response and was not killed"
             ));
