--- a/overland/src/agreement/snapshot.rs
+++ b/overland/src/agreement/snapshot.rs
@@ -381,12 +381,12 @@
             return ChunkOutcome::Incomplete(received);
         }
         if self::digest(index, incoming.last_term, &incoming.members, &incoming.bytes) != digest {
-            log::error!("agreement: the state of {index} does not match its digest: receiving it again");
+            log::error!("raft: the state of {index} does not match its digest: receiving it again");
             incoming.bytes = Vec::new();
             return ChunkOutcome::Incomplete(0);
         }
         if !can_decode(&incoming.bytes) {
-            log::error!("agreement: the state of {index} can't be decoded: snapshot rejected");
+            log::error!("raft: the state of {index} can't be decoded: snapshot rejected");
             (incoming.rejected, incoming.bytes) = (true, Vec::new());
             return ChunkOutcome::Rejected;
         }
--- a/overland/src/calls.rs
+++ b/overland/src/calls.rs
@@ -289,7 +289,7 @@
 /// A configuration update.
 pub struct ConfigUpdate {
     /// Its content, or why that is invalid.
-    pub envelope: Result<ConfigDocument, InvalidConfig>,
+    pub document: Result<ConfigDocument, InvalidConfig>,
     /// It changes single items; otherwise it replaces the whole configuration.
     pub patch: bool,
     /// Identifies it, so that retries are recognised; none if the content is invalid.
@@ -298,14 +298,14 @@
 
 impl ConfigUpdate {
     fn read(request: &CallRequest, patch: bool) -> ConfigUpdate {
-        let envelope = ConfigDocument::read(request.body);
-        let id = envelope.as_ref().ok().map(|envelope| UpdateId {
-            edition: envelope.edition,
-            based_on: envelope.based_on,
-            content_digest: envelope.digest(patch),
+        let document = ConfigDocument::read(request.body);
+        let id = document.as_ref().ok().map(|document| UpdateId {
+            edition: document.edition,
+            based_on: document.based_on,
+            content_digest: document.digest(patch),
             call_digest: call_digest(request),
         });
-        ConfigUpdate { envelope, patch, id }
+        ConfigUpdate { document, patch, id }
     }
 }
 
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -1,7 +1,7 @@
 //! Messages between core processes: requests to join, calls forwarded to the leader, and comparison of state
 //! digests.
 
-use super::{Action, AgreementInput, Caller, Member, PendingCall, Stage, CALL_TIMEOUT_MS};
+use super::{Action, Caller, Member, PendingCall, RaftInput, Stage, CALL_TIMEOUT_MS};
 use crate::agreement::{Event, Name, RaftMessage};
 use crate::calls::{CallRequest, Refusal, Reply};
 use crate::news::{ForwardedCall, RangeDigest, RangeDigests, Word};
@@ -41,9 +41,9 @@
         &mut self, now: Millis, from: Name, message: Word, out: &mut Vec<Action>,
     ) {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == from);
-        let known = seed || self.agreement.accepts_messages_from(&from);
+        let known = seed || self.raft.accepts_messages_from(&from);
         let (joins, valid_name) = (matches!(message, Word::Join(_)), from.parse::<SocketAddr>().is_ok());
-        let has_room = !joins || known || self.agreement.learner_count() < MAX_JOINING;
+        let has_room = !joins || known || self.raft.learner_count() < MAX_JOINING;
         if !valid_name || !(known || joins) || !has_room {
             self.rejected_messages += 1;
             if self.rejected_messages.is_power_of_two() {
@@ -56,7 +56,7 @@
         }
         match message {
             Word::Agreement(RaftMessage { payload: Some(payload) }) => {
-                self.inputs.push_back(AgreementInput::Event(Event::Received { from, payload }));
+                self.inputs.push_back(RaftInput::Event(Event::Received { from, payload }));
             }
             Word::Agreement(_) => {}
             Word::Call(call) => self.handle_forwarded_call(now, from, &call, out),
@@ -68,7 +68,7 @@
                     self.send_peer(&from, Word::Repair(repair), out);
                 }
             }
-            Word::Repair(_) if self.agreement.leader() != Some(&from) => {}
+            Word::Repair(_) if self.raft.leader() != Some(&from) => {}
             Word::Repair(repair) => {
                 let names = repair.names.join(", ");
                 if !self.is_leader() && self.state.repair(now, repair) {
@@ -79,10 +79,10 @@
                 }
             }
             Word::Join(_) => {
-                if let Some(leader) = self.agreement.leader().filter(|leader| **leader != self.me).cloned() {
+                if let Some(leader) = self.raft.leader().filter(|leader| **leader != self.me).cloned() {
                     out.push(Action::ForwardJoin { to: leader, from: from.clone() });
                 }
-                self.inputs.push_back(AgreementInput::Event(Event::Join(from)));
+                self.inputs.push_back(RaftInput::Event(Event::Join(from)));
             }
         }
     }
@@ -95,9 +95,9 @@
 
     /// Asks all known core processes to add this process, unless it is a member with a leader.
     pub(super) fn request_join(&self, out: &mut Vec<Action>) {
-        if self.agreement.needs_to_join() {
+        if self.raft.needs_to_join() {
             let seeds = self.seeds.iter().map(SocketAddr::to_string);
-            for core in seeds.chain(self.agreement.members().iter().cloned()) {
+            for core in seeds.chain(self.raft.members().iter().cloned()) {
                 self.send_peer(&core, Word::Join(true), out);
             }
         }
@@ -110,13 +110,13 @@
     pub(super) fn forward_call(
         &mut self, now: Millis, caller: Caller, called: &CallRequest, out: &mut Vec<Action>,
     ) {
-        let leader = self.agreement.leader().filter(|leader| self.is_leader_reachable(now, leader));
+        let leader = self.raft.leader().filter(|leader| self.is_leader_reachable(now, leader));
         let leader = leader.cloned().filter(|_| matches!(caller, Caller::Client(_)));
         let Some(to) = leader else { return self.refuse(&caller, &Refusal::Unavailable, out) };
         let call_id = self.next_call_id;
         self.next_call_id = call_id.wrapping_add(1);
         let path = format!("{} {}", called.method, called.path);
-        let (term, leader_sent_at) = (self.agreement.term(), self.agreement.leader_sent_at());
+        let (term, leader_sent_at) = (self.raft.term(), self.raft.leader_sent_at());
         let call =
             ForwardedCall { call_id, path, body: called.body.to_vec(), status: 0, term, leader_sent_at };
         self.send_peer(&to, Word::Call(call), out);
@@ -127,11 +127,8 @@
 
     /// Whether this process follows `leader` and messages pass in both directions.
     pub(super) fn is_leader_reachable(&self, now: Millis, leader: &Name) -> bool {
-        let (silence, unheard) =
-            (now - self.agreement.leader_heard_at(), self.agreement.since_heard_by_leader(now));
-        self.agreement.leader() == Some(leader)
-            && silence < LEADER_SILENCE_MS
-            && unheard < UNHEARD_BY_LEADER_MS
+        let (silence, unheard) = (now - self.raft.leader_heard_at(), self.raft.since_heard_by_leader(now));
+        self.raft.leader() == Some(leader) && silence < LEADER_SILENCE_MS && unheard < UNHEARD_BY_LEADER_MS
     }
 
     /// Handles a call that another core process forwarded.
@@ -141,7 +138,7 @@
         let Some((method, path)) = call.path.split_once(' ') else { return };
         let caller = Caller::Peer(from, call.call_id);
         // A call that its caller has given up and retried must not take effect again, after newer calls.
-        let late = call.term != self.agreement.term() || now - call.leader_sent_at > MAX_FORWARD_AGE_MS;
+        let late = call.term != self.raft.term() || now - call.leader_sent_at > MAX_FORWARD_AGE_MS;
         if call.term > 0 && late {
             return self.refuse(&caller, &Refusal::Unavailable, out);
         }
@@ -173,7 +170,7 @@
     fn compare_digest(&self, leader: &Name, theirs: &RangeDigests, out: &mut Vec<Action>) {
         let digest = theirs.ranges.first().map(|range| range.digest);
         let same = theirs.index != self.state.index || digest == Some(self.digest.of(&self.state));
-        if !same && self.agreement.leader() == Some(leader) {
+        if !same && self.raft.leader() == Some(leader) {
             let index = self.state.index;
             log::warn!("core: state at index {index} differs from the leader's; requesting repair");
             self.send_peer(leader, Word::Differs(self.state.range_digests()), out);
@@ -184,7 +181,7 @@
     pub(super) fn broadcast_digest(&self, out: &mut Vec<Action>) {
         let digest = RangeDigest { name: String::new(), digest: self.digest.of(&self.state) };
         let ranges = RangeDigests { index: self.state.index, ranges: vec![digest] };
-        for member in self.agreement.members() {
+        for member in self.raft.members() {
             self.send_peer(member, Word::Compare(ranges.clone()), out);
         }
     }
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -202,7 +202,7 @@
     /// This change is committed.
     Committed(Kind),
     /// This configuration update is accepted and enforced.
-    Order(calls::ConfigUpdate),
+    Update(calls::ConfigUpdate),
 }
 
 /// A call that is not answered yet.
@@ -228,7 +228,7 @@
 }
 
 /// An input to the Raft node.
-enum AgreementInput {
+enum RaftInput {
     Event(agreement::Event),
     /// A change to propose, and the caller that waits for it.
     Propose(Kind, Option<Caller>),
@@ -240,13 +240,13 @@
     me: Name,
     /// Core processes listed in the current settings.
     seeds: Vec<SocketAddr>,
-    agreement: RaftNode,
+    raft: RaftNode,
     state: State,
     digest: DigestCache,
     /// Actions of the Raft node that are held back while a save is in progress.
-    agreement_actions: VecDeque<agreement::Action>,
-    /// Inputs to the Raft node, to be handled after `agreement_actions`.
-    inputs: VecDeque<AgreementInput>,
+    raft_actions: VecDeque<agreement::Action>,
+    /// Inputs to the Raft node, to be handled after `raft_actions`.
+    inputs: VecDeque<RaftInput>,
     saving: bool,
     /// A committed change could not be read: the state is incomplete until it is repaired, and another member
     /// should lead.
@@ -329,12 +329,12 @@
         let state = State { index: saved.snapshot.index, ..State::from_snapshot(now, state_snapshot) };
         let member = Member {
             seeds: settings.seeds.clone(),
-            agreement: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(can_decode_snapshot),
+            raft: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(can_decode_snapshot),
             settings,
             me,
             state,
             digest: DigestCache::default(),
-            agreement_actions: VecDeque::new(),
+            raft_actions: VecDeque::new(),
             inputs: VecDeque::new(),
             saving: false,
             state_incomplete: false,
@@ -369,7 +369,7 @@
 
     /// Whether it leads.
     pub fn is_leader(&self) -> bool {
-        self.agreement.is_leader()
+        self.raft.is_leader()
     }
 
     /// Its replica of the state.
@@ -385,22 +385,22 @@
     /// Whether the link to this core process stays open while idle: true for members and seeds.
     pub fn keeps_link_to(&self, name: &str) -> bool {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == name);
-        seed || self.agreement.members().iter().any(|member| member == name)
+        seed || self.raft.members().iter().any(|member| member == name)
     }
 
     /// Its Raft state.
-    pub fn agreement(&self) -> &RaftNode {
-        &self.agreement
+    pub fn raft(&self) -> &RaftNode {
+        &self.raft
     }
 
     /// Whether a process that is shutting down may exit: see [`RaftNode::leave_outcome`].
     pub fn leave_outcome(&self) -> Option<bool> {
-        self.agreement.leave_outcome()
+        self.raft.leave_outcome()
     }
 
     /// Whether it may answer on behalf of the system: it holds the leader lease and its state is complete.
     fn is_authoritative(&self, now: Millis) -> bool {
-        !self.state_incomplete && self.agreement.holds_lease(now)
+        !self.state_incomplete && self.raft.holds_lease(now)
     }
 
     /// Handles one event and appends the resulting actions.
@@ -422,9 +422,9 @@
             Event::Charged { link, charges } => self.handle_charges(now, link, &charges, out),
             Event::LinkClosed(link) => drop(self.agents.remove(&link)),
             Event::SeedsChanged(seeds) => self.seeds = seeds,
-            Event::Shutdown => self.inputs.push_back(AgreementInput::Event(agreement::Event::Leave)),
+            Event::Shutdown => self.inputs.push_back(RaftInput::Event(agreement::Event::Leave)),
         }
-        self.run_agreement(now, out);
+        self.run_raft(now, out);
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -434,13 +434,13 @@
             self.stale_input_until = now + STALE_INPUT_MS;
         }
         self.last_tick = now;
-        self.inputs.push_back(AgreementInput::Event(agreement::Event::Tick));
-        self.run_agreement(now, out);
+        self.inputs.push_back(RaftInput::Event(agreement::Event::Tick));
+        self.run_raft(now, out);
         if self.ticks.is_multiple_of(MAINTENANCE_INTERVAL_TICKS) {
             self.run_maintenance(now, out);
         }
         if self.ticks.is_multiple_of(LEADERLESS_LOG_INTERVAL_TICKS) {
-            if let Some(why) = self.agreement.no_leader_reason() {
+            if let Some(why) = self.raft.no_leader_reason() {
                 log::warn!("core: no leader: {why}");
             }
         }
@@ -474,7 +474,7 @@
     fn run_maintenance(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.request_join(out);
         if self.state_incomplete && self.is_leader() {
-            self.inputs.push_back(AgreementInput::Event(agreement::Event::TransferLeadership));
+            self.inputs.push_back(RaftInput::Event(agreement::Event::TransferLeadership));
         }
         self.check_reach(now);
         // Older duplicates are refused because of their age.
@@ -483,12 +483,12 @@
             return;
         }
         for kind in self.presence_changes(now) {
-            self.inputs.push_back(AgreementInput::Propose(kind, None));
+            self.inputs.push_back(RaftInput::Propose(kind, None));
         }
         self.quota_counters.remove_idle(now);
     }
 
-    // ---- Agreement ----------------------------------------------------------------------------------------
+    // ---- Raft ---------------------------------------------------------------------------------------------
 
     fn save_completed(&mut self, now: Millis, took_ms: f64) {
         self.saving = false;
@@ -502,10 +502,10 @@
     fn check_reach(&mut self, now: Millis) {
         let present =
             self.agents.values().filter(|agent| now - agent.last_report < presence::AGENT_TIMEOUT_MS);
-        let reach = present.count() as u32;
-        self.inputs.push_back(AgreementInput::Event(agreement::Event::ReachableAgents(reach)));
+        let connected_agents = present.count() as u32;
+        self.inputs.push_back(RaftInput::Event(agreement::Event::ReachableAgents(connected_agents)));
         self.poor_reach_rounds =
-            if self.agreement.is_poorly_connected(now) { self.poor_reach_rounds + 1 } else { 0 };
+            if self.raft.is_poorly_connected(now) { self.poor_reach_rounds + 1 } else { 0 };
         if self.poor_reach_rounds >= POOR_REACH_ROUNDS {
             self.hand_over(now, "agents reach other members better");
         }
@@ -518,14 +518,14 @@
         if self.is_leader() && !recent {
             log::warn!("core: handing over leadership: {why}");
             (self.last_handover, self.poor_reach_rounds) = (Some(now), 0);
-            self.inputs.push_back(AgreementInput::Event(agreement::Event::TransferLeadership));
+            self.inputs.push_back(RaftInput::Event(agreement::Event::TransferLeadership));
         }
     }
 
     /// Executes the Raft node's actions and passes its inputs on, up to the next save.
-    fn run_agreement(&mut self, now: Millis, out: &mut Vec<Action>) {
+    fn run_raft(&mut self, now: Millis, out: &mut Vec<Action>) {
         while !self.saving {
-            if let Some(action) = self.agreement_actions.pop_front() {
+            if let Some(action) = self.raft_actions.pop_front() {
                 self.execute(now, action, out);
             } else if std::mem::take(&mut self.state_changed) {
                 self.push_changes(now, out);
@@ -537,16 +537,16 @@
                     self.advance_queued_updates(now, out);
                 }
                 let event = match self.inputs.pop_front() {
-                    Some(AgreementInput::Event(event)) => event,
-                    Some(AgreementInput::Propose(kind, caller)) => match self.propose(kind, caller, out) {
+                    Some(RaftInput::Event(event)) => event,
+                    Some(RaftInput::Propose(kind, caller)) => match self.propose(kind, caller, out) {
                         Some(event) => event,
                         None => continue,
                     },
                     None => return,
                 };
                 let mut actions = Vec::new();
-                self.agreement.handle(now, event, &mut actions);
-                self.agreement_actions.extend(actions);
+                self.raft.handle(now, event, &mut actions);
+                self.raft_actions.extend(actions);
             }
         }
     }
@@ -556,13 +556,13 @@
     fn propose(
         &mut self, kind: Kind, caller: Option<Caller>, out: &mut Vec<Action>,
     ) -> Option<agreement::Event> {
-        if !self.agreement.accepts_proposals() {
+        if !self.raft.accepts_proposals() {
             if let Some(caller) = caller {
                 self.refuse(&caller, &Refusal::Unavailable, out);
             }
             return None;
         }
-        let (index, term) = (self.agreement.last_index() + 1, self.agreement.term());
+        let (index, term) = (self.raft.last_index() + 1, self.raft.term());
         let kind = match kind {
             Kind::Config(config) => {
                 self.updates.add_proposed(&config, index, term);
@@ -645,16 +645,13 @@
     }
 
     fn leadership_changed(&mut self, now: Millis, leads: bool, out: &mut Vec<Action>) {
-        log::info!("core: {} in term {}", if leads { "leads" } else { "follows" }, self.agreement.term());
+        log::info!("core: {} in term {}", if leads { "leads" } else { "follows" }, self.raft.term());
         self.leadership_announced = false;
         self.updates.clear_proposed();
         self.presence = Presence::new(now);
         let slack = self.settings.bounds.quota_slack;
-        self.quota_counters = if leads {
-            QuotaCounters::new(now, self.agreement.term(), slack)
-        } else {
-            QuotaCounters::default()
-        };
+        self.quota_counters =
+            if leads { QuotaCounters::new(now, self.raft.term(), slack) } else { QuotaCounters::default() };
         self.load_limits();
         if !leads {
             // The results of these calls are unknown; a retry finds out.
@@ -669,13 +666,13 @@
     /// Compacts the log into a snapshot at the same indices as every other member.
     fn compact(&mut self, now: Millis) {
         let index = self.state.index;
-        if !index.is_multiple_of(COMPACTION_INTERVAL) && self.agreement.log_bytes(index) < MAX_LOG_BYTES {
+        if !index.is_multiple_of(COMPACTION_INTERVAL) && self.raft.log_bytes(index) < MAX_LOG_BYTES {
             return;
         }
         let state = self.state.snapshot(now, true).encode_to_vec();
         let mut actions = Vec::new();
-        self.agreement.compact(self.state.index, state, &mut actions);
-        self.agreement_actions.extend(actions);
+        self.raft.compact(self.state.index, state, &mut actions);
+        self.raft_actions.extend(actions);
     }
 
     // ---- Calls --------------------------------------------------------------------------------------------
@@ -698,10 +695,10 @@
                     Wait::Committed(kind) => {
                         let stage = Stage::Proposing(None);
                         self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
-                        self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
+                        self.inputs.push_back(RaftInput::Propose(kind, Some(caller)));
                     }
-                    Wait::Order(order) => {
-                        let stage = Stage::Queued(order);
+                    Wait::Update(update) => {
+                        let stage = Stage::Queued(update);
                         self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
                         self.queue_update(caller, out);
                     }
@@ -752,11 +749,11 @@
     type Wait = Wait;
 
     fn is_leader(&self) -> bool {
-        self.agreement.is_leader()
+        self.raft.is_leader()
     }
 
     fn holds_lease(&self, now: Millis) -> bool {
-        self.agreement.holds_lease(now)
+        self.raft.holds_lease(now)
     }
 }
 
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -11,7 +11,7 @@
 //! The caller may get an inconclusive answer in any stage. To learn the result, it sends the identical update
 //! again.
 
-use super::{Action, AgreementInput, CallResult, Caller, Member, Stage, Wait};
+use super::{Action, CallResult, Caller, Member, RaftInput, Stage, Wait};
 use crate::calls::{
     Answers, ConfigUpdate, Done, EndEvacuation, Get, Outcome, Patch, Put, Refusal, StartEvacuation,
 };
@@ -73,14 +73,14 @@
 }
 
 impl Answers<Put> for Member {
-    fn answer(&mut self, _: Millis, Put(order): Put) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
+    fn answer(&mut self, _: Millis, Put(update): Put) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Update(update)))
     }
 }
 
 impl Answers<Patch> for Member {
-    fn answer(&mut self, _: Millis, Patch(order): Patch) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
+    fn answer(&mut self, _: Millis, Patch(update): Patch) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Update(update)))
     }
 }
 
@@ -131,7 +131,7 @@
     pub(super) fn advance_queued_updates(&mut self, now: Millis, out: &mut Vec<Action>) {
         for caller in self.updates.queued.clone() {
             let step = match self.calls.get(&caller).map(|call| &call.stage) {
-                Some(Stage::Queued(order)) => self.next_step(now, order),
+                Some(Stage::Queued(update)) => self.next_step(now, update),
                 _ => Step::Refuse(Refusal::Unavailable),
             };
             let update_id = self.queued_update_id(&caller);
@@ -145,7 +145,7 @@
                 }
                 Step::Propose(kind) => {
                     self.set_stage(&caller, Stage::Proposing(update_id));
-                    self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
+                    self.inputs.push_back(RaftInput::Propose(kind, Some(caller)));
                     return;
                 }
                 Step::Accepted(index) => {
@@ -159,17 +159,17 @@
 
     fn queued_update_id(&self, caller: &Caller) -> Option<UpdateId> {
         match &self.calls.get(caller)?.stage {
-            Stage::Queued(order) => order.id,
+            Stage::Queued(update) => update.id,
             _ => None,
         }
     }
 
-    fn next_step(&self, now: Millis, order: &ConfigUpdate) -> Step {
+    fn next_step(&self, now: Millis, update: &ConfigUpdate) -> Step {
         if !self.is_authoritative(now) {
             return Step::Refuse(Refusal::Unavailable);
         }
-        let (update, update_id) = match (&order.envelope, &order.id) {
-            (Ok(update), Some(update_id)) => (update, update_id),
+        let (document, update_id) = match (&update.document, &update.id) {
+            (Ok(document), Some(update_id)) => (document, update_id),
             (Err(invalid), _) => return Step::Refuse(invalid.clone().into()),
             (Ok(_), None) => return Step::Refuse(Refusal::Unavailable),
         };
@@ -189,7 +189,7 @@
                 let UpdateId { edition, based_on, content_digest, .. } = *update_id;
                 Step::Propose(Kind::Rejected(RejectedUpdate { edition, based_on, content_digest }))
             }
-            UpdateCheck::Applicable => match self.change_for(update, update_id, order.patch) {
+            UpdateCheck::Applicable => match self.change_for(document, update_id, update.patch) {
                 Ok(kind) => Step::Propose(kind),
                 Err(refusal) => Step::Refuse(refusal),
             },
@@ -199,11 +199,11 @@
 
     /// The change that an update based on the current configuration proposes.
     fn change_for(
-        &self, update: &ConfigDocument, update_id: &UpdateId, patch: bool,
+        &self, document: &ConfigDocument, update_id: &UpdateId, patch: bool,
     ) -> Result<Kind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
-        let update = update.clone();
-        let (_, text) = if patch { update.apply_to(current) } else { update.into_full_config() }?;
+        let document = document.clone();
+        let (_, text) = if patch { document.apply_to(current) } else { document.into_full_config() }?;
         let UpdateId { edition, based_on, content_digest, call_digest } = *update_id;
         log::info!("core: proposing configuration r{edition} based on r{based_on}");
         let digests = vec![content_digest, full_config_digest(based_on, &text)];
@@ -216,7 +216,7 @@
     /// edition.
     pub(super) fn with_difference(&self, config: ConfigRevision) -> ConfigRevision {
         let current = self.state.config.as_ref().filter(|current| config.based_on == Some(current.edition));
-        let Some(current) = current.filter(|_| self.agreement.all_read_entry_version()) else {
+        let Some(current) = current.filter(|_| self.raft.all_read_entry_version()) else {
             return config;
         };
         let difference = Difference::between(&current.text, &config.text);
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -156,7 +156,7 @@
     pub(super) fn update_settled(&mut self) {
         let presence = &mut self.presence;
         let heard = |id: &String| presence.heartbeats.contains_key(id);
-        let applied = self.state.index >= self.agreement.last_index();
+        let applied = self.state.index >= self.raft.last_index();
         presence.settled |= applied && self.state.backends.keys().all(heard);
     }
 
@@ -190,7 +190,7 @@
 
     /// The system's status as this process sees it.
     fn status(&self, now: Millis) -> Status {
-        let (agreement, state) = (&self.agreement, &self.state);
+        let (raft, state) = (&self.raft, &self.state);
         let gateway_status = |gateway: &Gateway| {
             let agents = self.agents.values().filter(|agent| agent.gateway.node == gateway.node);
             let agent = agents.max_by(|a, b| a.last_report.total_cmp(&b.last_report));
@@ -199,9 +199,9 @@
                 zone: gateway.zone.clone(),
                 client_addr: gateway.client_addr.clone(),
                 ready: agent.is_some_and(|agent| agent.report.ready),
-                received_index: agent.map_or(0, |agent| agent.report.applied_index),
-                applied_index: agent.map_or(0, |agent| agent.report.proxy_applied_index),
-                heard_ms: agent.map(|agent| (now - agent.last_report).max(0.0) as u64),
+                agent_applied_index: agent.map_or(0, |agent| agent.report.applied_index),
+                proxy_applied_index: agent.map_or(0, |agent| agent.report.proxy_applied_index),
+                last_message_age_ms: agent.map(|agent| (now - agent.last_report).max(0.0) as u64),
             }
         };
         let mut services = BTreeMap::new();
@@ -221,7 +221,7 @@
             zone: zone.clone(),
             ..status
         });
-        let membership = agreement.membership_status(now).unwrap_or_default();
+        let membership = raft.membership_status(now).unwrap_or_default();
         let tenant_usage = |(tenant, per_s, units): (&str, f64, i64)| TenantUsage {
             tenant: tenant.to_owned(),
             per_s,
@@ -230,24 +230,24 @@
         Status {
             address: self.me.clone(),
             node: self.settings.node.clone(),
-            leader: agreement.leader().cloned().unwrap_or_default(),
-            confirmed_leader: agreement.holds_lease(now),
-            term: agreement.term(),
+            leader: raft.leader().cloned().unwrap_or_default(),
+            confirmed_leader: raft.holds_lease(now),
+            term: raft.term(),
             index: state.index,
             digest: format!("{:016x}", self.digest.of(state)),
-            log_entries: agreement.log_length() as u64,
-            snapshot_progress: agreement.snapshot_progress().map(|(index, received, total, rejected)| {
+            log_entries: raft.log_length() as u64,
+            snapshot_progress: raft.snapshot_progress().map(|(index, received, total, rejected)| {
                 match rejected {
                     true => format!("CAN'T READ the state of {index}"),
                     false => format!("has {received} of {total} bytes of the state of {index}"),
                 }
             }),
-            members: agreement.members().to_vec(),
+            members: raft.members().to_vec(),
             missing: membership.missing,
             catching_up: membership.catching_up,
             learners: membership.learners,
             tolerable_losses: membership.tolerable_losses as u64,
-            leaderless_reason: agreement.no_leader_reason(),
+            leaderless_reason: raft.no_leader_reason(),
             violations: Some(violations()),
             edition: state.config.as_ref().map_or(String::new(), |config| format!("r{}", config.edition)),
             evacuated: state.evacuated.iter().cloned().collect(),
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -1,6 +1,6 @@
 //! Messages to agents: answers to their reports, state changes, and whole states.
 
-use super::{change_in, Action, AgreementInput, Member};
+use super::{change_in, Action, Member, RaftInput};
 use crate::agreement::{Entry, Name, MAX_ENTRY_VERSION};
 use crate::link::encode_frame;
 use crate::news::{Change, FromAgent, Gateway, HeartbeatReply, IndexedChange, Kind, ToAgent};
@@ -39,7 +39,7 @@
         &mut self, now: Millis, link: u64, mut report: FromAgent, out: &mut Vec<Action>,
     ) {
         let authoritative = self.is_authoritative(now);
-        let members = self.agreement.members().to_vec();
+        let members = self.raft.members().to_vec();
         let (subscribes, applied_index) = (report.subscribes, report.applied_index);
         let proxy_applied_index = report.proxy_applied_index;
         let ranges = report.ranges.take().filter(|_| authoritative);
@@ -69,7 +69,7 @@
             self.presence.record_gateway_contact(now, &gateway.node, proxy_applied_index);
         }
         if authoritative && !self.is_registered(&gateway) && !gateway.client_addr.is_empty() {
-            self.inputs.push_back(AgreementInput::Propose(Kind::Gateway(gateway), None));
+            self.inputs.push_back(RaftInput::Propose(Kind::Gateway(gateway), None));
         }
         if subscribes {
             self.push_changes_to(now, link, out);
@@ -103,7 +103,7 @@
         &self, now: Millis, request_sent_at: Millis, authoritative: bool, gateway: &Gateway,
     ) -> HeartbeatReply {
         let digest = if authoritative { self.digest.rate_limited(now, &self.state) } else { 0 };
-        let (term, members) = (self.agreement.term(), Vec::new());
+        let (term, members) = (self.raft.term(), Vec::new());
         let index = if self.is_registered(gateway) { self.state.index } else { u64::MAX };
         let unsettled = !self.presence.is_settled();
         HeartbeatReply { request_sent_at, leads: authoritative, term, index, members, digest, unsettled }
@@ -154,7 +154,7 @@
             _ => true,
         };
         let change = |entry| change_in(entry).filter(|change| took_effect(&entry, change));
-        let entries = self.agreement.applied_entries_after(index)?;
+        let entries = self.raft.applied_entries_after(index)?;
         let changes: Vec<_> =
             entries.map(|entry| IndexedChange { index: entry.index, change: change(entry) }).collect();
         Some(changes)
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -193,25 +193,25 @@
 impl Proxy {
     /// Creates a proxy without state or sockets, and the receiver of its charges.
     fn new(
-        settings: Settings, seed: u64, speech: Rc<dyn BackendProtocol>,
+        settings: Settings, seed: u64, protocol: Rc<dyn BackendProtocol>,
         backends: impl FnOnce(usize) -> Backends,
     ) -> Result<(Rc<Self>, UnboundedReceiver<ChargeRequest>)> {
         let client_addr = settings.client_addr.ok_or_else(|| eyre!("network.docks_at.front is missing"))?;
         let max_connections = (settings.max_fds.saturating_sub(RESERVED_FDS) / 2).max(2) as usize;
         let budget = Rc::new(MemoryBudget::new(settings.memory_mb << 20));
         let metrics = Rc::new(Metrics::default());
-        let reach = DriverResources {
+        let resources = DriverResources {
             backends: backends(max_connections),
             call_counter: None,
             send_message: None,
             budget: budget.clone(),
-            protocol: speech,
+            protocol,
             observer: metrics.clone(),
         };
         let zones = Zones::new(&settings.zones);
         let (charges, charge_requests) = unbounded_channel();
         let proxy = Rc::new(Proxy {
-            driver: Driver::new(driver_settings(&settings, &zones, Vec::new(), 1, 0), seed, reach),
+            driver: Driver::new(driver_settings(&settings, &zones, Vec::new(), 1, 0), seed, resources),
             zones,
             started: Instant::now(),
             client_addr,
@@ -239,16 +239,16 @@
         Ok((proxy, charge_requests))
     }
 
-    /// Creates a proxy without an agent or a counter, with its state from `news` and connections opened by
+    /// Creates a proxy without an agent or a counter, with its state from `update` and connections opened by
     /// `dial`. Clients are served by [`Proxy::serve_connection`].
     pub fn standalone(
-        settings: Settings, seed: u64, speech: Rc<dyn BackendProtocol>, dial: Dial, news: ToProxy,
+        settings: Settings, seed: u64, protocol: Rc<dyn BackendProtocol>, dial: Dial, update: ToProxy,
     ) -> Result<Rc<Self>> {
-        let (proxy, _) = Self::new(settings, seed, speech, |max_connections| {
+        let (proxy, _) = Self::new(settings, seed, protocol, |max_connections| {
             Backends::with_dial(dial, max_connections, CONNECT_MS, IDLE_MS)
         })?;
         *proxy.replica.borrow_mut() = StateReplica::standalone(&proxy.settings.bounds);
-        proxy.apply_update(news);
+        proxy.apply_update(update);
         Ok(proxy)
     }
 
@@ -364,7 +364,7 @@
                 () = self.readiness_changed.notified() => continue,
             };
             match next {
-                Ok(news) => self.apply_update(news),
+                Ok(update) => self.apply_update(update),
                 Err(e) => break Err(e),
             }
         };
@@ -373,9 +373,9 @@
     }
 
     /// Applies a state update from the agent.
-    pub fn apply_update(self: &Rc<Self>, news: ToProxy) {
-        let (now, counter) = (self.now(), news.counter.parse().ok());
-        let Effects { touched, repaired, leader_heard_at } = self.replica.borrow_mut().apply(now, news);
+    pub fn apply_update(self: &Rc<Self>, update: ToProxy) {
+        let (now, counter) = (self.now(), update.counter.parse().ok());
+        let Effects { touched, repaired, leader_heard_at } = self.replica.borrow_mut().apply(now, update);
         if repaired {
             self.metrics.replica_repaired();
         }
@@ -467,8 +467,9 @@
                 table.as_ref().and_then(|table| table.cold_per_s.get(&pool)).copied().unwrap_or(0.0);
             let cold_ms = table.as_ref().and_then(|table| table.cold_ms.get(&pool)).copied().unwrap_or(0.0);
             // Backends may have become cold while their zone was evacuated.
-            let taken_back = state.evacuation_ends.get(&backend.zone).map_or(0.0, |at| at + cold_ms);
-            let cold_until = known.cold_until.max(taken_back);
+            let warm_after_evacuation =
+                state.evacuation_ends.get(&backend.zone).map_or(0.0, |at| at + cold_ms);
+            let cold_until = known.cold_until.max(warm_after_evacuation);
             let cold_until = if cold_until > proxy_now { driver_now + cold_until - proxy_now } else { 0.0 };
             let cold = cold_per_s > 0.0 && cold_until > driver_now;
             let share =
@@ -870,15 +871,15 @@
         );
         let (id, response) = self.driver.request(&request, work);
         in_flight.1 = Some(id);
-        let (response, attempts) = self.driver.await_response(id, response).await;
+        let (response, summary) = self.driver.await_response(id, response).await;
         in_flight.1 = None;
         if let (Some(tenant), false) =
-            (&tenant, attempts.may_have_run || matches!(response, FinalResponse::Served { .. }))
+            (&tenant, summary.may_have_run || matches!(response, FinalResponse::Served { .. }))
         {
             // The charge of a request that never ran is refunded.
             self.tally.borrow_mut().refund(&tenant.name);
         }
-        match (client_response(route.at_most_once, &response, &attempts), response) {
+        match (client_response(route.at_most_once, &response, &summary), response) {
             (ClientResponse::Served, FinalResponse::Served { head, body: content }) => {
                 response_from_backend(&head, content, parts.method == Method::HEAD)
             }
@@ -888,7 +889,7 @@
                         "proxy: refused class {} pool {} zones {zone_mask:x}: {reason:?} after {} attempts",
                         route.class,
                         request.pool,
-                        attempts.attempts
+                        summary.attempts
                     );
                 }
                 not_run_response(StatusCode::SERVICE_UNAVAILABLE, after.unwrap_or(MIN_RETRY_AFTER_MS))
--- a/overland/src/status.rs
+++ b/overland/src/status.rs
@@ -95,12 +95,13 @@
     pub ready: bool,
     /// Index of the last change that its agent applied.
     #[serde(rename = "held")]
-    pub received_index: u64,
+    pub agent_applied_index: u64,
     /// Index of the last change that its proxy applied.
     #[serde(rename = "applied")]
-    pub applied_index: u64,
+    pub proxy_applied_index: u64,
     /// Time since its last message, in ms; `None` if there was none on the current connection.
-    pub heard_ms: Option<u64>,
+    #[serde(rename = "heard_ms")]
+    pub last_message_age_ms: Option<u64>,
 }
 
 /// A service's backends in one zone.
@@ -242,20 +243,20 @@
     }
     writeln!(text, "\ngateway\tzone\tstate\tbehind\tproxy behind\theard ms\tfront")?;
     for line in &best.gateways {
-        let silent = line.heard_ms.is_none_or(|ms| ms > SILENT_AFTER_MS);
+        let silent = line.last_message_age_ms.is_none_or(|ms| ms > SILENT_AFTER_MS);
         let state = match (silent, line.ready) {
             (true, _) => "silent",
             (_, true) => "ready",
             (_, false) => "takes no clients",
         };
         let behind = |index: u64| best.index.saturating_sub(index);
-        let heard = line.heard_ms.map_or("-".to_owned(), |ms| ms.to_string());
-        let GatewayStatus { node, zone, received_index, applied_index, client_addr, .. } = line;
+        let heard = line.last_message_age_ms.map_or("-".to_owned(), |ms| ms.to_string());
+        let GatewayStatus { node, zone, agent_applied_index, proxy_applied_index, client_addr, .. } = line;
         writeln!(
             text,
             "{node}\t{zone}\t{state}\t{}\t{}\t{heard}\t{client_addr}",
-            behind(*received_index),
-            behind(*applied_index)
+            behind(*agent_applied_index),
+            behind(*proxy_applied_index)
         )?;
     }
     writeln!(text, "\nservice\tzone\topen\tclosing\tcold\tberths")?;
--- a/overland/src/told.rs
+++ b/overland/src/told.rs
@@ -28,7 +28,7 @@
 /// The response to the client. With `at_most_once` (at most one execution) a status that promises "not run"
 /// is returned only if no attempt may have run.
 pub fn client_response(
-    at_most_once: bool, response: &FinalResponse, attempts: &AttemptSummary,
+    at_most_once: bool, response: &FinalResponse, summary: &AttemptSummary,
 ) -> ClientResponse {
     match response {
         // The backend's own status does not prove that the request did not run.
@@ -36,15 +36,15 @@
             ClientResponse::MayHaveRun
         }
         FinalResponse::Served { .. } => ClientResponse::Served,
-        FinalResponse::Refused { retry_after_ms, .. } if !attempts.may_have_run => {
+        FinalResponse::Refused { retry_after_ms, .. } if !summary.may_have_run => {
             ClientResponse::NotRun(Some(*retry_after_ms))
         }
-        FinalResponse::Failed if attempts.attempts == 0 => ClientResponse::NotRun(None),
+        FinalResponse::Failed if summary.attempts == 0 => ClientResponse::NotRun(None),
         FinalResponse::Refused { .. } | FinalResponse::Failed => ClientResponse::MayHaveRun,
         FinalResponse::IncompleteBody(BodyError::TooLarge) => ClientResponse::BodyTooLarge,
         FinalResponse::IncompleteBody(BodyError::Broken) => ClientResponse::BodyBroken,
         // A backend received part of the body and may have started.
-        FinalResponse::IncompleteBody(BodyError::Slow) if at_most_once && attempts.may_have_run => {
+        FinalResponse::IncompleteBody(BodyError::Slow) if at_most_once && summary.may_have_run => {
             ClientResponse::MayHaveRun
         }
         FinalResponse::IncompleteBody(BodyError::Slow) => ClientResponse::BodySlow,
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -250,7 +250,7 @@
     // It requests no votes and bootstraps no cluster, although the settings say that this is a first start.
     let sent = node.run_idle(10_000.0);
     assert!(!sent.iter().any(|payload| matches!(payload, RaftPayload::VoteRequest(_))), "it requests votes");
-    assert!(node.member.agreement().members().is_empty());
+    assert!(node.member.raft().members().is_empty());
 }
 
 /// Runs until this number of changes is committed, with 400 routes, backends that change with each heartbeat,
@@ -335,7 +335,7 @@
         snapshot.evacuation_ends.clear();
         snapshot
     };
-    for name in leader.agreement().members() {
+    for name in leader.raft().members() {
         let number = simulated::core_number(name).expect("a core process");
         let member = world.cores[number].running.as_ref().expect("a running core");
         assert_eq!(member.state().index, leader.state().index, "core {number} did not catch up");
@@ -397,8 +397,7 @@
     world.callers.operators_active = false;
     world.run_until(world.now + 2000.0);
     let leader = leader(&world);
-    let term =
-        |world: &World| world.cores[leader].running.as_ref().expect("the leader runs").agreement().term();
+    let term = |world: &World| world.cores[leader].running.as_ref().expect("the leader runs").raft().term();
     let (wiped, term_before) = ((leader + 1) % 3, term(&world));
     world.bytes_per_ms = bytes_per_ms;
     world.kill_core(wiped);
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -43,7 +43,7 @@
 fn run_fault_histories(default_count: u64, faults: &[Fault], rapid_churn: bool) {
     let new_world = |seed| World::new(seed, founders(seed), 0, 8, 6, 4);
     run_histories(default_count, new_world, |world| {
-        world.held_back_gateways = world.rng.usize(0..2);
+        world.delayed_gateways = world.rng.usize(0..2);
         world.callers.rapid_churn = rapid_churn;
         world.run_two_faults(faults);
     });
--- a/overland/tests/ledger.rs
+++ b/overland/tests/ledger.rs
@@ -170,7 +170,7 @@
             r#"{{"edition":"{edition}","limits":{{"label_bytes":1,"body_bytes":1,"label_time":"1s","idle":"1s"}},"patrons":[{{"name":"t","stamps":["{key}"]}}],"docks":[],"fleets":[],"based_on":"{based_on}"}}"#
         )
     };
-    let read = |text: &str| ConfigDocument::read(text.as_bytes()).expect("an envelope");
+    let read = |text: &str| ConfigDocument::read(text.as_bytes()).expect("a configuration document");
     let (_, before) = read(&text("r3", "a", "r1")).into_full_config().expect("valid");
     let patch =
         read(r#"{"edition":"r7","deliver":{"patrons":[{"stamps":["b"],"name":"t"}]},"based_on":"r3"}"#);
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -49,11 +49,10 @@
 /// The numbers of configurations in the leader's log that are differences and that are whole texts.
 fn count_differences_and_texts(world: &World) -> (usize, usize) {
     let leader = world.leader().expect("a leader");
-    let agreement = world.cores[leader].running.as_ref().expect("the leader runs").agreement();
-    let first = (0..agreement.last_index())
-        .find(|index| agreement.applied_entries_after(*index).is_some())
-        .expect("a log");
-    let entries = agreement.applied_entries_after(first).into_iter().flatten();
+    let raft = world.cores[leader].running.as_ref().expect("the leader runs").raft();
+    let first =
+        (0..raft.last_index()).find(|index| raft.applied_entries_after(*index).is_some()).expect("a log");
+    let entries = raft.applied_entries_after(first).into_iter().flatten();
     let configs = entries.filter_map(|entry| match Change::decode(&entry.data[..]).ok()?.kind? {
         Kind::Config(config) => Some(config.difference.is_some()),
         _ => None,
--- a/overland/tests/replacement.rs
+++ b/overland/tests/replacement.rs
@@ -61,8 +61,8 @@
 /// The members and the leader as each running process knows them.
 fn describe_members(world: &World) -> String {
     let describe = |core: usize| {
-        let agreement = world.cores[core].running.as_ref().expect("a running core").agreement();
-        format!("{core}: members {:?}, leader {:?}", agreement.members(), agreement.leader())
+        let raft = world.cores[core].running.as_ref().expect("a running core").raft();
+        format!("{core}: members {:?}, leader {:?}", raft.members(), raft.leader())
     };
     running(world).into_iter().map(describe).collect::<Vec<_>>().join("; ")
 }
@@ -205,12 +205,12 @@
     }
     world.settle(14_000.0);
     let leader = world.leader().expect("a leader");
-    let agreement = world.cores[leader].running.as_ref().expect("the leader runs").agreement();
+    let raft = world.cores[leader].running.as_ref().expect("the leader runs").raft();
     let is_lost = |name: &String| simulated::core_number(name).is_some_and(|core| world.cores[core].lost);
     // A lost member without a replacement stays in a list of odd size: removing it would tolerate no more
     // losses.
-    let lost_members = agreement.members().iter().filter(|name| is_lost(name)).count();
-    let has_learner = running(&world).len() + lost_members > agreement.members().len();
+    let lost_members = raft.members().iter().filter(|name| is_lost(name)).count();
+    let has_learner = running(&world).len() + lost_members > raft.members().len();
     assert!(
         lost_members == 0 || (lost_members == 1 && !has_learner),
         "a lost machine is still a member: {}",
@@ -218,7 +218,7 @@
     );
     // Four members remain if one of five left without a replacement; a learner would become the fifth.
     assert!(
-        agreement.members().len() % 2 == 1 || !has_learner,
+        raft.members().len() % 2 == 1 || !has_learner,
         "an even number of members: {}",
         describe_members(&world)
     );
@@ -259,7 +259,7 @@
         assert!(world.now - since < 1500.0, "the shutdown took {} ms", world.now - since);
         run_for(&mut world, 12_000.0);
         let other = world.cores[(core + 1) % 3].running.as_ref().expect("a running core");
-        assert_eq!(other.agreement().members().len(), 3);
+        assert_eq!(other.raft().members().len(), 3);
         world.settle(10_000.0);
     }
 }
--- a/overland/tests/simulated/judge.rs
+++ b/overland/tests/simulated/judge.rs
@@ -211,8 +211,7 @@
     let state = world.cores[leader].running.as_ref().expect("the leader runs").state();
     let ranges = state.range_digests();
     for (number, core) in world.cores.iter().enumerate() {
-        let is_member =
-            |member: &&overland::member::Member| member.agreement().members().contains(member.name());
+        let is_member = |member: &&overland::member::Member| member.raft().members().contains(member.name());
         if let Some(member) = core.running.as_ref().filter(is_member) {
             assert_eq!(member.state().range_digests(), ranges, "core {number} differs");
         }
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -270,7 +270,7 @@
     majority_since: f64,
     pub mutant: Option<Mutant>,
     /// Number of gateways that [`World::start`] leaves out; [`World::settle`] starts them.
-    pub held_back_gateways: usize,
+    pub delayed_gateways: usize,
     /// Bandwidth of a link between two core processes.
     pub bytes_per_ms: f64,
     /// Until when each link between two core processes is busy.
@@ -398,7 +398,7 @@
             majority_since: 0.0,
             mutant: None,
             invariants: InvariantCheck::start(),
-            held_back_gateways: 0,
+            delayed_gateways: 0,
             model: ReferenceModel::default(),
             seeds: (0..founders.min(3)).map(core_address).collect(),
             last_id: 0,
@@ -413,7 +413,7 @@
                 self.start_core(core, true);
             }
         }
-        (0..self.gateways.len() - self.held_back_gateways).for_each(|gateway| self.start_gateway(gateway));
+        (0..self.gateways.len() - self.delayed_gateways).for_each(|gateway| self.start_gateway(gateway));
         self.schedule(CHECK_INTERVAL_MS, SimEvent::Check);
         for caller in self.callers.all() {
             let after = self.rng.f64() * 500.0;
@@ -696,7 +696,7 @@
     pub fn leader(&self) -> Option<usize> {
         (0..self.cores.len()).find(|number| {
             let core = &self.cores[*number];
-            let holds_lease = |member: &Member| member.agreement().holds_lease(self.core_clock(*number));
+            let holds_lease = |member: &Member| member.raft().holds_lease(self.core_clock(*number));
             core.running.as_ref().is_some_and(holds_lease)
         })
     }
@@ -704,7 +704,7 @@
     /// The highest term of any core process.
     pub fn term(&self) -> u64 {
         let terms = self.cores.iter().filter_map(|core| core.running.as_ref());
-        terms.map(|member| member.agreement().term()).max().unwrap_or(0)
+        terms.map(|member| member.raft().term()).max().unwrap_or(0)
     }
 
     /// The time by a core process's own clock, in ms.
@@ -758,7 +758,7 @@
                 let leads_without_lease = core
                     .running
                     .as_ref()
-                    .is_some_and(|member| member.is_leader() && !member.agreement().holds_lease(local));
+                    .is_some_and(|member| member.is_leader() && !member.raft().holds_lease(local));
                 match input {
                     Input::Tick => {
                         let incarnation = core.incarnation;
