--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -6,11 +6,11 @@
 use cherrytally::{Class, Millis};
 use overland::agreement::MAX_ENTRY_VERSION;
 use overland::follow::{Action, AgentStateMachine, Event};
-use overland::news::{FromAgent, FromProxy, IndexedChange, Kind, StateSnapshot, ToAgent, ToProxy};
+use overland::news::{ChangeKind, FromAgent, FromProxy, IndexedChange, StateSnapshot, ToAgent, ToProxy};
 use overland::routes::{NameIds, RouteTable, Zones};
 use overland::settings::Settings;
 use overland::state::{DigestCache, State, Touched};
-use overland::tally::Tally;
+use overland::tally::QuotaClient;
 use prost::Message;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -132,7 +132,7 @@
     table: Option<RouteTable>,
     routes: NameIds,
     pools: NameIds,
-    tally: Tally,
+    tally: QuotaClient,
     /// The moment of the last word of who leads.
     fresh: Option<Millis>,
 }
@@ -151,7 +151,7 @@
             table: None,
             routes: NameIds::default(),
             pools: NameIds::default(),
-            tally: Tally::new(settings.bounds.quota_slack),
+            tally: QuotaClient::new(settings.bounds.quota_slack),
             fresh: None,
             settings,
         }
@@ -235,8 +235,8 @@
         for numbered in changes.iter().filter(|numbered| follows && numbered.index > held) {
             self.number.0 = numbered.index;
             match numbered.change.as_ref().and_then(|change| change.kind.as_ref()) {
-                Some(Kind::Config(config)) => self.number.1 = config.edition,
-                Some(Kind::Backend(backend)) => self.backends |= !backend.draining,
+                Some(ChangeKind::Config(config)) => self.number.1 = config.edition,
+                Some(ChangeKind::Backend(backend)) => self.backends |= !backend.draining,
                 _ => {}
             }
         }
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -7,7 +7,7 @@
     MAX_HELLO_BYTES, MAX_MESSAGE_BYTES,
 };
 use crate::member::{Action, Event, Member, MAX_RESPONSE_DELAY_MS, TICK_MS};
-use crate::news::{Charges, CoreMessage, FromAgent, Hello, Purpose, Word};
+use crate::news::{Charges, CoreMessage, CorePayload, FromAgent, Hello, Purpose};
 use crate::settings::{Settings, Watch};
 use crate::status::Status;
 use crate::store::{disk_unavailable, DirectoryDisk, Disk, DurableStore};
@@ -303,7 +303,7 @@
                 self.send_peer(&to, CoreMessage { from: self.name.clone(), payload: Some(*message) });
             }
             Action::ForwardJoin { to, from } => {
-                self.send_peer(&to, CoreMessage { from, payload: Some(Word::Join(true)) });
+                self.send_peer(&to, CoreMessage { from, payload: Some(CorePayload::Join(true)) });
             }
             Action::Answer { call, reply } => {
                 if let Some(caller) = self.calls.borrow_mut().remove(&call) {
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -4,7 +4,7 @@
 use super::{Action, Caller, Member, PendingCall, RaftInput, Stage, CALL_TIMEOUT_MS};
 use crate::agreement::{Event, Name, RaftMessage};
 use crate::calls::{CallRequest, Refusal, Reply};
-use crate::news::{ForwardedCall, RangeDigest, RangeDigests, Word};
+use crate::news::{CorePayload, ForwardedCall, RangeDigest, RangeDigests};
 use cherrytally::Millis;
 use std::net::SocketAddr;
 
@@ -38,11 +38,12 @@
     /// Handles a message from another core process. Rejects messages from unknown processes, except requests
     /// to join while there is room for learners.
     pub(super) fn handle_peer_message(
-        &mut self, now: Millis, from: Name, message: Word, out: &mut Vec<Action>,
+        &mut self, now: Millis, from: Name, message: CorePayload, out: &mut Vec<Action>,
     ) {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == from);
         let known = seed || self.raft.accepts_messages_from(&from);
-        let (joins, valid_name) = (matches!(message, Word::Join(_)), from.parse::<SocketAddr>().is_ok());
+        let (joins, valid_name) =
+            (matches!(message, CorePayload::Join(_)), from.parse::<SocketAddr>().is_ok());
         let has_room = !joins || known || self.raft.learner_count() < MAX_JOINING;
         if !valid_name || !(known || joins) || !has_room {
             self.rejected_messages += 1;
@@ -55,21 +56,21 @@
             return;
         }
         match message {
-            Word::Agreement(RaftMessage { payload: Some(payload) }) => {
+            CorePayload::Raft(RaftMessage { payload: Some(payload) }) => {
                 self.inputs.push_back(RaftInput::Event(Event::Received { from, payload }));
             }
-            Word::Agreement(_) => {}
-            Word::Call(call) => self.handle_forwarded_call(now, from, &call, out),
-            Word::Answer(answer) => self.handle_forwarded_reply(&from, answer, out),
-            Word::Compare(theirs) => self.compare_digest(&from, &theirs, out),
-            Word::Differs(theirs) => {
+            CorePayload::Raft(_) => {}
+            CorePayload::Call(call) => self.handle_forwarded_call(now, from, &call, out),
+            CorePayload::Answer(answer) => self.handle_forwarded_reply(&from, answer, out),
+            CorePayload::Compare(theirs) => self.compare_digest(&from, &theirs, out),
+            CorePayload::Differs(theirs) => {
                 let repair = self.state.repair_for(now, &theirs);
                 if let Some(repair) = repair.filter(|_| self.is_leader()) {
-                    self.send_peer(&from, Word::Repair(repair), out);
+                    self.send_peer(&from, CorePayload::Repair(repair), out);
                 }
             }
-            Word::Repair(_) if self.raft.leader() != Some(&from) => {}
-            Word::Repair(repair) => {
+            CorePayload::Repair(_) if self.raft.leader() != Some(&from) => {}
+            CorePayload::Repair(repair) => {
                 let names = repair.names.join(", ");
                 if !self.is_leader() && self.state.repair(now, repair) {
                     log::warn!("core: state repaired from the leader: {names}");
@@ -78,7 +79,7 @@
                     self.state_incomplete = false;
                 }
             }
-            Word::Join(_) => {
+            CorePayload::Join(_) => {
                 if let Some(leader) = self.raft.leader().filter(|leader| **leader != self.me).cloned() {
                     out.push(Action::ForwardJoin { to: leader, from: from.clone() });
                 }
@@ -87,7 +88,7 @@
         }
     }
 
-    pub(super) fn send_peer(&self, to: &Name, message: Word, out: &mut Vec<Action>) {
+    pub(super) fn send_peer(&self, to: &Name, message: CorePayload, out: &mut Vec<Action>) {
         if *to != self.me {
             out.push(Action::SendPeer { to: to.clone(), message: Box::new(message) });
         }
@@ -98,7 +99,7 @@
         if self.raft.needs_to_join() {
             let seeds = self.seeds.iter().map(SocketAddr::to_string);
             for core in seeds.chain(self.raft.members().iter().cloned()) {
-                self.send_peer(&core, Word::Join(true), out);
+                self.send_peer(&core, CorePayload::Join(true), out);
             }
         }
     }
@@ -119,7 +120,7 @@
         let (term, leader_sent_at) = (self.raft.term(), self.raft.leader_sent_at());
         let call =
             ForwardedCall { call_id, path, body: called.body.to_vec(), status: 0, term, leader_sent_at };
-        self.send_peer(&to, Word::Call(call), out);
+        self.send_peer(&to, CorePayload::Call(call), out);
         let (granted, deadline) = (Refusal::Unavailable.reply(), now + CALL_TIMEOUT_MS);
         let stage = Stage::Forwarded(PendingForward { to, call_id });
         self.calls.insert(caller, PendingCall { granted, deadline, stage });
@@ -173,7 +174,7 @@
         if !same && self.raft.leader() == Some(leader) {
             let index = self.state.index;
             log::warn!("core: state at index {index} differs from the leader's; requesting repair");
-            self.send_peer(leader, Word::Differs(self.state.range_digests()), out);
+            self.send_peer(leader, CorePayload::Differs(self.state.range_digests()), out);
         }
     }
 
@@ -182,7 +183,7 @@
         let digest = RangeDigest { name: String::new(), digest: self.digest.of(&self.state) };
         let ranges = RangeDigests { index: self.state.index, ranges: vec![digest] };
         for member in self.raft.members() {
-            self.send_peer(member, Word::Compare(ranges.clone()), out);
+            self.send_peer(member, CorePayload::Compare(ranges.clone()), out);
         }
     }
 }
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -15,7 +15,9 @@
 use crate::calls::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
 use crate::invariants::{self, Invariant};
 use crate::ledger::UpdateId;
-use crate::news::{Change, Charges, ForwardedCall, FromAgent, Kind, StateSnapshot, ToAgent, Totals, Word};
+use crate::news::{
+    Change, ChangeKind, Charges, CorePayload, ForwardedCall, FromAgent, StateSnapshot, ToAgent, Totals,
+};
 use crate::settings::Settings;
 use crate::state::{DigestCache, State, Touched};
 use crate::store::SaveLatency;
@@ -71,7 +73,7 @@
         /// The sender.
         from: Name,
         /// The message.
-        message: Word,
+        message: CorePayload,
     },
     /// A client's call.
     ClientCall {
@@ -119,7 +121,7 @@
         /// The receiver.
         to: Name,
         /// The message.
-        message: Box<Word>,
+        message: Box<CorePayload>,
     },
     /// Answer a client's call.
     Answer {
@@ -175,7 +177,7 @@
                 Action::Answer { call, reply: Refusal::Unavailable.reply() }
             }
             Action::SendPeer { to, mut message } => {
-                if let Word::Answer(answer) = &mut *message {
+                if let CorePayload::Answer(answer) = &mut *message {
                     if late && answer.status < 500 {
                         let Reply { status, body, .. } = Refusal::Unavailable.reply();
                         (answer.status, answer.body) = (u32::from(status), body.into_bytes());
@@ -200,7 +202,7 @@
 /// Condition for a successful response.
 pub enum Wait {
     /// This change is committed.
-    Committed(Kind),
+    Committed(ChangeKind),
     /// This configuration update is accepted and enforced.
     Update(calls::ConfigUpdate),
 }
@@ -231,7 +233,7 @@
 enum RaftInput {
     Event(agreement::Event),
     /// A change to propose, and the caller that waits for it.
-    Propose(Kind, Option<Caller>),
+    Propose(ChangeKind, Option<Caller>),
 }
 
 /// A core process: a member of the Raft group, or a learner that wants to be one.
@@ -554,7 +556,7 @@
     /// The event that proposes a change. `None`, and a refusal to the caller, if this process accepts no
     /// proposals.
     fn propose(
-        &mut self, kind: Kind, caller: Option<Caller>, out: &mut Vec<Action>,
+        &mut self, kind: ChangeKind, caller: Option<Caller>, out: &mut Vec<Action>,
     ) -> Option<agreement::Event> {
         if !self.raft.accepts_proposals() {
             if let Some(caller) = caller {
@@ -564,9 +566,9 @@
         }
         let (index, term) = (self.raft.last_index() + 1, self.raft.term());
         let kind = match kind {
-            Kind::Config(config) => {
+            ChangeKind::Config(config) => {
                 self.updates.add_proposed(&config, index, term);
-                Kind::Config(self.with_difference(config))
+                ChangeKind::Config(self.with_difference(config))
             }
             kind => kind,
         };
@@ -577,7 +579,7 @@
             };
             self.set_stage(&caller, Stage::Proposed { index, term, update_id });
         }
-        let deregistered = matches!(&kind, Kind::BackendGone(id) if self.presence.has_deregistered(id));
+        let deregistered = matches!(&kind, ChangeKind::BackendGone(id) if self.presence.has_deregistered(id));
         Some(agreement::Event::Propose(Change { kind: Some(kind), deregistered }.encode_to_vec()))
     }
 
@@ -588,7 +590,7 @@
                 out.push(Action::Save(Box::new(save)));
             }
             agreement::Action::Send { to, payload } => {
-                self.send_peer(&to, Word::Agreement(RaftMessage { payload: Some(payload) }), out);
+                self.send_peer(&to, CorePayload::Raft(RaftMessage { payload: Some(payload) }), out);
             }
             agreement::Action::Apply(entry) => self.apply(now, &entry, out),
             agreement::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
@@ -623,7 +625,7 @@
         if touched == Touched::Config {
             self.load_limits();
         }
-        if let Some(Kind::Config(config)) = change.as_ref().and_then(|change| change.kind.as_ref()) {
+        if let Some(ChangeKind::Config(config)) = change.as_ref().and_then(|change| change.kind.as_ref()) {
             self.log_update(config, touched == Touched::Config);
         }
         self.updates.remove_applied(entry.index);
@@ -734,7 +736,7 @@
             Caller::Peer(name, call_id) => {
                 let (body, status) = (reply.body.into_bytes(), u32::from(reply.status));
                 let answer = ForwardedCall { call_id: *call_id, body, status, ..ForwardedCall::default() };
-                self.send_peer(name, Word::Answer(answer), out);
+                self.send_peer(name, CorePayload::Answer(answer), out);
             }
         }
     }
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -18,7 +18,7 @@
 use crate::config::{full_config_digest, ConfigDocument};
 use crate::difference::Difference;
 use crate::ledger::UpdateId;
-use crate::news::{ConfigRevision, Kind, RejectedUpdate};
+use crate::news::{ChangeKind, ConfigRevision, RejectedUpdate};
 use crate::state::UpdateCheck;
 use cherrytally::Millis;
 use prost::Message;
@@ -95,13 +95,13 @@
 
 impl Answers<StartEvacuation> for Member {
     fn answer(&mut self, _: Millis, StartEvacuation(zone): StartEvacuation) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+        Ok(Outcome::Pending(Done {}, Wait::Committed(ChangeKind::Evacuated(zone))))
     }
 }
 
 impl Answers<EndEvacuation> for Member {
     fn answer(&mut self, _: Millis, EndEvacuation(zone): EndEvacuation) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+        Ok(Outcome::Pending(Done {}, Wait::Committed(ChangeKind::Evacuated(zone))))
     }
 }
 
@@ -112,7 +112,7 @@
     /// Join an identical update that is proposed as this entry.
     Join { index: u64, term: u64 },
     /// Propose it.
-    Propose(Kind),
+    Propose(ChangeKind),
     /// It was accepted by the entry with this index.
     Accepted(u64),
     /// Refuse it, or answer that its result is unknown.
@@ -187,7 +187,7 @@
             // The rejection is replicated, so that a delayed duplicate of the update is not accepted later.
             UpdateCheck::Ahead => {
                 let UpdateId { edition, based_on, content_digest, .. } = *update_id;
-                Step::Propose(Kind::Rejected(RejectedUpdate { edition, based_on, content_digest }))
+                Step::Propose(ChangeKind::Rejected(RejectedUpdate { edition, based_on, content_digest }))
             }
             UpdateCheck::Applicable => match self.change_for(document, update_id, update.patch) {
                 Ok(kind) => Step::Propose(kind),
@@ -200,7 +200,7 @@
     /// The change that an update based on the current configuration proposes.
     fn change_for(
         &self, document: &ConfigDocument, update_id: &UpdateId, patch: bool,
-    ) -> Result<Kind, Refusal> {
+    ) -> Result<ChangeKind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
         let document = document.clone();
         let (_, text) = if patch { document.apply_to(current) } else { document.into_full_config() }?;
@@ -208,7 +208,14 @@
         log::info!("core: proposing configuration r{edition} based on r{based_on}");
         let digests = vec![content_digest, full_config_digest(based_on, &text)];
         let based_on = Some(based_on);
-        Ok(Kind::Config(ConfigRevision { edition, text, call_digest, based_on, digests, difference: None }))
+        Ok(ChangeKind::Config(ConfigRevision {
+            edition,
+            text,
+            call_digest,
+            based_on,
+            digests,
+            difference: None,
+        }))
     }
 
     /// Replaces the text of a proposed configuration by its difference from the current one, if that is much
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -6,7 +6,7 @@
     Answers, Deregister, Done, GetStatus, Heartbeat, HeartbeatResponse, Outcome, Refusal, Resolve, Resolved,
 };
 use crate::invariants;
-use crate::news::{Backend, Gateway, Kind};
+use crate::news::{Backend, ChangeKind, Gateway};
 use crate::status::{GatewayStatus, ServiceStatus, Status, TenantUsage, ViolationCount};
 use cherrytally::Millis;
 use std::collections::BTreeMap;
@@ -95,7 +95,7 @@
         if unchanged {
             return Ok(Outcome::Ready(answer));
         }
-        Ok(Outcome::Pending(answer, Wait::Committed(Kind::Backend(backend))))
+        Ok(Outcome::Pending(answer, Wait::Committed(ChangeKind::Backend(backend))))
     }
 }
 
@@ -105,7 +105,7 @@
         if !self.state.backends.contains_key(&id) {
             return Ok(Outcome::Ready(Done {}));
         }
-        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::BackendGone(id))))
+        Ok(Outcome::Pending(Done {}, Wait::Committed(ChangeKind::BackendGone(id))))
     }
 }
 
@@ -162,7 +162,7 @@
 
     /// Changes to propose: removals of backends and gateways that timed out, and new or changed registrations
     /// of gateways.
-    pub(super) fn presence_changes(&mut self, now: Millis) -> Vec<Kind> {
+    pub(super) fn presence_changes(&mut self, now: Millis) -> Vec<ChangeKind> {
         let (presence, state) = (&mut self.presence, &self.state);
         let mut changes = Vec::new();
         let timeout = self.settings.heartbeat_interval.as_secs_f64() * 1000.0 * MAX_MISSED_HEARTBEATS;
@@ -170,13 +170,13 @@
             let heard = presence.heartbeats.get(id).map_or(presence.started, |(at, _)| *at);
             if now - heard > timeout {
                 log::info!("core: backend {id} timed out; removing it");
-                changes.push(Kind::BackendGone(id.clone()));
+                changes.push(ChangeKind::BackendGone(id.clone()));
             }
         }
         for node in state.gateways.keys() {
             if now - presence.gateway_contact(node).0 > GATEWAY_TIMEOUT_MS {
                 log::info!("core: gateway {node} timed out; removing it");
-                changes.push(Kind::GatewayGone(node.clone()));
+                changes.push(ChangeKind::GatewayGone(node.clone()));
             }
         }
         presence.heartbeats.retain(|id, _| state.backends.contains_key(id));
@@ -184,7 +184,7 @@
         let present = self.agents.values().filter(|agent| now - agent.last_report < AGENT_TIMEOUT_MS);
         let described = present.map(|agent| &agent.gateway).filter(|gateway| !gateway.client_addr.is_empty());
         let changed = described.filter(|gateway| state.gateways.get(&gateway.node) != Some(gateway));
-        changes.extend(changed.cloned().map(Kind::Gateway));
+        changes.extend(changed.cloned().map(ChangeKind::Gateway));
         changes
     }
 
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -3,7 +3,7 @@
 use super::{change_in, Action, Member, RaftInput};
 use crate::agreement::{Entry, Name, MAX_ENTRY_VERSION};
 use crate::link::encode_frame;
-use crate::news::{Change, FromAgent, Gateway, HeartbeatReply, IndexedChange, Kind, ToAgent};
+use crate::news::{Change, ChangeKind, FromAgent, Gateway, HeartbeatReply, IndexedChange, ToAgent};
 use bytes::Bytes;
 use cherrytally::Millis;
 
@@ -69,7 +69,7 @@
             self.presence.record_gateway_contact(now, &gateway.node, proxy_applied_index);
         }
         if authoritative && !self.is_registered(&gateway) && !gateway.client_addr.is_empty() {
-            self.inputs.push_back(RaftInput::Propose(Kind::Gateway(gateway), None));
+            self.inputs.push_back(RaftInput::Propose(ChangeKind::Gateway(gateway), None));
         }
         if subscribes {
             self.push_changes_to(now, link, out);
@@ -149,8 +149,8 @@
     fn changes_since(&self, index: u64, reads_differences: bool) -> Option<Vec<IndexedChange>> {
         // Agents receive a rejected configuration update as an index without a change.
         let took_effect = |entry: &&Entry, change: &Change| match &change.kind {
-            Some(Kind::Config(_)) => self.state.ledger.accepted_at(entry.index),
-            Some(Kind::Rejected(_)) => false,
+            Some(ChangeKind::Config(_)) => self.state.ledger.accepted_at(entry.index),
+            Some(ChangeKind::Rejected(_)) => false,
             _ => true,
         };
         let change = |entry| change_in(entry).filter(|change| took_effect(&entry, change));
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -7,8 +7,8 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Change {
     /// The change; none in an entry without one.
-    #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7")]
-    pub kind: Option<Kind>,
+    #[prost(oneof = "ChangeKind", tags = "1, 2, 3, 4, 5, 6, 7")]
+    pub kind: Option<ChangeKind>,
     /// For `BackendGone`: the backend deregistered itself, so a late heartbeat must not register it again.
     #[prost(bool, tag = "15")]
     pub deregistered: bool,
@@ -16,7 +16,7 @@
 
 /// The kinds of changes.
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Kind {
+pub enum ChangeKind {
     /// A configuration update.
     #[prost(message, tag = "1")]
     Config(ConfigRevision),
@@ -254,7 +254,7 @@
     /// Whether it carries a configuration as its difference from the previous one.
     pub fn has_difference(&self) -> bool {
         let kind = self.change.as_ref().and_then(|change| change.kind.as_ref());
-        matches!(kind, Some(Kind::Config(config)) if config.difference.is_some())
+        matches!(kind, Some(ChangeKind::Config(config)) if config.difference.is_some())
     }
 }
 
@@ -478,16 +478,16 @@
     #[prost(string, tag = "1")]
     pub from: String,
     /// The payload.
-    #[prost(oneof = "Word", tags = "2, 3, 4, 5, 6, 7, 8")]
-    pub payload: Option<Word>,
+    #[prost(oneof = "CorePayload", tags = "2, 3, 4, 5, 6, 7, 8")]
+    pub payload: Option<CorePayload>,
 }
 
 /// The payload of a message between core processes.
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Word {
+pub enum CorePayload {
     /// A message of the consensus protocol.
     #[prost(message, tag = "2")]
-    Agreement(crate::agreement::RaftMessage),
+    Raft(crate::agreement::RaftMessage),
     /// A call forwarded to the leader.
     #[prost(message, tag = "3")]
     Call(ForwardedCall),
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -13,7 +13,7 @@
 use crate::shares::Shares;
 use crate::speech::Wire;
 use crate::state::Touched;
-use crate::tally::{self, ChargeTotal, Tally, Verdict};
+use crate::tally::{self, ChargeTotal, QuotaClient, Verdict};
 use crate::told::{client_response, ClientResponse};
 use bytes::BytesMut;
 use cherrytally::plane::backends::{Backends, Dial, Stream};
@@ -145,7 +145,7 @@
     evacuated: Cell<u64>,
     /// In the last backend update, backends not known to be cold were allowed their full rate.
     full_rate: Cell<bool>,
-    tally: RefCell<Tally>,
+    quota_client: RefCell<QuotaClient>,
     charges: UnboundedSender<ChargeRequest>,
     counter_addr: watch::Sender<Option<SocketAddr>>,
     readiness_changed: Notify,
@@ -227,7 +227,7 @@
             pools: RefCell::default(),
             evacuated: Cell::new(0),
             full_rate: Cell::new(false),
-            tally: RefCell::new(Tally::new(settings.bounds.quota_slack)),
+            quota_client: RefCell::new(QuotaClient::new(settings.bounds.quota_slack)),
             charges,
             counter_addr: watch::Sender::new(None),
             readiness_changed: Notify::new(),
@@ -391,7 +391,7 @@
         }
         self.counter_addr.send_if_modified(|at| std::mem::replace(at, counter) != counter);
         if let Some(heard_at) = leader_heard_at {
-            self.tally.borrow_mut().leader_contacted(heard_at);
+            self.quota_client.borrow_mut().leader_contacted(heard_at);
         }
         if !self.was_synced.get() && self.table.borrow().is_some() && self.lease_is_valid() {
             self.was_synced.set(true);
@@ -422,7 +422,7 @@
         let (mut routes, mut pools) = (self.routes.borrow_mut(), self.pools.borrow_mut());
         match RouteTable::new(&config.text, &self.zones, &mut routes, &mut pools, &old_classes) {
             Ok(table) => {
-                self.tally.borrow_mut().set_limits(self.now(), &table.limits);
+                self.quota_client.borrow_mut().set_limits(self.now(), &table.limits);
                 *self.table.borrow_mut() = Some(Rc::new(table));
             }
             Err(e) => log::error!("proxy: cannot apply configuration r{}: {}", config.edition, e.0),
@@ -436,7 +436,7 @@
         }) else {
             return;
         };
-        self.tally.borrow_mut().set_gateways(gateways);
+        self.quota_client.borrow_mut().set_gateways(gateways);
         let classes = self.table.borrow().as_ref().map(|table| table.classes.clone()).unwrap_or_default();
         let settings =
             driver_settings(&self.settings, &self.zones, classes, gateways as u32, position as u32);
@@ -599,7 +599,7 @@
         let (outgoing, queue) = MessageSender::new();
         let writer = tokio::task::spawn_local(link::write(write, queue));
         outgoing.send(&Hello { purpose: Purpose::Counter as i32 });
-        self.tally.borrow_mut().counter_connected();
+        self.quota_client.borrow_mut().counter_connected();
         let mut incoming = MessageReader::<Totals>::new(read);
         let mut waiting: PendingMessages<Vec<oneshot::Sender<Option<ChargeTotal>>>> =
             PendingMessages::default();
@@ -643,7 +643,7 @@
 
     /// Charges one request to its tenant's quota.
     async fn charge_tenant(self: &Rc<Self>, tenant: &Rc<Tenant>, target: Duration) -> Verdict {
-        let verdict = self.tally.borrow_mut().admit(self.now(), &tenant.name);
+        let verdict = self.quota_client.borrow_mut().admit(self.now(), &tenant.name);
         match verdict {
             Verdict::Charge(charge) => self.send_charge(tenant, charge, target, true).await,
             Verdict::PassAndCharge(charge) => {
@@ -667,14 +667,14 @@
             Ok(()) => timeout(target.mul_f64(COUNTER_TIMEOUT_OF_TARGET), total).await,
             Err(_) => Ok(Ok(None)),
         };
-        let mut tally = self.tally.borrow_mut();
+        let mut quota_client = self.quota_client.borrow_mut();
         let now = self.now();
         match total {
             Ok(Ok(Some(counted))) => {
-                tally.total_received(now, &tenant.name, charge, now - start, counted, request_waits)
+                quota_client.total_received(now, &tenant.name, charge, now - start, counted, request_waits)
             }
             // Not charged, not authoritative, or timed out.
-            Ok(_) | Err(_) => tally.charge_unanswered(now, &tenant.name, request_waits),
+            Ok(_) | Err(_) => quota_client.charge_unanswered(now, &tenant.name, request_waits),
         }
     }
 
@@ -877,7 +877,7 @@
             (&tenant, summary.may_have_run || matches!(response, FinalResponse::Served { .. }))
         {
             // The charge of a request that never ran is refunded.
-            self.tally.borrow_mut().refund(&tenant.name);
+            self.quota_client.borrow_mut().refund(&tenant.name);
         }
         match (client_response(route.at_most_once, &response, &summary), response) {
             (ClientResponse::Served, FinalResponse::Served { head, body: content }) => {
@@ -886,9 +886,10 @@
             (ClientResponse::NotRun(after), response) => {
                 if let FinalResponse::Refused { reason, .. } = response {
                     log::debug!(
-                        "proxy: refused class {} pool {} zones {zone_mask:x}: {reason:?} after {} attempts",
+                        "proxy: refused class {} pool {} zones {zone_mask:x}: {} after {} attempts",
                         route.class,
                         request.pool,
+                        reason.name(),
                         summary.attempts
                     );
                 }
--- a/overland/src/state.rs
+++ b/overland/src/state.rs
@@ -3,8 +3,8 @@
 
 use crate::ledger::{Ledger, UpdateId, UpdateStatus};
 use crate::news::{
-    Backend, Change, ConfigRevision, EvacuationEnd, Gateway, IndexedChange, Kind, RangeDigest, RangeDigests,
-    RejectedUpdate, Repair, StateSnapshot,
+    Backend, Change, ChangeKind, ConfigRevision, EvacuationEnd, Gateway, IndexedChange, RangeDigest,
+    RangeDigests, RejectedUpdate, Repair, StateSnapshot,
 };
 use cherrytally::Millis;
 use prost::Message;
@@ -163,12 +163,12 @@
     pub fn apply(&mut self, now: Millis, index: u64, change: Option<&Change>) -> Touched {
         self.index = index;
         match change.and_then(|change| change.kind.as_ref()) {
-            Some(Kind::Config(config)) => self.configure(index, config),
-            Some(Kind::Rejected(rejected)) => {
+            Some(ChangeKind::Config(config)) => self.configure(index, config),
+            Some(ChangeKind::Rejected(rejected)) => {
                 self.ledger.record_rejected(index, rejected);
                 Touched::Nothing
             }
-            Some(Kind::Evacuated(evacuated)) => {
+            Some(ChangeKind::Evacuated(evacuated)) => {
                 if evacuated.on {
                     self.evacuated.insert(evacuated.zone.clone());
                 } else {
@@ -178,7 +178,7 @@
                 }
                 Touched::Backends
             }
-            Some(Kind::Backend(backend)) => {
+            Some(ChangeKind::Backend(backend)) => {
                 let applied = self.backends.get(&backend.id).map_or(0, |known| known.backend.heartbeat_seq);
                 if backend.heartbeat_seq < applied {
                     // An old heartbeat, proposed by a leader that had not applied its whole log yet.
@@ -193,7 +193,7 @@
                     .insert(backend.id.clone(), RegisteredBackend { backend: backend.clone(), cold_until });
                 Touched::Backends
             }
-            Some(Kind::BackendGone(id)) => {
+            Some(ChangeKind::BackendGone(id)) => {
                 self.backends.remove(id);
                 if change.is_some_and(|change| change.deregistered) {
                     self.deregistered.retain(|other| other != id);
@@ -204,11 +204,11 @@
                 }
                 Touched::Backends
             }
-            Some(Kind::Gateway(gateway)) => {
+            Some(ChangeKind::Gateway(gateway)) => {
                 self.gateways.insert(gateway.node.clone(), gateway.clone());
                 Touched::Gateways
             }
-            Some(Kind::GatewayGone(node)) => {
+            Some(ChangeKind::GatewayGone(node)) => {
                 self.gateways.remove(node);
                 Touched::Gateways
             }
--- a/overland/src/tally.rs
+++ b/overland/src/tally.rs
@@ -1,4 +1,4 @@
-//! Quota counting per tenant: the [`Counter`] kept by the leader, and the [`Tally`] with which a gateway
+//! Quota counting per tenant: the [`Counter`] kept by the leader, and the [`QuotaClient`] with which a gateway
 //! charges requests to it before it sends them.
 //!
 //! A count belongs to a tenant and a window; a window lasts burst / rate seconds and allows one burst.
@@ -284,8 +284,8 @@
     }
 }
 
-/// Quota state of all tenants at one gateway.
-pub struct Tally {
+/// A gateway's client of the quota counter, with its quota state of each tenant.
+pub struct QuotaClient {
     tenants: BTreeMap<String, Tenant>,
     /// Number of gateways that divide the rate while the counter is unreachable.
     gateways: f64,
@@ -299,11 +299,11 @@
     last_contact: Millis,
 }
 
-impl Tally {
-    /// A tally without tenants. `slack` is the number of units that all gateways together may send beyond a
+impl QuotaClient {
+    /// A client without tenants. `slack` is the number of units that all gateways together may send beyond a
     /// tenant's limit.
     pub fn new(slack: f64) -> Self {
-        Tally {
+        QuotaClient {
             tenants: BTreeMap::new(),
             gateways: 1.0,
             slack,
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -5,7 +5,7 @@
 
 use overland::agreement::{HardState, InstallSnapshot, PersistentState, RaftMessage, RaftPayload, Snapshot};
 use overland::member::{Action, Event, Member};
-use overland::news::Word;
+use overland::news::CorePayload;
 use overland::state::RegisteredBackend;
 use simulated::{Endpoint, SnapshotMutant, World};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -175,7 +175,7 @@
 
     fn receive(&mut self, payload: RaftPayload) -> Vec<Action> {
         let from = simulated::core_address(1).to_string();
-        let message = Word::Agreement(RaftMessage { payload: Some(payload) });
+        let message = CorePayload::Raft(RaftMessage { payload: Some(payload) });
         self.handle(Event::PeerMessage { from, message })
     }
 
@@ -195,9 +195,9 @@
     }
 }
 
-fn raft_payload(message: &Word) -> Option<&RaftPayload> {
+fn raft_payload(message: &CorePayload) -> Option<&RaftPayload> {
     match message {
-        Word::Agreement(message) => message.payload.as_ref(),
+        CorePayload::Raft(message) => message.payload.as_ref(),
         _ => None,
     }
 }
@@ -226,7 +226,7 @@
     assert!(!saved, "the snapshot was saved");
     assert!(!actions.iter().any(|action| matches!(action, Action::Abort(_))), "the process aborts");
     let is_append_response =
-        |message: &Word| matches!(raft_payload(message), Some(RaftPayload::AppendResponse(_)));
+        |message: &CorePayload| matches!(raft_payload(message), Some(RaftPayload::AppendResponse(_)));
     let acknowledged = actions
         .iter()
         .any(|action| matches!(action, Action::SendPeer { message, .. } if is_append_response(message)));
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -5,7 +5,7 @@
 mod simulated;
 
 use overland::agreement::{AppendEntries, InstallSnapshot, RaftMessage, RaftPayload};
-use overland::news::{FromAgent, Gateway, Repair, StateSnapshot, Word};
+use overland::news::{CorePayload, FromAgent, Gateway, Repair, StateSnapshot};
 use simulated::troubles::{Fault, ALL_FAULTS};
 use simulated::{Endpoint, Input, World};
 
@@ -128,9 +128,9 @@
             let repair =
                 Repair { index, names: vec!["cell z1".into()], parts: Some(StateSnapshot::default()) };
             let message = if world.rng.bool() {
-                Word::Agreement(RaftMessage { payload: Some(payload) })
+                CorePayload::Raft(RaftMessage { payload: Some(payload) })
             } else {
-                Word::Repair(repair)
+                CorePayload::Repair(repair)
             };
             world.input(core, Input::PeerMessage(name, Box::new(message)));
             sent += 1;
--- a/overland/tests/copies.rs
+++ b/overland/tests/copies.rs
@@ -1,27 +1,27 @@
 //! Anti-entropy: replicas that diverged are detected by range digests, and repaired to equal the original.
 
-use overland::news::{Backend, Change, ConfigRevision, Evacuated, Gateway, Kind};
+use overland::news::{Backend, Change, ChangeKind, ConfigRevision, Evacuated, Gateway};
 use overland::state::{DigestCache, State};
 
 fn random_change(rng: &mut fastrand::Rng) -> Change {
     let zone = ["a", "b", "c"][rng.usize(0..3)].to_owned();
     let number = rng.u32(0..12);
     let kind = match rng.u32(0..8) {
-        0 => Kind::Config(ConfigRevision {
+        0 => ChangeKind::Config(ConfigRevision {
             edition: rng.u64(..),
             text: format!("{{{number}}}"),
             call_digest: rng.u64(..),
             ..ConfigRevision::default()
         }),
-        1 => Kind::Evacuated(Evacuated { zone, on: rng.bool() }),
-        2 => Kind::BackendGone(format!("i-{number}")),
-        3 => Kind::Gateway(Gateway {
+        1 => ChangeKind::Evacuated(Evacuated { zone, on: rng.bool() }),
+        2 => ChangeKind::BackendGone(format!("i-{number}")),
+        3 => ChangeKind::Gateway(Gateway {
             node: format!("n-{number}"),
             zone,
             client_addr: format!("10.0.0.{number}:1"),
         }),
-        4 => Kind::GatewayGone(format!("n-{number}")),
-        _ => Kind::Backend(Backend {
+        4 => ChangeKind::GatewayGone(format!("n-{number}")),
+        _ => ChangeKind::Backend(Backend {
             id: format!("i-{number}"),
             service: "s".into(),
             address: format!("10.0.1.{}:1", rng.u32(0..40)),
@@ -138,7 +138,7 @@
 fn end_of_an_evacuation_is_kept_without_its_start() {
     let mut state = State::default();
     let end = Change {
-        kind: Some(Kind::Evacuated(Evacuated { zone: "a".into(), on: false })),
+        kind: Some(ChangeKind::Evacuated(Evacuated { zone: "a".into(), on: false })),
         deregistered: false,
     };
     state.apply(5_000.0, 1, Some(&end));
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -143,7 +143,7 @@
 fn a_not_run_status_reaches_the_client_only_if_the_request_cannot_have_run() {
     let summary = |attempts, ran| AttemptSummary { attempts, may_have_run: ran, ..AttemptSummary::default() };
     let served = |status| FinalResponse::Served { head: head(status, ""), body: ResponseBody::buffered("") };
-    let refused = || FinalResponse::Refused { retry_after_ms: 5.0, reason: Reason::Unsent };
+    let refused = || FinalResponse::Refused { retry_after_ms: 5.0, reason: Reason::AttemptsExhausted };
     for status in NOT_RUN_STATUSES {
         assert_eq!(
             client_response(true, &served(status), &summary(1, true)),
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -7,7 +7,7 @@
 use overland::follow::Event;
 use overland::link::encode_frame;
 use overland::news::{
-    Backend, Change, ConfigRevision, FromAgent, Gateway, HeartbeatReply, Hello, IndexedChange, Kind,
+    Backend, Change, ChangeKind, ConfigRevision, FromAgent, Gateway, HeartbeatReply, Hello, IndexedChange,
     StateSnapshot, ToAgent,
 };
 use overland::settings::Settings;
@@ -73,7 +73,7 @@
     ToAgent { heartbeat_reply: Some(reply), ..ToAgent::default() }
 }
 
-fn changes(first_index: u64, kinds: Vec<Kind>) -> ToAgent {
+fn changes(first_index: u64, kinds: Vec<ChangeKind>) -> ToAgent {
     let indexed = |(offset, kind)| IndexedChange {
         index: first_index + offset as u64,
         change: Some(Change { kind: Some(kind), ..Change::default() }),
@@ -114,14 +114,15 @@
             message.proxy_applied_index == 5
         }),
         (heartbeat_reply(5, 0), |message| message.ready),
-        (changes(6, vec![Kind::Config(config(2))]), |message| message.proxy_applied_index == 6),
-        (changes(7, vec![Kind::Backend(backend), Kind::Gateway(gateway)]), |message| {
+        (changes(6, vec![ChangeKind::Config(config(2))]), |message| message.proxy_applied_index == 6),
+        (changes(7, vec![ChangeKind::Backend(backend), ChangeKind::Gateway(gateway)]), |message| {
             message.proxy_applied_index == 8
         }),
         // Changes at indexes already applied are skipped, and the later ones are applied.
-        (changes(8, vec![Kind::GatewayGone("other".into()), Kind::BackendGone("i-1".into())]), |message| {
-            message.proxy_applied_index == 9
-        }),
+        (
+            changes(8, vec![ChangeKind::GatewayGone("other".into()), ChangeKind::BackendGone("i-1".into())]),
+            |message| message.proxy_applied_index == 9,
+        ),
         // A digest that differs from the replica's: the agent reports its range digests.
         (heartbeat_reply(9, 1), |message| message.ranges.is_some()),
     ]
--- a/overland/tests/ledger.rs
+++ b/overland/tests/ledger.rs
@@ -3,7 +3,7 @@
 use overland::calls::{Call, CallRequest, Patch, Put};
 use overland::config::{full_config_digest, ConfigDocument};
 use overland::ledger::{UpdateId, MAX_ACCEPTED};
-use overland::news::{Change, ConfigRevision, Kind, StateSnapshot};
+use overland::news::{Change, ChangeKind, ConfigRevision, StateSnapshot};
 use overland::state::{State, Touched, UpdateCheck};
 use prost::Message;
 
@@ -27,7 +27,7 @@
         digests,
         ..ConfigRevision::default()
     };
-    Change { kind: Some(Kind::Config(config)), ..Change::default() }
+    Change { kind: Some(ChangeKind::Config(config)), ..Change::default() }
 }
 
 /// The state after a round trip through a snapshot.
@@ -111,7 +111,7 @@
         ..ConfigRevision::default()
     };
     let mut state = State::default();
-    state.apply(0.0, 5, Some(&Change { kind: Some(Kind::Config(old.clone())), ..Change::default() }));
+    state.apply(0.0, 5, Some(&Change { kind: Some(ChangeKind::Config(old.clone())), ..Change::default() }));
     assert_eq!((state.edition(), state.check_update(&id)), (7, UpdateCheck::Accepted(5)));
     let snapshot = StateSnapshot {
         index: 9,
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -7,7 +7,7 @@
 use overland::difference::Difference;
 use overland::follow::{self, AgentStateMachine};
 use overland::news::{
-    Change, ConfigRevision, FromProxy, HeartbeatReply, IndexedChange, Kind, StateSnapshot, ToAgent,
+    Change, ChangeKind, ConfigRevision, FromProxy, HeartbeatReply, IndexedChange, StateSnapshot, ToAgent,
 };
 use overland::state::{State, Touched};
 use prost::Message;
@@ -54,7 +54,7 @@
         (0..raft.last_index()).find(|index| raft.applied_entries_after(*index).is_some()).expect("a log");
     let entries = raft.applied_entries_after(first).into_iter().flatten();
     let configs = entries.filter_map(|entry| match Change::decode(&entry.data[..]).ok()?.kind? {
-        Kind::Config(config) => Some(config.difference.is_some()),
+        ChangeKind::Config(config) => Some(config.difference.is_some()),
         _ => None,
     });
     let configs = configs.collect::<Vec<_>>();
@@ -193,7 +193,10 @@
 fn difference_change(index: u64, edition: u64, old: &str, new: &str) -> IndexedChange {
     let difference = Some(Difference::between(old, new));
     let config = ConfigRevision { based_on: Some(edition - 1), difference, ..config_revision(edition, "") };
-    IndexedChange { index, change: Some(Change { kind: Some(Kind::Config(config)), ..Change::default() }) }
+    IndexedChange {
+        index,
+        change: Some(Change { kind: Some(ChangeKind::Config(config)), ..Change::default() }),
+    }
 }
 
 /// A replica whose text differs from the difference's base detects that by the digest, and keeps its text for
@@ -278,7 +281,7 @@
         });
         reports.collect::<Vec<_>>()
     };
-    let backend_gone = Change { kind: Some(Kind::BackendGone("i".into())), ..Change::default() };
+    let backend_gone = Change { kind: Some(ChangeKind::BackendGone("i".into())), ..Change::default() };
     let changes = vec![IndexedChange { index: 2, change: Some(backend_gone) }];
     assert_eq!(reports_sent(leader_message(ToAgent { changes, ..ToAgent::default() })), []);
     assert_eq!(reports_sent(follow::Event::ProxyMessage { link: 1, message: proxy_report(2) }), []);
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -26,7 +26,7 @@
 use overland::copy::StateReplica;
 use overland::follow::{self, AgentStateMachine};
 use overland::member::{Action, Event, Member, TICK_MS};
-use overland::news::{Change, CoreMessage, FromAgent, IndexedChange, ToAgent, ToProxy, Word};
+use overland::news::{Change, CoreMessage, CorePayload, FromAgent, IndexedChange, ToAgent, ToProxy};
 use overland::settings::Settings;
 use prost::Message;
 use std::cmp::Reverse;
@@ -88,7 +88,7 @@
 pub enum Input {
     Tick,
     /// A message from another core process: the sender's name and the payload.
-    PeerMessage(String, Box<Word>),
+    PeerMessage(String, Box<CorePayload>),
     /// A client call: token, method, path and body.
     Call(u64, &'static str, String, Vec<u8>),
     /// A message from an agent on a link.
@@ -102,7 +102,7 @@
     CoreInput(usize, u64, Input),
     /// A message between core processes arrives: sender, receiver, the receiver's incarnation, the name it is
     /// sent under, the payload, and since when a cut has blocked it.
-    PeerMessage(usize, usize, u64, String, Box<Word>, Option<f64>),
+    PeerMessage(usize, usize, u64, String, Box<CorePayload>, Option<f64>),
     ResumeCore(usize, u64),
     /// A core process's message arrives at the agent's end of a link.
     ToAgent(u64, Box<ToAgent>),
@@ -836,7 +836,9 @@
             Action::SendPeer { to, message: payload } => {
                 self.send_peer_message(number, core_address(number).to_string(), &to, *payload)
             }
-            Action::ForwardJoin { to, from } => self.send_peer_message(number, from, &to, Word::Join(true)),
+            Action::ForwardJoin { to, from } => {
+                self.send_peer_message(number, from, &to, CorePayload::Join(true))
+            }
             Action::Answer { call, reply } => {
                 let core = &self.cores[number];
                 let Some((receiver, incarnation, sent_at, is_update)) = self.calls.get(&call).copied() else {
@@ -913,7 +915,7 @@
         }
     }
 
-    fn send_peer_message(&mut self, number: usize, from: String, to: &str, mut payload: Word) {
+    fn send_peer_message(&mut self, number: usize, from: String, to: &str, mut payload: CorePayload) {
         if let Some(mutant) = self.racers.mutant {
             mutant.alter_message(&mut payload);
         }
@@ -939,8 +941,8 @@
     }
 
     /// Counts snapshot messages, and corrupts some of them.
-    fn alter_in_transit(&mut self, mut payload: Word) -> Word {
-        let Word::Agreement(message) = &mut payload else { return payload };
+    fn alter_in_transit(&mut self, mut payload: CorePayload) -> CorePayload {
+        let CorePayload::Raft(message) = &mut payload else { return payload };
         let (bytes, members) = match &mut message.payload {
             Some(RaftPayload::InstallSnapshot(install)) => (&mut install.state, &mut install.members),
             Some(RaftPayload::SnapshotChunk(chunk)) => (&mut chunk.bytes, &mut chunk.members),
@@ -960,7 +962,7 @@
     /// Delivers a message between core processes. A cut either drops it or blocks it, in which case it may
     /// arrive late.
     fn deliver_peer_message(
-        &mut self, from: usize, to: usize, incarnation: u64, name: String, payload: Box<Word>,
+        &mut self, from: usize, to: usize, incarnation: u64, name: String, payload: Box<CorePayload>,
         blocked_since: Option<f64>,
     ) {
         if self.can_reach(Endpoint::Core(from), Endpoint::Core(to)) {
--- a/overland/tests/simulated/racers.rs
+++ b/overland/tests/simulated/racers.rs
@@ -7,7 +7,7 @@
 use super::{Endpoint, World};
 use overland::agreement::{RaftMessage, RaftPayload, Save};
 use overland::calls::Reply;
-use overland::news::{Change, Kind, StateSnapshot, Word};
+use overland::news::{Change, ChangeKind, CorePayload, StateSnapshot};
 use prost::Message;
 use std::collections::BTreeMap;
 
@@ -85,14 +85,14 @@
         }
     }
 
-    pub fn alter_message(self, message: &mut Word) {
-        let Word::Agreement(RaftMessage { payload: Some(payload) }) = message else { return };
+    pub fn alter_message(self, message: &mut CorePayload) {
+        let CorePayload::Raft(RaftMessage { payload: Some(payload) }) = message else { return };
         match payload {
             RaftPayload::InstallSnapshot(install) => self.alter_state(&mut install.state),
             RaftPayload::AppendEntries(append) if self == Mutant::BaseCheckedOnlyAtProposal => {
                 for entry in append.entries.iter_mut().filter(|entry| !entry.data.is_empty()) {
                     let Ok(mut change) = Change::decode(&entry.data[..]) else { continue };
-                    if let Some(Kind::Config(config)) = &mut change.kind {
+                    if let Some(ChangeKind::Config(config)) = &mut change.kind {
                         config.based_on = None;
                         entry.data = change.encode_to_vec();
                     }
--- a/overland/tests/tally.rs
+++ b/overland/tests/tally.rs
@@ -1,7 +1,7 @@
 //! Quota counting against a record of all requests sent: over all gateways and changes of leader, no span of
 //! five seconds may hold more than the limit allows.
 
-use overland::tally::{unused_share_fraction, Charge, Counter, Limit, Tally, Verdict};
+use overland::tally::{unused_share_fraction, Charge, Counter, Limit, QuotaClient, Verdict};
 use std::collections::BTreeMap;
 
 const TENANT: &str = "t";
@@ -15,7 +15,7 @@
 
 /// A gateway; `cut_off` is set while it can't reach the counter.
 struct Gateway {
-    tally: Tally,
+    quota_client: QuotaClient,
     cut_off: bool,
     last_contact: f64,
 }
@@ -35,10 +35,10 @@
     fn new(seed: u64, limit: Limit, gateways: usize) -> Self {
         let limits = BTreeMap::from([(TENANT.to_owned(), limit)]);
         let gateway = |_| {
-            let mut tally = Tally::new(SLACK);
-            tally.set_gateways(gateways);
-            tally.set_limits(0.0, &limits);
-            Gateway { tally, cut_off: false, last_contact: 0.0 }
+            let mut quota_client = QuotaClient::new(SLACK);
+            quota_client.set_gateways(gateways);
+            quota_client.set_limits(0.0, &limits);
+            Gateway { quota_client, cut_off: false, last_contact: 0.0 }
         };
         let gateways = (0..gateways).map(gateway).collect();
         let counter = Some(Counter::new(0.0, 1, SLACK));
@@ -56,7 +56,7 @@
     fn request(&mut self, now: f64, gateway: usize) {
         let unused = self.unused(now);
         let gateway = &mut self.gateways[gateway];
-        let verdict = gateway.tally.admit(now, TENANT);
+        let verdict = gateway.quota_client.admit(now, TENANT);
         let verdict = match verdict {
             Verdict::Charge(charge) | Verdict::PassAndCharge(charge) => {
                 let waits = matches!(verdict, Verdict::Charge(_));
@@ -64,9 +64,9 @@
                 match counter.map(|counter| counter.charge(now, TENANT, self.limit, charge, unused)) {
                     // Some totals arrive too late.
                     Some(total) if self.rng.f64() < 0.98 => {
-                        gateway.tally.total_received(now, TENANT, charge, 0.0, total, waits)
+                        gateway.quota_client.total_received(now, TENANT, charge, 0.0, total, waits)
                     }
-                    _ => gateway.tally.charge_unanswered(now, TENANT, waits),
+                    _ => gateway.quota_client.charge_unanswered(now, TENANT, waits),
                 }
             }
             verdict => verdict,
@@ -86,7 +86,7 @@
             for gateway in &mut self.gateways {
                 if self.counter.is_some() && !gateway.cut_off {
                     gateway.last_contact = now;
-                    gateway.tally.leader_contacted(now);
+                    gateway.quota_client.leader_contacted(now);
                 }
             }
             let gateway = self.rng.usize(0..self.gateways.len());
@@ -127,7 +127,7 @@
                     sim.term += 1;
                     (sim.counter, sim.counter_started) = (Some(Counter::new(now, sim.term, SLACK)), now);
                     let connected = sim.gateways.iter_mut().filter(|gateway| !gateway.cut_off);
-                    connected.for_each(|gateway| gateway.tally.counter_connected());
+                    connected.for_each(|gateway| gateway.quota_client.counter_connected());
                 }
                 // Up to three eighths of the gateways are cut off, and may come back later.
                 1 => (0..gateways * 3 / 8).for_each(|at| sim.gateways[at].cut_off = rng.f64() < 0.8),
@@ -210,12 +210,12 @@
     assert!((0.7..0.72).contains(&fraction), "{fraction}");
     let limit = Limit { per_s: 400.0, burst: 400.0 };
     let sent_in_ten_seconds = |last_contact: f64| {
-        let mut tally = Tally::new(0.0);
-        tally.set_gateways(4);
-        tally.set_limits(0.0, &BTreeMap::from([(TENANT.to_owned(), limit)]));
-        tally.leader_contacted(last_contact);
+        let mut quota_client = QuotaClient::new(0.0);
+        quota_client.set_gateways(4);
+        quota_client.set_limits(0.0, &BTreeMap::from([(TENANT.to_owned(), limit)]));
+        quota_client.leader_contacted(last_contact);
         (0..10_000)
-            .filter(|ms| tally.charge_unanswered(f64::from(*ms), TENANT, true) == Verdict::Pass)
+            .filter(|ms| quota_client.charge_unanswered(f64::from(*ms), TENANT, true) == Verdict::Pass)
             .count()
     };
     let (recent, isolated) = (sent_in_ten_seconds(10_000.0), sent_in_ten_seconds(-60_000.0));
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/figures.rs
@@ -65,7 +65,8 @@
     (Place::Servers, "servers"),
 ];
 
-const REASONS: [Reason; 4] = [Reason::Room, Reason::Quota, Reason::Unsent, Reason::Time];
+const REASONS: [Reason; 4] =
+    [Reason::NoCapacity, Reason::Quota, Reason::AttemptsExhausted, Reason::DeadlineExceeded];
 
 const RESULTS: [Ended; 8] = [
     Ended::Ok,
--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -19,7 +19,7 @@
         let (class, plan_index, pool) = (request.class as usize, request.plan as usize, request.pool);
         let known = class < self.settings.classes.len() && plan_index < self.settings.plans.len();
         if !known || request.budget_ms <= 0.0 {
-            actions.push(Action::Refuse { id, retry_after_ms: 0.0, reason: Reason::Time });
+            actions.push(Action::Refuse { id, retry_after_ms: 0.0, reason: Reason::DeadlineExceeded });
             return;
         }
         let (units, customer_id) = (request.units, request.customer);
@@ -48,7 +48,7 @@
         if self.expected_latency(now, id) > configured.unwrap_or(ADMISSION_SHARE) * target_ms.max(0.0) {
             self.pool_load(pool).overloaded_at = now;
             self.summary.no_capacity += 1;
-            return self.finish(id, self.classes[class].mean_ms, Reason::Room, actions);
+            return self.finish(id, self.classes[class].mean_ms, Reason::NoCapacity, actions);
         }
         if self.settings.counter.is_none() || plan.rate <= 0.0 {
             return self.grant(now, id, actions);
--- a/src/choice/attempts.rs
+++ b/src/choice/attempts.rs
@@ -43,7 +43,7 @@
             }
             if !open.attempts.iter().any(|attempt| attempt.in_flight) {
                 self.summary.unsent += 1;
-                self.finish(id, class.target_ms / 2.0, Reason::Unsent, actions);
+                self.finish(id, class.target_ms / 2.0, Reason::AttemptsExhausted, actions);
             }
             return;
         };
@@ -175,7 +175,7 @@
             }
             return self.send(now, id, actions);
         }
-        self.finish(id, self.settings.classes[class].target_ms / 2.0, Reason::Unsent, actions);
+        self.finish(id, self.settings.classes[class].target_ms / 2.0, Reason::AttemptsExhausted, actions);
     }
 
     /// Answers the request: refused if the client may safely retry, failed if an attempt may have executed.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -262,23 +262,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The backends have no capacity to serve it in time.
-    Room,
+    NoCapacity,
     /// Its customer is beyond the quota.
     Quota,
     /// No backend may take it, or no attempt is left.
-    Unsent,
+    AttemptsExhausted,
     /// It arrived with no time left, or names an unknown class or plan.
-    Time,
+    DeadlineExceeded,
 }
 
 impl Reason {
     /// The name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Reason::Room => "room",
+            Reason::NoCapacity => "room",
             Reason::Quota => "quota",
-            Reason::Unsent => "unsent",
-            Reason::Time => "time",
+            Reason::AttemptsExhausted => "unsent",
+            Reason::DeadlineExceeded => "time",
         }
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -45,7 +45,7 @@
     let (name, amount) = count(&rig.request(1, 0, 3.0)).unwrap();
     assert_eq!(reason(&rig.counted(name, CallResult::Ok, amount / 3.0 * 14.0)), Some(Reason::Quota));
     let late = Request { budget_ms: 0.0, ..request(2, 8) };
-    assert_eq!(reason(&rig.event(Event::Request(late))), Some(Reason::Time));
+    assert_eq!(reason(&rig.event(Event::Request(late))), Some(Reason::DeadlineExceeded));
     let mut rig = Rig::new(Settings { counter: None, ..settings() });
     let mut actions = rig.event(Event::Request(request(3, 9)));
     for attempt in 0..3 {
@@ -53,9 +53,13 @@
         rig.now += 1.0;
         actions = rig.outcome(3, attempt, backend, CallResult::Rejected, None);
     }
-    assert_eq!(reason(&actions), Some(Reason::Unsent), "no attempt is left");
+    assert_eq!(reason(&actions), Some(Reason::AttemptsExhausted), "no attempt is left");
     rig.event(Event::List { full: true, entries: vec![] });
-    assert_eq!(reason(&rig.event(Event::Request(request(4, 9)))), Some(Reason::Room), "no backend is listed");
+    assert_eq!(
+        reason(&rig.event(Event::Request(request(4, 9)))),
+        Some(Reason::NoCapacity),
+        "no backend is listed"
+    );
 }
 
 #[test]
