--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -4,9 +4,9 @@
 //! connections to backends.
 
 use cherrytally::{Class, Millis};
-use overland::agreement::MAX_ENTRY_VERSION;
 use overland::follow::{Action, AgentStateMachine, Event};
 use overland::news::{ChangeKind, FromAgent, FromProxy, IndexedChange, StateSnapshot, ToAgent, ToProxy};
+use overland::raft::MAX_ENTRY_VERSION;
 use overland::routes::{NameIds, RouteTable, Zones};
 use overland::settings::Settings;
 use overland::state::{DigestCache, State, Touched};
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -1,6 +1,5 @@
 //! The sockets, clock and disk of a core process. All decisions are made by [`Member`].
 
-use crate::agreement::{Name, Save};
 use crate::calls::{Refusal, Reply};
 use crate::link::{
     self, encode_frame, MessageReader, MessageSender, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES,
@@ -8,6 +7,7 @@
 };
 use crate::member::{Action, Event, Member, MAX_RESPONSE_DELAY_MS, TICK_MS};
 use crate::news::{Charges, CoreMessage, CorePayload, FromAgent, Hello, Purpose};
+use crate::raft::{Name, Save};
 use crate::settings::{Settings, Watch};
 use crate::status::Status;
 use crate::store::{disk_unavailable, DirectoryDisk, Disk, DurableStore};
--- a/overland/src/copy.rs
+++ b/overland/src/copy.rs
@@ -1,8 +1,8 @@
 //! A proxy's replica of the state, without sockets or clock: how updates from the agent are applied, the time
 //! since the last leader contact, and when the proxy stops accepting keys (its lease).
 
-use crate::agreement::MAX_ENTRY_VERSION;
 use crate::news::{FromProxy, ToProxy};
+use crate::raft::MAX_ENTRY_VERSION;
 use crate::settings::Bounds;
 use crate::state::{DigestCache, State, Touched};
 use cherrytally::Millis;
--- a/overland/src/lib.rs
+++ b/overland/src/lib.rs
@@ -3,7 +3,6 @@
 //! `cherrytally`'s data plane and load balancing.
 
 pub mod agent;
-pub mod agreement;
 pub mod ahead;
 pub mod calls;
 pub mod charging;
@@ -19,6 +18,7 @@
 pub mod member;
 pub mod news;
 pub mod proxy;
+pub mod raft;
 pub mod routes;
 pub mod settings;
 pub mod shares;
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -11,13 +11,13 @@
 mod presence;
 mod push;
 
-use crate::agreement::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
 use crate::calls::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
 use crate::invariants::{self, Invariant};
 use crate::ledger::UpdateId;
 use crate::news::{
     Change, ChangeKind, Charges, CorePayload, ForwardedCall, FromAgent, StateSnapshot, ToAgent, Totals,
 };
+use crate::raft::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
 use crate::settings::Settings;
 use crate::state::{DigestCache, State, Touched};
 use crate::store::SaveLatency;
@@ -231,7 +231,7 @@
 
 /// An input to the Raft node.
 enum RaftInput {
-    Event(agreement::Event),
+    Event(raft::Event),
     /// A change to propose, and the caller that waits for it.
     Propose(ChangeKind, Option<Caller>),
 }
@@ -246,7 +246,7 @@
     state: State,
     digest: DigestCache,
     /// Actions of the Raft node that are held back while a save is in progress.
-    raft_actions: VecDeque<agreement::Action>,
+    raft_actions: VecDeque<raft::Action>,
     /// Inputs to the Raft node, to be handled after `raft_actions`.
     inputs: VecDeque<RaftInput>,
     saving: bool,
@@ -424,7 +424,7 @@
             Event::Charged { link, charges } => self.handle_charges(now, link, &charges, out),
             Event::LinkClosed(link) => drop(self.agents.remove(&link)),
             Event::SeedsChanged(seeds) => self.seeds = seeds,
-            Event::Shutdown => self.inputs.push_back(RaftInput::Event(agreement::Event::Leave)),
+            Event::Shutdown => self.inputs.push_back(RaftInput::Event(raft::Event::Leave)),
         }
         self.run_raft(now, out);
     }
@@ -436,7 +436,7 @@
             self.stale_input_until = now + STALE_INPUT_MS;
         }
         self.last_tick = now;
-        self.inputs.push_back(RaftInput::Event(agreement::Event::Tick));
+        self.inputs.push_back(RaftInput::Event(raft::Event::Tick));
         self.run_raft(now, out);
         if self.ticks.is_multiple_of(MAINTENANCE_INTERVAL_TICKS) {
             self.run_maintenance(now, out);
@@ -476,7 +476,7 @@
     fn run_maintenance(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.request_join(out);
         if self.state_incomplete && self.is_leader() {
-            self.inputs.push_back(RaftInput::Event(agreement::Event::TransferLeadership));
+            self.inputs.push_back(RaftInput::Event(raft::Event::TransferLeadership));
         }
         self.check_reach(now);
         // Older duplicates are refused because of their age.
@@ -505,7 +505,7 @@
         let present =
             self.agents.values().filter(|agent| now - agent.last_report < presence::AGENT_TIMEOUT_MS);
         let connected_agents = present.count() as u32;
-        self.inputs.push_back(RaftInput::Event(agreement::Event::ReachableAgents(connected_agents)));
+        self.inputs.push_back(RaftInput::Event(raft::Event::ReachableAgents(connected_agents)));
         self.poor_reach_rounds =
             if self.raft.is_poorly_connected(now) { self.poor_reach_rounds + 1 } else { 0 };
         if self.poor_reach_rounds >= POOR_REACH_ROUNDS {
@@ -520,7 +520,7 @@
         if self.is_leader() && !recent {
             log::warn!("core: handing over leadership: {why}");
             (self.last_handover, self.poor_reach_rounds) = (Some(now), 0);
-            self.inputs.push_back(RaftInput::Event(agreement::Event::TransferLeadership));
+            self.inputs.push_back(RaftInput::Event(raft::Event::TransferLeadership));
         }
     }
 
@@ -557,7 +557,7 @@
     /// proposals.
     fn propose(
         &mut self, kind: ChangeKind, caller: Option<Caller>, out: &mut Vec<Action>,
-    ) -> Option<agreement::Event> {
+    ) -> Option<raft::Event> {
         if !self.raft.accepts_proposals() {
             if let Some(caller) = caller {
                 self.refuse(&caller, &Refusal::Unavailable, out);
@@ -580,20 +580,20 @@
             self.set_stage(&caller, Stage::Proposed { index, term, update_id });
         }
         let deregistered = matches!(&kind, ChangeKind::BackendGone(id) if self.presence.has_deregistered(id));
-        Some(agreement::Event::Propose(Change { kind: Some(kind), deregistered }.encode_to_vec()))
+        Some(raft::Event::Propose(Change { kind: Some(kind), deregistered }.encode_to_vec()))
     }
 
-    fn execute(&mut self, now: Millis, action: agreement::Action, out: &mut Vec<Action>) {
+    fn execute(&mut self, now: Millis, action: raft::Action, out: &mut Vec<Action>) {
         match action {
-            agreement::Action::Save(save) => {
+            raft::Action::Save(save) => {
                 self.saving = true;
                 out.push(Action::Save(Box::new(save)));
             }
-            agreement::Action::Send { to, payload } => {
+            raft::Action::Send { to, payload } => {
                 self.send_peer(&to, CorePayload::Raft(RaftMessage { payload: Some(payload) }), out);
             }
-            agreement::Action::Apply(entry) => self.apply(now, &entry, out),
-            agreement::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
+            raft::Action::Apply(entry) => self.apply(now, &entry, out),
+            raft::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
                 Ok(snapshot) => {
                     let previous = self.state.index;
                     invariants::check(Invariant::StateIndexIsMonotonic, index >= previous, || {
@@ -606,7 +606,7 @@
                     out.push(Action::Abort(format!("can't decode the received snapshot of index {index}")))
                 }
             },
-            agreement::Action::LeadershipChanged(leads) => self.leadership_changed(now, leads, out),
+            raft::Action::LeadershipChanged(leads) => self.leadership_changed(now, leads, out),
         }
     }
 
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -1,9 +1,9 @@
 //! Messages to agents: answers to their reports, state changes, and whole states.
 
 use super::{change_in, Action, Member, RaftInput};
-use crate::agreement::{Entry, Name, MAX_ENTRY_VERSION};
 use crate::link::encode_frame;
 use crate::news::{Change, ChangeKind, FromAgent, Gateway, HeartbeatReply, IndexedChange, ToAgent};
+use crate::raft::{Entry, Name, MAX_ENTRY_VERSION};
 use bytes::Bytes;
 use cherrytally::Millis;
 
--- a/overland/src/news.rs
+++ b/overland/src/news.rs
@@ -282,7 +282,7 @@
     /// The range digests of the agent's replica, if it differs from the leader's at the same index.
     #[prost(message, optional, tag = "9")]
     pub ranges: Option<RangeDigests>,
-    /// The format of changes that the sender can read: [`crate::agreement::MAX_ENTRY_VERSION`].
+    /// The format of changes that the sender can read: [`crate::raft::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "10")]
     pub readable_format: u32,
 }
@@ -385,7 +385,7 @@
     /// When it was sent, on the proxy's clock, in ms.
     #[prost(double, optional, tag = "5")]
     pub sent_at: Option<f64>,
-    /// The format of changes that the sender can read: [`crate::agreement::MAX_ENTRY_VERSION`].
+    /// The format of changes that the sender can read: [`crate::raft::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "6")]
     pub readable_format: u32,
 }
@@ -487,7 +487,7 @@
 pub enum CorePayload {
     /// A message of the consensus protocol.
     #[prost(message, tag = "2")]
-    Raft(crate::agreement::RaftMessage),
+    Raft(crate::raft::RaftMessage),
     /// A call forwarded to the leader.
     #[prost(message, tag = "3")]
     Call(ForwardedCall),
--- a/overland/src/agreement/mod.rs
+++ b/overland/src/raft/mod.rs
@@ -8,21 +8,21 @@
 //! send and committed entries come out as [`Action`]s, to be carried out in order. [`Action::Save`] must be
 //! durable before later actions are carried out.
 
-mod letter;
-mod members;
+mod membership;
+mod messages;
 mod role;
 mod snapshot;
 
-pub use letter::{
+pub use membership::MembershipStatus;
+pub use messages::{
     AppendEntries, Entry, InstallSnapshot, RaftMessage, RaftPayload, SnapshotChunk, MAX_ENTRY_VERSION,
 };
-pub use members::MembershipStatus;
 pub use snapshot::LogLimits;
 
 use crate::invariants::{self, Invariant};
 use cherrytally::Millis;
-use letter::{AppendResponse, VoteRequest, VoteResponse};
-use members::Membership;
+use membership::Membership;
+use messages::{AppendResponse, VoteRequest, VoteResponse};
 use role::{CandidateState, FollowerState, LeaderState, Progress, Role};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -503,7 +503,7 @@
         if let Some(last_leader) = self.last_leader.as_ref().and_then(|name| peers.get_mut(name)) {
             // The previous leader was silent for some time already: it has `RECENTLY_HEARD_MS` or more left.
             last_leader.last_heard =
-                self.leader_heard_at.max(now - members::SUSPECT_AFTER_MS + members::RECENTLY_HEARD_MS);
+                self.leader_heard_at.max(now - membership::SUSPECT_AFTER_MS + membership::RECENTLY_HEARD_MS);
         }
         let learners = self.recent_learners(now);
         let leader = LeaderState { first_index, since: now, peers, learners, transfer_started_at: None };
--- a/overland/src/agreement/snapshot.rs
+++ b/overland/src/raft/snapshot.rs
@@ -4,7 +4,7 @@
 //! A snapshot is sent in chunks, each acknowledged before the next, so that heartbeats queue behind one chunk
 //! at most. A digest covers the whole.
 
-use super::letter::{AppendResponse, ChunkResponse, Entry, InstallSnapshot, RaftPayload, SnapshotChunk};
+use super::messages::{AppendResponse, ChunkResponse, Entry, InstallSnapshot, RaftPayload, SnapshotChunk};
 use super::role::Role;
 use super::{
     Action, AppendEntries, Name, RaftNode, Save, Snapshot, HEARTBEAT_MS, MAX_ENTRY_VERSION,
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -15,8 +15,8 @@
 
 pub use pace::SaveLatency;
 
-use crate::agreement::{Entry, HardState, PersistentState, Save, Snapshot};
 use crate::invariants::{self, Invariant};
+use crate::raft::{Entry, HardState, PersistentState, Save, Snapshot};
 use crate::state::digest;
 use eyre::{bail, Result, WrapErr};
 use fjall::{Database, JournalRecoveryError, Keyspace, KeyspaceCreateOptions, PersistMode};
--- a/overland/tests/agreement.rs
+++ b/overland/tests/agreement.rs
@@ -7,7 +7,7 @@
     lose_one_after_leave, lose_second_after_replacement, replace_members_during_partitions,
     run_random_faults, World,
 };
-use overland::agreement::{Action, AppendEntries, Entry, Event, InstallSnapshot, RaftNode, RaftPayload};
+use overland::raft::{Action, AppendEntries, Entry, Event, InstallSnapshot, RaftNode, RaftPayload};
 
 /// Longest time without a leader after a loss.
 const MAX_LEADERLESS_MS: f64 = 4000.0;
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -4,8 +4,8 @@
 mod finds;
 mod simulated;
 
-use overland::agreement::{AppendEntries, InstallSnapshot, RaftMessage, RaftPayload};
 use overland::news::{CorePayload, FromAgent, Gateway, Repair, StateSnapshot};
+use overland::raft::{AppendEntries, InstallSnapshot, RaftMessage, RaftPayload};
 use simulated::troubles::{Fault, ALL_FAULTS};
 use simulated::{Endpoint, Input, World};
 
--- a/overland/tests/full_disk.rs
+++ b/overland/tests/full_disk.rs
@@ -5,8 +5,8 @@
 mod processes;
 
 use eyre::{Report, Result};
-use overland::agreement::{PersistentState, Save};
 use overland::control::Control;
+use overland::raft::{PersistentState, Save};
 use overland::settings::Settings;
 use overland::store::{disk_unavailable, Disk, DurableStore};
 use processes::{call, free_inner_ports, free_port, until};
--- a/overland/tests/histories/mod.rs
+++ b/overland/tests/histories/mod.rs
@@ -7,7 +7,7 @@
 mod kept;
 
 use kept::{apply_save, InvariantCheck};
-use overland::agreement::{Action, Entry, Event, LogLimits, PersistentState, RaftNode, RaftPayload};
+use overland::raft::{Action, Entry, Event, LogLimits, PersistentState, RaftNode, RaftPayload};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The committed log as seen by all nodes together.
--- a/overland/tests/simulated/racers.rs
+++ b/overland/tests/simulated/racers.rs
@@ -5,9 +5,9 @@
 
 use super::callers::{config_body, parse_config, Caller};
 use super::{Endpoint, World};
-use overland::agreement::{RaftMessage, RaftPayload, Save};
 use overland::calls::Reply;
 use overland::news::{Change, ChangeKind, CorePayload, StateSnapshot};
+use overland::raft::{RaftMessage, RaftPayload, Save};
 use prost::Message;
 use std::collections::BTreeMap;
 
--- a/overland/tests/store.rs
+++ b/overland/tests/store.rs
@@ -1,7 +1,7 @@
 //! The store of a core process: at start-up it returns the last completed save or reports corruption.
 
-use overland::agreement::{Entry, HardState, PersistentState, Save, Snapshot};
 use overland::invariants::violations_on_this_thread;
+use overland::raft::{Entry, HardState, PersistentState, Save, Snapshot};
 use overland::store::{DurableStore, SaveLatency, Store};
 use prost::Message;
 use std::fs;
