--- a/lab/src/scale/fleet.rs
+++ b/lab/src/scale/fleet.rs
@@ -2,9 +2,9 @@
 
 use super::draw::{zone_of, Drawn, Machine};
 use super::hollow::{Counts, Holds, Hollow, Out};
-use overland::follow::Event;
+use overland::agent_state::Event;
 use overland::link::{self, MessageReader, MessageSender};
-use overland::news::{Hello, Purpose, ToAgent};
+use overland::protocol::{Hello, Purpose, ToAgent};
 use overland::settings::Settings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -5,7 +5,7 @@
 use super::weigh::{short, Slope};
 use serde::Serialize;
 
-/// How often an agent speaks to who leads, and to the other core processes, in ms (`overland::follow`).
+/// How often an agent speaks to who leads, and to the other core processes, in ms (`overland::agent_state`).
 const WORD_MS: (f64, f64) = (400.0, 650.0);
 /// How often a backend beats, in ms.
 const BEAT_MS: f64 = 1500.0;
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -4,13 +4,13 @@
 //! connections to backends.
 
 use cherrytally::{Class, Millis};
-use overland::follow::{Action, AgentStateMachine, Event};
-use overland::news::{ChangeKind, FromAgent, FromProxy, IndexedChange, StateSnapshot, ToAgent, ToProxy};
+use overland::agent_state::{Action, AgentStateMachine, Event};
+use overland::protocol::{ChangeKind, FromAgent, FromProxy, IndexedChange, StateSnapshot, ToAgent, ToProxy};
+use overland::quota::QuotaClient;
 use overland::raft::MAX_ENTRY_VERSION;
 use overland::routes::{NameIds, RouteTable, Zones};
 use overland::settings::Settings;
 use overland::state::{DigestCache, State, Touched};
-use overland::tally::QuotaClient;
 use prost::Message;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
--- a/lab/src/scale/weigh.rs
+++ b/lab/src/scale/weigh.rs
@@ -7,7 +7,7 @@
 use cherrytally::Millis;
 use overland::config::Config;
 use overland::member::{Action, Event, Member, TICK_MS};
-use overland::news::{Charge, Charges, FromAgent, Gateway, ToProxy};
+use overland::protocol::{Charge, Charges, FromAgent, Gateway, ToProxy};
 use overland::raft::MAX_ENTRY_VERSION;
 use overland::settings::Settings;
 use overland::state::{DigestCache, State};
@@ -301,7 +301,7 @@
     note(
         "decoding a whole state",
         "ms",
-        1000.0 * cost(|| drop(overland::news::StateSnapshot::decode(&bytes[..]))),
+        1000.0 * cost(|| drop(overland::protocol::StateSnapshot::decode(&bytes[..]))),
     );
     let before = heap.now();
     let copy = State::from_snapshot(0.0, whole.clone());
--- a/overland/src/agent.rs
+++ b/overland/src/agent.rs
@@ -1,8 +1,8 @@
 //! The sockets and the clock of the agent beside a proxy. All decisions are made by [`AgentStateMachine`].
 
-use crate::follow::{Action, AgentStateMachine, Event};
+use crate::agent_state::{Action, AgentStateMachine, Event};
 use crate::link::{self, MessageReader, MessageSender};
-use crate::news::{FromProxy, Hello, Purpose, ToAgent};
+use crate::protocol::{FromProxy, Hello, Purpose, ToAgent};
 use crate::settings::{Settings, Watch};
 use cherrytally::Millis;
 use eyre::{Result, WrapErr};
--- a/overland/src/follow.rs
+++ b/overland/src/agent_state.rs
@@ -3,7 +3,9 @@
 //! Inputs are [`Event`]s with the current time, outputs are [`Action`]s; [`AgentStateMachine::next_deadline`]
 //! is the time at which it needs the next tick.
 
-use crate::news::{FromAgent, FromProxy, Gateway, HeartbeatReply, IndexedChange, Repair, ToAgent, ToProxy};
+use crate::protocol::{
+    FromAgent, FromProxy, Gateway, HeartbeatReply, IndexedChange, Repair, ToAgent, ToProxy,
+};
 use crate::raft::MAX_ENTRY_VERSION;
 use crate::settings::Settings;
 use crate::state::{DigestCache, State, Touched};
--- a/overland/src/calls.rs
+++ b/overland/src/api.rs
@@ -2,9 +2,9 @@
 //! response, and all go through one handler.
 
 use crate::config::{ConfigDocument, InvalidConfig};
-use crate::ledger::UpdateId;
-use crate::news::{Backend, Evacuated};
+use crate::protocol::{Backend, Evacuated};
 use crate::status::Status;
+use crate::update_outcomes::UpdateId;
 use cherrytally::Millis;
 use miniserde::{Deserialize, Serialize};
 
--- a/overland/src/config.rs
+++ b/overland/src/config.rs
@@ -1,6 +1,6 @@
 //! The operators' configuration (JSON): its format, its validation, and patches of named items.
 
-use crate::tally::Limit;
+use crate::quota::Limit;
 use crate::units;
 use miniserde::json::{Array, Object, Value};
 use miniserde::{Deserialize, Serialize};
--- a/overland/src/control.rs
+++ b/overland/src/control.rs
@@ -1,12 +1,12 @@
 //! The sockets, clock and disk of a core process. All decisions are made by [`Member`].
 
-use crate::calls::{Refusal, Reply};
+use crate::api::{Refusal, Reply};
 use crate::link::{
     self, encode_frame, MessageReader, MessageSender, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES,
     MAX_HELLO_BYTES, MAX_MESSAGE_BYTES,
 };
 use crate::member::{Action, Event, Member, MAX_RESPONSE_DELAY_MS, TICK_MS};
-use crate::news::{Charges, CoreMessage, CorePayload, FromAgent, Hello, Purpose};
+use crate::protocol::{Charges, CoreMessage, CorePayload, FromAgent, Hello, Purpose};
 use crate::raft::{Name, Save};
 use crate::settings::{Settings, Watch};
 use crate::status::Status;
--- a/overland/src/member/count.rs
+++ b/overland/src/member/count.rs
@@ -2,8 +2,8 @@
 
 use super::{Action, Member};
 use crate::config::Config;
-use crate::news::{Charge, Charges, Total, Totals};
-use crate::tally::{self, Counter, Limit};
+use crate::protocol::{Charge, Charges, Total, Totals};
+use crate::quota::{self, Counter, Limit};
 use cherrytally::Millis;
 use std::collections::BTreeMap;
 
@@ -60,7 +60,7 @@
             let Some(counter) = counter.as_mut().filter(|_| authoritative) else { break };
             let limit = limits.get(&charge.tenant).copied().unwrap_or_default();
             let Charge { units, refund, window, .. } = *charge;
-            let counted = tally::Charge { units, refund, window };
+            let counted = quota::Charge { units, refund, window };
             let total = counter.charge(now, &charge.tenant, limit, counted, unused);
             let remaining_ms = total.left_ms.ceil().max(0.0) as u32;
             let (units, limit, window) = (total.units, total.limit, total.window);
@@ -75,7 +75,7 @@
 
     /// Fraction of the gateways' local quota shares that is unused.
     fn unused_share_fraction(&self, now: Millis) -> f64 {
-        tally::unused_share_fraction(
+        quota::unused_share_fraction(
             self.state.gateways.keys().map(|node| now - self.presence.gateway_contact(node).0),
         )
     }
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -2,8 +2,8 @@
 //! digests.
 
 use super::{Action, Caller, Member, PendingCall, RaftInput, Stage, CALL_TIMEOUT_MS};
-use crate::calls::{CallRequest, Refusal, Reply};
-use crate::news::{CorePayload, ForwardedCall, RangeDigest, RangeDigests};
+use crate::api::{CallRequest, Refusal, Reply};
+use crate::protocol::{CorePayload, ForwardedCall, RangeDigest, RangeDigests};
 use crate::raft::{Event, Name, RaftMessage};
 use cherrytally::Millis;
 use std::net::SocketAddr;
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -11,16 +11,16 @@
 mod presence;
 mod push;
 
-use crate::calls::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
+use crate::api::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
 use crate::invariants::{self, Invariant};
-use crate::ledger::UpdateId;
-use crate::news::{
+use crate::protocol::{
     Change, ChangeKind, Charges, CorePayload, ForwardedCall, FromAgent, StateSnapshot, ToAgent, Totals,
 };
 use crate::raft::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
 use crate::settings::Settings;
 use crate::state::{DigestCache, State, Touched};
 use crate::store::SaveLatency;
+use crate::update_outcomes::UpdateId;
 use bytes::Bytes;
 use cherrytally::Millis;
 use count::QuotaCounters;
@@ -204,7 +204,7 @@
     /// This change is committed.
     Committed(ChangeKind),
     /// This configuration update is accepted and enforced.
-    Update(calls::ConfigUpdate),
+    Update(api::ConfigUpdate),
 }
 
 /// A call that is not answered yet.
@@ -220,7 +220,7 @@
     /// Forwarded to the leader.
     Forwarded(PendingForward),
     /// A configuration update that is not proposed yet.
-    Queued(calls::ConfigUpdate),
+    Queued(api::ConfigUpdate),
     /// The change is about to be proposed; with its id if it is a configuration update.
     Proposing(Option<UpdateId>),
     /// The change is proposed as this entry.
@@ -689,7 +689,7 @@
             // The call may have waited in its socket while its caller gave up and made newer calls elsewhere.
             return self.refuse(&caller, &Refusal::Unavailable, out);
         }
-        match calls::answer(self, now, called) {
+        match api::answer(self, now, called) {
             Dispatched::Replied(reply) => self.reply(&caller, reply, out),
             Dispatched::Pending(granted, wait) => {
                 let deadline = now + CALL_TIMEOUT_MS;
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/orders.rs
@@ -12,14 +12,14 @@
 //! again.
 
 use super::{Action, CallResult, Caller, Member, RaftInput, Stage, Wait};
-use crate::calls::{
+use crate::api::{
     Answers, ConfigUpdate, Done, EndEvacuation, Get, Outcome, Patch, Put, Refusal, StartEvacuation,
 };
 use crate::config::{full_config_digest, ConfigDocument};
-use crate::difference::Difference;
-use crate::ledger::UpdateId;
-use crate::news::{ChangeKind, ConfigRevision, RejectedUpdate};
+use crate::delta::Difference;
+use crate::protocol::{ChangeKind, ConfigRevision, RejectedUpdate};
 use crate::state::UpdateCheck;
+use crate::update_outcomes::UpdateId;
 use cherrytally::Millis;
 use prost::Message;
 use std::collections::VecDeque;
--- a/overland/src/member/presence.rs
+++ b/overland/src/member/presence.rs
@@ -2,11 +2,11 @@
 //! knows contact times; changes that must survive a change of leader are replicated.
 
 use super::{CallResult, Member, Wait};
-use crate::calls::{
+use crate::api::{
     Answers, Deregister, Done, GetStatus, Heartbeat, HeartbeatResponse, Outcome, Refusal, Resolve, Resolved,
 };
 use crate::invariants;
-use crate::news::{Backend, ChangeKind, Gateway};
+use crate::protocol::{Backend, ChangeKind, Gateway};
 use crate::status::{GatewayStatus, ServiceStatus, Status, TenantUsage, ViolationCount};
 use cherrytally::Millis;
 use std::collections::BTreeMap;
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -2,7 +2,7 @@
 
 use super::{change_in, Action, Member, RaftInput};
 use crate::link::encode_frame;
-use crate::news::{Change, ChangeKind, FromAgent, Gateway, HeartbeatReply, IndexedChange, ToAgent};
+use crate::protocol::{Change, ChangeKind, FromAgent, Gateway, HeartbeatReply, IndexedChange, ToAgent};
 use crate::raft::{Entry, Name, MAX_ENTRY_VERSION};
 use bytes::Bytes;
 use cherrytally::Millis;
--- a/overland/src/figures.rs
+++ b/overland/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The proxy's metrics in OpenMetrics format. No decision depends on them.
 
 use crate::invariants;
-use crate::tally::Verdict;
+use crate::quota::Verdict;
 use cherrytally::plane::driver::Observer;
 use cherrytally::{CallResult, Reason};
 use prometheus_client::encoding::text::{encode_eof, encode_registry};
--- a/overland/src/news.rs
+++ b/overland/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The messages between the system's processes, and the changes and snapshots of the replicated state.
 
-use crate::difference::Difference;
+use crate::delta::Difference;
 use prost::{Message, Oneof};
 
 /// A change of the replicated state: the payload of a log entry.
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -1,20 +1,20 @@
 //! HTTP proxy: accepts client requests, charges them to tenants and forwards them to backends.
 
 use crate::agent::{self, proxy_listen_address};
-use crate::ahead::{PendingResponse, Pipeline, PipelinedStream};
-use crate::charging::PendingMessages;
-use crate::copy::{Effects, StateReplica};
-use crate::figures::{Gauges, Metrics};
+use crate::backend_protocol::Wire;
+use crate::client_response::{client_response, ClientResponse};
 use crate::invariants::{self, Invariant};
 use crate::link::{self, MessageReader, MessageSender};
-use crate::news::{Charge, Charges, Hello, Purpose, ToProxy, Totals};
+use crate::metrics::{Gauges, Metrics};
+use crate::pending_charges::PendingMessages;
+use crate::pipeline::{PendingResponse, Pipeline, PipelinedStream};
+use crate::protocol::{Charge, Charges, Hello, Purpose, ToProxy, Totals};
+use crate::quota::{self, ChargeTotal, QuotaClient, Verdict};
+use crate::rate_shares::Shares;
+use crate::replica::{Effects, StateReplica};
 use crate::routes::{KeyCheck, NameIds, Route, RouteTable, Tenant, Zones};
 use crate::settings::{Settings, Watch};
-use crate::shares::Shares;
-use crate::speech::Wire;
 use crate::state::Touched;
-use crate::tally::{self, ChargeTotal, QuotaClient, Verdict};
-use crate::told::{client_response, ClientResponse};
 use bytes::BytesMut;
 use cherrytally::plane::backends::{Backends, Dial, Stream};
 use cherrytally::plane::deadline::{ClientDeadline, Deadline};
@@ -96,7 +96,7 @@
 /// A charge to send to the quota counter.
 struct ChargeRequest {
     tenant: String,
-    charge: tally::Charge,
+    charge: quota::Charge,
     response: oneshot::Sender<Option<ChargeTotal>>,
 }
 
@@ -626,7 +626,7 @@
                     let (mut charges, mut responses) = (Vec::new(), Vec::new());
                     let mut next = Some(first);
                     while let Some(ChargeRequest { tenant, charge, response }) = next {
-                        let tally::Charge { units, refund, window } = charge;
+                        let quota::Charge { units, refund, window } = charge;
                         charges.push(Charge { tenant, units, refund, window });
                         responses.push(response);
                         next = charge_requests.try_recv().ok();
@@ -658,7 +658,7 @@
     }
 
     async fn send_charge(
-        &self, tenant: &Tenant, charge: tally::Charge, target: Duration, request_waits: bool,
+        &self, tenant: &Tenant, charge: quota::Charge, target: Duration, request_waits: bool,
     ) -> Verdict {
         let start = self.now();
         let (response, total) = oneshot::channel();
--- a/overland/src/copy.rs
+++ b/overland/src/replica.rs
@@ -1,7 +1,7 @@
 //! A proxy's replica of the state, without sockets or clock: how updates from the agent are applied, the time
 //! since the last leader contact, and when the proxy stops accepting keys (its lease).
 
-use crate::news::{FromProxy, ToProxy};
+use crate::protocol::{FromProxy, ToProxy};
 use crate::raft::MAX_ENTRY_VERSION;
 use crate::settings::Bounds;
 use crate::state::{DigestCache, State, Touched};
--- a/overland/src/routes.rs
+++ b/overland/src/routes.rs
@@ -1,7 +1,7 @@
 //! The routing table of a proxy: finds the route of a request and the tenant of an API key.
 
 use crate::config::{Config, Forward, InvalidConfig};
-use crate::tally::Limit;
+use crate::quota::Limit;
 use crate::units;
 use cherrytally::{Class, Idempotency};
 use std::collections::{BTreeMap, HashMap};
--- a/overland/src/state.rs
+++ b/overland/src/state.rs
@@ -1,11 +1,11 @@
 //! The replicated state: the state machine of the Raft log, of which every process holds a replica. Apart
 //! from repairs of a replica that diverged, it changes only by applying log entries in order.
 
-use crate::ledger::{Ledger, UpdateId, UpdateStatus};
-use crate::news::{
+use crate::protocol::{
     Backend, Change, ChangeKind, ConfigRevision, EvacuationEnd, Gateway, IndexedChange, RangeDigest,
     RangeDigests, RejectedUpdate, Repair, StateSnapshot,
 };
+use crate::update_outcomes::{Ledger, UpdateId, UpdateStatus};
 use cherrytally::Millis;
 use prost::Message;
 use siphasher::sip::SipHasher13;
--- a/overland/src/ledger.rs
+++ b/overland/src/update_outcomes.rs
@@ -2,7 +2,7 @@
 //! accepted or rejected is recorded by its edition and digests, so that any member gives the same answer to a
 //! retry.
 
-use crate::news::{ConfigRevision, RejectedUpdate, StateSnapshot, UpdateOutcome, UpdateOutcomes};
+use crate::protocol::{ConfigRevision, RejectedUpdate, StateSnapshot, UpdateOutcome, UpdateOutcomes};
 use std::collections::VecDeque;
 
 /// Maximum number of recorded accepted updates, at about a hundred bytes each. Retries end within seconds and
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -4,7 +4,7 @@
 mod simulated;
 
 use overland::member::{Action, Event, Member};
-use overland::news::CorePayload;
+use overland::protocol::CorePayload;
 use overland::raft::{HardState, InstallSnapshot, PersistentState, RaftMessage, RaftPayload, Snapshot};
 use overland::state::RegisteredBackend;
 use simulated::{Endpoint, SnapshotMutant, World};
--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -4,7 +4,7 @@
 mod finds;
 mod simulated;
 
-use overland::news::{CorePayload, FromAgent, Gateway, Repair, StateSnapshot};
+use overland::protocol::{CorePayload, FromAgent, Gateway, Repair, StateSnapshot};
 use overland::raft::{AppendEntries, InstallSnapshot, RaftMessage, RaftPayload};
 use simulated::troubles::{Fault, ALL_FAULTS};
 use simulated::{Endpoint, Input, World};
--- a/overland/tests/copies.rs
+++ b/overland/tests/copies.rs
@@ -1,6 +1,6 @@
 //! Anti-entropy: replicas that diverged are detected by range digests, and repaired to equal the original.
 
-use overland::news::{Backend, Change, ChangeKind, ConfigRevision, Evacuated, Gateway};
+use overland::protocol::{Backend, Change, ChangeKind, ConfigRevision, Evacuated, Gateway};
 use overland::state::{DigestCache, State};
 
 fn random_change(rng: &mut fastrand::Rng) -> Change {
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -9,8 +9,8 @@
 use cherrytally::plane::http::Head;
 use cherrytally::plane::room::{BodyError, ResponseBody};
 use cherrytally::{CallResult as Ended, Reason};
-use overland::speech::Wire;
-use overland::told::{client_response, ClientResponse, NOT_RUN_STATUSES};
+use overland::backend_protocol::Wire;
+use overland::client_response::{client_response, ClientResponse, NOT_RUN_STATUSES};
 use std::time::Duration;
 
 const HEAD_STARTED: ExchangeEvent = ExchangeEvent::Wrote { head_complete: false, request_complete: false };
--- a/overland/tests/hollow.rs
+++ b/overland/tests/hollow.rs
@@ -3,10 +3,10 @@
 
 use granite_lab::scale::draw::{Drawn, Machine, Size};
 use granite_lab::scale::hollow::{Holds, Hollow, Out};
+use overland::agent_state::Event;
 use overland::config::ConfigDocument;
-use overland::follow::Event;
 use overland::link::encode_frame;
-use overland::news::{
+use overland::protocol::{
     Backend, Change, ChangeKind, ConfigRevision, FromAgent, Gateway, HeartbeatReply, Hello, IndexedChange,
     StateSnapshot, ToAgent,
 };
--- a/overland/tests/ledger.rs
+++ b/overland/tests/ledger.rs
@@ -1,10 +1,10 @@
 //! The outcomes of configuration updates, checked against a model: a list of all accepted updates.
 
-use overland::calls::{Call, CallRequest, Patch, Put};
+use overland::api::{Call, CallRequest, Patch, Put};
 use overland::config::{full_config_digest, ConfigDocument};
-use overland::ledger::{UpdateId, MAX_ACCEPTED};
-use overland::news::{Change, ChangeKind, ConfigRevision, StateSnapshot};
+use overland::protocol::{Change, ChangeKind, ConfigRevision, StateSnapshot};
 use overland::state::{State, Touched, UpdateCheck};
+use overland::update_outcomes::{UpdateId, MAX_ACCEPTED};
 use prost::Message;
 
 fn update(edition: u64, based_on: u64, content: u64) -> UpdateId {
--- a/overland/tests/link.rs
+++ b/overland/tests/link.rs
@@ -3,7 +3,7 @@
 use overland::link::{
     encode_frame, MessageReader, MAX_AGENT_MESSAGE_BYTES, MAX_CHARGES_BYTES, MAX_HELLO_BYTES,
 };
-use overland::news::{FromAgent, Gateway, Hello, Purpose};
+use overland::protocol::{FromAgent, Gateway, Hello, Purpose};
 use std::io::ErrorKind;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
--- a/overland/tests/orders.rs
+++ b/overland/tests/orders.rs
@@ -4,9 +4,9 @@
 
 mod simulated;
 
-use overland::difference::Difference;
-use overland::follow::{self, AgentStateMachine};
-use overland::news::{
+use overland::agent_state::{self, AgentStateMachine};
+use overland::delta::Difference;
+use overland::protocol::{
     Change, ChangeKind, ConfigRevision, FromProxy, HeartbeatReply, IndexedChange, StateSnapshot, ToAgent,
 };
 use overland::state::{State, Touched};
@@ -126,10 +126,10 @@
     let mut agent =
         AgentStateMachine::new(&simulated::settings("g".into(), None, seeds.clone(), false), 0.0, &mut out);
     let seed = seeds[0].to_string();
-    agent.handle(0.0, follow::Event::LinkOpened(seed.clone()), &mut out);
+    agent.handle(0.0, agent_state::Event::LinkOpened(seed.clone()), &mut out);
     let reply_with_members = |members: Vec<String>| {
         let reply = Some(HeartbeatReply { leads: true, term: 1, members, ..HeartbeatReply::default() });
-        follow::Event::CoreMessage {
+        agent_state::Event::CoreMessage {
             core: seed.clone(),
             message: Box::new(ToAgent { heartbeat_reply: reply, ..ToAgent::default() }),
         }
@@ -137,7 +137,7 @@
     agent.handle(0.0, reply_with_members(vec![seed.clone(), member.clone()]), &mut out);
     // An empty list means that the members have not changed.
     agent.handle(60_000.0, reply_with_members(Vec::new()), &mut out);
-    agent.handle(60_000.0, follow::Event::LinkClosed(member.clone()), &mut out);
+    agent.handle(60_000.0, agent_state::Event::LinkClosed(member.clone()), &mut out);
     assert!(agent.wants_link(60_000.0, &member));
     agent.handle(60_000.0, reply_with_members(vec![seed.clone()]), &mut out);
     assert!(!agent.wants_link(120_000.0, &member));
@@ -152,35 +152,35 @@
     let mut out = Vec::new();
     let mut agent =
         AgentStateMachine::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
-    let report = follow::Event::ProxyMessage {
+    let report = agent_state::Event::ProxyMessage {
         link: 1,
         message: FromProxy { sent_at: Some(0.0), ..FromProxy::default() },
     };
     let setup = [
-        follow::Event::LinkOpened(old.clone()),
-        follow::Event::LinkOpened(new.clone()),
-        follow::Event::ProxyConnected(1),
+        agent_state::Event::LinkOpened(old.clone()),
+        agent_state::Event::LinkOpened(new.clone()),
+        agent_state::Event::ProxyConnected(1),
         report,
     ];
     setup.into_iter().for_each(|event| agent.handle(0.0, event, &mut out));
-    let mut terms_sent_to_proxy = |event: follow::Event| {
+    let mut terms_sent_to_proxy = |event: agent_state::Event| {
         out.clear();
         agent.handle(10.0, event, &mut out);
         let terms = out.iter().filter_map(|action| match action {
-            follow::Action::SendProxy(update) => Some(update.term),
+            agent_state::Action::SendProxy(update) => Some(update.term),
             _ => None,
         });
         terms.collect::<Vec<_>>()
     };
     let leader_reply = |core: &String, term: u64| {
         let reply = Some(HeartbeatReply { leads: true, term, ..HeartbeatReply::default() });
-        follow::Event::CoreMessage {
+        agent_state::Event::CoreMessage {
             core: core.clone(),
             message: Box::new(ToAgent { heartbeat_reply: reply, ..ToAgent::default() }),
         }
     };
     assert_eq!(terms_sent_to_proxy(leader_reply(&new, 6)), [6]);
-    terms_sent_to_proxy(follow::Event::LinkClosed(new.clone()));
+    terms_sent_to_proxy(agent_state::Event::LinkClosed(new.clone()));
     assert!(terms_sent_to_proxy(leader_reply(&old, 5)).is_empty(), "the proxy was sent an earlier term");
     assert_eq!(terms_sent_to_proxy(leader_reply(&old, 7)), [7]);
 }
@@ -220,21 +220,21 @@
         let mut out = Vec::new();
         let settings = simulated::settings("g".into(), None, vec![simulated::core_address(0)], false);
         let mut agent = AgentStateMachine::new(&settings, 0.0, &mut out);
-        agent.handle(0.0, follow::Event::LinkOpened(core.clone()), &mut out);
-        agent.handle(0.0, follow::Event::ProxyConnected(1), &mut out);
+        agent.handle(0.0, agent_state::Event::LinkOpened(core.clone()), &mut out);
+        agent.handle(0.0, agent_state::Event::ProxyConnected(1), &mut out);
         let report = FromProxy { readable_format, sent_at: Some(0.0), ..FromProxy::default() };
-        agent.handle(0.0, follow::Event::ProxyMessage { link: 1, message: report }, &mut out);
+        agent.handle(0.0, agent_state::Event::ProxyMessage { link: 1, message: report }, &mut out);
         let snapshot =
             StateSnapshot { index: 1, config: Some(config_revision(1, old)), ..StateSnapshot::default() };
         let core_message =
-            |message| follow::Event::CoreMessage { core: core.clone(), message: Box::new(message) };
+            |message| agent_state::Event::CoreMessage { core: core.clone(), message: Box::new(message) };
         let with_snapshot = ToAgent { snapshot: Some(snapshot), ..ToAgent::default() };
         agent.handle(1.0, core_message(with_snapshot), &mut out);
         out.clear();
         let changes = vec![difference_change(2, 2, old, new)];
         agent.handle(2.0, core_message(ToAgent { changes, ..ToAgent::default() }), &mut out);
         let update = out.iter().find_map(|action| match action {
-            follow::Action::SendProxy(update) => Some((update.changes.len(), update.snapshot.clone())),
+            agent_state::Action::SendProxy(update) => Some((update.changes.len(), update.snapshot.clone())),
             _ => None,
         });
         let (changes, snapshot) = update.expect("an update for the proxy");
@@ -260,23 +260,23 @@
         ..FromProxy::default()
     };
     let leader_message =
-        |message| follow::Event::CoreMessage { core: leader.clone(), message: Box::new(message) };
+        |message| agent_state::Event::CoreMessage { core: leader.clone(), message: Box::new(message) };
     let reply = Some(HeartbeatReply { leads: true, term: 1, ..HeartbeatReply::default() });
     let snapshot =
         Some(StateSnapshot { index: 1, config: Some(config_revision(1, "{}")), ..StateSnapshot::default() });
     let setup = [
-        follow::Event::LinkOpened(leader.clone()),
-        follow::Event::LinkOpened(other.clone()),
-        follow::Event::ProxyConnected(1),
+        agent_state::Event::LinkOpened(leader.clone()),
+        agent_state::Event::LinkOpened(other.clone()),
+        agent_state::Event::ProxyConnected(1),
         leader_message(ToAgent { heartbeat_reply: reply, snapshot, ..ToAgent::default() }),
-        follow::Event::ProxyMessage { link: 1, message: proxy_report(1) },
+        agent_state::Event::ProxyMessage { link: 1, message: proxy_report(1) },
     ];
     setup.into_iter().for_each(|event| agent.handle(0.0, event, &mut out));
-    let mut reports_sent = |event: follow::Event| {
+    let mut reports_sent = |event: agent_state::Event| {
         out.clear();
         agent.handle(10.0, event, &mut out);
         let reports = out.iter().filter_map(|action| match action {
-            follow::Action::Send { core, message } => Some((core.clone(), message.proxy_applied_index)),
+            agent_state::Action::Send { core, message } => Some((core.clone(), message.proxy_applied_index)),
             _ => None,
         });
         reports.collect::<Vec<_>>()
@@ -284,9 +284,9 @@
     let backend_gone = Change { kind: Some(ChangeKind::BackendGone("i".into())), ..Change::default() };
     let changes = vec![IndexedChange { index: 2, change: Some(backend_gone) }];
     assert_eq!(reports_sent(leader_message(ToAgent { changes, ..ToAgent::default() })), []);
-    assert_eq!(reports_sent(follow::Event::ProxyMessage { link: 1, message: proxy_report(2) }), []);
+    assert_eq!(reports_sent(agent_state::Event::ProxyMessage { link: 1, message: proxy_report(2) }), []);
     let changes = vec![difference_change(3, 2, "{}", "{ }")];
     assert_eq!(reports_sent(leader_message(ToAgent { changes, ..ToAgent::default() })), []);
-    let applied = follow::Event::ProxyMessage { link: 1, message: proxy_report(3) };
+    let applied = agent_state::Event::ProxyMessage { link: 1, message: proxy_report(3) };
     assert_eq!(reports_sent(applied), [(leader.clone(), 3)]);
 }
--- a/overland/tests/plane/mod.rs
+++ b/overland/tests/plane/mod.rs
@@ -7,7 +7,7 @@
 
 use backend::TestBackend;
 use cherrytally::plane::driver::BackendProtocol;
-use overland::news::{Backend, ConfigRevision, Gateway, StateSnapshot, ToProxy};
+use overland::protocol::{Backend, ConfigRevision, Gateway, StateSnapshot, ToProxy};
 use overland::proxy::Proxy;
 use overland::settings::Settings;
 use std::cell::{Cell, RefCell};
--- a/overland/tests/shares.rs
+++ b/overland/tests/shares.rs
@@ -3,9 +3,9 @@
 mod bounds;
 
 use bounds::bounds;
-use overland::copy::StateReplica;
-use overland::news::ToProxy;
-use overland::shares::Shares;
+use overland::protocol::ToProxy;
+use overland::rate_shares::Shares;
+use overland::replica::StateReplica;
 
 fn names(gateways: std::ops::Range<usize>) -> Vec<String> {
     gateways.map(|number| format!("g-{number}")).collect()
--- a/overland/tests/simulated/judge.rs
+++ b/overland/tests/simulated/judge.rs
@@ -197,7 +197,7 @@
 }
 
 /// Checks that a successful response is written soon after it was decided.
-pub fn check_response_delay(now: f64, decided_at: f64, reply: &overland::calls::Reply) {
+pub fn check_response_delay(now: f64, decided_at: f64, reply: &overland::api::Reply) {
     assert!(
         reply.status != 200 || now - decided_at < super::MAX_RESPONSE_DELAY_MS,
         "a successful response was written {:.0} ms after it was decided",
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -21,12 +21,12 @@
 use callers::Callers;
 use judge::ReferenceModel;
 use kept::{apply_save, InvariantCheck};
-use overland::calls::Reply;
-use overland::copy::StateReplica;
-use overland::follow::{self, AgentStateMachine};
+use overland::agent_state::{self, AgentStateMachine};
+use overland::api::Reply;
 use overland::member::{Action, Event, Member, TICK_MS};
-use overland::news::{Change, CoreMessage, CorePayload, FromAgent, IndexedChange, ToAgent, ToProxy};
+use overland::protocol::{Change, CoreMessage, CorePayload, FromAgent, IndexedChange, ToAgent, ToProxy};
 use overland::raft::{Entry, PersistentState, RaftPayload, Save};
+use overland::replica::StateReplica;
 use overland::settings::Settings;
 use prost::Message;
 use std::cmp::Reverse;
@@ -192,7 +192,7 @@
     agent_deadline: f64,
     agent_paused_until: f64,
     proxy_paused_until: f64,
-    agent_inbox: VecDeque<follow::Event>,
+    agent_inbox: VecDeque<agent_state::Event>,
     proxy_inbox: VecDeque<ToProxy>,
     /// Since when it runs and reaches the core.
     connected_since: f64,
@@ -505,7 +505,7 @@
             SimEvent::FromAgent(link, message) => self.deliver_to_core(link, message),
             SimEvent::LinkClosed(link) => self.close_at_agent(link),
             SimEvent::AgentTick(gateway, incarnation) => {
-                self.handle_agent_event(gateway, incarnation, follow::Event::Tick)
+                self.handle_agent_event(gateway, incarnation, agent_state::Event::Tick)
             }
             SimEvent::ProxyReport(gateway, incarnation) => self.send_proxy_report(gateway, incarnation),
             SimEvent::ProxyUpdate(gateway, incarnation, update) => {
@@ -1036,7 +1036,7 @@
         gateway.agent = Some(AgentStateMachine::new(&settings, 0.0, &mut out));
         let incarnation = gateway.incarnation;
         self.execute_agent_actions(number, out);
-        self.handle_agent_event(number, incarnation, follow::Event::ProxyConnected(1));
+        self.handle_agent_event(number, incarnation, agent_state::Event::ProxyConnected(1));
         self.schedule(50.0, SimEvent::ProxyReport(number, incarnation));
     }
 
@@ -1059,7 +1059,7 @@
         (self.now - gateway.started_at) * gateway.clock_rate
     }
 
-    fn handle_agent_event(&mut self, number: usize, incarnation: u64, event: follow::Event) {
+    fn handle_agent_event(&mut self, number: usize, incarnation: u64, event: agent_state::Event) {
         if self.gateways[number].incarnation != incarnation {
             return;
         }
@@ -1095,21 +1095,25 @@
         self.schedule(duration_ms, SimEvent::ResumeGateway(number, incarnation));
     }
 
-    fn execute_agent_actions(&mut self, number: usize, actions: Vec<follow::Action>) {
+    fn execute_agent_actions(&mut self, number: usize, actions: Vec<agent_state::Action>) {
         let incarnation = self.gateways[number].incarnation;
         for action in actions {
             match action {
-                follow::Action::Connect(core) => {
+                agent_state::Action::Connect(core) => {
                     self.schedule(0.0, SimEvent::Connect(number, incarnation, core))
                 }
-                follow::Action::Reset(core) => {
+                agent_state::Action::Reset(core) => {
                     if let Some(link) = self.find_link(number, &core) {
                         self.close_at_core(link);
-                        self.handle_agent_event(number, incarnation, follow::Event::LinkClosed(core.clone()));
+                        self.handle_agent_event(
+                            number,
+                            incarnation,
+                            agent_state::Event::LinkClosed(core.clone()),
+                        );
                         self.schedule(150.0, SimEvent::Connect(number, incarnation, core));
                     }
                 }
-                follow::Action::Send { core, message } => {
+                agent_state::Action::Send { core, message } => {
                     let Some(link) = self.find_link(number, &core) else { continue };
                     let delay = self.delay();
                     let Some(open) = self.links.get_mut(&link) else { continue };
@@ -1117,7 +1121,7 @@
                     open.last_arrival_at_core = arrival;
                     self.schedule(arrival - self.now, SimEvent::FromAgent(link, message));
                 }
-                follow::Action::SendProxy(update) => {
+                agent_state::Action::SendProxy(update) => {
                     self.schedule(0.05, SimEvent::ProxyUpdate(number, incarnation, update))
                 }
             }
@@ -1180,7 +1184,7 @@
         let Some(open) = self.links.get(&link) else { return };
         let (gateway, incarnation, core) =
             (open.gateway, open.gateway_incarnation, core_address(open.core).to_string());
-        self.handle_agent_event(gateway, incarnation, follow::Event::LinkOpened(core));
+        self.handle_agent_event(gateway, incarnation, agent_state::Event::LinkOpened(core));
     }
 
     /// If a cut blocks this direction of a link, returns the delay until the next delivery attempt. Closes
@@ -1220,7 +1224,7 @@
             return;
         }
         let core = core_address(core).to_string();
-        self.handle_agent_event(gateway, incarnation, follow::Event::CoreMessage { core, message });
+        self.handle_agent_event(gateway, incarnation, agent_state::Event::CoreMessage { core, message });
     }
 
     fn deliver_to_core(&mut self, link: u64, message: Box<FromAgent>) {
@@ -1242,7 +1246,7 @@
         let Some(closed) = self.links.remove(&link) else { return };
         let core = core_address(closed.core).to_string();
         let (gateway, incarnation) = (closed.gateway, closed.gateway_incarnation);
-        self.handle_agent_event(gateway, incarnation, follow::Event::LinkClosed(core.clone()));
+        self.handle_agent_event(gateway, incarnation, agent_state::Event::LinkClosed(core.clone()));
         self.schedule(150.0, SimEvent::Connect(gateway, incarnation, core));
     }
 
@@ -1296,7 +1300,7 @@
         let replica = &mut self.gateways[number].replica;
         let ready = replica.applied_index() > 0;
         let message = replica.message(now, format!("10.1.0.{}:80", number + 1), ready);
-        self.handle_agent_event(number, incarnation, follow::Event::ProxyMessage { link: 1, message });
+        self.handle_agent_event(number, incarnation, agent_state::Event::ProxyMessage { link: 1, message });
         if self.gateways[number].incarnation == incarnation {
             self.schedule(20.0, SimEvent::ProxyReport(number, incarnation));
         }
--- a/overland/tests/simulated/racers.rs
+++ b/overland/tests/simulated/racers.rs
@@ -5,8 +5,8 @@
 
 use super::callers::{config_body, parse_config, Caller};
 use super::{Endpoint, World};
-use overland::calls::Reply;
-use overland::news::{Change, ChangeKind, CorePayload, StateSnapshot};
+use overland::api::Reply;
+use overland::protocol::{Change, ChangeKind, CorePayload, StateSnapshot};
 use overland::raft::{RaftMessage, RaftPayload, Save};
 use prost::Message;
 use std::collections::BTreeMap;
