--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -2,14 +2,14 @@
 //! current time, outputs are [`Action`]s to be executed in order. `control.rs` owns the sockets, the clock
 //! and the disk.
 //!
-//! Submodules: `orders` handles operators' calls, `presence` backends and gateways, `push` messages to
-//! agents, `count` the tenants' quotas, and `joining` messages between core processes.
+//! Submodules: `operator_calls` handles operators' calls, `presence` backends and gateways, `push` messages
+//! to agents, `quota` the tenants' quotas, and `joining` messages between core processes.
 
-mod count;
 mod joining;
-mod orders;
+mod operator_calls;
 mod presence;
 mod push;
+mod quota;
 
 use crate::api::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
 use crate::invariants::{self, Invariant};
@@ -23,13 +23,13 @@
 use crate::update_outcomes::UpdateId;
 use bytes::Bytes;
 use cherrytally::Millis;
-use count::QuotaCounters;
 use eyre::{eyre, Result};
 use joining::PendingForward;
-use orders::Updates;
+use operator_calls::Updates;
 use presence::Presence;
 use prost::Message;
 use push::{Agent, EncodedState};
+use quota::QuotaCounters;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/overland/src/store/mod.rs
+++ b/overland/src/store/mod.rs
@@ -9,24 +9,24 @@
 //! save is dropped and everything before it is kept. [`Store::open`] reports corruption only if a durable
 //! save is lost.
 
-mod journal;
-mod mark;
-mod pace;
+mod journal_repair;
+mod save_latency;
+mod watermark;
 
-pub use pace::SaveLatency;
+pub use save_latency::SaveLatency;
 
 use crate::invariants::{self, Invariant};
 use crate::raft::{Entry, HardState, PersistentState, Save, Snapshot};
 use crate::state::digest;
 use eyre::{bail, Result, WrapErr};
 use fjall::{Database, JournalRecoveryError, Keyspace, KeyspaceCreateOptions, PersistMode};
-use mark::Watermark;
 use prost::Message;
 use std::cell::Cell;
 use std::fs;
 use std::io::{self, ErrorKind};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
+use watermark::Watermark;
 
 const CACHE_BYTES: u64 = 1 << 20;
 /// Small, as the process has little disk space.
@@ -258,7 +258,7 @@
             fs::rename(path, corrupt_path)?;
         }
         // Otherwise a power loss could undo the rename.
-        mark::sync_dir(dir)?;
+        watermark::sync_dir(dir)?;
         let (store, _) =
             Self::open_at(path, dir)?.map_err(|why| eyre::eyre!("failed to create a new store: {why}"))?;
         store.save_number.set(watermark);
@@ -303,7 +303,7 @@
             OpenedFiles::Readable(database, keyspace) => Ok(Ok((database, keyspace))),
             OpenedFiles::Unavailable(error) => Err(error).wrap_err("the disk is unavailable"),
             OpenedFiles::TornJournal(why) => {
-                if !journal::invalidate_last_batch(path)? {
+                if !journal_repair::invalidate_last_batch(path)? {
                     return Ok(Err(why));
                 }
                 log::warn!("store: the save that was under way is torn and dropped: {why}");
