--- a/overland/tests/control.rs
+++ b/overland/tests/control.rs
@@ -1,12 +1,12 @@
 //! The whole control plane under random faults, checked against a reference model. `HISTORIES` sets the
 //! number of histories, `SEED` the first seed; the shortest history that fails is reported.
 
-mod finds;
+mod failures;
 mod simulated;
 
 use overland::protocol::{CorePayload, FromAgent, Gateway, Repair, StateSnapshot};
 use overland::raft::{AppendEntries, InstallSnapshot, RaftMessage, RaftPayload};
-use simulated::troubles::{Fault, ALL_FAULTS};
+use simulated::faults::{Fault, ALL_FAULTS};
 use simulated::{Endpoint, Input, World};
 
 /// Failing histories to collect; the shortest is reported.
@@ -17,7 +17,7 @@
     let env_number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let first = env_number("SEED").unwrap_or(0);
     let seeds = first..first + env_number("HISTORIES").unwrap_or(default_count);
-    let failure = finds::shortest_failure(seeds, MAX_FAILURES, new_world, scenario, |world| world.events);
+    let failure = failures::shortest_failure(seeds, MAX_FAILURES, new_world, scenario, |world| world.events);
     if let Some(failure) = failure {
         eprintln!("seed {} fails after {} events", failure.seed, failure.events);
         std::panic::resume_unwind(failure.panic_payload);
--- a/overland/tests/promises.rs
+++ b/overland/tests/control_mutants.rs
@@ -1,10 +1,10 @@
 //! Deliberate faults around the control plane's state machines: the random histories must detect each of
 //! them. A test program of its own, as detection panics.
 
-mod finds;
+mod failures;
 mod simulated;
 
-use simulated::troubles::Fault::{self, *};
+use simulated::faults::Fault::{self, *};
 use simulated::{Mutant, World};
 
 /// Histories tried before a fault counts as undetected.
@@ -33,9 +33,10 @@
             world.callers.rapid_churn = mutant == Mutant::LeaveAckedWithoutLease;
             world.run_two_faults(faults);
         };
-        let failure = finds::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| {
-            world.events
-        });
+        let failure =
+            failures::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| {
+                world.events
+            });
         match failure {
             Some(failure) => {
                 println!(
@@ -59,7 +60,7 @@
         world.restart_core_without_heartbeats();
     };
     let failure =
-        finds::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events);
+        failures::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| world.events);
     let failure = failure.expect("a failing history");
     assert!(failure.message().contains("a gateway grants the full rate"), "{}", failure.message());
     println!("seed {}, {} events", failure.seed, failure.events);
--- a/overland/tests/full_disk.rs
+++ b/overland/tests/full_disk.rs
@@ -1,8 +1,8 @@
 //! A core process whose disk is full: it keeps running, acknowledges nothing, reports the cause, and recovers
 //! as soon as the disk has space.
 
-mod kept;
 mod processes;
+mod store_model;
 
 use eyre::{Report, Result};
 use overland::control::Control;
@@ -42,7 +42,7 @@
 impl DurableStore for MemoryDisk {
     fn save(&self, save: &Save) -> Result<()> {
         self.check_space()?;
-        kept::apply_save(&mut self.contents.lock().expect("not poisoned"), save.clone());
+        store_model::apply_save(&mut self.contents.lock().expect("not poisoned"), save.clone());
         Ok(())
     }
 }
--- a/overland/tests/histories/mod.rs
+++ b/overland/tests/histories/mod.rs
@@ -3,12 +3,12 @@
 //! may run with a deliberate fault.
 #![allow(dead_code)] // Each test program uses only a part.
 
-#[path = "../kept/mod.rs"]
-mod kept;
+#[path = "../store_model/mod.rs"]
+mod store_model;
 
-use kept::{apply_save, InvariantCheck};
 use overland::raft::{Action, Entry, Event, LogLimits, PersistentState, RaftNode, RaftPayload};
 use std::collections::{BTreeMap, BTreeSet};
+use store_model::{apply_save, InvariantCheck};
 
 /// The committed log as seen by all nodes together.
 #[derive(Default)]
--- a/overland/tests/agreement.rs
+++ b/overland/tests/raft.rs
@@ -1,4 +1,4 @@
-//! Raft against a plain model. `HISTORIES=100000 cargo test -p overland --release --test agreement` runs more
+//! Raft against a plain model. `HISTORIES=100000 cargo test -p overland --release --test raft` runs more
 //! histories.
 
 mod histories;
--- a/overland/tests/mutants.rs
+++ b/overland/tests/raft_mutants.rs
@@ -1,7 +1,7 @@
 //! Deliberate faults: the random histories must detect each of them. A test program of its own, as detection
 //! panics.
 
-mod finds;
+mod failures;
 mod histories;
 
 use histories::{
@@ -42,9 +42,10 @@
             world.crashes_after_voting = matches!(mutant, Mutant::VoteBeforeSync | Mutant::VoteForgotten);
             world
         };
-        let failure = finds::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| {
-            world.events
-        });
+        let failure =
+            failures::shortest_failure(0..MAX_HISTORIES, MAX_FAILURES, new_world, scenario, |world| {
+                world.events
+            });
         match failure {
             Some(failure) => {
                 println!(
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -2,25 +2,23 @@
 //! their proxies' replicas, backends that send heartbeats, drain and leave, and operators that send
 //! concurrent and repeated requests, over a network with random faults. The state machines under test are the
 //! real ones (`Member`, `AgentStateMachine`, `State`). Links can be slow, lossy, blocked or cut in one or
-//! both directions; processes crash between any two actions, pause, or have slow disks; clocks drift. `judge`
-//! checks the results against a reference model, only by what callers and data planes observe.
+//! both directions; processes crash between any two actions, pause, or have slow disks; clocks drift.
+//! `reference_model` checks the results, only by what callers and data planes observe.
 #![allow(dead_code)] // Each test program uses only a part.
 
 pub mod callers;
-pub mod judge;
-pub mod racers;
-pub mod troubles;
+pub mod concurrent_updates;
+pub mod faults;
+pub mod reference_model;
 
 #[path = "../bounds/mod.rs"]
 mod bounds;
-#[path = "../kept/mod.rs"]
-mod kept;
+#[path = "../store_model/mod.rs"]
+mod store_model;
 
 pub use bounds::bounds;
 
 use callers::Callers;
-use judge::ReferenceModel;
-use kept::{apply_save, InvariantCheck};
 use overland::agent_state::{self, AgentStateMachine};
 use overland::api::Reply;
 use overland::member::{Action, Event, Member, TICK_MS};
@@ -29,10 +27,12 @@
 use overland::replica::StateReplica;
 use overland::settings::Settings;
 use prost::Message;
+use reference_model::ReferenceModel;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
+use store_model::{apply_save, InvariantCheck};
 
 /// A connection across a cut breaks after this time.
 const LINK_TIMEOUT_MS: f64 = 2000.0;
@@ -284,7 +284,7 @@
     /// Number of snapshots installed.
     pub installs: u64,
     pub callers: Callers,
-    pub racers: racers::Racers,
+    pub racers: concurrent_updates::Racers,
     pub model: ReferenceModel,
     pub seeds: Vec<SocketAddr>,
     last_id: u64,
@@ -389,7 +389,7 @@
             snapshot_mutant: None,
             snapshot_messages: 0,
             installs: 0,
-            racers: racers::Racers::default(),
+            racers: concurrent_updates::Racers::default(),
             fault_rates: FaultRates::NONE,
             calls: BTreeMap::new(),
             acked_updates: Vec::new(),
@@ -431,7 +431,7 @@
         (0..self.cores.len()).for_each(|core| self.start_core(core, false));
         (0..self.gateways.len()).for_each(|gateway| self.start_gateway(gateway));
         self.run_until(self.now + duration_ms);
-        judge::check_final_state(self);
+        reference_model::check_final_state(self);
     }
 
     fn schedule(&mut self, after: f64, event: SimEvent) {
@@ -495,8 +495,8 @@
             }
             SimEvent::Check => {
                 self.update_connectivity();
-                judge::check_key_revocation(self);
-                judge::check_draining(self);
+                reference_model::check_key_revocation(self);
+                reference_model::check_draining(self);
                 self.schedule(CHECK_INTERVAL_MS, SimEvent::Check);
             }
             SimEvent::Connect(gateway, incarnation, core) => self.connect(gateway, incarnation, core),
@@ -799,7 +799,7 @@
             let new_config = member.state().config.clone().filter(|config| config.edition != old_edition);
             core.pending_actions.extend(out.into_iter().map(|action| (self.now, action)));
             if let (Some(config), false) = (new_config, self.racers.slots.is_empty()) {
-                racers::check_applied_config(self, config.edition, &config.text);
+                concurrent_updates::check_applied_config(self, config.edition, &config.text);
             }
         }
     }
@@ -845,7 +845,7 @@
                     return;
                 };
                 let is_receiver = (receiver, incarnation) == (number, core.incarnation);
-                judge::check_response_delay(self.now, decided_at, &reply);
+                reference_model::check_response_delay(self.now, decided_at, &reply);
                 let held = is_receiver && core.last_pause_end < sent_at - 100.0 && self.now - sent_at > 200.0;
                 // A cut may have ended since connectivity was last updated.
                 let isolated = !self.cuts.is_empty()
--- a/overland/tests/order_mutants.rs
+++ b/overland/tests/update_mutants.rs
@@ -3,7 +3,7 @@
 
 mod simulated;
 
-use simulated::racers::{self, Mutant};
+use simulated::concurrent_updates::{self, Mutant};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// Histories tried before a fault counts as undetected.
@@ -23,7 +23,9 @@
     for (mutant, requests) in mutants {
         let mut detected = None;
         for seed in 0..MAX_HISTORIES {
-            let result = catch_unwind(AssertUnwindSafe(|| racers::run_race(seed, 8, requests, Some(mutant))));
+            let result = catch_unwind(AssertUnwindSafe(|| {
+                concurrent_updates::run_race(seed, 8, requests, Some(mutant))
+            }));
             if let Err(payload) = result {
                 let text = payload.downcast_ref::<String>().cloned();
                 detected = Some((seed, text.unwrap_or_default()));
--- a/overland/tests/orders.rs
+++ b/overland/tests/updates.rs
@@ -11,7 +11,7 @@
 };
 use overland::state::{State, Touched};
 use prost::Message;
-use simulated::{racers, Endpoint, World};
+use simulated::{concurrent_updates, Endpoint, World};
 
 /// Runs random histories, and reports the seed of the first that fails.
 fn run_histories(default_count: u64, scenario: impl Fn(u64)) {
@@ -28,7 +28,7 @@
 
 #[test]
 fn editions_are_unique_and_retries_are_not_rejected() {
-    run_histories(6, |seed| drop(racers::run_race(seed, 8, 400, None)));
+    run_histories(6, |seed| drop(concurrent_updates::run_race(seed, 8, 400, None)));
 }
 
 /// Guards against a retried evacuation request taking effect again after a later one was acknowledged.
@@ -37,12 +37,12 @@
     run_histories(60, |seed| {
         let mut world = World::new(seed, 3, 0, 2, 0, 0);
         world.start();
-        racers::start(&mut world, 1, 12);
+        concurrent_updates::start(&mut world, 1, 12);
         world.racers.request_mix = [0.0, 0.0, 0.0, 0.0, 0.0, 1.0];
         world.fault_rates.response_loss = world.rng.f64() * 0.5;
         world.run_until(3000.0);
         // No duplication: a request without an edition can't be distinguished from its duplicate.
-        racers::run_with_faults(&mut world, 4000.0, 0.0);
+        concurrent_updates::run_with_faults(&mut world, 4000.0, 0.0);
     });
 }
 
@@ -71,7 +71,7 @@
             let mut world = World::new(seed, 3, 0, 8, 0, 0);
             world.start();
             world.run_until(3_000.0);
-            racers::start(&mut world, slots, 300);
+            concurrent_updates::start(&mut world, slots, 300);
             world.racers.request_mix = [0.7, 0.3, 0.0, 0.0, 0.0, 0.0];
             world.run_until(world.now + 120_000.0);
             assert_eq!((world.racers.remaining, world.racers.unresolved), (0, 0));
@@ -100,7 +100,7 @@
         let mut world = World::new(seed, 3, 0, 3, 0, 0);
         world.start();
         world.kill_gateway(2);
-        racers::start(&mut world, 2, 400);
+        concurrent_updates::start(&mut world, 2, 400);
         let delay_ms = world.rng.f64() * 1000.0;
         world.run_until(4000.0 + delay_ms);
         world.start_gateway(2);
@@ -114,7 +114,7 @@
         }
         world.run_until(world.now + 12_000.0);
         world.settle(12_000.0);
-        racers::check_version_chain(&world);
+        concurrent_updates::check_version_chain(&world);
     });
 }
 
