--- a/overland/src/backend_protocol.rs
+++ b/overland/src/backend_protocol.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 /// The backends' HTTP protocol.
-pub struct Wire;
+pub struct HttpBackendProtocol;
 
-impl BackendProtocol for Wire {
+impl BackendProtocol for HttpBackendProtocol {
     fn write_attempt_headers(&self, message: &mut Vec<u8>, backend: &str, left: Duration) {
         // Writing to a `Vec` cannot fail.
         let _ = write!(message, "Deadline-Ms: {}\r\nExpect-Instance: {backend}\r\n", left.as_millis());
--- a/overland/src/member/push.rs
+++ b/overland/src/member/push.rs
@@ -149,7 +149,7 @@
     fn changes_since(&self, index: u64, reads_differences: bool) -> Option<Vec<IndexedChange>> {
         // Agents receive a rejected configuration update as an index without a change.
         let took_effect = |entry: &&Entry, change: &Change| match &change.kind {
-            Some(ChangeKind::Config(_)) => self.state.ledger.accepted_at(entry.index),
+            Some(ChangeKind::Config(_)) => self.state.update_outcomes.accepted_at(entry.index),
             Some(ChangeKind::Rejected(_)) => false,
             _ => true,
         };
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -1,7 +1,7 @@
 //! HTTP proxy: accepts client requests, charges them to tenants and forwards them to backends.
 
 use crate::agent::{self, proxy_listen_address};
-use crate::backend_protocol::Wire;
+use crate::backend_protocol::HttpBackendProtocol;
 use crate::client_response::{client_response, ClientResponse};
 use crate::invariants::{self, Invariant};
 use crate::link::{self, MessageReader, MessageSender};
@@ -262,7 +262,8 @@
     pub async fn run(settings: Settings, mut watch: Watch) -> Result<()> {
         let mut term = signal(SignalKind::terminate()).wrap_err("cannot install the SIGTERM handler")?;
         let backends = |max_connections| Backends::new(max_connections, CONNECT_MS, IDLE_MS);
-        let (proxy, charge_requests) = Self::new(settings, fastrand::u64(..), Rc::new(Wire), backends)?;
+        let (proxy, charge_requests) =
+            Self::new(settings, fastrand::u64(..), Rc::new(HttpBackendProtocol), backends)?;
         let client_addr = proxy.client_addr;
         let listener = TcpListener::bind(client_addr).await.wrap_err("cannot bind the client address")?;
         tokio::task::spawn_local(proxy.clone().run_agent_link());
--- a/overland/src/quota.rs
+++ b/overland/src/quota.rs
@@ -1,5 +1,5 @@
-//! Quota counting per tenant: the [`Counter`] kept by the leader, and the [`QuotaClient`] with which a gateway
-//! charges requests to it before it sends them.
+//! Quota counting per tenant: the [`Counter`] kept by the leader, and the [`QuotaClient`] with which a
+//! gateway charges requests to it before it sends them.
 //!
 //! A count belongs to a tenant and a window; a window lasts burst / rate seconds and allows one burst.
 //! Windows are timed by the counter's monotonic clock alone. While the counter is unreachable or not
--- a/overland/src/state.rs
+++ b/overland/src/state.rs
@@ -5,7 +5,7 @@
     Backend, Change, ChangeKind, ConfigRevision, EvacuationEnd, Gateway, IndexedChange, RangeDigest,
     RangeDigests, RejectedUpdate, Repair, StateSnapshot,
 };
-use crate::update_outcomes::{Ledger, UpdateId, UpdateStatus};
+use crate::update_outcomes::{RecordedOutcomes, UpdateId, UpdateStatus};
 use cherrytally::Millis;
 use prost::Message;
 use siphasher::sip::SipHasher13;
@@ -49,7 +49,7 @@
     /// Ids of backends that deregistered themselves, the most recent last.
     pub deregistered: VecDeque<String>,
     /// The outcomes of configuration updates; only in the replicas of core processes.
-    pub ledger: Ledger,
+    pub update_outcomes: RecordedOutcomes,
 }
 
 /// How a configuration update relates to the current state.
@@ -165,7 +165,7 @@
         match change.and_then(|change| change.kind.as_ref()) {
             Some(ChangeKind::Config(config)) => self.configure(index, config),
             Some(ChangeKind::Rejected(rejected)) => {
-                self.ledger.record_rejected(index, rejected);
+                self.update_outcomes.record_rejected(index, rejected);
                 Touched::Nothing
             }
             Some(ChangeKind::Evacuated(evacuated)) => {
@@ -231,11 +231,11 @@
             if based_on > current {
                 let content_digest = config.digests.first().copied().unwrap_or(config.call_digest);
                 let rejected = RejectedUpdate { edition: config.edition, based_on, content_digest };
-                self.ledger.record_rejected(index, &rejected);
+                self.update_outcomes.record_rejected(index, &rejected);
             }
             return Touched::Nothing;
         }
-        self.ledger.record_accepted(index, config);
+        self.update_outcomes.record_accepted(index, config);
         let text = match &config.difference {
             None => Some(config.text.clone()),
             Some(difference) => self.config.as_ref().and_then(|config| difference.apply(&config.text)),
@@ -251,7 +251,7 @@
 
     /// Compares a configuration update with the state. `Accepted`, `Stale` and `NotIncreasing` are final.
     pub fn check_update(&self, update: &UpdateId) -> UpdateCheck {
-        match self.ledger.status(update) {
+        match self.update_outcomes.status(update) {
             UpdateStatus::Accepted(index) => UpdateCheck::Accepted(index.unwrap_or(self.index)),
             UpdateStatus::Rejected => UpdateCheck::Stale,
             _ if update.edition <= update.based_on => UpdateCheck::NotIncreasing,
@@ -270,7 +270,7 @@
         new.into_iter().map(|indexed| self.apply(now, indexed.index, indexed.change.as_ref())).collect()
     }
 
-    /// A snapshot of the replica. `for_core` adds what only core processes need: the ledger and the
+    /// A snapshot of the replica. `for_core` adds what only core processes need: the update outcomes and the
     /// deregistered backends.
     pub fn snapshot(&self, now: Millis, for_core: bool) -> StateSnapshot {
         let backend = |known: &RegisteredBackend| {
@@ -290,7 +290,7 @@
             ..StateSnapshot::default()
         };
         if for_core {
-            self.ledger.write(&mut snapshot);
+            self.update_outcomes.write(&mut snapshot);
             snapshot.deregistered = self.deregistered.iter().cloned().collect();
         }
         snapshot
@@ -370,7 +370,7 @@
 
     /// A replica restored from a snapshot.
     pub fn from_snapshot(now: Millis, mut snapshot: StateSnapshot) -> Self {
-        let ledger = Ledger::read(&mut snapshot);
+        let update_outcomes = RecordedOutcomes::read(&mut snapshot);
         let known = |backend: Backend| {
             let cold_until = if backend.cold_ms > 0 { now + backend.cold_ms as f64 } else { 0.0 };
             (backend.id.clone(), RegisteredBackend { backend, cold_until })
@@ -385,7 +385,7 @@
             backends: snapshot.backends.into_iter().map(known).collect(),
             gateways: snapshot.gateways.into_iter().map(|gateway| (gateway.node.clone(), gateway)).collect(),
             deregistered: snapshot.deregistered.into(),
-            ledger,
+            update_outcomes,
         }
     }
 }
--- a/overland/src/update_outcomes.rs
+++ b/overland/src/update_outcomes.rs
@@ -39,7 +39,7 @@
 
 /// The recorded outcomes of configuration updates.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ledger {
+pub struct RecordedOutcomes {
     /// In order of edition and index.
     accepted: VecDeque<UpdateOutcome>,
     rejected: VecDeque<UpdateOutcome>,
@@ -49,7 +49,7 @@
     legacy_calls: VecDeque<u64>,
 }
 
-impl Ledger {
+impl RecordedOutcomes {
     /// The recorded outcome of an update.
     pub fn status(&self, update: &UpdateId) -> UpdateStatus {
         let is_same = |recorded: &&UpdateOutcome| {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Writes the ledger into a snapshot.
+    /// Writes the outcomes into a snapshot.
     pub fn write(&self, snapshot: &mut StateSnapshot) {
         snapshot.legacy_call_digests = self.legacy_calls.iter().copied().collect();
         snapshot.update_outcomes = Some(Box::new(UpdateOutcomes {
@@ -121,7 +121,7 @@
         }));
     }
 
-    /// Takes the ledger out of a snapshot.
+    /// Takes the outcomes out of a snapshot.
     pub fn read(snapshot: &mut StateSnapshot) -> Self {
         let calls = std::mem::take(&mut snapshot.legacy_call_digests);
         let newest = snapshot.config.as_ref().map_or(0, |config| config.edition);
@@ -129,7 +129,7 @@
         let may_lack_calls = snapshot.update_outcomes.is_none() && calls.len() >= MAX_ACCEPTED;
         let UpdateOutcomes { accepted, rejected, dropped_up_to } =
             snapshot.update_outcomes.take().map(|outcomes| *outcomes).unwrap_or_default();
-        Ledger {
+        RecordedOutcomes {
             accepted: accepted.into(),
             rejected: rejected.into(),
             dropped_up_to: if may_lack_calls { newest } else { dropped_up_to },
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -9,7 +9,7 @@
 use cherrytally::plane::http::Head;
 use cherrytally::plane::room::{BodyError, ResponseBody};
 use cherrytally::{CallResult as Ended, Reason};
-use overland::backend_protocol::Wire;
+use overland::backend_protocol::HttpBackendProtocol;
 use overland::client_response::{client_response, ClientResponse, NOT_RUN_STATUSES};
 use std::time::Duration;
 
@@ -117,7 +117,11 @@
         ("Stamp: 7\r\n", "", true),
         ("Request-Id: 7\r\n", "", false),
     ] {
-        assert_eq!(Wire.matches_request(&head(503, lines), name.as_bytes()), own, "{lines:?} {name:?}");
+        assert_eq!(
+            HttpBackendProtocol.matches_request(&head(503, lines), name.as_bytes()),
+            own,
+            "{lines:?} {name:?}"
+        );
     }
     let complete = "Stamp: s\r\nContent-Length: 1\r\n";
     for (status, lines, result) in [
@@ -135,7 +139,7 @@
         (408, complete, Ended::Error),
         (500, "Not-Run: 1\r\n", Ended::Error),
     ] {
-        assert_eq!(Wire.classify_response(&head(status, lines)), result, "{status} {lines:?}");
+        assert_eq!(HttpBackendProtocol.classify_response(&head(status, lines)), result, "{status} {lines:?}");
     }
 }
 
--- a/overland/tests/plane.rs
+++ b/overland/tests/plane.rs
@@ -7,7 +7,7 @@
 use cherrytally::plane::exchange::{AttemptFailure, Exchange, IdleConnection, Stage};
 use cherrytally::plane::http::Head;
 use cherrytally::CallResult;
-use overland::backend_protocol::Wire;
+use overland::backend_protocol::HttpBackendProtocol;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -64,7 +64,7 @@
 fn responses_match_requests_and_unsafe_requests_run_at_most_once() {
     let first_seed: u64 = std::env::var("FROM").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
     let (failures, [events, responses, successes]) =
-        run_histories(first_seed..first_seed + history_count(), 5, || Rc::new(Wire));
+        run_histories(first_seed..first_seed + history_count(), 5, || Rc::new(HttpBackendProtocol));
     println!("{} histories, {events} events, {responses} responses, {successes} successes", history_count());
     assert!(failures.is_empty(), "{failures:#?}");
     assert!(
@@ -104,11 +104,11 @@
 
 impl BackendProtocol for FaultyProtocol {
     fn write_attempt_headers(&self, message: &mut Vec<u8>, backend: &str, left: Duration) {
-        Wire.write_attempt_headers(message, backend, left);
+        HttpBackendProtocol.write_attempt_headers(message, backend, left);
     }
 
     fn classify_response(&self, head: &Head) -> CallResult {
-        match (self.0, Wire.classify_response(head)) {
+        match (self.0, HttpBackendProtocol.classify_response(head)) {
             (Fault::Plain503IsNotRun, CallResult::Error) if head.status == 503 => CallResult::Rejected,
             (Fault::AnySuccessAccepted, CallResult::Reset) => CallResult::Ok,
             (_, result) => result,
@@ -126,7 +126,7 @@
             Fault::ResponseIdIgnored => true,
             Fault::ErrorWithoutIdAccepted if id_matches.is_empty() => head.status >= 400,
             Fault::LastIdWins => id_matches.last() == Some(&true),
-            _ => Wire.matches_request(head, id),
+            _ => HttpBackendProtocol.matches_request(head, id),
         }
     }
 
--- a/overland/tests/replica.rs
+++ b/overland/tests/replica.rs
@@ -47,7 +47,7 @@
 fn comparable(state: &State) -> State {
     let mut state = state.clone();
     // Only core processes hold these, and not those of an older release during an upgrade.
-    state.ledger = Default::default();
+    state.update_outcomes = Default::default();
     state.deregistered.clear();
     state.evacuation_ends.clear();
     state.backends.values_mut().for_each(|known| {
--- a/overland/tests/simulated/callers.rs
+++ b/overland/tests/simulated/callers.rs
@@ -20,7 +20,7 @@
     Backend(usize),
     Operator(usize),
     /// A slot for one concurrent request; see [`super::concurrent_updates`].
-    Racer(usize),
+    RequestSlot(usize),
 }
 
 /// A phase in the life of a backend. Times are in ms.
@@ -159,7 +159,7 @@
     match caller {
         Caller::Backend(slot) => backend_turn(world, slot),
         Caller::Operator(number) => operator_turn(world, number),
-        Caller::Racer(slot) => super::concurrent_updates::take_turn(world, slot),
+        Caller::RequestSlot(slot) => super::concurrent_updates::take_turn(world, slot),
     }
 }
 
@@ -168,7 +168,7 @@
     match world.callers.pending_calls.remove(&token) {
         Some(Caller::Backend(slot)) => backend_call_ended(world, slot, reply),
         Some(Caller::Operator(number)) => operator_call_ended(world, number, reply),
-        Some(Caller::Racer(slot)) => super::concurrent_updates::call_ended(world, slot, reply),
+        Some(Caller::RequestSlot(slot)) => super::concurrent_updates::call_ended(world, slot, reply),
         None => {}
     }
 }
--- a/overland/tests/simulated/concurrent_updates.rs
+++ b/overland/tests/simulated/concurrent_updates.rs
@@ -27,7 +27,7 @@
     pub path: String,
     /// Equivalent bodies of different bytes.
     pub bodies: Vec<String>,
-    /// Its index in [`Racers::zone_requests`].
+    /// Its index in [`ConcurrentRequests::zone_requests`].
     pub zone_request: Option<usize>,
 }
 
@@ -105,7 +105,7 @@
 
 /// The concurrent requests, and what is known of them.
 #[derive(Default)]
-pub struct Racers {
+pub struct ConcurrentRequests {
     pub mutant: Option<Mutant>,
     pub slots: Vec<Option<Task>>,
     /// The newest edition that any operator knows.
@@ -128,14 +128,14 @@
     pub unresolved: usize,
 }
 
-impl Racers {
+impl ConcurrentRequests {
     pub fn new(slots: usize, requests: usize) -> Self {
-        Racers {
+        ConcurrentRequests {
             slots: (0..slots).map(|_| None).collect(),
             remaining: requests,
             request_mix: [0.42, 0.16, 0.07, 0.05, 0.14, 0.1],
             pause_ms: 100.0,
-            ..Racers::default()
+            ..ConcurrentRequests::default()
         }
     }
 
@@ -146,10 +146,10 @@
 
 /// Starts sending this number of requests in these slots.
 pub fn start(world: &mut World, slots: usize, requests: usize) {
-    world.racers = Racers::new(slots, requests);
+    world.concurrent_requests = ConcurrentRequests::new(slots, requests);
     for slot in 0..slots {
         let after = world.rng.f64() * 300.0;
-        world.schedule_turn(after, Caller::Racer(slot));
+        world.schedule_turn(after, Caller::RequestSlot(slot));
     }
 }
 
@@ -190,15 +190,16 @@
 }
 
 fn random_request(world: &mut World) -> Request {
-    let (chance, known) = (world.rng.f64(), world.racers.known_edition);
+    let (chance, known) = (world.rng.f64(), world.concurrent_requests.known_edition);
     let step = world.rng.u64(1..3);
-    let [new, patch, invalid, other_base, resend, zone] = world.racers.request_mix;
+    let [new, patch, invalid, other_base, resend, zone] = world.concurrent_requests.request_mix;
     let mut upper_bound = 0.0;
     let mut is = |fraction: f64| {
         upper_bound += fraction;
         chance < upper_bound
     };
-    let first = known == 0 && new > 0.0 && (world.racers.requests.is_empty() || world.rng.bool());
+    let first =
+        known == 0 && new > 0.0 && (world.concurrent_requests.requests.is_empty() || world.rng.bool());
     let request = if first || is(new) {
         put(world, known + step, known)
     } else if known > 0 && is(patch) {
@@ -223,23 +224,23 @@
         }
     } else if (known == 0 && new > 0.0) || is(resend) {
         let candidates: Vec<_> =
-            world.racers.requests.keys().rev().take(MAX_RESEND_CANDIDATES).copied().collect();
-        world.racers.requests[&candidates[world.rng.usize(0..candidates.len())]].clone()
+            world.concurrent_requests.requests.keys().rev().take(MAX_RESEND_CANDIDATES).copied().collect();
+        world.concurrent_requests.requests[&candidates[world.rng.usize(0..candidates.len())]].clone()
     } else if is(zone) {
         let (zone, start) = (world.rng.usize(0..2), world.rng.bool());
-        world.racers.zone_requests.push(ZoneRequest {
+        world.concurrent_requests.zone_requests.push(ZoneRequest {
             zone,
             start,
             sent_at: world.now,
             acknowledged_at: None,
         });
         let path = format!("/api/Evacuate.{}/z{zone}", if start { "Start" } else { "End" });
-        Request { path, zone_request: Some(world.racers.zone_requests.len() - 1), ..read() }
+        Request { path, zone_request: Some(world.concurrent_requests.zone_requests.len() - 1), ..read() }
     } else {
         read()
     };
     if let Some(version_id) = request.version_id {
-        world.racers.requests.entry(version_id).or_insert_with(|| request.clone());
+        world.concurrent_requests.requests.entry(version_id).or_insert_with(|| request.clone());
     }
     request
 }
@@ -247,23 +248,24 @@
 /// Sends or retries a slot's request.
 pub fn take_turn(world: &mut World, slot: usize) {
     let now = world.now;
-    if world.racers.slots[slot].is_none() {
-        if world.racers.remaining == 0 || !world.callers.operators_active {
+    if world.concurrent_requests.slots[slot].is_none() {
+        if world.concurrent_requests.remaining == 0 || !world.callers.operators_active {
             return;
         }
-        world.racers.remaining -= 1;
+        world.concurrent_requests.remaining -= 1;
         let request = random_request(world);
-        world.racers.slots[slot] = Some(Task { request, first_sent_at: now, last_sent_at: now, attempts: 0 });
+        world.concurrent_requests.slots[slot] =
+            Some(Task { request, first_sent_at: now, last_sent_at: now, attempts: 0 });
     }
     let core = world.rng.usize(0..world.cores.len());
-    let body_index = if world.racers.same_bytes { 0 } else { world.rng.usize(0..2) };
-    let Some(task) = &mut world.racers.slots[slot] else { return };
+    let body_index = if world.concurrent_requests.same_bytes { 0 } else { world.rng.usize(0..2) };
+    let Some(task) = &mut world.concurrent_requests.slots[slot] else { return };
     (task.attempts, task.last_sent_at) = (task.attempts + 1, now);
     let body = task.request.bodies[body_index.min(task.request.bodies.len() - 1)].clone().into_bytes();
     let reads = task.request.version_id.is_none() && task.request.zone_request.is_none();
     let (method, path) = (if reads { "GET" } else { "POST" }, task.request.path.clone());
-    let token = super::callers::send_call(world, Caller::Racer(slot), core, method, path, body);
-    if let (true, Some(Mutant::ReadWithoutLease)) = (reads, world.racers.mutant) {
+    let token = super::callers::send_call(world, Caller::RequestSlot(slot), core, method, path, body);
+    if let (true, Some(Mutant::ReadWithoutLease)) = (reads, world.concurrent_requests.mutant) {
         let member = world.cores[core].running.as_ref();
         if let Some(config) = member.and_then(|member| member.state().config.clone()) {
             let reply = Reply { status: 200, body: config.text, retry_after_ms: None };
@@ -275,11 +277,11 @@
 /// Checks a response against the reference model, and schedules a retry or the slot's next request.
 pub fn call_ended(world: &mut World, slot: usize, reply: Option<Reply>) {
     let now = world.now;
-    let Some(task) = world.racers.slots[slot].take() else { return };
+    let Some(task) = world.concurrent_requests.slots[slot].take() else { return };
     let Task { request, first_sent_at, last_sent_at, attempts } = task;
-    let status = match (world.racers.mutant, reply.as_ref().map_or(0, |reply| reply.status)) {
+    let status = match (world.concurrent_requests.mutant, reply.as_ref().map_or(0, |reply| reply.status)) {
         (Some(Mutant::RetryRecognizedByEditionOnly), 412)
-            if world.racers.applied.contains_key(&request.edition) =>
+            if world.concurrent_requests.applied.contains_key(&request.edition) =>
         {
             200
         }
@@ -294,13 +296,14 @@
         (200, Some(version_id)) => {
             assert!(request.valid, "version {version_id} is not valid, and was acknowledged");
             let edition = world.model.acknowledge(now, version_id);
-            world.racers.known_edition = world.racers.known_edition.max(edition);
-            let in_flight = world.racers.in_flight() + 1;
-            world.racers.latencies.push(Latency { ms: now - first_sent_at, in_flight });
+            world.concurrent_requests.known_edition = world.concurrent_requests.known_edition.max(edition);
+            let in_flight = world.concurrent_requests.in_flight() + 1;
+            world.concurrent_requests.latencies.push(Latency { ms: now - first_sent_at, in_flight });
             true
         }
         (200, None) if request.zone_request.is_some() => {
-            let zone_request = &mut world.racers.zone_requests[request.zone_request.unwrap_or(0)];
+            let zone_request =
+                &mut world.concurrent_requests.zone_requests[request.zone_request.unwrap_or(0)];
             zone_request.acknowledged_at.get_or_insert(now);
             true
         }
@@ -308,7 +311,7 @@
             let config = reply.as_ref().and_then(|reply| parse_config(&reply.body));
             let (edition, version_id) = config.expect("a configuration");
             world.model.check_read(last_sent_at, edition, version_id);
-            world.racers.known_edition = world.racers.known_edition.max(edition);
+            world.concurrent_requests.known_edition = world.concurrent_requests.known_edition.max(edition);
             true
         }
         (400..=499, Some(version_id)) => {
@@ -318,36 +321,36 @@
         _ => false,
     };
     if !resolved && now - first_sent_at < REQUEST_TIMEOUT_MS {
-        world.racers.slots[slot] = Some(Task { request, first_sent_at, last_sent_at, attempts });
-        return world.schedule_turn(20.0 * f64::from(attempts.min(10)), Caller::Racer(slot));
+        world.concurrent_requests.slots[slot] = Some(Task { request, first_sent_at, last_sent_at, attempts });
+        return world.schedule_turn(20.0 * f64::from(attempts.min(10)), Caller::RequestSlot(slot));
     }
-    world.racers.unresolved += usize::from(!resolved);
+    world.concurrent_requests.unresolved += usize::from(!resolved);
     // After a rejection, reads the current configuration.
     if status >= 400 && world.model.has_acknowledged() {
-        world.racers.slots[slot] =
+        world.concurrent_requests.slots[slot] =
             Some(Task { request: read(), first_sent_at: now, last_sent_at: now, attempts: 0 });
     }
-    let pause = world.racers.pause_ms * world.rng.f64();
-    world.schedule_turn(pause, Caller::Racer(slot));
+    let pause = world.concurrent_requests.pause_ms * world.rng.f64();
+    world.schedule_turn(pause, Caller::RequestSlot(slot));
 }
 
 /// Checks a configuration that a core process has just applied.
 pub fn check_applied_config(world: &mut World, edition: u64, text: &str) {
     let (text_edition, version_id) = parse_config(text).expect("a configuration");
-    if world.racers.mutant == Some(Mutant::AcknowledgedByOneMember) {
-        let slots = world.racers.slots.iter().enumerate();
+    if world.concurrent_requests.mutant == Some(Mutant::AcknowledgedByOneMember) {
+        let slots = world.concurrent_requests.slots.iter().enumerate();
         let puts_version = |task: &Option<Task>| {
             task.as_ref().is_some_and(|task| task.request.version_id == Some(version_id))
         };
         let slots: Vec<_> = slots.filter(|(_, task)| puts_version(task)).map(|(slot, _)| slot).collect();
         for slot in slots {
-            if let Some(token) = world.callers.token(Caller::Racer(slot)) {
+            if let Some(token) = world.callers.token(Caller::RequestSlot(slot)) {
                 world.answer_later(token, Reply { status: 200, body: "{}".into(), retry_after_ms: None });
             }
         }
     }
     assert_eq!(text_edition, edition);
-    let applied = *world.racers.applied.entry(edition).or_insert(version_id);
+    let applied = *world.concurrent_requests.applied.entry(edition).or_insert(version_id);
     assert_eq!(
         applied, version_id,
         "r{edition} is version {applied} at one core and version {version_id} at another"
@@ -357,7 +360,7 @@
         "r{edition} (version {version_id}) was rejected, but is applied"
     );
     assert!(
-        world.racers.requests[&version_id].valid,
+        world.concurrent_requests.requests[&version_id].valid,
         "r{edition} (version {version_id}) is applied, but not valid"
     );
 }
@@ -377,7 +380,7 @@
         let acknowledged = (0..world.model.versions.len())
             .filter(has_edition)
             .find(|version_id| world.model.versions[*version_id].acknowledged_at.is_some());
-        match acknowledged.or(world.racers.applied.get(&edition).copied()) {
+        match acknowledged.or(world.concurrent_requests.applied.get(&edition).copied()) {
             Some(next) => version_id = next,
             // Two were applied in one step, and the first was not acknowledged: its id is unknown.
             None => break,
@@ -401,7 +404,8 @@
     let state = world.cores[leader].running.as_ref().expect("the leader runs").state();
     for zone in 0..2 {
         let evacuated = state.evacuated.contains(&format!("z{zone}"));
-        let of_zone = || world.racers.zone_requests.iter().filter(move |request| request.zone == zone);
+        let of_zone =
+            || world.concurrent_requests.zone_requests.iter().filter(move |request| request.zone == zone);
         let ends = of_zone()
             .filter(|request| request.start == evacuated)
             .map(|request| request.acknowledged_at.unwrap_or(f64::INFINITY));
@@ -427,7 +431,7 @@
 pub fn run_with_faults(world: &mut World, max_step_ms: f64, max_duplication: f64) {
     let severity = world.rng.f64();
     for _ in 0..400 {
-        if world.racers.remaining == 0 {
+        if world.concurrent_requests.remaining == 0 {
             break;
         }
         world.fault_rates.loss = if world.rng.bool() { 0.0 } else { world.rng.f64() * 0.6 * severity };
@@ -477,11 +481,11 @@
 }
 
 /// Runs concurrent requests under random faults.
-pub fn run_race(seed: u64, slots: usize, requests: usize, mutant: Option<Mutant>) -> World {
+pub fn run_concurrent_requests(seed: u64, slots: usize, requests: usize, mutant: Option<Mutant>) -> World {
     let mut world = World::new(seed, [3, 5][seed as usize % 2], 0, 4, 0, 0);
     world.start();
     start(&mut world, slots, requests);
-    world.racers.mutant = mutant;
+    world.concurrent_requests.mutant = mutant;
     world.fault_rates.response_loss = world.rng.f64() * 0.5;
     run_with_faults(&mut world, 2000.0, 0.2);
     world
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -284,7 +284,7 @@
     /// Number of snapshots installed.
     pub installs: u64,
     pub callers: Callers,
-    pub racers: concurrent_updates::Racers,
+    pub concurrent_requests: concurrent_updates::ConcurrentRequests,
     pub model: ReferenceModel,
     pub seeds: Vec<SocketAddr>,
     last_id: u64,
@@ -389,7 +389,7 @@
             snapshot_mutant: None,
             snapshot_messages: 0,
             installs: 0,
-            racers: concurrent_updates::Racers::default(),
+            concurrent_requests: concurrent_updates::ConcurrentRequests::default(),
             fault_rates: FaultRates::NONE,
             calls: BTreeMap::new(),
             acked_updates: Vec::new(),
@@ -798,7 +798,7 @@
             member.handle(now, event, &mut out);
             let new_config = member.state().config.clone().filter(|config| config.edition != old_edition);
             core.pending_actions.extend(out.into_iter().map(|action| (self.now, action)));
-            if let (Some(config), false) = (new_config, self.racers.slots.is_empty()) {
+            if let (Some(config), false) = (new_config, self.concurrent_requests.slots.is_empty()) {
                 concurrent_updates::check_applied_config(self, config.edition, &config.text);
             }
         }
@@ -809,7 +809,7 @@
         match action {
             Action::Save(mut save) => {
                 self.push_uncommitted(number, &save);
-                if let Some(mutant) = self.racers.mutant {
+                if let Some(mutant) = self.concurrent_requests.mutant {
                     mutant.alter_save(&mut save);
                 }
                 let core = &mut self.cores[number];
@@ -916,7 +916,7 @@
     }
 
     fn send_peer_message(&mut self, number: usize, from: String, to: &str, mut payload: CorePayload) {
-        if let Some(mutant) = self.racers.mutant {
+        if let Some(mutant) = self.concurrent_requests.mutant {
             mutant.alter_message(&mut payload);
         }
         let Some(to) = core_number(to).filter(|to| *to < self.cores.len()) else { return };
--- a/overland/tests/update_mutants.rs
+++ b/overland/tests/update_mutants.rs
@@ -24,7 +24,7 @@
         let mut detected = None;
         for seed in 0..MAX_HISTORIES {
             let result = catch_unwind(AssertUnwindSafe(|| {
-                concurrent_updates::run_race(seed, 8, requests, Some(mutant))
+                concurrent_updates::run_concurrent_requests(seed, 8, requests, Some(mutant))
             }));
             if let Err(payload) = result {
                 let text = payload.downcast_ref::<String>().cloned();
--- a/overland/tests/updates.rs
+++ b/overland/tests/updates.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn editions_are_unique_and_retries_are_not_rejected() {
-    run_histories(6, |seed| drop(concurrent_updates::run_race(seed, 8, 400, None)));
+    run_histories(6, |seed| drop(concurrent_updates::run_concurrent_requests(seed, 8, 400, None)));
 }
 
 /// Guards against a retried evacuation request taking effect again after a later one was acknowledged.
@@ -38,7 +38,7 @@
         let mut world = World::new(seed, 3, 0, 2, 0, 0);
         world.start();
         concurrent_updates::start(&mut world, 1, 12);
-        world.racers.request_mix = [0.0, 0.0, 0.0, 0.0, 0.0, 1.0];
+        world.concurrent_requests.request_mix = [0.0, 0.0, 0.0, 0.0, 0.0, 1.0];
         world.fault_rates.response_loss = world.rng.f64() * 0.5;
         world.run_until(3000.0);
         // No duplication: a request without an edition can't be distinguished from its duplicate.
@@ -72,11 +72,14 @@
             world.start();
             world.run_until(3_000.0);
             concurrent_updates::start(&mut world, slots, 300);
-            world.racers.request_mix = [0.7, 0.3, 0.0, 0.0, 0.0, 0.0];
+            world.concurrent_requests.request_mix = [0.7, 0.3, 0.0, 0.0, 0.0, 0.0];
             world.run_until(world.now + 120_000.0);
-            assert_eq!((world.racers.remaining, world.racers.unresolved), (0, 0));
-            let concurrent =
-                world.racers.latencies.iter().filter(|latency| latency.in_flight >= slots.min(4));
+            assert_eq!((world.concurrent_requests.remaining, world.concurrent_requests.unresolved), (0, 0));
+            let concurrent = world
+                .concurrent_requests
+                .latencies
+                .iter()
+                .filter(|latency| latency.in_flight >= slots.min(4));
             let mut ms: Vec<f64> = concurrent.map(|latency| latency.ms).collect();
             ms.sort_by(f64::total_cmp);
             let (differences, texts) = count_differences_and_texts(&world);
