--- a/overland/src/link.rs
+++ b/overland/src/link.rs
@@ -113,7 +113,7 @@
 pub struct MessageSender(Sender<Bytes>);
 
 impl MessageSender {
-    /// A send queue and its receiving end, for [`write`].
+    /// A send queue and its receiving end, for [`write()`].
     pub fn new() -> (Self, Receiver<Bytes>) {
         let (sender, receiver) = channel(MAX_QUEUED_MESSAGES);
         (MessageSender(sender), receiver)
--- a/overland/tests/rate_shares.rs
+++ b/overland/tests/rate_shares.rs
@@ -11,7 +11,7 @@
     gateways.map(|number| format!("g-{number}")).collect()
 }
 
-/// The shares of gateway `own` by its copy of the list.
+/// The shares of gateway `own` by its own list of gateways.
 fn shares(own: &str, list: &[String]) -> Shares {
     Shares::new(&bounds(), own, list.iter().map(String::as_str))
 }
@@ -64,24 +64,27 @@
 /// was sent; messages from other leaders do not.
 #[test]
 fn full_rate_expires_without_a_settled_leader() {
-    let mut copy = StateReplica::new(&bounds());
-    assert!(copy.has_full_rate(1990.0) && !copy.has_full_rate(2010.0), "a process that has just started");
+    let mut replica = StateReplica::new(&bounds());
+    assert!(
+        replica.has_full_rate(1990.0) && !replica.has_full_rate(2010.0),
+        "a process that has just started"
+    );
     let message = |at, age_ms, unsettled| ToProxy {
         request_sent_at: Some(at),
         leader_contact_age_ms: age_ms,
         unsettled,
         ..ToProxy::default()
     };
-    copy.apply(5000.0, message(4950.0, 100.0, true));
-    assert!(!copy.has_full_rate(5000.0), "the leader has not heard from all backends");
-    copy.apply(6000.0, message(5950.0, 100.0, false));
-    assert!(copy.has_full_rate(6000.0));
-    copy.apply(6500.0, message(6450.0, 600.0, false));
-    assert!(copy.has_full_rate(7840.0) && !copy.has_full_rate(7860.0), "the message dates from 5850");
-    copy.apply(8500.0, message(8450.0, 0.0, true));
-    assert!(copy.has_full_rate(10_440.0), "a new leader continues after a short gap");
-    copy.apply(11_500.0, message(11_460.0, 0.0, true));
-    assert!(!copy.has_full_rate(11_500.0), "a new leader does not continue after a long gap");
+    replica.apply(5000.0, message(4950.0, 100.0, true));
+    assert!(!replica.has_full_rate(5000.0), "the leader has not heard from all backends");
+    replica.apply(6000.0, message(5950.0, 100.0, false));
+    assert!(replica.has_full_rate(6000.0));
+    replica.apply(6500.0, message(6450.0, 600.0, false));
+    assert!(replica.has_full_rate(7840.0) && !replica.has_full_rate(7860.0), "the message dates from 5850");
+    replica.apply(8500.0, message(8450.0, 0.0, true));
+    assert!(replica.has_full_rate(10_440.0), "a new leader continues after a short gap");
+    replica.apply(11_500.0, message(11_460.0, 0.0, true));
+    assert!(!replica.has_full_rate(11_500.0), "a new leader does not continue after a long gap");
     let apart = StateReplica::standalone(&bounds());
-    assert!(apart.has_full_rate(1e12), "a copy without a leader always has the full rate");
+    assert!(apart.has_full_rate(1e12), "a replica without a leader always has the full rate");
 }
