--- a/lab/src/scale/cost_measurement.rs
+++ b/lab/src/scale/cost_measurement.rs
@@ -9,10 +9,10 @@
 use super::regression::LinearFit;
 use super::simulated_gateway::{thread_cpu_s, ProxyDetail, SimulatedProxy};
 use cherrytally::Millis;
-use overland::agreement::MAX_ENTRY_VERSION;
 use overland::config::Config;
 use overland::member::{Action, Event, Member, TICK_MS};
-use overland::news::{Charge, Charges, FromAgent, Gateway, ToProxy};
+use overland::protocol::{Charge, Charges, FromAgent, Gateway, ToProxy};
+use overland::raft::MAX_ENTRY_VERSION;
 use overland::settings::Settings;
 use overland::state::{DigestCache, State};
 use prost::Message;
@@ -318,7 +318,7 @@
     add_point(
         "decoding a whole state",
         "ms",
-        1000.0 * cpu_cost_s(|| drop(overland::news::StateSnapshot::decode(&bytes[..]))),
+        1000.0 * cpu_cost_s(|| drop(overland::protocol::StateSnapshot::decode(&bytes[..]))),
     );
     let before = heap.current_bytes();
     let copy = State::from_snapshot(0.0, snapshot.clone());
--- a/lab/src/scale/forecast.rs
+++ b/lab/src/scale/forecast.rs
@@ -5,9 +5,9 @@
 use super::run::{RunResult, GATEWAY_THREADS};
 use serde::Serialize;
 
-/// Interval between messages of an agent to the leader, in ms (`overland::follow`).
+/// Interval between messages of an agent to the leader, in ms (`overland::agent_state`).
 const LEADER_MESSAGE_INTERVAL_MS: f64 = 400.0;
-/// Interval between messages of an agent to another core process, in ms (`overland::follow`).
+/// Interval between messages of an agent to another core process, in ms (`overland::agent_state`).
 const FOLLOWER_MESSAGE_INTERVAL_MS: f64 = 650.0;
 /// Interval between heartbeats of a backend, in ms.
 const HEARTBEAT_INTERVAL_MS: f64 = 1500.0;
--- a/lab/src/scale/simulated_gateway.rs
+++ b/lab/src/scale/simulated_gateway.rs
@@ -5,13 +5,13 @@
 //! to no backends.
 
 use cherrytally::{Class, Millis};
-use overland::agreement::MAX_ENTRY_VERSION;
-use overland::follow::{Action, AgentStateMachine, Event};
-use overland::news::{FromAgent, FromProxy, IndexedChange, Kind, StateSnapshot, ToAgent, ToProxy};
+use overland::agent_state::{Action, AgentStateMachine, Event};
+use overland::protocol::{ChangeKind, FromAgent, FromProxy, IndexedChange, StateSnapshot, ToAgent, ToProxy};
+use overland::quota::QuotaClient;
+use overland::raft::MAX_ENTRY_VERSION;
 use overland::routes::{NameIds, RouteTable, Zones};
 use overland::settings::Settings;
 use overland::state::{DigestCache, State, Touched};
-use overland::tally::Tally;
 use prost::Message;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -142,7 +142,7 @@
     table: Option<RouteTable>,
     routes: NameIds,
     pools: NameIds,
-    tally: Tally,
+    tally: QuotaClient,
     /// Time of the last contact with the leader.
     last_leader_contact: Option<Millis>,
 }
@@ -162,7 +162,7 @@
             table: None,
             routes: NameIds::default(),
             pools: NameIds::default(),
-            tally: Tally::new(settings.bounds.quota_slack),
+            tally: QuotaClient::new(settings.bounds.quota_slack),
             last_leader_contact: None,
             settings,
         }
@@ -242,8 +242,8 @@
         for indexed in changes.iter().filter(|indexed| has_snapshot && indexed.index > applied_index) {
             self.index = indexed.index;
             match indexed.change.as_ref().and_then(|change| change.kind.as_ref()) {
-                Some(Kind::Config(config)) => self.edition = config.edition,
-                Some(Kind::Backend(backend)) => self.had_backend |= !backend.draining,
+                Some(ChangeKind::Config(config)) => self.edition = config.edition,
+                Some(ChangeKind::Backend(backend)) => self.had_backend |= !backend.draining,
                 _ => {}
             }
         }
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -2,32 +2,34 @@
 //! current time, outputs are [`Action`]s to be executed in order. `control.rs` owns the sockets, the clock
 //! and the disk.
 //!
-//! Submodules: `orders` handles operators' calls, `presence` backends and gateways, `push` messages to
-//! agents, `count` the tenants' quotas, and `joining` messages between core processes.
+//! Submodules: `operator_calls` handles operators' calls, `presence` backends and gateways, `push` messages
+//! to agents, `quota` the tenants' quotas, and `joining` messages between core processes.
 
-mod count;
 mod joining;
-mod orders;
+mod operator_calls;
 mod presence;
 mod push;
+mod quota;
 
-use crate::agreement::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
-use crate::calls::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
+use crate::api::{self, CallHandler, CallRequest, Dispatched, Outcome, Refusal, Reply};
 use crate::invariants::{self, Invariant};
-use crate::ledger::UpdateId;
-use crate::news::{Change, Charges, ForwardedCall, FromAgent, Kind, StateSnapshot, ToAgent, Totals, Word};
+use crate::protocol::{
+    Change, ChangeKind, Charges, CorePayload, ForwardedCall, FromAgent, StateSnapshot, ToAgent, Totals,
+};
+use crate::raft::{self, Entry, Name, PersistentState, RaftMessage, RaftNode, Save};
 use crate::settings::Settings;
 use crate::state::{DigestCache, State, Touched};
 use crate::store::SaveLatency;
+use crate::update_outcomes::UpdateId;
 use bytes::Bytes;
 use cherrytally::Millis;
-use count::QuotaCounters;
 use eyre::{eyre, Result};
 use joining::PendingForward;
-use orders::Updates;
+use operator_calls::Updates;
 use presence::Presence;
 use prost::Message;
 use push::{Agent, EncodedState};
+use quota::QuotaCounters;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -71,7 +73,7 @@
         /// The sender.
         from: Name,
         /// The message.
-        message: Word,
+        message: CorePayload,
     },
     /// A client's call.
     ClientCall {
@@ -119,7 +121,7 @@
         /// The receiver.
         to: Name,
         /// The message.
-        message: Box<Word>,
+        message: Box<CorePayload>,
     },
     /// Answer a client's call.
     Answer {
@@ -175,7 +177,7 @@
                 Action::Answer { call, reply: Refusal::Unavailable.reply() }
             }
             Action::SendPeer { to, mut message } => {
-                if let Word::Answer(answer) = &mut *message {
+                if let CorePayload::Answer(answer) = &mut *message {
                     if late && answer.status < 500 {
                         let Reply { status, body, .. } = Refusal::Unavailable.reply();
                         (answer.status, answer.body) = (u32::from(status), body.into_bytes());
@@ -200,9 +202,9 @@
 /// Condition for a successful response.
 pub enum Wait {
     /// This change is committed.
-    Committed(Kind),
+    Committed(ChangeKind),
     /// This configuration update is accepted and enforced.
-    Order(calls::ConfigUpdate),
+    Update(api::ConfigUpdate),
 }
 
 /// A call that is not answered yet.
@@ -218,7 +220,7 @@
     /// Forwarded to the leader.
     Forwarded(PendingForward),
     /// A configuration update that is not proposed yet.
-    Queued(calls::ConfigUpdate),
+    Queued(api::ConfigUpdate),
     /// The change is about to be proposed; with its id if it is a configuration update.
     Proposing(Option<UpdateId>),
     /// The change is proposed as this entry.
@@ -228,10 +230,10 @@
 }
 
 /// An input to the Raft node.
-enum AgreementInput {
-    Event(agreement::Event),
+enum RaftInput {
+    Event(raft::Event),
     /// A change to propose, and the caller that waits for it.
-    Propose(Kind, Option<Caller>),
+    Propose(ChangeKind, Option<Caller>),
 }
 
 /// A core process: a member of the Raft group, or a learner that wants to be one.
@@ -240,13 +242,13 @@
     me: Name,
     /// Core processes listed in the current settings.
     seeds: Vec<SocketAddr>,
-    agreement: RaftNode,
+    raft: RaftNode,
     state: State,
     digest: DigestCache,
     /// Actions of the Raft node that are held back while a save is in progress.
-    agreement_actions: VecDeque<agreement::Action>,
-    /// Inputs to the Raft node, to be handled after `agreement_actions`.
-    inputs: VecDeque<AgreementInput>,
+    raft_actions: VecDeque<raft::Action>,
+    /// Inputs to the Raft node, to be handled after `raft_actions`.
+    inputs: VecDeque<RaftInput>,
     saving: bool,
     /// A committed change could not be read: the state is incomplete until it is repaired, and another member
     /// should lead.
@@ -329,12 +331,12 @@
         let state = State { index: saved.snapshot.index, ..State::from_snapshot(now, state_snapshot) };
         let member = Member {
             seeds: settings.seeds.clone(),
-            agreement: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(can_decode_snapshot),
+            raft: RaftNode::new(me.clone(), saved, seed, now).with_decode_check(can_decode_snapshot),
             settings,
             me,
             state,
             digest: DigestCache::default(),
-            agreement_actions: VecDeque::new(),
+            raft_actions: VecDeque::new(),
             inputs: VecDeque::new(),
             saving: false,
             state_incomplete: false,
@@ -369,7 +371,7 @@
 
     /// Whether it leads.
     pub fn is_leader(&self) -> bool {
-        self.agreement.is_leader()
+        self.raft.is_leader()
     }
 
     /// Its replica of the state.
@@ -385,22 +387,22 @@
     /// Whether the link to this core process stays open while idle: true for members and seeds.
     pub fn keeps_link_to(&self, name: &str) -> bool {
         let seed = self.seeds.iter().any(|seed| seed.to_string() == name);
-        seed || self.agreement.members().iter().any(|member| member == name)
+        seed || self.raft.members().iter().any(|member| member == name)
     }
 
     /// Its Raft state.
-    pub fn agreement(&self) -> &RaftNode {
-        &self.agreement
+    pub fn raft(&self) -> &RaftNode {
+        &self.raft
     }
 
     /// Whether a process that is shutting down may exit: see [`RaftNode::leave_outcome`].
     pub fn leave_outcome(&self) -> Option<bool> {
-        self.agreement.leave_outcome()
+        self.raft.leave_outcome()
     }
 
     /// Whether it may answer on behalf of the system: it holds the leader lease and its state is complete.
     fn is_authoritative(&self, now: Millis) -> bool {
-        !self.state_incomplete && self.agreement.holds_lease(now)
+        !self.state_incomplete && self.raft.holds_lease(now)
     }
 
     /// Handles one event and appends the resulting actions.
@@ -422,9 +424,9 @@
             Event::Charged { link, charges } => self.handle_charges(now, link, &charges, out),
             Event::LinkClosed(link) => drop(self.agents.remove(&link)),
             Event::SeedsChanged(seeds) => self.seeds = seeds,
-            Event::Shutdown => self.inputs.push_back(AgreementInput::Event(agreement::Event::Leave)),
+            Event::Shutdown => self.inputs.push_back(RaftInput::Event(raft::Event::Leave)),
         }
-        self.run_agreement(now, out);
+        self.run_raft(now, out);
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -434,13 +436,13 @@
             self.stale_input_until = now + STALE_INPUT_MS;
         }
         self.last_tick = now;
-        self.inputs.push_back(AgreementInput::Event(agreement::Event::Tick));
-        self.run_agreement(now, out);
+        self.inputs.push_back(RaftInput::Event(raft::Event::Tick));
+        self.run_raft(now, out);
         if self.ticks.is_multiple_of(MAINTENANCE_INTERVAL_TICKS) {
             self.run_maintenance(now, out);
         }
         if self.ticks.is_multiple_of(LEADERLESS_LOG_INTERVAL_TICKS) {
-            if let Some(why) = self.agreement.no_leader_reason() {
+            if let Some(why) = self.raft.no_leader_reason() {
                 log::warn!("core: no leader: {why}");
             }
         }
@@ -474,7 +476,7 @@
     fn run_maintenance(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.request_join(out);
         if self.state_incomplete && self.is_leader() {
-            self.inputs.push_back(AgreementInput::Event(agreement::Event::TransferLeadership));
+            self.inputs.push_back(RaftInput::Event(raft::Event::TransferLeadership));
         }
         self.check_reach(now);
         // Older duplicates are refused because of their age.
@@ -483,12 +485,12 @@
             return;
         }
         for kind in self.presence_changes(now) {
-            self.inputs.push_back(AgreementInput::Propose(kind, None));
+            self.inputs.push_back(RaftInput::Propose(kind, None));
         }
         self.quota_counters.remove_idle(now);
     }
 
-    // ---- Agreement ----------------------------------------------------------------------------------------
+    // ---- Raft ---------------------------------------------------------------------------------------------
 
     fn save_completed(&mut self, now: Millis, took_ms: f64) {
         self.saving = false;
@@ -502,10 +504,10 @@
     fn check_reach(&mut self, now: Millis) {
         let present =
             self.agents.values().filter(|agent| now - agent.last_report < presence::AGENT_TIMEOUT_MS);
-        let reach = present.count() as u32;
-        self.inputs.push_back(AgreementInput::Event(agreement::Event::ReachableAgents(reach)));
+        let connected_agents = present.count() as u32;
+        self.inputs.push_back(RaftInput::Event(raft::Event::ReachableAgents(connected_agents)));
         self.poor_reach_rounds =
-            if self.agreement.is_poorly_connected(now) { self.poor_reach_rounds + 1 } else { 0 };
+            if self.raft.is_poorly_connected(now) { self.poor_reach_rounds + 1 } else { 0 };
         if self.poor_reach_rounds >= POOR_REACH_ROUNDS {
             self.hand_over(now, "agents reach other members better");
         }
@@ -518,14 +520,14 @@
         if self.is_leader() && !recent {
             log::warn!("core: handing over leadership: {why}");
             (self.last_handover, self.poor_reach_rounds) = (Some(now), 0);
-            self.inputs.push_back(AgreementInput::Event(agreement::Event::TransferLeadership));
+            self.inputs.push_back(RaftInput::Event(raft::Event::TransferLeadership));
         }
     }
 
     /// Executes the Raft node's actions and passes its inputs on, up to the next save.
-    fn run_agreement(&mut self, now: Millis, out: &mut Vec<Action>) {
+    fn run_raft(&mut self, now: Millis, out: &mut Vec<Action>) {
         while !self.saving {
-            if let Some(action) = self.agreement_actions.pop_front() {
+            if let Some(action) = self.raft_actions.pop_front() {
                 self.execute(now, action, out);
             } else if std::mem::take(&mut self.state_changed) {
                 self.push_changes(now, out);
@@ -537,16 +539,16 @@
                     self.advance_queued_updates(now, out);
                 }
                 let event = match self.inputs.pop_front() {
-                    Some(AgreementInput::Event(event)) => event,
-                    Some(AgreementInput::Propose(kind, caller)) => match self.propose(kind, caller, out) {
+                    Some(RaftInput::Event(event)) => event,
+                    Some(RaftInput::Propose(kind, caller)) => match self.propose(kind, caller, out) {
                         Some(event) => event,
                         None => continue,
                     },
                     None => return,
                 };
                 let mut actions = Vec::new();
-                self.agreement.handle(now, event, &mut actions);
-                self.agreement_actions.extend(actions);
+                self.raft.handle(now, event, &mut actions);
+                self.raft_actions.extend(actions);
             }
         }
     }
@@ -554,19 +556,19 @@
     /// The event that proposes a change. `None`, and a refusal to the caller, if this process accepts no
     /// proposals.
     fn propose(
-        &mut self, kind: Kind, caller: Option<Caller>, out: &mut Vec<Action>,
-    ) -> Option<agreement::Event> {
-        if !self.agreement.accepts_proposals() {
+        &mut self, kind: ChangeKind, caller: Option<Caller>, out: &mut Vec<Action>,
+    ) -> Option<raft::Event> {
+        if !self.raft.accepts_proposals() {
             if let Some(caller) = caller {
                 self.refuse(&caller, &Refusal::Unavailable, out);
             }
             return None;
         }
-        let (index, term) = (self.agreement.last_index() + 1, self.agreement.term());
+        let (index, term) = (self.raft.last_index() + 1, self.raft.term());
         let kind = match kind {
-            Kind::Config(config) => {
+            ChangeKind::Config(config) => {
                 self.updates.add_proposed(&config, index, term);
-                Kind::Config(self.with_difference(config))
+                ChangeKind::Config(self.with_difference(config))
             }
             kind => kind,
         };
@@ -577,21 +579,21 @@
             };
             self.set_stage(&caller, Stage::Proposed { index, term, update_id });
         }
-        let deregistered = matches!(&kind, Kind::BackendGone(id) if self.presence.has_deregistered(id));
-        Some(agreement::Event::Propose(Change { kind: Some(kind), deregistered }.encode_to_vec()))
+        let deregistered = matches!(&kind, ChangeKind::BackendGone(id) if self.presence.has_deregistered(id));
+        Some(raft::Event::Propose(Change { kind: Some(kind), deregistered }.encode_to_vec()))
     }
 
-    fn execute(&mut self, now: Millis, action: agreement::Action, out: &mut Vec<Action>) {
+    fn execute(&mut self, now: Millis, action: raft::Action, out: &mut Vec<Action>) {
         match action {
-            agreement::Action::Save(save) => {
+            raft::Action::Save(save) => {
                 self.saving = true;
                 out.push(Action::Save(Box::new(save)));
             }
-            agreement::Action::Send { to, payload } => {
-                self.send_peer(&to, Word::Agreement(RaftMessage { payload: Some(payload) }), out);
+            raft::Action::Send { to, payload } => {
+                self.send_peer(&to, CorePayload::Raft(RaftMessage { payload: Some(payload) }), out);
             }
-            agreement::Action::Apply(entry) => self.apply(now, &entry, out),
-            agreement::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
+            raft::Action::Apply(entry) => self.apply(now, &entry, out),
+            raft::Action::Restore { index, state } => match StateSnapshot::decode(&state[..]) {
                 Ok(snapshot) => {
                     let previous = self.state.index;
                     invariants::check(Invariant::StateIndexIsMonotonic, index >= previous, || {
@@ -604,7 +606,7 @@
                     out.push(Action::Abort(format!("can't decode the received snapshot of index {index}")))
                 }
             },
-            agreement::Action::LeadershipChanged(leads) => self.leadership_changed(now, leads, out),
+            raft::Action::LeadershipChanged(leads) => self.leadership_changed(now, leads, out),
         }
     }
 
@@ -623,7 +625,7 @@
         if touched == Touched::Config {
             self.load_limits();
         }
-        if let Some(Kind::Config(config)) = change.as_ref().and_then(|change| change.kind.as_ref()) {
+        if let Some(ChangeKind::Config(config)) = change.as_ref().and_then(|change| change.kind.as_ref()) {
             self.log_update(config, touched == Touched::Config);
         }
         self.updates.remove_applied(entry.index);
@@ -645,16 +647,13 @@
     }
 
     fn leadership_changed(&mut self, now: Millis, leads: bool, out: &mut Vec<Action>) {
-        log::info!("core: {} in term {}", if leads { "leads" } else { "follows" }, self.agreement.term());
+        log::info!("core: {} in term {}", if leads { "leads" } else { "follows" }, self.raft.term());
         self.leadership_announced = false;
         self.updates.clear_proposed();
         self.presence = Presence::new(now);
         let slack = self.settings.bounds.quota_slack;
-        self.quota_counters = if leads {
-            QuotaCounters::new(now, self.agreement.term(), slack)
-        } else {
-            QuotaCounters::default()
-        };
+        self.quota_counters =
+            if leads { QuotaCounters::new(now, self.raft.term(), slack) } else { QuotaCounters::default() };
         self.load_limits();
         if !leads {
             // The results of these calls are unknown; a retry finds out.
@@ -669,13 +668,13 @@
     /// Compacts the log into a snapshot at the same indices as every other member.
     fn compact(&mut self, now: Millis) {
         let index = self.state.index;
-        if !index.is_multiple_of(COMPACTION_INTERVAL) && self.agreement.log_bytes(index) < MAX_LOG_BYTES {
+        if !index.is_multiple_of(COMPACTION_INTERVAL) && self.raft.log_bytes(index) < MAX_LOG_BYTES {
             return;
         }
         let state = self.state.snapshot(now, true).encode_to_vec();
         let mut actions = Vec::new();
-        self.agreement.compact(self.state.index, state, &mut actions);
-        self.agreement_actions.extend(actions);
+        self.raft.compact(self.state.index, state, &mut actions);
+        self.raft_actions.extend(actions);
     }
 
     // ---- Calls --------------------------------------------------------------------------------------------
@@ -690,7 +689,7 @@
             // The call may have waited in its socket while its caller gave up and made newer calls elsewhere.
             return self.refuse(&caller, &Refusal::Unavailable, out);
         }
-        match calls::answer(self, now, called) {
+        match api::answer(self, now, called) {
             Dispatched::Replied(reply) => self.reply(&caller, reply, out),
             Dispatched::Pending(granted, wait) => {
                 let deadline = now + CALL_TIMEOUT_MS;
@@ -698,10 +697,10 @@
                     Wait::Committed(kind) => {
                         let stage = Stage::Proposing(None);
                         self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
-                        self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
+                        self.inputs.push_back(RaftInput::Propose(kind, Some(caller)));
                     }
-                    Wait::Order(order) => {
-                        let stage = Stage::Queued(order);
+                    Wait::Update(update) => {
+                        let stage = Stage::Queued(update);
                         self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
                         self.queue_update(caller, out);
                     }
@@ -737,7 +736,7 @@
             Caller::Peer(name, call_id) => {
                 let (body, status) = (reply.body.into_bytes(), u32::from(reply.status));
                 let answer = ForwardedCall { call_id: *call_id, body, status, ..ForwardedCall::default() };
-                self.send_peer(name, Word::Answer(answer), out);
+                self.send_peer(name, CorePayload::Answer(answer), out);
             }
         }
     }
@@ -752,11 +751,11 @@
     type Wait = Wait;
 
     fn is_leader(&self) -> bool {
-        self.agreement.is_leader()
+        self.raft.is_leader()
     }
 
     fn holds_lease(&self, now: Millis) -> bool {
-        self.agreement.holds_lease(now)
+        self.raft.holds_lease(now)
     }
 }
 
--- a/overland/src/member/orders.rs
+++ b/overland/src/member/operator_calls.rs
@@ -11,15 +11,15 @@
 //! The caller may get an inconclusive answer in any stage. To learn the result, it sends the identical update
 //! again.
 
-use super::{Action, AgreementInput, CallResult, Caller, Member, Stage, Wait};
-use crate::calls::{
+use super::{Action, CallResult, Caller, Member, RaftInput, Stage, Wait};
+use crate::api::{
     Answers, ConfigUpdate, Done, EndEvacuation, Get, Outcome, Patch, Put, Refusal, StartEvacuation,
 };
 use crate::config::{full_config_digest, ConfigDocument};
-use crate::difference::Difference;
-use crate::ledger::UpdateId;
-use crate::news::{ConfigRevision, Kind, RejectedUpdate};
+use crate::delta::Difference;
+use crate::protocol::{ChangeKind, ConfigRevision, RejectedUpdate};
 use crate::state::UpdateCheck;
+use crate::update_outcomes::UpdateId;
 use cherrytally::Millis;
 use prost::Message;
 use std::collections::VecDeque;
@@ -73,14 +73,14 @@
 }
 
 impl Answers<Put> for Member {
-    fn answer(&mut self, _: Millis, Put(order): Put) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
+    fn answer(&mut self, _: Millis, Put(update): Put) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Update(update)))
     }
 }
 
 impl Answers<Patch> for Member {
-    fn answer(&mut self, _: Millis, Patch(order): Patch) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Order(order)))
+    fn answer(&mut self, _: Millis, Patch(update): Patch) -> CallResult<Done> {
+        Ok(Outcome::Pending(Done {}, Wait::Update(update)))
     }
 }
 
@@ -95,13 +95,13 @@
 
 impl Answers<StartEvacuation> for Member {
     fn answer(&mut self, _: Millis, StartEvacuation(zone): StartEvacuation) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+        Ok(Outcome::Pending(Done {}, Wait::Committed(ChangeKind::Evacuated(zone))))
     }
 }
 
 impl Answers<EndEvacuation> for Member {
     fn answer(&mut self, _: Millis, EndEvacuation(zone): EndEvacuation) -> CallResult<Done> {
-        Ok(Outcome::Pending(Done {}, Wait::Committed(Kind::Evacuated(zone))))
+        Ok(Outcome::Pending(Done {}, Wait::Committed(ChangeKind::Evacuated(zone))))
     }
 }
 
@@ -112,7 +112,7 @@
     /// Join an identical update that is proposed as this entry.
     Join { index: u64, term: u64 },
     /// Propose it.
-    Propose(Kind),
+    Propose(ChangeKind),
     /// It was accepted by the entry with this index.
     Accepted(u64),
     /// Refuse it, or answer that its result is unknown.
@@ -131,7 +131,7 @@
     pub(super) fn advance_queued_updates(&mut self, now: Millis, out: &mut Vec<Action>) {
         for caller in self.updates.queued.clone() {
             let step = match self.calls.get(&caller).map(|call| &call.stage) {
-                Some(Stage::Queued(order)) => self.next_step(now, order),
+                Some(Stage::Queued(update)) => self.next_step(now, update),
                 _ => Step::Refuse(Refusal::Unavailable),
             };
             let update_id = self.queued_update_id(&caller);
@@ -145,7 +145,7 @@
                 }
                 Step::Propose(kind) => {
                     self.set_stage(&caller, Stage::Proposing(update_id));
-                    self.inputs.push_back(AgreementInput::Propose(kind, Some(caller)));
+                    self.inputs.push_back(RaftInput::Propose(kind, Some(caller)));
                     return;
                 }
                 Step::Accepted(index) => {
@@ -159,17 +159,17 @@
 
     fn queued_update_id(&self, caller: &Caller) -> Option<UpdateId> {
         match &self.calls.get(caller)?.stage {
-            Stage::Queued(order) => order.id,
+            Stage::Queued(update) => update.id,
             _ => None,
         }
     }
 
-    fn next_step(&self, now: Millis, order: &ConfigUpdate) -> Step {
+    fn next_step(&self, now: Millis, update: &ConfigUpdate) -> Step {
         if !self.is_authoritative(now) {
             return Step::Refuse(Refusal::Unavailable);
         }
-        let (update, update_id) = match (&order.envelope, &order.id) {
-            (Ok(update), Some(update_id)) => (update, update_id),
+        let (document, update_id) = match (&update.document, &update.id) {
+            (Ok(document), Some(update_id)) => (document, update_id),
             (Err(invalid), _) => return Step::Refuse(invalid.clone().into()),
             (Ok(_), None) => return Step::Refuse(Refusal::Unavailable),
         };
@@ -187,9 +187,9 @@
             // The rejection is replicated, so that a delayed duplicate of the update is not accepted later.
             UpdateCheck::Ahead => {
                 let UpdateId { edition, based_on, content_digest, .. } = *update_id;
-                Step::Propose(Kind::Rejected(RejectedUpdate { edition, based_on, content_digest }))
+                Step::Propose(ChangeKind::Rejected(RejectedUpdate { edition, based_on, content_digest }))
             }
-            UpdateCheck::Applicable => match self.change_for(update, update_id, order.patch) {
+            UpdateCheck::Applicable => match self.change_for(document, update_id, update.patch) {
                 Ok(kind) => Step::Propose(kind),
                 Err(refusal) => Step::Refuse(refusal),
             },
@@ -199,16 +199,23 @@
 
     /// The change that an update based on the current configuration proposes.
     fn change_for(
-        &self, update: &ConfigDocument, update_id: &UpdateId, patch: bool,
-    ) -> Result<Kind, Refusal> {
+        &self, document: &ConfigDocument, update_id: &UpdateId, patch: bool,
+    ) -> Result<ChangeKind, Refusal> {
         let current = self.state.config.as_ref().map_or("", |config| config.text.as_str());
-        let update = update.clone();
-        let (_, text) = if patch { update.apply_to(current) } else { update.into_full_config() }?;
+        let document = document.clone();
+        let (_, text) = if patch { document.apply_to(current) } else { document.into_full_config() }?;
         let UpdateId { edition, based_on, content_digest, call_digest } = *update_id;
         log::info!("core: proposing configuration r{edition} based on r{based_on}");
         let digests = vec![content_digest, full_config_digest(based_on, &text)];
         let based_on = Some(based_on);
-        Ok(Kind::Config(ConfigRevision { edition, text, call_digest, based_on, digests, difference: None }))
+        Ok(ChangeKind::Config(ConfigRevision {
+            edition,
+            text,
+            call_digest,
+            based_on,
+            digests,
+            difference: None,
+        }))
     }
 
     /// Replaces the text of a proposed configuration by its difference from the current one, if that is much
@@ -216,7 +223,7 @@
     /// edition.
     pub(super) fn with_difference(&self, config: ConfigRevision) -> ConfigRevision {
         let current = self.state.config.as_ref().filter(|current| config.based_on == Some(current.edition));
-        let Some(current) = current.filter(|_| self.agreement.all_read_entry_version()) else {
+        let Some(current) = current.filter(|_| self.raft.all_read_entry_version()) else {
             return config;
         };
         let difference = Difference::between(&current.text, &config.text);
--- a/overland/src/news.rs
+++ b/overland/src/protocol.rs
@@ -1,14 +1,14 @@
 //! The messages between the system's processes, and the changes and snapshots of the replicated state.
 
-use crate::difference::Difference;
+use crate::delta::Difference;
 use prost::{Message, Oneof};
 
 /// A change of the replicated state: the payload of a log entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct Change {
     /// The change; none in an entry without one.
-    #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7")]
-    pub kind: Option<Kind>,
+    #[prost(oneof = "ChangeKind", tags = "1, 2, 3, 4, 5, 6, 7")]
+    pub kind: Option<ChangeKind>,
     /// For `BackendGone`: the backend deregistered itself, so a late heartbeat must not register it again.
     #[prost(bool, tag = "15")]
     pub deregistered: bool,
@@ -16,7 +16,7 @@
 
 /// The kinds of changes.
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Kind {
+pub enum ChangeKind {
     /// A configuration update.
     #[prost(message, tag = "1")]
     Config(ConfigRevision),
@@ -254,7 +254,7 @@
     /// Whether it carries a configuration as its difference from the previous one.
     pub fn has_difference(&self) -> bool {
         let kind = self.change.as_ref().and_then(|change| change.kind.as_ref());
-        matches!(kind, Some(Kind::Config(config)) if config.difference.is_some())
+        matches!(kind, Some(ChangeKind::Config(config)) if config.difference.is_some())
     }
 }
 
@@ -282,7 +282,7 @@
     /// The range digests of the agent's replica, if it differs from the leader's at the same index.
     #[prost(message, optional, tag = "9")]
     pub ranges: Option<RangeDigests>,
-    /// The format of changes that the sender can read: [`crate::agreement::MAX_ENTRY_VERSION`].
+    /// The format of changes that the sender can read: [`crate::raft::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "10")]
     pub readable_format: u32,
 }
@@ -385,7 +385,7 @@
     /// When it was sent, on the proxy's clock, in ms.
     #[prost(double, optional, tag = "5")]
     pub sent_at: Option<f64>,
-    /// The format of changes that the sender can read: [`crate::agreement::MAX_ENTRY_VERSION`].
+    /// The format of changes that the sender can read: [`crate::raft::MAX_ENTRY_VERSION`].
     #[prost(uint32, tag = "6")]
     pub readable_format: u32,
 }
@@ -478,16 +478,16 @@
     #[prost(string, tag = "1")]
     pub from: String,
     /// The payload.
-    #[prost(oneof = "Word", tags = "2, 3, 4, 5, 6, 7, 8")]
-    pub payload: Option<Word>,
+    #[prost(oneof = "CorePayload", tags = "2, 3, 4, 5, 6, 7, 8")]
+    pub payload: Option<CorePayload>,
 }
 
 /// The payload of a message between core processes.
 #[derive(Clone, PartialEq, Oneof)]
-pub enum Word {
+pub enum CorePayload {
     /// A message of the consensus protocol.
     #[prost(message, tag = "2")]
-    Agreement(crate::agreement::RaftMessage),
+    Raft(crate::raft::RaftMessage),
     /// A call forwarded to the leader.
     #[prost(message, tag = "3")]
     Call(ForwardedCall),
--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -1,20 +1,20 @@
 //! HTTP proxy: accepts client requests, charges them to tenants and forwards them to backends.
 
 use crate::agent::{self, proxy_listen_address};
-use crate::ahead::{PendingResponse, Pipeline, PipelinedStream};
-use crate::charging::PendingMessages;
-use crate::copy::{Effects, StateReplica};
-use crate::figures::{Gauges, Metrics};
+use crate::backend_protocol::HttpBackendProtocol;
+use crate::client_response::{client_response, ClientResponse};
 use crate::invariants::{self, Invariant};
 use crate::link::{self, MessageReader, MessageSender};
-use crate::news::{Charge, Charges, Hello, Purpose, ToProxy, Totals};
+use crate::metrics::{Gauges, Metrics};
+use crate::pending_charges::PendingMessages;
+use crate::pipeline::{PendingResponse, Pipeline, PipelinedStream};
+use crate::protocol::{Charge, Charges, Hello, Purpose, ToProxy, Totals};
+use crate::quota::{self, ChargeTotal, QuotaClient, Verdict};
+use crate::rate_shares::Shares;
+use crate::replica::{Effects, StateReplica};
 use crate::routes::{KeyCheck, NameIds, Route, RouteTable, Tenant, Zones};
 use crate::settings::{Settings, Watch};
-use crate::shares::Shares;
-use crate::speech::Wire;
 use crate::state::Touched;
-use crate::tally::{self, ChargeTotal, Tally, Verdict};
-use crate::told::{client_response, ClientResponse};
 use bytes::BytesMut;
 use cherrytally::plane::backends::{Backends, Dial, Stream};
 use cherrytally::plane::deadline::{ClientDeadline, Deadline};
@@ -96,7 +96,7 @@
 /// A charge to send to the quota counter.
 struct ChargeRequest {
     tenant: String,
-    charge: tally::Charge,
+    charge: quota::Charge,
     response: oneshot::Sender<Option<ChargeTotal>>,
 }
 
@@ -145,7 +145,7 @@
     evacuated: Cell<u64>,
     /// In the last backend update, backends not known to be cold were allowed their full rate.
     full_rate: Cell<bool>,
-    tally: RefCell<Tally>,
+    quota_client: RefCell<QuotaClient>,
     charges: UnboundedSender<ChargeRequest>,
     counter_addr: watch::Sender<Option<SocketAddr>>,
     readiness_changed: Notify,
@@ -193,25 +193,25 @@
 impl Proxy {
     /// Creates a proxy without state or sockets, and the receiver of its charges.
     fn new(
-        settings: Settings, seed: u64, speech: Rc<dyn BackendProtocol>,
+        settings: Settings, seed: u64, protocol: Rc<dyn BackendProtocol>,
         backends: impl FnOnce(usize) -> Backends,
     ) -> Result<(Rc<Self>, UnboundedReceiver<ChargeRequest>)> {
         let client_addr = settings.client_addr.ok_or_else(|| eyre!("network.docks_at.front is missing"))?;
         let max_connections = (settings.max_fds.saturating_sub(RESERVED_FDS) / 2).max(2) as usize;
         let budget = Rc::new(MemoryBudget::new(settings.memory_mb << 20));
         let metrics = Rc::new(Metrics::default());
-        let reach = DriverResources {
+        let resources = DriverResources {
             backends: backends(max_connections),
             call_counter: None,
             send_message: None,
             budget: budget.clone(),
-            protocol: speech,
+            protocol,
             observer: metrics.clone(),
         };
         let zones = Zones::new(&settings.zones);
         let (charges, charge_requests) = unbounded_channel();
         let proxy = Rc::new(Proxy {
-            driver: Driver::new(driver_settings(&settings, &zones, Vec::new(), 1, 0), seed, reach),
+            driver: Driver::new(driver_settings(&settings, &zones, Vec::new(), 1, 0), seed, resources),
             zones,
             started: Instant::now(),
             client_addr,
@@ -227,7 +227,7 @@
             pools: RefCell::default(),
             evacuated: Cell::new(0),
             full_rate: Cell::new(false),
-            tally: RefCell::new(Tally::new(settings.bounds.quota_slack)),
+            quota_client: RefCell::new(QuotaClient::new(settings.bounds.quota_slack)),
             charges,
             counter_addr: watch::Sender::new(None),
             readiness_changed: Notify::new(),
@@ -239,16 +239,16 @@
         Ok((proxy, charge_requests))
     }
 
-    /// Creates a proxy without an agent or a counter, with its state from `news` and connections opened by
+    /// Creates a proxy without an agent or a counter, with its state from `update` and connections opened by
     /// `dial`. Clients are served by [`Proxy::serve_connection`].
     pub fn standalone(
-        settings: Settings, seed: u64, speech: Rc<dyn BackendProtocol>, dial: Dial, news: ToProxy,
+        settings: Settings, seed: u64, protocol: Rc<dyn BackendProtocol>, dial: Dial, update: ToProxy,
     ) -> Result<Rc<Self>> {
-        let (proxy, _) = Self::new(settings, seed, speech, |max_connections| {
+        let (proxy, _) = Self::new(settings, seed, protocol, |max_connections| {
             Backends::with_dial(dial, max_connections, CONNECT_MS, IDLE_MS)
         })?;
         *proxy.replica.borrow_mut() = StateReplica::standalone(&proxy.settings.bounds);
-        proxy.apply_update(news);
+        proxy.apply_update(update);
         Ok(proxy)
     }
 
@@ -262,7 +262,8 @@
     pub async fn run(settings: Settings, mut watch: Watch) -> Result<()> {
         let mut term = signal(SignalKind::terminate()).wrap_err("cannot install the SIGTERM handler")?;
         let backends = |max_connections| Backends::new(max_connections, CONNECT_MS, IDLE_MS);
-        let (proxy, charge_requests) = Self::new(settings, fastrand::u64(..), Rc::new(Wire), backends)?;
+        let (proxy, charge_requests) =
+            Self::new(settings, fastrand::u64(..), Rc::new(HttpBackendProtocol), backends)?;
         let client_addr = proxy.client_addr;
         let listener = TcpListener::bind(client_addr).await.wrap_err("cannot bind the client address")?;
         tokio::task::spawn_local(proxy.clone().run_agent_link());
@@ -364,7 +365,7 @@
                 () = self.readiness_changed.notified() => continue,
             };
             match next {
-                Ok(news) => self.apply_update(news),
+                Ok(update) => self.apply_update(update),
                 Err(e) => break Err(e),
             }
         };
@@ -373,9 +374,9 @@
     }
 
     /// Applies a state update from the agent.
-    pub fn apply_update(self: &Rc<Self>, news: ToProxy) {
-        let (now, counter) = (self.now(), news.counter.parse().ok());
-        let Effects { touched, repaired, leader_heard_at } = self.replica.borrow_mut().apply(now, news);
+    pub fn apply_update(self: &Rc<Self>, update: ToProxy) {
+        let (now, counter) = (self.now(), update.counter.parse().ok());
+        let Effects { touched, repaired, leader_heard_at } = self.replica.borrow_mut().apply(now, update);
         if repaired {
             self.metrics.replica_repaired();
         }
@@ -391,7 +392,7 @@
         }
         self.counter_addr.send_if_modified(|at| std::mem::replace(at, counter) != counter);
         if let Some(heard_at) = leader_heard_at {
-            self.tally.borrow_mut().leader_contacted(heard_at);
+            self.quota_client.borrow_mut().leader_contacted(heard_at);
         }
         if !self.was_synced.get() && self.table.borrow().is_some() && self.lease_is_valid() {
             self.was_synced.set(true);
@@ -422,7 +423,7 @@
         let (mut routes, mut pools) = (self.routes.borrow_mut(), self.pools.borrow_mut());
         match RouteTable::new(&config.text, &self.zones, &mut routes, &mut pools, &old_classes) {
             Ok(table) => {
-                self.tally.borrow_mut().set_limits(self.now(), &table.limits);
+                self.quota_client.borrow_mut().set_limits(self.now(), &table.limits);
                 *self.table.borrow_mut() = Some(Rc::new(table));
             }
             Err(e) => log::error!("proxy: cannot apply configuration r{}: {}", config.edition, e.0),
@@ -436,7 +437,7 @@
         }) else {
             return;
         };
-        self.tally.borrow_mut().set_gateways(gateways);
+        self.quota_client.borrow_mut().set_gateways(gateways);
         let classes = self.table.borrow().as_ref().map(|table| table.classes.clone()).unwrap_or_default();
         let settings =
             driver_settings(&self.settings, &self.zones, classes, gateways as u32, position as u32);
@@ -467,8 +468,9 @@
                 table.as_ref().and_then(|table| table.cold_per_s.get(&pool)).copied().unwrap_or(0.0);
             let cold_ms = table.as_ref().and_then(|table| table.cold_ms.get(&pool)).copied().unwrap_or(0.0);
             // Backends may have become cold while their zone was evacuated.
-            let taken_back = state.evacuation_ends.get(&backend.zone).map_or(0.0, |at| at + cold_ms);
-            let cold_until = known.cold_until.max(taken_back);
+            let warm_after_evacuation =
+                state.evacuation_ends.get(&backend.zone).map_or(0.0, |at| at + cold_ms);
+            let cold_until = known.cold_until.max(warm_after_evacuation);
             let cold_until = if cold_until > proxy_now { driver_now + cold_until - proxy_now } else { 0.0 };
             let cold = cold_per_s > 0.0 && cold_until > driver_now;
             let share =
@@ -598,7 +600,7 @@
         let (outgoing, queue) = MessageSender::new();
         let writer = tokio::task::spawn_local(link::write(write, queue));
         outgoing.send(&Hello { purpose: Purpose::Counter as i32 });
-        self.tally.borrow_mut().counter_connected();
+        self.quota_client.borrow_mut().counter_connected();
         let mut incoming = MessageReader::<Totals>::new(read);
         let mut waiting: PendingMessages<Vec<oneshot::Sender<Option<ChargeTotal>>>> =
             PendingMessages::default();
@@ -625,7 +627,7 @@
                     let (mut charges, mut responses) = (Vec::new(), Vec::new());
                     let mut next = Some(first);
                     while let Some(ChargeRequest { tenant, charge, response }) = next {
-                        let tally::Charge { units, refund, window } = charge;
+                        let quota::Charge { units, refund, window } = charge;
                         charges.push(Charge { tenant, units, refund, window });
                         responses.push(response);
                         next = charge_requests.try_recv().ok();
@@ -642,7 +644,7 @@
 
     /// Charges one request to its tenant's quota.
     async fn charge_tenant(self: &Rc<Self>, tenant: &Rc<Tenant>, target: Duration) -> Verdict {
-        let verdict = self.tally.borrow_mut().admit(self.now(), &tenant.name);
+        let verdict = self.quota_client.borrow_mut().admit(self.now(), &tenant.name);
         match verdict {
             Verdict::Charge(charge) => self.send_charge(tenant, charge, target, true).await,
             Verdict::PassAndCharge(charge) => {
@@ -657,7 +659,7 @@
     }
 
     async fn send_charge(
-        &self, tenant: &Tenant, charge: tally::Charge, target: Duration, request_waits: bool,
+        &self, tenant: &Tenant, charge: quota::Charge, target: Duration, request_waits: bool,
     ) -> Verdict {
         let start = self.now();
         let (response, total) = oneshot::channel();
@@ -666,14 +668,14 @@
             Ok(()) => timeout(target.mul_f64(COUNTER_TIMEOUT_OF_TARGET), total).await,
             Err(_) => Ok(Ok(None)),
         };
-        let mut tally = self.tally.borrow_mut();
+        let mut quota_client = self.quota_client.borrow_mut();
         let now = self.now();
         match total {
             Ok(Ok(Some(counted))) => {
-                tally.total_received(now, &tenant.name, charge, now - start, counted, request_waits)
+                quota_client.total_received(now, &tenant.name, charge, now - start, counted, request_waits)
             }
             // Not charged, not authoritative, or timed out.
-            Ok(_) | Err(_) => tally.charge_unanswered(now, &tenant.name, request_waits),
+            Ok(_) | Err(_) => quota_client.charge_unanswered(now, &tenant.name, request_waits),
         }
     }
 
@@ -870,25 +872,26 @@
         );
         let (id, response) = self.driver.request(&request, work);
         in_flight.1 = Some(id);
-        let (response, attempts) = self.driver.await_response(id, response).await;
+        let (response, summary) = self.driver.await_response(id, response).await;
         in_flight.1 = None;
         if let (Some(tenant), false) =
-            (&tenant, attempts.may_have_run || matches!(response, FinalResponse::Served { .. }))
+            (&tenant, summary.may_have_run || matches!(response, FinalResponse::Served { .. }))
         {
             // The charge of a request that never ran is refunded.
-            self.tally.borrow_mut().refund(&tenant.name);
+            self.quota_client.borrow_mut().refund(&tenant.name);
         }
-        match (client_response(route.at_most_once, &response, &attempts), response) {
+        match (client_response(route.at_most_once, &response, &summary), response) {
             (ClientResponse::Served, FinalResponse::Served { head, body: content }) => {
                 response_from_backend(&head, content, parts.method == Method::HEAD)
             }
             (ClientResponse::NotRun(after), response) => {
                 if let FinalResponse::Refused { reason, .. } = response {
                     log::debug!(
-                        "proxy: refused class {} pool {} zones {zone_mask:x}: {reason:?} after {} attempts",
+                        "proxy: refused class {} pool {} zones {zone_mask:x}: {} after {} attempts",
                         route.class,
                         request.pool,
-                        attempts.attempts
+                        reason.name(),
+                        summary.attempts
                     );
                 }
                 not_run_response(StatusCode::SERVICE_UNAVAILABLE, after.unwrap_or(MIN_RETRY_AFTER_MS))
--- a/overland/tests/catching_up.rs
+++ b/overland/tests/catching_up.rs
@@ -3,9 +3,9 @@
 
 mod simulated;
 
-use overland::agreement::{HardState, InstallSnapshot, PersistentState, RaftMessage, RaftPayload, Snapshot};
 use overland::member::{Action, Event, Member};
-use overland::news::Word;
+use overland::protocol::CorePayload;
+use overland::raft::{HardState, InstallSnapshot, PersistentState, RaftMessage, RaftPayload, Snapshot};
 use overland::state::RegisteredBackend;
 use simulated::{Endpoint, SnapshotMutant, World};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -152,7 +152,7 @@
 }
 
 impl SingleMember {
-    fn start(disk: Option<PersistentState>) -> (Self, Option<overland::agreement::Save>) {
+    fn start(disk: Option<PersistentState>) -> (Self, Option<overland::raft::Save>) {
         let seeds = (0..3).map(simulated::core_address).collect();
         let settings = simulated::settings("core-0".into(), Some(simulated::core_address(0)), seeds, true);
         let (member, first_save) = Member::start(settings, disk, 1, 0.0).expect("the member starts");
@@ -175,7 +175,7 @@
 
     fn receive(&mut self, payload: RaftPayload) -> Vec<Action> {
         let from = simulated::core_address(1).to_string();
-        let message = Word::Agreement(RaftMessage { payload: Some(payload) });
+        let message = CorePayload::Raft(RaftMessage { payload: Some(payload) });
         self.handle(Event::PeerMessage { from, message })
     }
 
@@ -195,9 +195,9 @@
     }
 }
 
-fn raft_payload(message: &Word) -> Option<&RaftPayload> {
+fn raft_payload(message: &CorePayload) -> Option<&RaftPayload> {
     match message {
-        Word::Agreement(message) => message.payload.as_ref(),
+        CorePayload::Raft(message) => message.payload.as_ref(),
         _ => None,
     }
 }
@@ -226,7 +226,7 @@
     assert!(!saved, "the snapshot was saved");
     assert!(!actions.iter().any(|action| matches!(action, Action::Abort(_))), "the process aborts");
     let is_append_response =
-        |message: &Word| matches!(raft_payload(message), Some(RaftPayload::AppendResponse(_)));
+        |message: &CorePayload| matches!(raft_payload(message), Some(RaftPayload::AppendResponse(_)));
     let acknowledged = actions
         .iter()
         .any(|action| matches!(action, Action::SendPeer { message, .. } if is_append_response(message)));
@@ -250,7 +250,7 @@
     // It requests no votes and bootstraps no cluster, although the settings say that this is a first start.
     let sent = node.run_idle(10_000.0);
     assert!(!sent.iter().any(|payload| matches!(payload, RaftPayload::VoteRequest(_))), "it requests votes");
-    assert!(node.member.agreement().members().is_empty());
+    assert!(node.member.raft().members().is_empty());
 }
 
 /// Runs until this number of changes is committed, with 400 routes, backends that change with each heartbeat,
@@ -335,7 +335,7 @@
         snapshot.evacuation_ends.clear();
         snapshot
     };
-    for name in leader.agreement().members() {
+    for name in leader.raft().members() {
         let number = simulated::core_number(name).expect("a core process");
         let member = world.cores[number].running.as_ref().expect("a running core");
         assert_eq!(member.state().index, leader.state().index, "core {number} did not catch up");
@@ -397,8 +397,7 @@
     world.callers.operators_active = false;
     world.run_until(world.now + 2000.0);
     let leader = leader(&world);
-    let term =
-        |world: &World| world.cores[leader].running.as_ref().expect("the leader runs").agreement().term();
+    let term = |world: &World| world.cores[leader].running.as_ref().expect("the leader runs").raft().term();
     let (wiped, term_before) = ((leader + 1) % 3, term(&world));
     world.bytes_per_ms = bytes_per_ms;
     world.kill_core(wiped);
--- a/overland/tests/simulated/mod.rs
+++ b/overland/tests/simulated/mod.rs
@@ -2,37 +2,37 @@
 //! their proxies' replicas, backends that send heartbeats, drain and leave, and operators that send
 //! concurrent and repeated requests, over a network with random faults. The state machines under test are the
 //! real ones (`Member`, `AgentStateMachine`, `State`). Links can be slow, lossy, blocked or cut in one or
-//! both directions; processes crash between any two actions, pause, or have slow disks; clocks drift. `judge`
-//! checks the results against a reference model, only by what callers and data planes observe.
+//! both directions; processes crash between any two actions, pause, or have slow disks; clocks drift.
+//! `reference_model` checks the results, only by what callers and data planes observe.
 #![allow(dead_code)] // Each test program uses only a part.
 
 pub mod callers;
-pub mod judge;
-pub mod racers;
-pub mod troubles;
+pub mod concurrent_updates;
+pub mod faults;
+pub mod reference_model;
 
 #[path = "../bounds/mod.rs"]
 mod bounds;
-#[path = "../kept/mod.rs"]
-mod kept;
+#[path = "../store_model/mod.rs"]
+mod store_model;
 
 pub use bounds::bounds;
 
 use callers::Callers;
-use judge::ReferenceModel;
-use kept::{apply_save, InvariantCheck};
-use overland::agreement::{Entry, PersistentState, RaftPayload, Save};
-use overland::calls::Reply;
-use overland::copy::StateReplica;
-use overland::follow::{self, AgentStateMachine};
+use overland::agent_state::{self, AgentStateMachine};
+use overland::api::Reply;
 use overland::member::{Action, Event, Member, TICK_MS};
-use overland::news::{Change, CoreMessage, FromAgent, IndexedChange, ToAgent, ToProxy, Word};
+use overland::protocol::{Change, CoreMessage, CorePayload, FromAgent, IndexedChange, ToAgent, ToProxy};
+use overland::raft::{Entry, PersistentState, RaftPayload, Save};
+use overland::replica::StateReplica;
 use overland::settings::Settings;
 use prost::Message;
+use reference_model::ReferenceModel;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
+use store_model::{apply_save, InvariantCheck};
 
 /// A connection across a cut breaks after this time.
 const LINK_TIMEOUT_MS: f64 = 2000.0;
@@ -88,7 +88,7 @@
 pub enum Input {
     Tick,
     /// A message from another core process: the sender's name and the payload.
-    PeerMessage(String, Box<Word>),
+    PeerMessage(String, Box<CorePayload>),
     /// A client call: token, method, path and body.
     Call(u64, &'static str, String, Vec<u8>),
     /// A message from an agent on a link.
@@ -102,7 +102,7 @@
     CoreInput(usize, u64, Input),
     /// A message between core processes arrives: sender, receiver, the receiver's incarnation, the name it is
     /// sent under, the payload, and since when a cut has blocked it.
-    PeerMessage(usize, usize, u64, String, Box<Word>, Option<f64>),
+    PeerMessage(usize, usize, u64, String, Box<CorePayload>, Option<f64>),
     ResumeCore(usize, u64),
     /// A core process's message arrives at the agent's end of a link.
     ToAgent(u64, Box<ToAgent>),
@@ -192,7 +192,7 @@
     agent_deadline: f64,
     agent_paused_until: f64,
     proxy_paused_until: f64,
-    agent_inbox: VecDeque<follow::Event>,
+    agent_inbox: VecDeque<agent_state::Event>,
     proxy_inbox: VecDeque<ToProxy>,
     /// Since when it runs and reaches the core.
     connected_since: f64,
@@ -270,7 +270,7 @@
     majority_since: f64,
     pub mutant: Option<Mutant>,
     /// Number of gateways that [`World::start`] leaves out; [`World::settle`] starts them.
-    pub held_back_gateways: usize,
+    pub delayed_gateways: usize,
     /// Bandwidth of a link between two core processes.
     pub bytes_per_ms: f64,
     /// Until when each link between two core processes is busy.
@@ -284,7 +284,7 @@
     /// Number of snapshots installed.
     pub installs: u64,
     pub callers: Callers,
-    pub racers: racers::Racers,
+    pub concurrent_requests: concurrent_updates::ConcurrentRequests,
     pub model: ReferenceModel,
     pub seeds: Vec<SocketAddr>,
     last_id: u64,
@@ -389,7 +389,7 @@
             snapshot_mutant: None,
             snapshot_messages: 0,
             installs: 0,
-            racers: racers::Racers::default(),
+            concurrent_requests: concurrent_updates::ConcurrentRequests::default(),
             fault_rates: FaultRates::NONE,
             calls: BTreeMap::new(),
             acked_updates: Vec::new(),
@@ -398,7 +398,7 @@
             majority_since: 0.0,
             mutant: None,
             invariants: InvariantCheck::start(),
-            held_back_gateways: 0,
+            delayed_gateways: 0,
             model: ReferenceModel::default(),
             seeds: (0..founders.min(3)).map(core_address).collect(),
             last_id: 0,
@@ -413,7 +413,7 @@
                 self.start_core(core, true);
             }
         }
-        (0..self.gateways.len() - self.held_back_gateways).for_each(|gateway| self.start_gateway(gateway));
+        (0..self.gateways.len() - self.delayed_gateways).for_each(|gateway| self.start_gateway(gateway));
         self.schedule(CHECK_INTERVAL_MS, SimEvent::Check);
         for caller in self.callers.all() {
             let after = self.rng.f64() * 500.0;
@@ -431,7 +431,7 @@
         (0..self.cores.len()).for_each(|core| self.start_core(core, false));
         (0..self.gateways.len()).for_each(|gateway| self.start_gateway(gateway));
         self.run_until(self.now + duration_ms);
-        judge::check_final_state(self);
+        reference_model::check_final_state(self);
     }
 
     fn schedule(&mut self, after: f64, event: SimEvent) {
@@ -495,8 +495,8 @@
             }
             SimEvent::Check => {
                 self.update_connectivity();
-                judge::check_key_revocation(self);
-                judge::check_draining(self);
+                reference_model::check_key_revocation(self);
+                reference_model::check_draining(self);
                 self.schedule(CHECK_INTERVAL_MS, SimEvent::Check);
             }
             SimEvent::Connect(gateway, incarnation, core) => self.connect(gateway, incarnation, core),
@@ -505,7 +505,7 @@
             SimEvent::FromAgent(link, message) => self.deliver_to_core(link, message),
             SimEvent::LinkClosed(link) => self.close_at_agent(link),
             SimEvent::AgentTick(gateway, incarnation) => {
-                self.handle_agent_event(gateway, incarnation, follow::Event::Tick)
+                self.handle_agent_event(gateway, incarnation, agent_state::Event::Tick)
             }
             SimEvent::ProxyReport(gateway, incarnation) => self.send_proxy_report(gateway, incarnation),
             SimEvent::ProxyUpdate(gateway, incarnation, update) => {
@@ -696,7 +696,7 @@
     pub fn leader(&self) -> Option<usize> {
         (0..self.cores.len()).find(|number| {
             let core = &self.cores[*number];
-            let holds_lease = |member: &Member| member.agreement().holds_lease(self.core_clock(*number));
+            let holds_lease = |member: &Member| member.raft().holds_lease(self.core_clock(*number));
             core.running.as_ref().is_some_and(holds_lease)
         })
     }
@@ -704,7 +704,7 @@
     /// The highest term of any core process.
     pub fn term(&self) -> u64 {
         let terms = self.cores.iter().filter_map(|core| core.running.as_ref());
-        terms.map(|member| member.agreement().term()).max().unwrap_or(0)
+        terms.map(|member| member.raft().term()).max().unwrap_or(0)
     }
 
     /// The time by a core process's own clock, in ms.
@@ -758,7 +758,7 @@
                 let leads_without_lease = core
                     .running
                     .as_ref()
-                    .is_some_and(|member| member.is_leader() && !member.agreement().holds_lease(local));
+                    .is_some_and(|member| member.is_leader() && !member.raft().holds_lease(local));
                 match input {
                     Input::Tick => {
                         let incarnation = core.incarnation;
@@ -798,8 +798,8 @@
             member.handle(now, event, &mut out);
             let new_config = member.state().config.clone().filter(|config| config.edition != old_edition);
             core.pending_actions.extend(out.into_iter().map(|action| (self.now, action)));
-            if let (Some(config), false) = (new_config, self.racers.slots.is_empty()) {
-                racers::check_applied_config(self, config.edition, &config.text);
+            if let (Some(config), false) = (new_config, self.concurrent_requests.slots.is_empty()) {
+                concurrent_updates::check_applied_config(self, config.edition, &config.text);
             }
         }
     }
@@ -809,7 +809,7 @@
         match action {
             Action::Save(mut save) => {
                 self.push_uncommitted(number, &save);
-                if let Some(mutant) = self.racers.mutant {
+                if let Some(mutant) = self.concurrent_requests.mutant {
                     mutant.alter_save(&mut save);
                 }
                 let core = &mut self.cores[number];
@@ -836,14 +836,16 @@
             Action::SendPeer { to, message: payload } => {
                 self.send_peer_message(number, core_address(number).to_string(), &to, *payload)
             }
-            Action::ForwardJoin { to, from } => self.send_peer_message(number, from, &to, Word::Join(true)),
+            Action::ForwardJoin { to, from } => {
+                self.send_peer_message(number, from, &to, CorePayload::Join(true))
+            }
             Action::Answer { call, reply } => {
                 let core = &self.cores[number];
                 let Some((receiver, incarnation, sent_at, is_update)) = self.calls.get(&call).copied() else {
                     return;
                 };
                 let is_receiver = (receiver, incarnation) == (number, core.incarnation);
-                judge::check_response_delay(self.now, decided_at, &reply);
+                reference_model::check_response_delay(self.now, decided_at, &reply);
                 let held = is_receiver && core.last_pause_end < sent_at - 100.0 && self.now - sent_at > 200.0;
                 // A cut may have ended since connectivity was last updated.
                 let isolated = !self.cuts.is_empty()
@@ -913,8 +915,8 @@
         }
     }
 
-    fn send_peer_message(&mut self, number: usize, from: String, to: &str, mut payload: Word) {
-        if let Some(mutant) = self.racers.mutant {
+    fn send_peer_message(&mut self, number: usize, from: String, to: &str, mut payload: CorePayload) {
+        if let Some(mutant) = self.concurrent_requests.mutant {
             mutant.alter_message(&mut payload);
         }
         let Some(to) = core_number(to).filter(|to| *to < self.cores.len()) else { return };
@@ -939,8 +941,8 @@
     }
 
     /// Counts snapshot messages, and corrupts some of them.
-    fn alter_in_transit(&mut self, mut payload: Word) -> Word {
-        let Word::Agreement(message) = &mut payload else { return payload };
+    fn alter_in_transit(&mut self, mut payload: CorePayload) -> CorePayload {
+        let CorePayload::Raft(message) = &mut payload else { return payload };
         let (bytes, members) = match &mut message.payload {
             Some(RaftPayload::InstallSnapshot(install)) => (&mut install.state, &mut install.members),
             Some(RaftPayload::SnapshotChunk(chunk)) => (&mut chunk.bytes, &mut chunk.members),
@@ -960,7 +962,7 @@
     /// Delivers a message between core processes. A cut either drops it or blocks it, in which case it may
     /// arrive late.
     fn deliver_peer_message(
-        &mut self, from: usize, to: usize, incarnation: u64, name: String, payload: Box<Word>,
+        &mut self, from: usize, to: usize, incarnation: u64, name: String, payload: Box<CorePayload>,
         blocked_since: Option<f64>,
     ) {
         if self.can_reach(Endpoint::Core(from), Endpoint::Core(to)) {
@@ -1034,7 +1036,7 @@
         gateway.agent = Some(AgentStateMachine::new(&settings, 0.0, &mut out));
         let incarnation = gateway.incarnation;
         self.execute_agent_actions(number, out);
-        self.handle_agent_event(number, incarnation, follow::Event::ProxyConnected(1));
+        self.handle_agent_event(number, incarnation, agent_state::Event::ProxyConnected(1));
         self.schedule(50.0, SimEvent::ProxyReport(number, incarnation));
     }
 
@@ -1057,7 +1059,7 @@
         (self.now - gateway.started_at) * gateway.clock_rate
     }
 
-    fn handle_agent_event(&mut self, number: usize, incarnation: u64, event: follow::Event) {
+    fn handle_agent_event(&mut self, number: usize, incarnation: u64, event: agent_state::Event) {
         if self.gateways[number].incarnation != incarnation {
             return;
         }
@@ -1093,21 +1095,25 @@
         self.schedule(duration_ms, SimEvent::ResumeGateway(number, incarnation));
     }
 
-    fn execute_agent_actions(&mut self, number: usize, actions: Vec<follow::Action>) {
+    fn execute_agent_actions(&mut self, number: usize, actions: Vec<agent_state::Action>) {
         let incarnation = self.gateways[number].incarnation;
         for action in actions {
             match action {
-                follow::Action::Connect(core) => {
+                agent_state::Action::Connect(core) => {
                     self.schedule(0.0, SimEvent::Connect(number, incarnation, core))
                 }
-                follow::Action::Reset(core) => {
+                agent_state::Action::Reset(core) => {
                     if let Some(link) = self.find_link(number, &core) {
                         self.close_at_core(link);
-                        self.handle_agent_event(number, incarnation, follow::Event::LinkClosed(core.clone()));
+                        self.handle_agent_event(
+                            number,
+                            incarnation,
+                            agent_state::Event::LinkClosed(core.clone()),
+                        );
                         self.schedule(150.0, SimEvent::Connect(number, incarnation, core));
                     }
                 }
-                follow::Action::Send { core, message } => {
+                agent_state::Action::Send { core, message } => {
                     let Some(link) = self.find_link(number, &core) else { continue };
                     let delay = self.delay();
                     let Some(open) = self.links.get_mut(&link) else { continue };
@@ -1115,7 +1121,7 @@
                     open.last_arrival_at_core = arrival;
                     self.schedule(arrival - self.now, SimEvent::FromAgent(link, message));
                 }
-                follow::Action::SendProxy(update) => {
+                agent_state::Action::SendProxy(update) => {
                     self.schedule(0.05, SimEvent::ProxyUpdate(number, incarnation, update))
                 }
             }
@@ -1178,7 +1184,7 @@
         let Some(open) = self.links.get(&link) else { return };
         let (gateway, incarnation, core) =
             (open.gateway, open.gateway_incarnation, core_address(open.core).to_string());
-        self.handle_agent_event(gateway, incarnation, follow::Event::LinkOpened(core));
+        self.handle_agent_event(gateway, incarnation, agent_state::Event::LinkOpened(core));
     }
 
     /// If a cut blocks this direction of a link, returns the delay until the next delivery attempt. Closes
@@ -1218,7 +1224,7 @@
             return;
         }
         let core = core_address(core).to_string();
-        self.handle_agent_event(gateway, incarnation, follow::Event::CoreMessage { core, message });
+        self.handle_agent_event(gateway, incarnation, agent_state::Event::CoreMessage { core, message });
     }
 
     fn deliver_to_core(&mut self, link: u64, message: Box<FromAgent>) {
@@ -1240,7 +1246,7 @@
         let Some(closed) = self.links.remove(&link) else { return };
         let core = core_address(closed.core).to_string();
         let (gateway, incarnation) = (closed.gateway, closed.gateway_incarnation);
-        self.handle_agent_event(gateway, incarnation, follow::Event::LinkClosed(core.clone()));
+        self.handle_agent_event(gateway, incarnation, agent_state::Event::LinkClosed(core.clone()));
         self.schedule(150.0, SimEvent::Connect(gateway, incarnation, core));
     }
 
@@ -1294,7 +1300,7 @@
         let replica = &mut self.gateways[number].replica;
         let ready = replica.applied_index() > 0;
         let message = replica.message(now, format!("10.1.0.{}:80", number + 1), ready);
-        self.handle_agent_event(number, incarnation, follow::Event::ProxyMessage { link: 1, message });
+        self.handle_agent_event(number, incarnation, agent_state::Event::ProxyMessage { link: 1, message });
         if self.gateways[number].incarnation == incarnation {
             self.schedule(20.0, SimEvent::ProxyReport(number, incarnation));
         }
--- a/overland/tests/ledger.rs
+++ b/overland/tests/update_outcomes.rs
@@ -1,10 +1,10 @@
 //! The outcomes of configuration updates, checked against a model: a list of all accepted updates.
 
-use overland::calls::{Call, CallRequest, Patch, Put};
+use overland::api::{Call, CallRequest, Patch, Put};
 use overland::config::{full_config_digest, ConfigDocument};
-use overland::ledger::{UpdateId, MAX_ACCEPTED};
-use overland::news::{Change, ConfigRevision, Kind, StateSnapshot};
+use overland::protocol::{Change, ChangeKind, ConfigRevision, StateSnapshot};
 use overland::state::{State, Touched, UpdateCheck};
+use overland::update_outcomes::{UpdateId, MAX_ACCEPTED};
 use prost::Message;
 
 fn update(edition: u64, based_on: u64, content: u64) -> UpdateId {
@@ -27,7 +27,7 @@
         digests,
         ..ConfigRevision::default()
     };
-    Change { kind: Some(Kind::Config(config)), ..Change::default() }
+    Change { kind: Some(ChangeKind::Config(config)), ..Change::default() }
 }
 
 /// The state after a round trip through a snapshot.
@@ -111,7 +111,7 @@
         ..ConfigRevision::default()
     };
     let mut state = State::default();
-    state.apply(0.0, 5, Some(&Change { kind: Some(Kind::Config(old.clone())), ..Change::default() }));
+    state.apply(0.0, 5, Some(&Change { kind: Some(ChangeKind::Config(old.clone())), ..Change::default() }));
     assert_eq!((state.edition(), state.check_update(&id)), (7, UpdateCheck::Accepted(5)));
     let snapshot = StateSnapshot {
         index: 9,
@@ -170,7 +170,7 @@
             r#"{{"edition":"{edition}","limits":{{"label_bytes":1,"body_bytes":1,"label_time":"1s","idle":"1s"}},"patrons":[{{"name":"t","stamps":["{key}"]}}],"docks":[],"fleets":[],"based_on":"{based_on}"}}"#
         )
     };
-    let read = |text: &str| ConfigDocument::read(text.as_bytes()).expect("an envelope");
+    let read = |text: &str| ConfigDocument::read(text.as_bytes()).expect("a configuration document");
     let (_, before) = read(&text("r3", "a", "r1")).into_full_config().expect("valid");
     let patch =
         read(r#"{"edition":"r7","deliver":{"patrons":[{"stamps":["b"],"name":"t"}]},"based_on":"r3"}"#);
--- a/overland/tests/orders.rs
+++ b/overland/tests/updates.rs
@@ -4,14 +4,14 @@
 
 mod simulated;
 
-use overland::difference::Difference;
-use overland::follow::{self, AgentStateMachine};
-use overland::news::{
-    Change, ConfigRevision, FromProxy, HeartbeatReply, IndexedChange, Kind, StateSnapshot, ToAgent,
+use overland::agent_state::{self, AgentStateMachine};
+use overland::delta::Difference;
+use overland::protocol::{
+    Change, ChangeKind, ConfigRevision, FromProxy, HeartbeatReply, IndexedChange, StateSnapshot, ToAgent,
 };
 use overland::state::{State, Touched};
 use prost::Message;
-use simulated::{racers, Endpoint, World};
+use simulated::{concurrent_updates, Endpoint, World};
 
 /// Runs random histories, and reports the seed of the first that fails.
 fn run_histories(default_count: u64, scenario: impl Fn(u64)) {
@@ -28,7 +28,7 @@
 
 #[test]
 fn editions_are_unique_and_retries_are_not_rejected() {
-    run_histories(6, |seed| drop(racers::run_race(seed, 8, 400, None)));
+    run_histories(6, |seed| drop(concurrent_updates::run_concurrent_requests(seed, 8, 400, None)));
 }
 
 /// Guards against a retried evacuation request taking effect again after a later one was acknowledged.
@@ -37,25 +37,24 @@
     run_histories(60, |seed| {
         let mut world = World::new(seed, 3, 0, 2, 0, 0);
         world.start();
-        racers::start(&mut world, 1, 12);
-        world.racers.request_mix = [0.0, 0.0, 0.0, 0.0, 0.0, 1.0];
+        concurrent_updates::start(&mut world, 1, 12);
+        world.concurrent_requests.request_mix = [0.0, 0.0, 0.0, 0.0, 0.0, 1.0];
         world.fault_rates.response_loss = world.rng.f64() * 0.5;
         world.run_until(3000.0);
         // No duplication: a request without an edition can't be distinguished from its duplicate.
-        racers::run_with_faults(&mut world, 4000.0, 0.0);
+        concurrent_updates::run_with_faults(&mut world, 4000.0, 0.0);
     });
 }
 
 /// The numbers of configurations in the leader's log that are differences and that are whole texts.
 fn count_differences_and_texts(world: &World) -> (usize, usize) {
     let leader = world.leader().expect("a leader");
-    let agreement = world.cores[leader].running.as_ref().expect("the leader runs").agreement();
-    let first = (0..agreement.last_index())
-        .find(|index| agreement.applied_entries_after(*index).is_some())
-        .expect("a log");
-    let entries = agreement.applied_entries_after(first).into_iter().flatten();
+    let raft = world.cores[leader].running.as_ref().expect("the leader runs").raft();
+    let first =
+        (0..raft.last_index()).find(|index| raft.applied_entries_after(*index).is_some()).expect("a log");
+    let entries = raft.applied_entries_after(first).into_iter().flatten();
     let configs = entries.filter_map(|entry| match Change::decode(&entry.data[..]).ok()?.kind? {
-        Kind::Config(config) => Some(config.difference.is_some()),
+        ChangeKind::Config(config) => Some(config.difference.is_some()),
         _ => None,
     });
     let configs = configs.collect::<Vec<_>>();
@@ -72,12 +71,15 @@
             let mut world = World::new(seed, 3, 0, 8, 0, 0);
             world.start();
             world.run_until(3_000.0);
-            racers::start(&mut world, slots, 300);
-            world.racers.request_mix = [0.7, 0.3, 0.0, 0.0, 0.0, 0.0];
+            concurrent_updates::start(&mut world, slots, 300);
+            world.concurrent_requests.request_mix = [0.7, 0.3, 0.0, 0.0, 0.0, 0.0];
             world.run_until(world.now + 120_000.0);
-            assert_eq!((world.racers.remaining, world.racers.unresolved), (0, 0));
-            let concurrent =
-                world.racers.latencies.iter().filter(|latency| latency.in_flight >= slots.min(4));
+            assert_eq!((world.concurrent_requests.remaining, world.concurrent_requests.unresolved), (0, 0));
+            let concurrent = world
+                .concurrent_requests
+                .latencies
+                .iter()
+                .filter(|latency| latency.in_flight >= slots.min(4));
             let mut ms: Vec<f64> = concurrent.map(|latency| latency.ms).collect();
             ms.sort_by(f64::total_cmp);
             let (differences, texts) = count_differences_and_texts(&world);
@@ -101,7 +103,7 @@
         let mut world = World::new(seed, 3, 0, 3, 0, 0);
         world.start();
         world.kill_gateway(2);
-        racers::start(&mut world, 2, 400);
+        concurrent_updates::start(&mut world, 2, 400);
         let delay_ms = world.rng.f64() * 1000.0;
         world.run_until(4000.0 + delay_ms);
         world.start_gateway(2);
@@ -115,7 +117,7 @@
         }
         world.run_until(world.now + 12_000.0);
         world.settle(12_000.0);
-        racers::check_version_chain(&world);
+        concurrent_updates::check_version_chain(&world);
     });
 }
 
@@ -127,10 +129,10 @@
     let mut agent =
         AgentStateMachine::new(&simulated::settings("g".into(), None, seeds.clone(), false), 0.0, &mut out);
     let seed = seeds[0].to_string();
-    agent.handle(0.0, follow::Event::LinkOpened(seed.clone()), &mut out);
+    agent.handle(0.0, agent_state::Event::LinkOpened(seed.clone()), &mut out);
     let reply_with_members = |members: Vec<String>| {
         let reply = Some(HeartbeatReply { leads: true, term: 1, members, ..HeartbeatReply::default() });
-        follow::Event::CoreMessage {
+        agent_state::Event::CoreMessage {
             core: seed.clone(),
             message: Box::new(ToAgent { heartbeat_reply: reply, ..ToAgent::default() }),
         }
@@ -138,7 +140,7 @@
     agent.handle(0.0, reply_with_members(vec![seed.clone(), member.clone()]), &mut out);
     // An empty list means that the members have not changed.
     agent.handle(60_000.0, reply_with_members(Vec::new()), &mut out);
-    agent.handle(60_000.0, follow::Event::LinkClosed(member.clone()), &mut out);
+    agent.handle(60_000.0, agent_state::Event::LinkClosed(member.clone()), &mut out);
     assert!(agent.wants_link(60_000.0, &member));
     agent.handle(60_000.0, reply_with_members(vec![seed.clone()]), &mut out);
     assert!(!agent.wants_link(120_000.0, &member));
@@ -153,35 +155,35 @@
     let mut out = Vec::new();
     let mut agent =
         AgentStateMachine::new(&simulated::settings("g".into(), None, seeds, false), 0.0, &mut out);
-    let report = follow::Event::ProxyMessage {
+    let report = agent_state::Event::ProxyMessage {
         link: 1,
         message: FromProxy { sent_at: Some(0.0), ..FromProxy::default() },
     };
     let setup = [
-        follow::Event::LinkOpened(old.clone()),
-        follow::Event::LinkOpened(new.clone()),
-        follow::Event::ProxyConnected(1),
+        agent_state::Event::LinkOpened(old.clone()),
+        agent_state::Event::LinkOpened(new.clone()),
+        agent_state::Event::ProxyConnected(1),
         report,
     ];
     setup.into_iter().for_each(|event| agent.handle(0.0, event, &mut out));
-    let mut terms_sent_to_proxy = |event: follow::Event| {
+    let mut terms_sent_to_proxy = |event: agent_state::Event| {
         out.clear();
         agent.handle(10.0, event, &mut out);
         let terms = out.iter().filter_map(|action| match action {
-            follow::Action::SendProxy(update) => Some(update.term),
+            agent_state::Action::SendProxy(update) => Some(update.term),
             _ => None,
         });
         terms.collect::<Vec<_>>()
     };
     let leader_reply = |core: &String, term: u64| {
         let reply = Some(HeartbeatReply { leads: true, term, ..HeartbeatReply::default() });
-        follow::Event::CoreMessage {
+        agent_state::Event::CoreMessage {
             core: core.clone(),
             message: Box::new(ToAgent { heartbeat_reply: reply, ..ToAgent::default() }),
         }
     };
     assert_eq!(terms_sent_to_proxy(leader_reply(&new, 6)), [6]);
-    terms_sent_to_proxy(follow::Event::LinkClosed(new.clone()));
+    terms_sent_to_proxy(agent_state::Event::LinkClosed(new.clone()));
     assert!(terms_sent_to_proxy(leader_reply(&old, 5)).is_empty(), "the proxy was sent an earlier term");
     assert_eq!(terms_sent_to_proxy(leader_reply(&old, 7)), [7]);
 }
@@ -194,7 +196,10 @@
 fn difference_change(index: u64, edition: u64, old: &str, new: &str) -> IndexedChange {
     let difference = Some(Difference::between(old, new));
     let config = ConfigRevision { based_on: Some(edition - 1), difference, ..config_revision(edition, "") };
-    IndexedChange { index, change: Some(Change { kind: Some(Kind::Config(config)), ..Change::default() }) }
+    IndexedChange {
+        index,
+        change: Some(Change { kind: Some(ChangeKind::Config(config)), ..Change::default() }),
+    }
 }
 
 /// A replica whose text differs from the difference's base detects that by the digest, and keeps its text for
@@ -214,25 +219,25 @@
 fn proxies_that_cannot_read_differences_are_sent_whole_texts() {
     let core = simulated::core_address(0).to_string();
     let (old, new) = (r#"{"a":1}"#, r#"{"a":2}"#);
-    for readable_format in [0, overland::agreement::MAX_ENTRY_VERSION] {
+    for readable_format in [0, overland::raft::MAX_ENTRY_VERSION] {
         let mut out = Vec::new();
         let settings = simulated::settings("g".into(), None, vec![simulated::core_address(0)], false);
         let mut agent = AgentStateMachine::new(&settings, 0.0, &mut out);
-        agent.handle(0.0, follow::Event::LinkOpened(core.clone()), &mut out);
-        agent.handle(0.0, follow::Event::ProxyConnected(1), &mut out);
+        agent.handle(0.0, agent_state::Event::LinkOpened(core.clone()), &mut out);
+        agent.handle(0.0, agent_state::Event::ProxyConnected(1), &mut out);
         let report = FromProxy { readable_format, sent_at: Some(0.0), ..FromProxy::default() };
-        agent.handle(0.0, follow::Event::ProxyMessage { link: 1, message: report }, &mut out);
+        agent.handle(0.0, agent_state::Event::ProxyMessage { link: 1, message: report }, &mut out);
         let snapshot =
             StateSnapshot { index: 1, config: Some(config_revision(1, old)), ..StateSnapshot::default() };
         let core_message =
-            |message| follow::Event::CoreMessage { core: core.clone(), message: Box::new(message) };
+            |message| agent_state::Event::CoreMessage { core: core.clone(), message: Box::new(message) };
         let with_snapshot = ToAgent { snapshot: Some(snapshot), ..ToAgent::default() };
         agent.handle(1.0, core_message(with_snapshot), &mut out);
         out.clear();
         let changes = vec![difference_change(2, 2, old, new)];
         agent.handle(2.0, core_message(ToAgent { changes, ..ToAgent::default() }), &mut out);
         let update = out.iter().find_map(|action| match action {
-            follow::Action::SendProxy(update) => Some((update.changes.len(), update.snapshot.clone())),
+            agent_state::Action::SendProxy(update) => Some((update.changes.len(), update.snapshot.clone())),
             _ => None,
         });
         let (changes, snapshot) = update.expect("an update for the proxy");
@@ -254,37 +259,37 @@
     let proxy_report = |applied_index| FromProxy {
         applied_index,
         sent_at: Some(0.0),
-        readable_format: overland::agreement::MAX_ENTRY_VERSION,
+        readable_format: overland::raft::MAX_ENTRY_VERSION,
         ..FromProxy::default()
     };
     let leader_message =
-        |message| follow::Event::CoreMessage { core: leader.clone(), message: Box::new(message) };
+        |message| agent_state::Event::CoreMessage { core: leader.clone(), message: Box::new(message) };
     let reply = Some(HeartbeatReply { leads: true, term: 1, ..HeartbeatReply::default() });
     let snapshot =
         Some(StateSnapshot { index: 1, config: Some(config_revision(1, "{}")), ..StateSnapshot::default() });
     let setup = [
-        follow::Event::LinkOpened(leader.clone()),
-        follow::Event::LinkOpened(other.clone()),
-        follow::Event::ProxyConnected(1),
+        agent_state::Event::LinkOpened(leader.clone()),
+        agent_state::Event::LinkOpened(other.clone()),
+        agent_state::Event::ProxyConnected(1),
         leader_message(ToAgent { heartbeat_reply: reply, snapshot, ..ToAgent::default() }),
-        follow::Event::ProxyMessage { link: 1, message: proxy_report(1) },
+        agent_state::Event::ProxyMessage { link: 1, message: proxy_report(1) },
     ];
     setup.into_iter().for_each(|event| agent.handle(0.0, event, &mut out));
-    let mut reports_sent = |event: follow::Event| {
+    let mut reports_sent = |event: agent_state::Event| {
         out.clear();
         agent.handle(10.0, event, &mut out);
         let reports = out.iter().filter_map(|action| match action {
-            follow::Action::Send { core, message } => Some((core.clone(), message.proxy_applied_index)),
+            agent_state::Action::Send { core, message } => Some((core.clone(), message.proxy_applied_index)),
             _ => None,
         });
         reports.collect::<Vec<_>>()
     };
-    let backend_gone = Change { kind: Some(Kind::BackendGone("i".into())), ..Change::default() };
+    let backend_gone = Change { kind: Some(ChangeKind::BackendGone("i".into())), ..Change::default() };
     let changes = vec![IndexedChange { index: 2, change: Some(backend_gone) }];
     assert_eq!(reports_sent(leader_message(ToAgent { changes, ..ToAgent::default() })), []);
-    assert_eq!(reports_sent(follow::Event::ProxyMessage { link: 1, message: proxy_report(2) }), []);
+    assert_eq!(reports_sent(agent_state::Event::ProxyMessage { link: 1, message: proxy_report(2) }), []);
     let changes = vec![difference_change(3, 2, "{}", "{ }")];
     assert_eq!(reports_sent(leader_message(ToAgent { changes, ..ToAgent::default() })), []);
-    let applied = follow::Event::ProxyMessage { link: 1, message: proxy_report(3) };
+    let applied = agent_state::Event::ProxyMessage { link: 1, message: proxy_report(3) };
     assert_eq!(reports_sent(applied), [(leader.clone(), 3)]);
 }
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/figures.rs
@@ -71,7 +71,8 @@
     (Stage::Servers, "servers"),
 ];
 
-const REASONS: [Reason; 4] = [Reason::Room, Reason::Quota, Reason::Unsent, Reason::Time];
+const REASONS: [Reason; 4] =
+    [Reason::NoCapacity, Reason::Quota, Reason::AttemptsExhausted, Reason::DeadlineExceeded];
 
 const RESULTS: [CallResult; 8] = [
     CallResult::Ok,
