--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -121,7 +121,7 @@
     let allowed = match request.uri().path() {
         "/admin/health" | "/metrics" | "/admin/stats" | "/admin/status" | "/admin/members" => Method::GET,
         "/admin/quiesce" | "/admin/resume" | "/admin/reload" | "/admin/log" => Method::POST,
-        _ => return text(StatusCode::NOT_FOUND, "unknown path\n"),
+        _ => return text(StatusCode::NOT_FOUND, "no such call\n"),
     };
     if *request.method() != allowed {
         let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n");
@@ -134,8 +134,8 @@
             server.drain();
             text(StatusCode::OK, "draining\n")
         }
-        "/admin/resume" if server.resume() => text(StatusCode::OK, "accepting clients\n"),
-        "/admin/resume" => text(StatusCode::CONFLICT, "shutting down after SIGTERM\n"),
+        "/admin/resume" if server.resume() => text(StatusCode::OK, "taking clients\n"),
+        "/admin/resume" => text(StatusCode::CONFLICT, "ending after SIGTERM\n"),
         "/admin/stats" => {
             let stats =
                 context.figures.stats(&server.present(), |registry| cluster.register_metrics(registry));
@@ -153,9 +153,9 @@
             Ok(levels) => {
                 tracing::info!("log levels set: {levels}");
                 context.log.set_levels(levels);
-                text(StatusCode::OK, "log levels set\n")
+                text(StatusCode::OK, "other levels\n")
             }
-            Err(e) => text(StatusCode::CONFLICT, format!("invalid log levels: {e}\n")),
+            Err(e) => text(StatusCode::CONFLICT, format!("levels: {e}\n")),
         },
         "/admin/reload" => match context.reload() {
             Ok(changes) => json(&changes),
@@ -164,7 +164,7 @@
         "/admin/status" => json(&context.status()),
         "/admin/members" => match cluster.view() {
             Some(view) => json(&view),
-            None => text(StatusCode::NOT_FOUND, "not a member of a cluster\n"),
+            None => text(StatusCode::NOT_FOUND, "not a member of a cluster now\n"),
         },
         _ if server.ready() => text(StatusCode::OK, "ready\n"),
         _ => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
--- a/src/bin/heronstage/remote.rs
+++ b/src/bin/heronstage/remote.rs
@@ -249,13 +249,13 @@
 pub async fn log(args: OperatorArgs, levels: &Targets) -> CommandResult {
     // Valid levels contain no character that must be escaped in a query.
     checked_call(args.operators, Method::POST, &format!("/admin/log?{levels}")).await?;
-    print_state(&args, "logging", "log levels set")
+    print_state(&args, "logging", "other levels")
 }
 
 /// The command `resume`.
 pub async fn resume(args: OperatorArgs) -> CommandResult {
     checked_call(args.operators, Method::POST, "/admin/resume").await?;
-    print_state(&args, "resumed", "accepting clients")
+    print_state(&args, "resumed", "taking clients")
 }
 
 /// The command `drain`.
