--- a/src/bin/heronstage/beside.rs
+++ b/src/bin/heronstage/beside.rs
@@ -1,6 +1,7 @@
 //! Shares the descriptor limit between the old and the new process during an upgrade. Each publishes its
 //! descriptor count in a record file in `$TMPDIR` and reads the other's.
 
+use crate::logs::targets;
 use cherrytally::plane::backends::Backends;
 use cherrytally::plane::driver::Driver;
 use serde::{Deserialize, Serialize};
@@ -84,7 +85,11 @@
                 // Not fatal: logged once for each distinct error.
                 let e = e.to_string();
                 if last_error.as_ref() != Some(&e) {
-                    tracing::warn!("sharing descriptors through {} failed: {e}", self.directory.display());
+                    tracing::warn!(
+                        target: targets::BESIDE,
+                        "sharing descriptors through {} failed: {e}",
+                        self.directory.display()
+                    );
                     last_error = Some(e);
                 }
             }
--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -2,6 +2,7 @@
 
 use crate::config;
 use crate::figures::{register_counter, register_gauge};
+use crate::logs::targets;
 use crate::server::DrainWatch;
 use crate::status;
 use cherrytally::membership::{Action, Event, Membership, State, View, DROP_REASONS, MAX_DATAGRAM_BYTES};
@@ -60,7 +61,10 @@
             settings.advertise = SocketAddrV4::new(*settings.advertise.ip(), local.port());
         }
         let (name, cluster, advertise) = (&settings.name, &settings.cluster, settings.advertise);
-        tracing::info!("member {name} of {cluster}, reached at {advertise}, on {local}");
+        tracing::info!(
+            target: targets::CLUSTER,
+            "member {name} of {cluster}, reached at {advertise}, on {local}"
+        );
         let protocol = Membership::new(settings, seed ^ start, 0.0);
         let (timer_changed, unsent) = (Notify::new(), Cell::new(0));
         Ok(Member {
@@ -92,6 +96,7 @@
                     let previous = previous.map_or("unknown", state_name);
                     let drain_suffix = if draining { ", draining" } else { "" };
                     tracing::info!(
+                        target: targets::CLUSTER,
                         "member {} at {}: {previous}, now {}{drain_suffix}",
                         identity.name,
                         identity.addr,
@@ -102,7 +107,7 @@
                     self.driver.membership_changed(count, majority != Some(false))
                 }
                 Action::NotMember => self.driver.membership_changed(0, false),
-                Action::Warn(line) => tracing::warn!("cluster: {line}"),
+                Action::Warn(line) => tracing::warn!(target: targets::CLUSTER, "cluster: {line}"),
             }
         }
     }
@@ -122,7 +127,7 @@
                 biased;
                 ready = self.socket.readable() => {
                     if let Err(e) = ready {
-                        warn_limited!(warnings, "cluster", e);
+                        warn_limited!(targets::CLUSTER, warnings, "cluster", e);
                         sleep(BATCH_PAUSE).await;
                         continue;
                     }
@@ -152,7 +157,7 @@
             Ok(length) => Some(length),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => None,
             Err(e) => {
-                warn_limited!(warnings, "cluster", e);
+                warn_limited!(targets::CLUSTER, warnings, "cluster", e);
                 None
             }
         }
@@ -278,7 +283,7 @@
     fn join(self: &Rc<Self>, config: config::Cluster, socket: Rc<UdpSocket>) {
         let member = match Member::new(&config, socket, self.seed, self.driver.clone()) {
             Ok(member) => Rc::new(member),
-            Err(e) => return tracing::warn!("cluster: {e}"),
+            Err(e) => return tracing::warn!(target: targets::CLUSTER, "cluster: {e}"),
         };
         *self.member.borrow_mut() = Some(member.clone());
         self.spawn(member.clone().run());
@@ -305,7 +310,7 @@
     /// upgrade continues under the same name.
     pub fn hand_over(&self) {
         if self.member.borrow_mut().take().is_some() {
-            tracing::info!("the cluster address is released for the new process");
+            tracing::info!(target: targets::CLUSTER, "the cluster address is released for the new process");
         }
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -1,6 +1,7 @@
 //! Client of the counter service: calls are pipelined on a few persistent connections.
 
 use crate::config::{endpoint_changed, Endpoints};
+use crate::logs::targets;
 use bytes::{Buf, BytesMut};
 use cherrytally::plane::driver::{CounterCall, CounterReply};
 use cherrytally::plane::http::Reader;
@@ -244,7 +245,12 @@
         200 => match total() {
             Ok(total) if f64::is_finite(total) => (CallResult::Ok, total / AMOUNT_SCALE),
             _ => {
-                warn_limited!(warnings, "counter returned an invalid total", String::from_utf8_lossy(body));
+                warn_limited!(
+                    targets::COUNTER,
+                    warnings,
+                    "counter returned an invalid total",
+                    String::from_utf8_lossy(body)
+                );
                 (CallResult::Reset, 0.0)
             }
         },
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -1,6 +1,7 @@
 //! Client of the discovery service: follows the backend list on a long-lived watch request.
 
 use crate::config::{endpoint_changed, Endpoints, Registry};
+use crate::logs::targets;
 use crate::speech::Names;
 use bytes::BytesMut;
 use cherrytally::plane::driver::Driver;
@@ -116,7 +117,12 @@
         let addr = places.borrow_and_update().discovery;
         tokio::select! {
             ended = watch(addr, &mut version, &mut needs_full_list, &mut backoff, &names, &driver) => {
-                warn_limited!(warnings, "discovery watch ended; keeping the last backend list", &ended);
+                warn_limited!(
+                    targets::DISCOVERY,
+                    warnings,
+                    "discovery watch ended; keeping the last backend list",
+                    &ended
+                );
                 sleep(backoff.next_delay(&ended)).await;
             }
             // Changes from the former address may have been missed: fetch the full list.
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/figures.rs
@@ -1,5 +1,6 @@
 //! Metrics of the gateway. No decision depends on them.
 
+use crate::logs::targets;
 use crate::status::{self, Process};
 use cherrytally::plane::driver::Observer;
 use cherrytally::{CallResult, Reason};
@@ -441,6 +442,6 @@
     }
 
     fn log_line(&self, line: &str) {
-        tracing::info!("{line}");
+        tracing::info!(target: targets::FIGURES, "{line}");
     }
 }
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -6,7 +6,7 @@
 use crate::counter;
 use crate::discovery;
 use crate::figures::Metrics;
-use crate::logs::{self, Log};
+use crate::logs::{self, targets, Log};
 use crate::operator::{self, OperatorContext};
 use crate::peers;
 use crate::server::Server;
@@ -172,7 +172,11 @@
         descriptors,
     });
     tokio::task::spawn_local(on_hangup(hangup, desk.clone()));
-    tracing::info!("listening on {}", listener.local_addr().map_err(|e| e.to_string())?);
+    tracing::info!(
+        target: targets::GATEWAY,
+        "listening on {}",
+        listener.local_addr().map_err(|e| e.to_string())?
+    );
     cluster.apply(cluster_change);
     let accepting = server.clone();
     let accept = tokio::task::spawn_local(async move {
@@ -195,8 +199,8 @@
                 },
             };
             match listener.local_addr() {
-                Ok(at) => tracing::info!("operators call at {at}"),
-                Err(e) => tracing::warn!("operators call at {at}: {e}"),
+                Ok(at) => tracing::info!(target: targets::GATEWAY, "operators call at {at}"),
+                Err(e) => tracing::warn!(target: targets::GATEWAY, "operators call at {at}: {e}"),
             }
             operator::run(listener, desk).await;
         });
@@ -251,15 +255,24 @@
         match &result {
             Ok(changes) => {
                 let Endpoints { discovery, counter, .. } = *self.places.borrow();
-                tracing::info!("SIGHUP: discovery at {discovery}, counter at {counter:?}");
+                tracing::info!(
+                    target: targets::GATEWAY,
+                    "SIGHUP: discovery at {discovery}, counter at {counter:?}"
+                );
                 if !changes.keys.is_empty() {
-                    tracing::info!("changed: {}", changes.keys.join(", "));
+                    tracing::info!(target: targets::GATEWAY, "changed: {}", changes.keys.join(", "));
                 }
                 if !changes.restart.is_empty() {
-                    tracing::warn!("these hold after a restart: {}", changes.restart.join(", "));
+                    tracing::warn!(
+                        target: targets::GATEWAY,
+                        "these hold after a restart: {}",
+                        changes.restart.join(", ")
+                    );
                 }
             }
-            Err(e) => tracing::warn!("SIGHUP: {e}; keeping the previous configuration"),
+            Err(e) => {
+                tracing::warn!(target: targets::GATEWAY, "SIGHUP: {e}; keeping the previous configuration")
+            }
         }
         result
     }
--- a/src/bin/heronstage/logs.rs
+++ b/src/bin/heronstage/logs.rs
@@ -14,8 +14,20 @@
 /// Maximum number of queued lines; further ones are dropped and counted, so that a blocked standard error does
 /// not block the gateway.
 const MAX_QUEUED_LINES: usize = 1024;
-/// Target of log lines about single requests.
-pub const REQUEST_TARGET: &str = "request";
+
+/// Targets of log events. The names are part of the log format and of the level settings.
+pub mod targets {
+    pub const BESIDE: &str = "heronstage::beside";
+    pub const CLUSTER: &str = "heronstage::cluster";
+    pub const COUNTER: &str = "heronstage::counter";
+    pub const DISCOVERY: &str = "heronstage::discovery";
+    pub const FIGURES: &str = "heronstage::figures";
+    pub const GATEWAY: &str = "heronstage::gateway";
+    pub const OPERATOR: &str = "heronstage::operator";
+    pub const SERVER: &str = "heronstage::server";
+    /// Log lines about single requests.
+    pub const REQUEST: &str = "request";
+}
 
 /// The log of this process.
 pub struct Log {
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -4,7 +4,7 @@
 use crate::config::Changes;
 use crate::figures::{CurrentCounts, Metrics};
 use crate::gateway::Reloader;
-use crate::logs::{self, Log};
+use crate::logs::{self, targets, Log};
 use crate::server::Server;
 use crate::status::{Process, ServerCounts, Status};
 use bytes::Bytes;
@@ -96,7 +96,7 @@
                 });
             }
             Err(e) => {
-                warn_limited!(warnings, "accepting an operator connection", e);
+                warn_limited!(targets::OPERATOR, warnings, "accepting an operator connection", e);
                 sleep(Duration::from_millis(20)).await;
             }
         }
@@ -151,7 +151,7 @@
         }
         "/admin/log" => match request.uri().query().unwrap_or("").parse::<Targets>() {
             Ok(levels) => {
-                tracing::info!("log levels set: {levels}");
+                tracing::info!(target: targets::OPERATOR, "log levels set: {levels}");
                 context.log.set_levels(levels);
                 text(StatusCode::OK, "other levels\n")
             }
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::figures::{CurrentCounts, Metrics, RequestOutcome, Stage};
-use crate::logs::{CustomerNames, REQUEST_TARGET};
+use crate::logs::{targets, CustomerNames};
 use crate::status::Phase;
 use crate::tables::{Class, Tables};
 use bytes::{Bytes, BytesMut};
@@ -284,7 +284,7 @@
         let AttemptSummary { first_sent: sent, attempts, backend: server, .. } = self.attempts;
         let now = Instant::now();
         tracing::debug!(
-            target: REQUEST_TARGET,
+            target: targets::REQUEST,
             parent: &self.span,
             outcome = end.name(),
             reason = self.reason,
@@ -375,7 +375,7 @@
             let starts = matches!(drain, Drain::Inactive);
             if starts {
                 *drain = Drain::Draining(Instant::now() + DRAIN_IDLE_CLOSE_DELAY);
-                tracing::info!("draining");
+                tracing::info!(target: targets::SERVER, "draining");
             }
             starts
         });
@@ -387,7 +387,7 @@
             let ends = matches!(drain, Drain::Draining(_));
             if ends {
                 *drain = Drain::Inactive;
-                tracing::info!("drain ended");
+                tracing::info!(target: targets::SERVER, "drain ended");
             }
             ends
         });
@@ -425,7 +425,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(e) => {
-                    warn_limited!(warnings, "accepting a client connection failed", e);
+                    warn_limited!(targets::SERVER, warnings, "accepting a client connection failed", e);
                     sleep(Duration::from_millis(20)).await;
                     continue;
                 }
@@ -616,12 +616,12 @@
     fn submit(
         &self, info: &RequestInfo, class: &Class, backend_request: BackendRequest,
     ) -> ((RequestId, ResponseReceiver), Option<Span>) {
-        if !tracing::enabled!(target: REQUEST_TARGET, Level::DEBUG) {
+        if !tracing::enabled!(target: targets::REQUEST, Level::DEBUG) {
             return (self.driver.request(info, backend_request), None);
         }
         let (customer, plan) = (self.names.customer(info.customer), info.plan as usize);
         let span = tracing::debug_span!(
-            target: REQUEST_TARGET,
+            target: targets::REQUEST,
             "request",
             id = tracing::field::Empty,
             class = class.name,
--- a/src/plane/seldom.rs
+++ b/src/plane/seldom.rs
@@ -25,15 +25,14 @@
     }
 }
 
-/// Logs a warning if its rate limiter allows it. A macro, so that the event has the caller's module as its
-/// target.
+/// Logs a warning if its rate limiter allows it. A macro, as the target of an event must be a constant.
 #[macro_export]
 macro_rules! warn_limited {
-    ($limiter:expr, $what:expr, $why:expr) => {
+    ($target:expr, $limiter:expr, $what:expr, $why:expr) => {
         match $limiter.due() {
             None => {}
-            Some(0) => tracing::warn!("{}: {}", $what, $why),
-            Some(held_back) => tracing::warn!(held_back, "{}: {}", $what, $why),
+            Some(0) => tracing::warn!(target: $target, "{}: {}", $what, $why),
+            Some(held_back) => tracing::warn!(target: $target, held_back, "{}: {}", $what, $why),
         }
     };
 }
@@ -68,12 +67,12 @@
         let _guard = tracing::subscriber::set_default(lines.finish());
         let limiter = WarningLimiter::default();
         for number in 0..100 {
-            warn_limited!(limiter, "accept", number);
+            warn_limited!("test", limiter, "accept", number);
         }
         tokio::time::advance(MIN_INTERVAL + Duration::from_millis(1)).await;
-        warn_limited!(limiter, "accept", "again");
+        warn_limited!("test", limiter, "accept", "again");
         tokio::time::advance(MIN_INTERVAL + Duration::from_millis(1)).await;
-        warn_limited!(limiter, "accept", "once more");
+        warn_limited!("test", limiter, "accept", "once more");
         let text = String::from_utf8(written.0.lock().unwrap().clone()).unwrap();
         let lines: Vec<_> = text.lines().map(|line| line.split_once(": ").unwrap().1).collect();
         assert_eq!(lines, ["accept: 0", "accept: again held_back=99", "accept: once more"]);
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -16,6 +16,8 @@
     child: Child,
     path: std::path::PathBuf,
     log: Receiver<String>,
+    /// The log line `listening on …`.
+    listening_line: String,
     clients: SocketAddr,
     operators: SocketAddr,
     _discovery: Discovery,
@@ -52,21 +54,16 @@
     let address = |prefix: &str| loop {
         let line = log.recv_timeout(TEST_TIMEOUT).expect("the gateway starts");
         if let Some((_, at)) = line.split_once(prefix) {
-            break at
-                .trim_end_matches(|c: char| !c.is_ascii_digit())
-                .split('"')
-                .next()
-                .unwrap()
-                .parse()
-                .unwrap();
+            let at = at.trim_end_matches(|c: char| !c.is_ascii_digit()).split('"').next().unwrap();
+            break (at.parse().unwrap(), line);
         }
     };
-    let clients = address("listening on ");
-    let operators = address("operators call at ");
+    let (clients, listening_line) = address("listening on ");
+    let (operators, _) = address("operators call at ");
     let servers = serde_json::json!({"version": 1, "full": true, "servers": [entry(0, backend, "Ready")]});
     send_discovery_line(&mut discovery.watch().1, &servers.to_string());
     wait_until_healthy(operators);
-    LoggingGateway { child, path, log, clients, operators, _discovery: discovery }
+    LoggingGateway { child, path, log, listening_line, clients, operators, _discovery: discovery }
 }
 
 impl LoggingGateway {
@@ -100,6 +97,8 @@
 fn every_field_of_a_json_line_is_documented() {
     let page = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/docs/logs.md")).unwrap();
     let gateway = start_gateway("format = \"json\"\nlevels = { request = \"debug\" }\n");
+    let listening: Value = serde_json::from_str(&gateway.listening_line).unwrap();
+    assert_eq!(listening["target"], "heronstage::gateway", "{listening}");
     assert_eq!((gateway.get(0xab, 1), gateway.get(0xab, 9)), (200, 429));
     let lines: Vec<Value> = [gateway.line("request ended"), gateway.line("request ended")]
         .iter()
