--- a/src/bin/cherrytally-benchlink/main.rs
+++ b/src/bin/cherrytally-benchlink/main.rs
@@ -100,7 +100,7 @@
             },
             3 => Event::ClientGone { id: record.u64(5)? },
             4 => Event::Counted {
-                name: record.u64(6)?,
+                key: record.u64(6)?,
                 result: call_result(record, 5)?,
                 total: record.f32(14)?,
                 took_ms: record.f64(18)?,
@@ -265,10 +265,10 @@
         Action::Watch => {
             record.put(5, &[1]);
         }
-        Action::Count { name, amount, lifetime_ms } => {
+        Action::Count { key, amount, lifetime_ms } => {
             let amount = *amount as f32;
             record
-                .put(5, &name.to_le_bytes())
+                .put(5, &key.to_le_bytes())
                 .put(13, &amount.to_le_bytes())
                 .put(17, &lifetime_ms.to_le_bytes());
         }
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Connections to the counter. All calls for a name use the same one, so they stay in order; a stalled
+/// Connections to the counter. All calls for a key use the same one, so they stay in order; a stalled
 /// connection does not block the others.
 const CONNECTIONS: usize = 4;
 /// Connections idle for this long, or for longer than earlier ones survived, are closed before the counter
@@ -49,7 +49,7 @@
     }
 
     pub fn call(&self, call: CounterCall) {
-        let queue = (call.name ^ call.name >> 30) as usize % self.0.len();
+        let queue = (call.key ^ call.key >> 30) as usize % self.0.len();
         // The receiver lives as long as the program.
         let _ = self.0[queue].send(call);
     }
@@ -132,7 +132,7 @@
 
     fn report(&self, call: &CounterCall, result: CallResult, total: f64) {
         let took_ms = call.at.elapsed().as_secs_f64() * 1000.0;
-        (self.on_reply)(CounterReply { name: call.name, result, total, took_ms });
+        (self.on_reply)(CounterReply { key: call.key, result, total, took_ms });
     }
 
     /// Serves calls on one connection until it fails, times out, is idle for too long or the counter's
@@ -149,7 +149,7 @@
         let mut enqueue = |call: CounterCall, out: &mut BytesMut, in_flight: &mut VecDeque<Pending>| {
             let text = format!(
                 "POST /counters/{:016x}?by={}&expire_ms={} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n",
-                call.name,
+                call.key,
                 (call.amount * AMOUNT_SCALE).clamp(-MAX_AMOUNT, MAX_AMOUNT),
                 call.lifetime_ms.max(1.0) as u64
             );
--- a/src/choice/counting.rs
+++ b/src/choice/counting.rs
@@ -67,7 +67,7 @@
     ) {
         let plan = &self.settings.plans[plan_index];
         let Some(customer) = self.customers.get_mut(&customer_id) else { return };
-        let Window { number, name, left_ms } = window(now, customer_id, plan);
+        let Window { number, key, left_ms } = window(now, customer_id, plan);
         if customer.window != number {
             // The end of the former window was not read: peer usage is assumed to have continued.
             let start = window_start(now, customer_id, plan);
@@ -85,9 +85,9 @@
         customer.counter_calls += 1;
         (customer.deferred_units, customer.last_call_at) = (0.0, now);
         let lifetime_ms = (left_ms + MAX_COUNT_LIFETIME_MS - MAX_WINDOW_MS).min(MAX_COUNT_LIFETIME_MS);
-        actions.push(Action::Count { name, amount, lifetime_ms });
+        actions.push(Action::Count { key, amount, lifetime_ms });
         let call = Call { customer: customer_id, request, plan: plan_index, amount, units };
-        self.counter.pending.entry(name).or_default().push_back(call);
+        self.counter.pending.entry(key).or_default().push_back(call);
     }
 
     /// A peer that can't call the counter asks the customer's home gateway, which combines the charges.
@@ -158,13 +158,13 @@
     }
 
     pub(super) fn handle_counted(
-        &mut self, now: Millis, name: u64, result: CallResult, total: f64, took_ms: f64,
+        &mut self, now: Millis, key: u64, result: CallResult, total: f64, took_ms: f64,
         actions: &mut Vec<Action>,
     ) {
-        let Some(queue) = self.counter.pending.get_mut(&name) else { return };
+        let Some(queue) = self.counter.pending.get_mut(&key) else { return };
         let Some(call) = queue.pop_front() else { return };
         if queue.is_empty() {
-            self.counter.pending.remove(&name);
+            self.counter.pending.remove(&key);
         }
         let ok = result == CallResult::Ok && total.is_finite();
         let target_ms = self.settings.classes.iter().map(|c| c.target_ms).fold(f64::INFINITY, f64::min);
@@ -198,7 +198,7 @@
                 counter.calls_per_s = (counter.calls_per_s * CALL_RATE_DECREASE).max(MIN_CALLS_PER_S);
             }
         }
-        self.apply_total(now, name, &call, ok.then_some(total), result);
+        self.apply_total(now, key, &call, ok.then_some(total), result);
         // Refunds a refused request at once if the counter has capacity, so that peers can use the units.
         if !self.decide_waiting(now, call.request, actions) && self.take_call(now, true) {
             self.charge(now, call.customer, call.plan, 0.0, call.request, actions);
@@ -206,7 +206,7 @@
     }
 
     /// Updates the balance from a total: an increase beyond this gateway's own charge is peer usage.
-    fn apply_total(&mut self, now: Millis, name: u64, call: &Call, total: Option<f64>, result: CallResult) {
+    fn apply_total(&mut self, now: Millis, key: u64, call: &Call, total: Option<f64>, result: CallResult) {
         let plan = &self.settings.plans[call.plan];
         let Some(customer) = self.customers.get_mut(&call.customer) else { return };
         customer.counter_calls = customer.counter_calls.saturating_sub(1);
@@ -219,7 +219,7 @@
         };
         let elapsed_s = (now - customer.balance_at).max(0.0) / 1000.0;
         (customer.balance, customer.balance_at) = (customer.balance + elapsed_s * plan.rate, now);
-        if window(now, call.customer, plan).name != name {
+        if window(now, call.customer, plan).key != key {
             return;
         }
         let start = window_start(now, call.customer, plan);
@@ -319,8 +319,8 @@
     let offset = (customer.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64;
     let position = now / length_ms + offset;
     let number = position.max(0.0) as u64;
-    let name = customer << 30 | number & 0x3fff_ffff;
-    Window { number, name, left_ms: (position.floor() + 1.0 - position) * length_ms }
+    let key = customer << 30 | number & 0x3fff_ffff;
+    Window { number, key, left_ms: (position.floor() + 1.0 - position) * length_ms }
 }
 
 pub(super) fn window_start(now: Millis, customer: CustomerId, plan: &Plan) -> Millis {
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -96,8 +96,8 @@
             }
             Event::Message { from, body } => self.handle_message(now, from, &body, actions),
             Event::Probed { .. } => {}
-            Event::Counted { name, result, total, took_ms } => {
-                self.handle_counted(now, name, result, total, took_ms, actions)
+            Event::Counted { key, result, total, took_ms } => {
+                self.handle_counted(now, key, result, total, took_ms, actions)
             }
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -409,7 +409,7 @@
     /// A call to the shared counter ended.
     Counted {
         /// The key of the count.
-        name: u64,
+        key: u64,
         /// How it ended.
         result: CallResult,
         /// The total after the call, if it succeeded.
@@ -503,7 +503,7 @@
     /// Add to a count of the shared counter; the total returns with [`Event::Counted`].
     Count {
         /// The key of the count.
-        name: u64,
+        key: u64,
         /// The amount to add, which may be negative.
         amount: f64,
         /// Expiry of a count that this call creates, in ms.
--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -121,8 +121,8 @@
 
 /// A call that adds an amount to a counter.
 pub struct CounterCall {
-    /// The counter's name.
-    pub name: u64,
+    /// The key of the count.
+    pub key: u64,
     /// The amount to add.
     pub amount: f64,
     /// Time to live of a newly created counter, in ms.
@@ -133,8 +133,8 @@
 
 /// The result of a counter call.
 pub struct CounterReply {
-    /// The counter's name.
-    pub name: u64,
+    /// The key of the count.
+    pub key: u64,
     /// The result.
     pub result: CallResult,
     /// The counter's new total, if known.
@@ -590,9 +590,9 @@
 
     /// A call to the quota counter ended.
     pub fn counter_replied(self: &Rc<Self>, reply: CounterReply) {
-        let CounterReply { name, result, total, took_ms } = reply;
+        let CounterReply { key, result, total, took_ms } = reply;
         self.observer.counter_call_ended(result);
-        self.handle(&mut self.inner.borrow_mut(), Event::Counted { name, result, total, took_ms });
+        self.handle(&mut self.inner.borrow_mut(), Event::Counted { key, result, total, took_ms });
     }
 
     /// A message from another gateway was received.
@@ -743,9 +743,9 @@
                 });
             }
             Action::Probe { backend } => self.probe(inner, backend),
-            Action::Count { name, amount, lifetime_ms } => {
+            Action::Count { key, amount, lifetime_ms } => {
                 if let Some(call) = &self.call_counter {
-                    call(CounterCall { name, amount, lifetime_ms, at: Instant::now() });
+                    call(CounterCall { key, amount, lifetime_ms, at: Instant::now() });
                 }
             }
             // The discovery stream is always open.
--- a/src/state.rs
+++ b/src/state.rs
@@ -129,7 +129,7 @@
 pub(crate) struct Window {
     pub(crate) number: u64,
     /// Key of the customer's count in this window.
-    pub(crate) name: u64,
+    pub(crate) key: u64,
     pub(crate) left_ms: f64,
 }
 
--- a/tests/common.rs
+++ b/tests/common.rs
@@ -98,8 +98,8 @@
         }))
     }
 
-    pub fn counted(&mut self, name: u64, result: CallResult, total: f64) -> Vec<Action> {
-        self.event(Event::Counted { name, result, total, took_ms: 2.0 })
+    pub fn counted(&mut self, key: u64, result: CallResult, total: f64) -> Vec<Action> {
+        self.event(Event::Counted { key, result, total, took_ms: 2.0 })
     }
 
     pub fn outcome(
@@ -119,7 +119,7 @@
 /// The key and amount of the first counter call.
 pub fn count(actions: &[Action]) -> Option<(u64, f64)> {
     actions.iter().find_map(|action| match action {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::Count { key, amount, .. } => Some((*key, *amount)),
         _ => None,
     })
 }
@@ -170,10 +170,10 @@
     pub fn answer(&mut self, rig: &mut Rig, mut actions: Vec<Action>) -> Vec<Action> {
         let mut index = 0;
         while index < actions.len() {
-            if let Action::Count { name, amount, .. } = actions[index] {
-                let total = self.0.entry(name).or_default();
+            if let Action::Count { key, amount, .. } = actions[index] {
+                let total = self.0.entry(key).or_default();
                 *total += amount;
-                actions.extend(rig.counted(name, CallResult::Ok, *total));
+                actions.extend(rig.counted(key, CallResult::Ok, *total));
             }
             index += 1;
         }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -8,24 +8,24 @@
 fn request_is_sent_after_its_units_are_charged() {
     let mut rig = Rig::new(settings());
     let actions = rig.request(1, 0, 3.0);
-    let (name, amount) = count(&actions).expect("a charge");
+    let (key, amount) = count(&actions).expect("a charge");
     assert!(amount > 0.0);
     assert_eq!(sent(&actions), None, "waits for the counter");
-    assert!(sent(&rig.counted(name, CallResult::Ok, amount)).is_some());
+    assert!(sent(&rig.counted(key, CallResult::Ok, amount)).is_some());
 }
 
 #[test]
 fn request_beyond_the_quota_is_refused_and_its_charge_returned() {
     let mut rig = Rig::new(settings());
-    let (name, amount) = count(&rig.request(1, 0, 3.0)).unwrap();
-    let actions = rig.counted(name, CallResult::Ok, amount / 3.0 * 14.0);
+    let (key, amount) = count(&rig.request(1, 0, 3.0)).unwrap();
+    let actions = rig.counted(key, CallResult::Ok, amount / 3.0 * 14.0);
     let retry_after = refused(&actions).expect("others used 11 units of the limit of 10 and a quarter more");
     assert!(
         retry_after > 200.0 && retry_after <= 1000.0,
         "1.5 units short at 2 units a second: {retry_after}"
     );
     // The refused charge is returned at once, so that other gateways may use the units.
-    assert_eq!(count(&actions), Some((name, -amount)));
+    assert_eq!(count(&actions), Some((key, -amount)));
     // The gateway knows that the quota is used up: it refuses without a call until tokens have been refilled.
     let actions = rig.request(2, 0, 3.0);
     assert!(refused(&actions).is_some() && count(&actions).is_none());
@@ -42,8 +42,8 @@
         })
     };
     let mut rig = Rig::new(settings());
-    let (name, amount) = count(&rig.request(1, 0, 3.0)).unwrap();
-    assert_eq!(reason(&rig.counted(name, CallResult::Ok, amount / 3.0 * 14.0)), Some(Reason::Quota));
+    let (key, amount) = count(&rig.request(1, 0, 3.0)).unwrap();
+    assert_eq!(reason(&rig.counted(key, CallResult::Ok, amount / 3.0 * 14.0)), Some(Reason::Quota));
     let late = Request { budget_ms: 0.0, ..request(2, 8) };
     assert_eq!(reason(&rig.event(Event::Request(late))), Some(Reason::Time));
     let mut rig = Rig::new(Settings { counter: None, ..settings() });
@@ -138,8 +138,8 @@
 #[test]
 fn unit_correction_is_added_to_the_next_charge() {
     let mut rig = Rig::new(settings());
-    let (name, first) = count(&rig.request(1, 0, 3.0)).unwrap();
-    let backend = sent(&rig.counted(name, CallResult::Ok, first)).unwrap();
+    let (key, first) = count(&rig.request(1, 0, 3.0)).unwrap();
+    let backend = sent(&rig.counted(key, CallResult::Ok, first)).unwrap();
     rig.outcome(1, 0, backend, CallResult::Ok, Some(5.0));
     let (_, amount) = count(&rig.request(2, 0, 1.0)).unwrap();
     assert!((amount / first - 1.0).abs() < 1e-6, "1 unit and the 2 that were underestimated");
@@ -148,8 +148,8 @@
 #[test]
 fn pending_correction_decays_with_time() {
     let mut rig = Rig::new(settings());
-    let (name, first) = count(&rig.request(1, 0, 1.0)).unwrap();
-    let backend = sent(&rig.counted(name, CallResult::Ok, first)).unwrap();
+    let (key, first) = count(&rig.request(1, 0, 1.0)).unwrap();
+    let backend = sent(&rig.counted(key, CallResult::Ok, first)).unwrap();
     rig.outcome(1, 0, backend, CallResult::Ok, Some(5.0));
     rig.now += 40_000.0;
     let (_, corrected) = count(&rig.request(2, 0, 1.0)).unwrap();
@@ -177,8 +177,8 @@
 #[test]
 fn rejected_charge_is_added_to_the_next() {
     let mut rig = Rig::new(settings());
-    let (name, first) = count(&rig.request(1, 0, 2.0)).unwrap();
-    assert!(sent(&rig.counted(name, CallResult::Rejected, 0.0)).is_some());
+    let (key, first) = count(&rig.request(1, 0, 2.0)).unwrap();
+    assert!(sent(&rig.counted(key, CallResult::Rejected, 0.0)).is_some());
     let (_, amount) = count(&rig.request(2, 0, 1.0)).unwrap();
     assert!((amount / first - 1.5).abs() < 1e-6);
 }
@@ -188,16 +188,16 @@
     let mut rig = Rig::new(settings());
     let mut total = 0.0;
     for id in 1..=3 {
-        let (name, amount) = count(&rig.request(id, 0, 3.0)).unwrap();
+        let (key, amount) = count(&rig.request(id, 0, 3.0)).unwrap();
         total += amount;
-        let backend = sent(&rig.counted(name, CallResult::Ok, total)).unwrap();
+        let backend = sent(&rig.counted(key, CallResult::Ok, total)).unwrap();
         rig.outcome(id, 0, backend, CallResult::Ok, Some(3.0));
     }
     // 9 of 10 units are used, then the count is reset to 0: 3 more units exceed the quota.
     assert!(refused(&rig.request(4, 0, 3.0)).is_some());
     rig.now += 1100.0;
-    let (name, amount) = count(&rig.request(5, 0, 3.0)).unwrap();
-    assert!(sent(&rig.counted(name, CallResult::Ok, amount)).is_some());
+    let (key, amount) = count(&rig.request(5, 0, 3.0)).unwrap();
+    assert!(sent(&rig.counted(key, CallResult::Ok, amount)).is_some());
     assert!(refused(&rig.request(6, 0, 1.0)).is_some());
 }
 
@@ -208,9 +208,9 @@
     for id in first..first + 100 {
         rig.now += 10.0;
         let actions = rig.event(Event::Request(request(id, id)));
-        if let Some((name, amount)) = count(&actions) {
+        if let Some((key, amount)) = count(&actions) {
             calls += 1;
-            rig.counted(name, result, amount);
+            rig.counted(key, result, amount);
         }
     }
     calls
@@ -255,9 +255,9 @@
     for id in first..first + 100 {
         rig.now += 10.0;
         let actions = rig.event(Event::Request(request(id, id)));
-        if let Some((name, total)) = count(&actions) {
+        if let Some((key, total)) = count(&actions) {
             calls += 1;
-            rig.event(Event::Counted { name, result: CallResult::Ok, total, took_ms });
+            rig.event(Event::Counted { key, result: CallResult::Ok, total, took_ms });
         }
     }
     calls
@@ -290,10 +290,10 @@
         for id in second * 1000..second * 1000 + 100 {
             rig.now += 10.0;
             let actions = rig.event(Event::Request(request(id, id)));
-            if let Some((name, total)) = count(&actions) {
+            if let Some((key, total)) = count(&actions) {
                 calls += 1;
                 let took_ms = if id % 10 == 0 { 40.0 } else { 2.0 };
-                rig.event(Event::Counted { name, result: CallResult::Ok, total, took_ms });
+                rig.event(Event::Counted { key, result: CallResult::Ok, total, took_ms });
             }
         }
     }
@@ -312,9 +312,9 @@
         for id in 3000 + second * 100..3100 + second * 100 {
             rig.now += 10.0;
             let actions = rig.event(Event::Request(request(id, id)));
-            if let Some((name, amount)) = count(&actions) {
+            if let Some((key, amount)) = count(&actions) {
                 last += 1;
-                rig.counted(name, if id % 8 == 0 { CallResult::Reset } else { CallResult::Ok }, amount);
+                rig.counted(key, if id % 8 == 0 { CallResult::Reset } else { CallResult::Ok }, amount);
             }
         }
     }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -112,7 +112,7 @@
                 let request = self.requests.get_mut(&id).expect("known request");
                 assert!(!std::mem::replace(&mut request.answered, true), "answered twice");
             }
-            Action::Count { name, amount, .. } => self.counts.push((name, amount)),
+            Action::Count { key, amount, .. } => self.counts.push((key, amount)),
             Action::Timer { token, after_ms } => self.timers.push((self.now + after_ms, token)),
             Action::Cancel { id, attempt } => assert!((attempt as usize) < self.requests[&id].attempts.len()),
             _ => {}
@@ -267,11 +267,11 @@
                 }
             }
             8 => {
-                while let Some((name, amount)) = (!sim.counts.is_empty()).then(|| sim.counts.remove(0)) {
+                while let Some((key, amount)) = (!sim.counts.is_empty()).then(|| sim.counts.remove(0)) {
                     let result = [CallResult::Ok, CallResult::Ok, CallResult::Timeout, CallResult::Rejected]
                         [rng.usize(0..4)];
                     let total = amount + rng.f64() * 12.0;
-                    sim.event(Event::Counted { name, result, total, took_ms: rng.f64() * 60.0 });
+                    sim.event(Event::Counted { key, result, total, took_ms: rng.f64() * 60.0 });
                 }
             }
             _ => {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -527,8 +527,8 @@
     assert!(rig.event(Event::ClientGone { id: 4 }).is_empty());
     rig.event(Event::List { full: false, entries: vec![backend_entry(500, 3, BackendState::Gone)] });
     rig.event(Event::Timer { token: u64::MAX });
-    let (name, _) = count(&rig.request(1, 0, 0.0)).unwrap();
-    assert!(sent(&rig.counted(name, CallResult::Ok, 0.0)).is_some(), "zero units are valid");
+    let (key, _) = count(&rig.request(1, 0, 0.0)).unwrap();
+    assert!(sent(&rig.counted(key, CallResult::Ok, 0.0)).is_some(), "zero units are valid");
     assert!(refused(&rig.request(2, 9, 1.0)).is_some(), "an unknown class is refused");
     let actions = rig.request(3, 0, f64::NAN);
     assert!(count(&actions).is_none_or(|(_, amount)| amount.is_finite()));
@@ -548,8 +548,8 @@
         change(&mut s);
         let mut rig = Rig::new(s);
         let mut actions = rig.request(1, 0, 3.0);
-        if let Some((name, amount)) = count(&actions) {
-            actions.extend(rig.counted(name, CallResult::Ok, amount));
+        if let Some((key, amount)) = count(&actions) {
+            actions.extend(rig.counted(key, CallResult::Ok, amount));
         }
         assert!(sent(&actions).is_some() || refused(&actions).is_some(), "case {case}: {actions:?}");
     }
