--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -57,11 +57,11 @@
         let requests_per_s = self.pool_load(pool).requests_per_s;
         let Some(backend) = self.backends.get_mut(&backend_id) else { return };
         if matches!(result, CallResult::Rejected | CallResult::ConnectFailed) {
-            let until = now + FULL_MS.max(FULL_REQUESTS * 1000.0 / requests_per_s.max(1.0));
-            backend.full_until.resize(self.settings.plans.len(), now);
+            let until = now + MIN_AVOIDANCE_MS.max(AVOIDANCE_REQUESTS * 1000.0 / requests_per_s.max(1.0));
+            backend.avoided_until.resize(self.settings.plans.len(), now);
             match result {
-                CallResult::Rejected => backend.full_until[plan] = until,
-                _ => backend.full_until.fill(until),
+                CallResult::Rejected => backend.avoided_until[plan] = until,
+                _ => backend.avoided_until.fill(until),
             }
         }
         if matches!(result, CallResult::Ok | CallResult::Error) {
--- a/src/choice/list.rs
+++ b/src/choice/list.rs
@@ -29,7 +29,7 @@
                         (backend.warm_up_tokens, backend.warm_up_tokens_at) = (self.rng.f64(), now);
                         (backend.failure_points, backend.relative_latency) = (0, 1.0);
                         (backend.error_rate, backend.error_rate_at) = (0.0, now);
-                        backend.full_until = Vec::new();
+                        backend.avoided_until = Vec::new();
                     } else if entry.cold_until > now && backend.listed.cold_until <= now {
                         // Attempts while warm took tokens. Random, as all gateways get the update at once.
                         (backend.warm_up_tokens, backend.warm_up_tokens_at) = (self.rng.f64(), now);
--- a/src/choice/pick.rs
+++ b/src/choice/pick.rs
@@ -58,7 +58,7 @@
             let healthy =
                 b.failure_points < EJECTION_POINTS || panic || (now >= b.ejected_until && b.in_flight == 0);
             let last_resort = open.attempts.iter().any(|a| a.backend == b.listed.id)
-                || b.full_until.get(open.plan()).is_some_and(|at| now < *at)
+                || b.avoided_until.get(open.plan()).is_some_and(|at| now < *at)
                 || !healthy;
             // Without the bonus a cold backend's token would go unused by chance.
             let bonus = if warm_share(rules, now, b).is_some() { WARM_UP_BONUS } else { 0.0 };
--- a/src/choice/tuned.rs
+++ b/src/choice/tuned.rs
@@ -78,9 +78,9 @@
 pub(super) const UNSAFE_ERROR_COST: f64 = 10.0;
 /// An attempt whose late response earns nothing times out this long, and two ticks, before its target.
 pub(super) const TARGET_MARGIN_MS: f64 = 4.0;
-/// A backend that rejected a request is avoided for the request's plan; the longer of these two applies.
-pub(super) const FULL_MS: f64 = 200.0;
-pub(super) const FULL_REQUESTS: f64 = 20.0;
+/// After a rejection a backend is avoided for the longer of this time and the time of this many requests.
+pub(super) const MIN_AVOIDANCE_MS: f64 = 200.0;
+pub(super) const AVOIDANCE_REQUESTS: f64 = 20.0;
 /// Retry tokens earned by each first attempt.
 pub(super) const RETRY_RATIO: f64 = 0.1;
 pub(super) const MAX_RETRY_TOKENS: f64 = 10.0;
--- a/src/state.rs
+++ b/src/state.rs
@@ -172,7 +172,7 @@
     /// End of its ejection; a trial request follows.
     pub(crate) ejected_until: Millis,
     /// Per plan, until when it is avoided because it rejected a request or a connection.
-    pub(crate) full_until: Vec<Millis>,
+    pub(crate) avoided_until: Vec<Millis>,
 }
 
 impl Backend {
@@ -194,7 +194,7 @@
             error_rate: 0.0,
             error_rate_at: now,
             ejected_until: now,
-            full_until: Vec::new(),
+            avoided_until: Vec::new(),
         }
     }
 
