--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -56,21 +56,23 @@
 }
 
 /// Starts one task for each connection.
-pub fn spawn(receivers: CallReceivers, addr: SocketAddr, places: &Receiver<Places>, on_reply: &ReplyHandler) {
-    let reply_timeout = places.borrow().patience;
+pub fn spawn(
+    receivers: CallReceivers, addr: SocketAddr, endpoints: &Receiver<Places>, on_reply: &ReplyHandler,
+) {
+    let reply_timeout = endpoints.borrow().patience;
     let idle_limit = Rc::new(IdleLimit::new(MAX_IDLE));
     for calls in receivers {
-        let (places, on_reply, idle_limit) = (places.clone(), on_reply.clone(), idle_limit.clone());
+        let (endpoints, on_reply, idle_limit) = (endpoints.clone(), on_reply.clone(), idle_limit.clone());
         let (next, warnings) = (None, WarningLimiter::default());
         let connection =
-            Connection { addr, places, reply_timeout, on_reply, calls, next, idle_limit, warnings };
+            Connection { addr, endpoints, reply_timeout, on_reply, calls, next, idle_limit, warnings };
         tokio::task::spawn_local(connection.run());
     }
 }
 
 struct Connection {
     addr: SocketAddr,
-    places: Receiver<Places>,
+    endpoints: Receiver<Places>,
     reply_timeout: Duration,
     on_reply: ReplyHandler,
     calls: UnboundedReceiver<CounterCall>,
@@ -105,7 +107,7 @@
                 },
             };
             // Without a counter in the new configuration, calls still go to the former address.
-            let Places { counter, patience: reply_timeout, .. } = *self.places.borrow();
+            let Places { counter, patience: reply_timeout, .. } = *self.endpoints.borrow();
             (self.addr, self.reply_timeout) = (counter.unwrap_or(self.addr), reply_timeout);
             match timeout(self.reply_timeout, TcpStream::connect(self.addr)).await {
                 Ok(Ok(stream)) => {
@@ -174,7 +176,7 @@
             let idle_limit = self.idle_limit.get();
             let wake = due.into_iter().chain(stalled_at).min().unwrap_or(last_response + idle_limit);
             tokio::select! {
-                () = moved(&mut self.places, |p| p.counter.is_some_and(|to| to != host)), if !moved_away => {
+                () = moved(&mut self.endpoints, |p| p.counter.is_some_and(|to| to != host)), if !moved_away => {
                     moved_away = true;
                 }
                 call = self.calls.recv(), if !moved_away => match call {
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -107,20 +107,20 @@
 
 /// Keeps a watch open until the program ends. While discovery is unreachable the last list stays in use.
 pub async fn run(
-    mut places: Receiver<Places>, mut version: u64, (gateways, position): (u32, u32), seed: u64,
+    mut endpoints: Receiver<Places>, mut version: u64, (gateways, position): (u32, u32), seed: u64,
     names: Names, driver: Rc<Driver>,
 ) {
     let warnings = WarningLimiter::default();
     let (mut needs_full_list, mut backoff) = (false, Backoff::new(gateways, position, seed));
     loop {
-        let addr = places.borrow_and_update().discovery;
+        let addr = endpoints.borrow_and_update().discovery;
         tokio::select! {
             ended = watch(addr, &mut version, &mut needs_full_list, &mut backoff, &names, &driver) => {
                 warn_limited!(warnings, "discovery watch ended; keeping the last backend list", &ended);
                 sleep(backoff.next_delay(&ended)).await;
             }
             // Changes from the former address may have been missed: fetch the full list.
-            () = moved(&mut places, |places| places.discovery != addr) => needs_full_list = true,
+            () = moved(&mut endpoints, |endpoints| endpoints.discovery != addr) => needs_full_list = true,
         }
     }
 }
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -87,7 +87,7 @@
     let max_connections = config.sockets.saturating_sub(reserved).max(2) / 2;
     let backends = Backends::new(max_connections, config.connect_ms, config.idle_ms);
     let counter = config.settings.counter.and(config.places.counter);
-    let (places_sender, places) = watch::channel(config.places);
+    let (endpoints_sender, endpoints) = watch::channel(config.places);
     let (call_senders, call_receivers) = counter::CallSenders::new();
     let names = Names { zones: config.zones.clone(), kinds: config.kinds.clone() };
     let mut settings = config.settings.clone();
@@ -110,16 +110,16 @@
     if let Some(addr) = counter {
         let driver = driver.clone();
         let on_reply: counter::ReplyHandler = Rc::new(move |reply| driver.counter_replied(reply));
-        counter::spawn(call_receivers, addr, &places, &on_reply);
+        counter::spawn(call_receivers, addr, &endpoints, &on_reply);
     }
-    let known = config.known.take();
-    let version = known.as_ref().map_or(0, |known| known.version);
-    if let Some(known) = known {
-        let (full, backends) = names.to_backends(known);
+    let registry = config.known.take();
+    let version = registry.as_ref().map_or(0, |registry| registry.version);
+    if let Some(registry) = registry {
+        let (full, backends) = names.to_backends(registry);
         driver.update_backends(full, backends);
     }
     tokio::task::spawn_local(discovery::run(
-        places,
+        endpoints,
         version,
         fleet_position,
         config.seed,
@@ -159,7 +159,8 @@
     let cluster = Cluster::new(driver.clone(), config.seed, shared, server.watch_drain());
     let cluster_change = cluster.prepare(config.cluster.clone())?;
     let (name, descriptors) = (config.name.clone(), config.sockets);
-    let reloads = Reloader { source, config: config.into(), places: places_sender, figures: figures.clone() };
+    let reloads =
+        Reloader { source, config: config.into(), endpoints: endpoints_sender, figures: figures.clone() };
     let desk = Rc::new(Desk {
         server: server.clone(),
         cluster: cluster.clone(),
@@ -233,7 +234,7 @@
     source: Source,
     /// The configuration applied last.
     config: RefCell<Config>,
-    places: watch::Sender<Places>,
+    endpoints: watch::Sender<Places>,
     figures: Rc<Figures>,
 }
 
@@ -249,7 +250,7 @@
         self.figures.configured(result.is_ok());
         match &result {
             Ok(changes) => {
-                let Places { discovery, counter, .. } = *self.places.borrow();
+                let Places { discovery, counter, .. } = *self.endpoints.borrow();
                 tracing::info!("SIGHUP: discovery at {discovery}, counter at {counter:?}");
                 if !changes.keys.is_empty() {
                     tracing::info!("changed: {}", changes.keys.join(", "));
@@ -276,7 +277,7 @@
             server.apply_config(&new_config)?;
         }
         cluster.apply(change);
-        self.places.send_replace(new_config.places);
+        self.endpoints.send_replace(new_config.places);
         new_config.known = None;
         *config = new_config;
         Ok(changes)
