--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -193,25 +193,25 @@
 impl Proxy {
     /// Creates a proxy without state or sockets, and the receiver of its charges.
     fn new(
-        settings: Settings, seed: u64, speech: Rc<dyn BackendProtocol>,
+        settings: Settings, seed: u64, protocol: Rc<dyn BackendProtocol>,
         backends: impl FnOnce(usize) -> Backends,
     ) -> Result<(Rc<Self>, UnboundedReceiver<ChargeRequest>)> {
         let client_addr = settings.client_addr.ok_or_else(|| eyre!("network.docks_at.front is missing"))?;
         let max_connections = (settings.max_fds.saturating_sub(RESERVED_FDS) / 2).max(2) as usize;
         let budget = Rc::new(MemoryBudget::new(settings.memory_mb << 20));
         let metrics = Rc::new(Metrics::default());
-        let reach = DriverResources {
+        let resources = DriverResources {
             backends: backends(max_connections),
             call_counter: None,
             send_message: None,
             budget: budget.clone(),
-            protocol: speech,
+            protocol,
             observer: metrics.clone(),
         };
         let zones = Zones::new(&settings.zones);
         let (charges, charge_requests) = unbounded_channel();
         let proxy = Rc::new(Proxy {
-            driver: Driver::new(driver_settings(&settings, &zones, Vec::new(), 1, 0), seed, reach),
+            driver: Driver::new(driver_settings(&settings, &zones, Vec::new(), 1, 0), seed, resources),
             zones,
             started: Instant::now(),
             client_addr,
@@ -242,9 +242,9 @@
     /// Creates a proxy without an agent or a counter, with its state from `news` and connections opened by
     /// `dial`. Clients are served by [`Proxy::serve_connection`].
     pub fn standalone(
-        settings: Settings, seed: u64, speech: Rc<dyn BackendProtocol>, dial: Dial, news: ToProxy,
+        settings: Settings, seed: u64, protocol: Rc<dyn BackendProtocol>, dial: Dial, news: ToProxy,
     ) -> Result<Rc<Self>> {
-        let (proxy, _) = Self::new(settings, seed, speech, |max_connections| {
+        let (proxy, _) = Self::new(settings, seed, protocol, |max_connections| {
             Backends::with_dial(dial, max_connections, CONNECT_MS, IDLE_MS)
         })?;
         *proxy.replica.borrow_mut() = StateReplica::standalone(&proxy.settings.bounds);
--- a/overland/tests/plane.rs
+++ b/overland/tests/plane.rs
@@ -26,7 +26,7 @@
 
 /// Runs histories in threads; returns the failing ones, shortest first, and the total counts.
 fn run_histories(
-    seeds: std::ops::Range<u64>, max_failures: usize, speech: fn() -> Rc<dyn BackendProtocol>,
+    seeds: std::ops::Range<u64>, max_failures: usize, protocol: fn() -> Rc<dyn BackendProtocol>,
 ) -> (Vec<(usize, u64, String)>, [usize; 3]) {
     let threads = 2;
     let failure_count = Arc::new(AtomicUsize::new(0));
@@ -36,7 +36,7 @@
             std::thread::spawn(move || {
                 let (mut failures, mut totals) = (Vec::new(), [0; 3]);
                 for seed in seeds.filter(|seed| seed % threads == worker) {
-                    let (violation, events, responses, successes) = plane::run_history(seed, speech);
+                    let (violation, events, responses, successes) = plane::run_history(seed, protocol);
                     totals = [totals[0] + events, totals[1] + responses, totals[2] + successes];
                     if let Some(violation) = violation {
                         failures.push((events, seed, violation));
@@ -74,7 +74,7 @@
 }
 
 /// The backend protocol with one injected fault.
-struct FaultySpeech(Fault);
+struct FaultyProtocol(Fault);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
@@ -102,7 +102,7 @@
     EarlyResponseIsNotRun,
 }
 
-impl BackendProtocol for FaultySpeech {
+impl BackendProtocol for FaultyProtocol {
     fn write_attempt_headers(&self, message: &mut Vec<u8>, backend: &str, left: Duration) {
         Wire.write_attempt_headers(message, backend, left);
     }
@@ -167,13 +167,13 @@
 }
 
 macro_rules! faults {
-    ($($fault:ident),*) => { [$((Fault::$fault, (|| Rc::new(FaultySpeech(Fault::$fault)) as Rc<dyn BackendProtocol>) as fn() -> Rc<dyn BackendProtocol>)),*] };
+    ($($fault:ident),*) => { [$((Fault::$fault, (|| Rc::new(FaultyProtocol(Fault::$fault)) as Rc<dyn BackendProtocol>) as fn() -> Rc<dyn BackendProtocol>)),*] };
 }
 
 #[test]
 fn each_injected_fault_is_detected() {
     let mut missed = Vec::new();
-    for (fault, speech) in faults![
+    for (fault, protocol) in faults![
         SurplusBytesKept,
         PartialWriteIsNotRun,
         ResetAfterWriteIsNotRun,
@@ -186,7 +186,7 @@
         AnySuccessAccepted,
         EarlyResponseIsNotRun
     ] {
-        let (failures, _) = run_histories(0..MAX_HISTORIES, MAX_FAILURES_PER_FAULT, speech);
+        let (failures, _) = run_histories(0..MAX_HISTORIES, MAX_FAILURES_PER_FAULT, protocol);
         match failures.first() {
             Some((events, seed, violation)) => {
                 println!("{fault:?}: history {seed}, {events} events: {violation}")
--- a/overland/tests/plane/mod.rs
+++ b/overland/tests/plane/mod.rs
@@ -210,7 +210,7 @@
 
 /// Runs one history; returns the first violation and the numbers of events, responses and successes.
 pub fn run_history(
-    seed: u64, speech: impl Fn() -> Rc<dyn BackendProtocol>,
+    seed: u64, protocol: impl Fn() -> Rc<dyn BackendProtocol>,
 ) -> (Option<String>, usize, usize, usize) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -243,7 +243,7 @@
                 });
                 let settings = Settings::read(SETTINGS).expect("invalid settings");
                 let seed = world.rng.borrow_mut().u64(..);
-                Proxy::standalone(settings, seed, speech(), dial, news(1, &world.backends))
+                Proxy::standalone(settings, seed, protocol(), dial, news(1, &world.backends))
                     .expect("cannot create the proxy")
             })
             .collect();
--- a/src/bin/cherrytally-benchlink/setup.rs
+++ b/src/bin/cherrytally-benchlink/setup.rs
@@ -89,7 +89,7 @@
             late_fail: values.number("penalties.late-fail")?,
         },
         rules: Rules {
-            answer_slack_ms: values.number("rules.answer-slack-ms")?,
+            deadline_grace_ms: values.number("rules.answer-slack-ms")?,
             cold_capacity: values.number("rules.cold-from")?,
             warm_up_ms: values.number("rules.warm-up-ms")?,
             drain_grace_ms: values.number("rules.drain-grace-ms")?,
--- a/src/bin/heronstage/config/mod.rs
+++ b/src/bin/heronstage/config/mod.rs
@@ -324,7 +324,7 @@
             late_fail: form.prices.late_fail,
         },
         rules: Rules {
-            answer_slack_ms: form.rules.answer_slack.0,
+            deadline_grace_ms: form.rules.answer_slack.0,
             cold_capacity: form.rules.cold_from,
             warm_up_ms: form.rules.warm_up.0,
             drain_grace_ms: form.rules.drain_grace.0,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -157,7 +157,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rules {
     /// A final response this long after the deadline still counts as in time, in ms.
-    pub answer_slack_ms: f64,
+    pub deadline_grace_ms: f64,
     /// Minimum share of its capacity that a backend has when it starts.
     pub cold_capacity: f64,
     /// Time by which a backend has reached its full capacity, in ms.
--- a/tests/common.rs
+++ b/tests/common.rs
@@ -34,7 +34,7 @@
             ..Limits::default()
         },
         rules: Rules {
-            answer_slack_ms: 8.0,
+            deadline_grace_ms: 8.0,
             cold_capacity: 0.25,
             warm_up_ms: 10_000.0,
             drain_grace_ms: 1000.0,
