--- a/overland/src/proxy.rs
+++ b/overland/src/proxy.rs
@@ -17,15 +17,15 @@
 use crate::told::{client_response, ClientResponse};
 use bytes::BytesMut;
 use cherrytally::plane::backends::{Backends, Dial, Stream};
+use cherrytally::plane::body::{
+    BodyError, MemoryBudget, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES,
+};
 use cherrytally::plane::deadline::{ClientDeadline, Deadline};
 use cherrytally::plane::driver::{
     BackendProtocol, BackendRequest, DiscoveredBackend as DriverBackend, Driver, DriverResources,
     FinalResponse, RequestInfo,
 };
 use cherrytally::plane::http::Head;
-use cherrytally::plane::room::{
-    BodyError, MemoryBudget, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES,
-};
 use cherrytally::{
     BackendEntry, BackendState, Limits, Millis, Plan, RetryBudget, Rules, Settings as DriverSettings,
 };
--- a/overland/tests/exchange.rs
+++ b/overland/tests/exchange.rs
@@ -2,12 +2,12 @@
 //! reused, and which response the client receives.
 
 use bytes::Bytes;
+use cherrytally::plane::body::{BodyError, ResponseBody};
 use cherrytally::plane::driver::{AttemptSummary, BackendProtocol, FinalResponse};
 use cherrytally::plane::exchange::{
     AttemptFailure, ConnectionState, Exchange, ExchangeEvent, IdleConnection, Stage,
 };
 use cherrytally::plane::http::Head;
-use cherrytally::plane::room::{BodyError, ResponseBody};
 use cherrytally::{CallResult as Ended, Reason};
 use overland::speech::Wire;
 use overland::told::{client_response, ClientResponse, NOT_RUN_STATUSES};
--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -6,7 +6,7 @@
 use crate::status;
 use cherrytally::membership::{Action, Event, Membership, State, View, DROP_REASONS, MAX_DATAGRAM_BYTES};
 use cherrytally::plane::driver::Driver;
-use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
+use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use cherrytally::plane::driver::Driver;
 use cherrytally::plane::http::Reader;
-use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
+use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -8,7 +8,7 @@
 use crate::server::Server;
 use crate::status::{Process, Servers, Status};
 use bytes::Bytes;
-use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
+use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -6,15 +6,15 @@
 use crate::status::Phase;
 use crate::tables::{Class, Tables};
 use bytes::{Bytes, BytesMut};
+use cherrytally::plane::body::{
+    BodyError, MemoryBudget, MemoryReservation, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES,
+    MAX_REQUEST_BODY_BYTES,
+};
 use cherrytally::plane::deadline::{ClientDeadline, Deadline};
 use cherrytally::plane::driver::{
     AttemptSummary, BackendRequest, Driver, FinalResponse, RequestInfo, ResponseReceiver,
 };
-use cherrytally::plane::room::{
-    BodyError, MemoryBudget, MemoryReservation, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES,
-    MAX_REQUEST_BODY_BYTES,
-};
-use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
+use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
 use cherrytally::RequestId;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, HOST, RETRY_AFTER};
--- a/src/plane/backends.rs
+++ b/src/plane/backends.rs
@@ -1,11 +1,11 @@
 //! Connection pool for backends, and attempts on its connections. No pipelining: a connection carries one
 //! request at a time.
 
+use super::body::{BodyError, BodySender, MemoryReservation, Upload, MAX_BUFFERED_BYTES};
 use super::driver::BackendProtocol;
 use super::exchange::{AttemptFailure, Exchange, ExchangeEvent, IdleConnection, Stage};
 use super::http::{Head, Reader};
-use super::idle::IdleLimit;
-use super::room::{BodyError, BodySender, MemoryReservation, Upload, MAX_BUFFERED_BYTES};
+use super::idle_limit::IdleLimit;
 use crate::{BackendId, CallResult};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -2,10 +2,10 @@
 //! gets exactly one final response, and only from here.
 
 use super::backends::{Attempt, AttemptResponse, Backends};
+use super::body::{BodyError, BodySender, MemoryBudget, MemoryReservation, ResponseBody, UnreadBody, Upload};
 use super::deadline::Deadline;
 use super::exchange::{AttemptFailure, Exchange, IdleConnection};
 use super::http::Head;
-use super::room::{BodyError, BodySender, MemoryBudget, MemoryReservation, ResponseBody, UnreadBody, Upload};
 use crate::{
     Action, BackendEntry, BackendId, BackendState, CallResult, Event, Gateway, Load, Outcome, Reason,
     Request, RequestId, Settings,
--- a/src/plane/mod.rs
+++ b/src/plane/mod.rs
@@ -3,10 +3,10 @@
 //! backends as a [`driver::BackendProtocol`].
 
 pub mod backends;
+pub mod body;
 pub mod deadline;
 pub mod driver;
 pub mod exchange;
 pub mod http;
-pub mod idle;
-pub mod room;
-pub mod seldom;
+pub mod idle_limit;
+pub mod warning_limiter;
