--- a/src/custody/mod.rs
+++ b/src/custody/mod.rs
@@ -12,13 +12,13 @@
 //! This module does no I/O. [`Replica`] handles [`Message`]s. [`Coordinator`] is the state machine of one
 //! request at one gateway: it consumes replies and outcomes and emits [`Action`]s.
 
-mod custodian;
-mod keeper;
-mod keepers;
+mod coordinator;
+mod replica;
+mod replica_selection;
 
-pub use custodian::{Action, Coordinator, Failure, Outcome};
-pub use keeper::{Limits, Replica};
-pub use keepers::{select_replicas, Candidate};
+pub use coordinator::{Action, Coordinator, Failure, Outcome};
+pub use replica::{Limits, Replica};
+pub use replica_selection::{select_replicas, Candidate};
 
 use std::fmt;
 use std::sync::Arc;
