--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -4,22 +4,22 @@
 //! The protocol does no I/O and reads no clock: datagrams and time come in as [`Event`]s, datagrams and
 //! membership changes go out as [`Action`]s. `docs/membership.md` states its guarantees.
 
-mod exchange;
-mod news;
+mod full_sync;
 mod probe;
 mod table;
+mod update_queue;
 mod wire;
 
 pub use wire::{DropReason, DROP_REASONS, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_START_UNIX_MS};
 
 use crate::interface::Millis;
-use exchange::{Sync, TokenBucket};
-use news::UpdateQueue;
+use full_sync::{Sync, TokenBucket};
 use probe::{Probe, Relay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use table::Member;
+use update_queue::UpdateQueue;
 use wire::{Body, Datagram};
 
 /// A member's name.
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -1,6 +1,6 @@
 //! The table of members: which record of a member takes precedence, suspicion, and conflicts over a name.
 
-use super::exchange::TokenBucket;
+use super::full_sync::TokenBucket;
 use super::wire::{self, DropReason, MAX_INCARNATION, MAX_START_UNIX_MS};
 use super::*;
 
