--- a/src/choice/admission.rs
+++ b/src/choice/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of a request: first by quota, then by capacity.
 
 use super::counting::home_gateway;
-use super::tuned::*;
+use super::tuning::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::message::Message;
--- a/src/choice/attempts.rs
+++ b/src/choice/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts of a request, and its final response if no further attempt is possible.
 
-use super::tuned::*;
+use super::tuning::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::state::*;
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -1,6 +1,6 @@
 //! Rate limits of backends that warm up.
 
-use super::tuned::*;
+use super::tuning::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::state::*;
--- a/src/choice/counting.rs
+++ b/src/choice/counting.rs
@@ -1,6 +1,6 @@
 //! The shared counts: units are charged before sending and settled after the response.
 
-use super::tuned::*;
+use super::tuning::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::message::Message;
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -1,6 +1,6 @@
 //! Relative latency and health of backends, from the outcomes of attempts.
 
-use super::tuned::*;
+use super::tuning::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::state::*;
--- a/src/choice/list.rs
+++ b/src/choice/list.rs
@@ -1,6 +1,6 @@
 //! Updates of the list of backends.
 
-use super::tuned::*;
+use super::tuning::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::state::*;
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -6,7 +6,7 @@
 use crate::state::*;
 use crate::subset::subset_rank;
 use std::collections::BTreeMap;
-use tuned::*;
+use tuning::*;
 
 mod admission;
 mod attempts;
@@ -15,7 +15,7 @@
 mod health;
 mod list;
 mod pick;
-mod tuned;
+mod tuning;
 
 /// The decisions of one gateway.
 pub struct Gateway {
--- a/src/choice/pick.rs
+++ b/src/choice/pick.rs
@@ -1,7 +1,7 @@
 //! The choice of a backend for an attempt.
 
 use super::cold::warm_share;
-use super::tuned::*;
+use super::tuning::*;
 use super::Gateway;
 use crate::interface::*;
 use crate::state::*;
