--- a/src/bin/heronstage/cluster.rs
+++ b/src/bin/heronstage/cluster.rs
@@ -1,7 +1,7 @@
 //! The gateway as a member of its cluster: the socket and the timers of the library's `membership`.
 
 use crate::config;
-use crate::figures::{count, gauge};
+use crate::metrics::{count, gauge};
 use crate::server::DrainWatch;
 use crate::status;
 use cherrytally::membership::{Action, Event, Membership, State, View, DROP_REASONS, MAX_DATAGRAM_BYTES};
--- a/src/bin/heronstage/beside.rs
+++ b/src/bin/heronstage/descriptor_share.rs
@@ -84,7 +84,11 @@
                 // Not fatal: logged once for each distinct error.
                 let e = e.to_string();
                 if last_error.as_ref() != Some(&e) {
-                    tracing::warn!("sharing descriptors through {} failed: {e}", self.directory.display());
+                    tracing::warn!(
+                        target: "heronstage::beside",
+                        "sharing descriptors through {} failed: {e}",
+                        self.directory.display()
+                    );
                     last_error = Some(e);
                 }
             }
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -1,7 +1,7 @@
 //! Client of the discovery service: follows the backend list on a long-lived watch request.
 
+use crate::backend_protocol::Names;
 use crate::config::{moved, Places, Registry};
-use crate::speech::Names;
 use bytes::BytesMut;
 use cherrytally::plane::driver::Driver;
 use cherrytally::plane::http::Reader;
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -1,16 +1,16 @@
 //! The gateway process: startup, configuration reload and shutdown.
 
-use crate::beside::DescriptorShare;
+use crate::backend_protocol::{Names, Platform};
 use crate::cluster::Cluster;
 use crate::config::{Changes, Config, Logs, Places, Source};
 use crate::counter;
+use crate::descriptor_share::DescriptorShare;
 use crate::discovery;
-use crate::figures::Figures;
 use crate::logs::{self, Log};
+use crate::metrics::Figures;
 use crate::operator::{self, Desk};
 use crate::peers;
 use crate::server::Server;
-use crate::speech::{Names, Platform};
 use crate::tables::Tables;
 use cherrytally::plane::backends::Backends;
 use cherrytally::plane::body::MemoryBudget;
--- a/src/bin/heronstage/main.rs
+++ b/src/bin/heronstage/main.rs
@@ -1,20 +1,20 @@
 //! The gateway program: sockets, protocols and the command line. Load-balancing decisions are made by the
 //! library.
 
-mod beside;
+mod backend_protocol;
 mod cli;
 mod cluster;
 mod config;
 mod counter;
+mod descriptor_share;
 mod discovery;
-mod figures;
 mod gateway;
 mod logs;
+mod metrics;
 mod operator;
 mod peers;
 mod remote;
 mod server;
-mod speech;
 mod status;
 mod tables;
 mod top;
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/metrics.rs
@@ -396,6 +396,6 @@
     }
 
     fn log_line(&self, line: &str) {
-        tracing::info!("{line}");
+        tracing::info!(target: "heronstage::figures", "{line}");
     }
 }
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -2,9 +2,9 @@
 
 use crate::cluster::Cluster;
 use crate::config::Changes;
-use crate::figures::{Figures, Present};
 use crate::gateway::Reloader;
 use crate::logs::{self, Log};
+use crate::metrics::{Figures, Present};
 use crate::server::Server;
 use crate::status::{Process, Servers, Status};
 use bytes::Bytes;
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 server for clients: parses requests, hands them to the driver and writes the responses.
 
 use crate::config::Config;
-use crate::figures::{End, Figures, Place, Present};
 use crate::logs::{Names, REQUEST};
+use crate::metrics::{End, Figures, Place, Present};
 use crate::status::Phase;
 use crate::tables::{Class, Tables};
 use bytes::{Bytes, BytesMut};
--- a/src/bin/heronstage/tables.rs
+++ b/src/bin/heronstage/tables.rs
@@ -1,7 +1,7 @@
 //! Classes and plans by name, and the numbers by which the library knows them. An open request keeps its
 //! number: a reload gives changed classes new numbers and reuses those that no open request has.
 
-use crate::figures::{Ends, Figures};
+use crate::metrics::{Ends, Figures};
 use cherrytally::{Idempotency, Settings};
 use hyper::Method;
 use std::rc::Rc;
