--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -2,9 +2,9 @@
 //! upgraded, and serve meanwhile. Datagrams go through relays that a test can cut.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use serde_json::{json, Value};
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,9 +1,9 @@
 //! Each command as a person runs it from a shell, against a gateway on loopback.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
 
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -2,9 +2,9 @@
 //! typed structure.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/tests/deadline.rs
+++ b/tests/deadline.rs
@@ -2,9 +2,9 @@
 //! sockets.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::io::Write;
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -1,9 +1,9 @@
 //! The figures against a client's own count, and the form in which tools read them.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Plans of faults with five to twelve real gateways: what must hold under each, and what is left behind.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
 use granite_lab::plan::Plan;
 use granite_lab::plans;
@@ -90,11 +90,11 @@
 fn answer_all(stream: std::net::TcpStream, counts: bool, asked: &std::sync::atomic::AtomicUsize) {
     use std::io::Write;
     let mut from = std::io::BufReader::new(stream);
-    while played::read_message(&mut from).is_some() {
+    while harness::read_message(&mut from).is_some() {
         if counts && asked.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 3 == 2 {
             return;
         }
-        if from.get_mut().write_all(played::response_text(200, "", "hi").as_bytes()).is_err() {
+        if from.get_mut().write_all(harness::response_text(200, "", "hi").as_bytes()).is_err() {
             return;
         }
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,9 +1,9 @@
 //! Runs the gateway on loopback sockets, with test servers as backends, counter and discovery.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::process::{Child, Command, Stdio};
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,9 +1,9 @@
 //! The log as its readers see it: its forms, its levels, what it never says, and a reader that stops reading.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
