--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -2,11 +2,11 @@
 //! duplication, reordering and partitions.
 #![allow(missing_docs)]
 
-mod world;
+mod simulated_network;
 
 use cherrytally::membership::*;
+use simulated_network::*;
 use std::time::Instant;
-use world::*;
 
 /// Upper limit in seconds until a failed member is declared down by at least one other: eight periods until
 /// it is probed (with a probability of 2,999 in 3,000), one until that probe fails, each with jitter, the
