--- a/tests/simulated_network/mod.rs
+++ b/tests/simulated_network/mod.rs
@@ -37,8 +37,8 @@
     Datagram(usize, Vec<u8>),
 }
 
-/// The network and its nodes, by index; `None` where no process runs.
-pub struct World {
+/// The network, with its nodes by index; `None` where no process runs.
+pub struct Network {
     pub now: f64,
     pub nodes: Vec<Option<Node>>,
     pub rng: fastrand::Rng,
@@ -72,9 +72,9 @@
     usize::from(high) << 8 | usize::from(low)
 }
 
-impl World {
-    pub fn new(size: usize, seed: u64) -> World {
-        World {
+impl Network {
+    pub fn new(size: usize, seed: u64) -> Network {
+        Network {
             now: 0.0,
             nodes: (0..size).map(|_| None).collect(),
             rng: fastrand::Rng::with_seed(seed),
@@ -95,14 +95,14 @@
     }
 
     /// A network with a process at each address, run until all of them know each other.
-    pub fn converged(size: usize, seed: u64) -> World {
-        let mut world = World::new(size, seed);
-        (0..size).for_each(|index| world.start(index));
+    pub fn converged(size: usize, seed: u64) -> Network {
+        let mut network = Network::new(size, seed);
+        (0..size).for_each(|index| network.start(index));
         assert!(
-            world.run_until(60.0, |world| world.is_converged()).is_some(),
+            network.run_until(60.0, |network| network.is_converged()).is_some(),
             "{size} members did not converge"
         );
-        world
+        network
     }
 
     pub fn settings(&self, name: &str, index: usize) -> Settings {
@@ -286,7 +286,7 @@
     }
 
     /// Runs until the condition holds, and returns after how many seconds, or `None` at the limit.
-    pub fn run_until(&mut self, seconds: f64, mut condition: impl FnMut(&World) -> bool) -> Option<f64> {
+    pub fn run_until(&mut self, seconds: f64, mut condition: impl FnMut(&Network) -> bool) -> Option<f64> {
         let start = self.now;
         loop {
             if condition(self) {
