--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module, event by event.
+//! Tests of quotas, the shared counter and admission, event by event.
 
 mod common;
 use cherrytally::*;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! The rules hold for random valid event sequences with fixed seeds.
+//! Invariants of the decision module hold for random valid event sequences with fixed seeds.
 
 mod common;
 use cherrytally::*;
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The rules of a single gateway (deadlines, retries, draining, warm-up, ceilings) and regressions.
+//! Tests of request routing: deadlines, retries, draining, ejection, warm-up, subsets and hard limits.
 
 mod common;
 use cherrytally::*;
