--- a/src/plane/http.rs
+++ b/src/plane/http.rs
@@ -103,12 +103,6 @@
         !self.buf.is_empty()
     }
 
-    /// True if a peeked head has not been taken, or unparsed bytes are buffered. False in the middle of a body
-    /// once the head is taken and the buffer is empty.
-    pub fn has_partial_response(&self) -> bool {
-        self.head.is_some() || self.has_buffered_bytes()
-    }
-
     async fn fill(&mut self) -> io::Result<()> {
         // By default the buffer would grow by only 64 bytes per system call.
         self.buf.reserve(match self.state {
