--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -26,7 +26,7 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 /// Descriptors reserved for the log, signals, counter, discovery, peers, cluster and listener.
-const RESERVED: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Accept queue length of a listener.
 const ACCEPT_BACKLOG: u32 = 1024;
 /// New clients are still accepted for this long after SIGTERM, until health checks have seen the drain.
@@ -83,7 +83,7 @@
         }
         None => None,
     };
-    let reserved = RESERVED + operator.as_ref().map_or(0, |_| operator::PLACES + 1);
+    let reserved = RESERVED_DESCRIPTORS + operator.as_ref().map_or(0, |_| operator::PLACES + 1);
     let max_connections = config.sockets.saturating_sub(reserved).max(2) / 2;
     let backends = Backends::new(max_connections, config.connect_ms, config.idle_ms);
     let counter = config.settings.counter.and(config.places.counter);
