--- a/src/plane/driver.rs
+++ b/src/plane/driver.rs
@@ -119,13 +119,13 @@
     fn log_line(&self, line: &str);
 }
 
-/// A call that adds an amount to a counter.
+/// A call that adds an amount to a count of the quota counter.
 pub struct CounterCall {
     /// The key of the count.
     pub key: u64,
     /// The amount to add.
     pub amount: f64,
-    /// Time to live of a newly created counter, in ms.
+    /// Expiry of a count that this call creates, in ms.
     pub lifetime_ms: f64,
     /// When the call was made.
     pub at: Instant,
@@ -137,7 +137,7 @@
     pub key: u64,
     /// The result.
     pub result: CallResult,
-    /// The counter's new total, if known.
+    /// The total after the call, if it succeeded.
     pub total: f64,
     /// Duration of the call, in ms.
     pub took_ms: f64,
