--- a/src/bin/heronstage/backend_protocol.rs
+++ b/src/bin/heronstage/backend_protocol.rs
@@ -9,12 +9,12 @@
 
 /// Names of zones and kinds, in the order of the settings; a position is the number that the library uses.
 #[derive(Clone)]
-pub struct Names {
+pub struct RegistryNames {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
 }
 
-impl Names {
+impl RegistryNames {
     /// Converts a list for the driver; the flag says whether it is complete. Unknown names get the number
     /// after the last one.
     pub fn to_backends(&self, registry: Registry) -> (bool, Vec<DiscoveredBackend>) {
@@ -48,9 +48,9 @@
 }
 
 /// The platform's protocol between gateway and backends.
-pub struct Platform;
+pub struct PlatformProtocol;
 
-impl BackendProtocol for Platform {
+impl BackendProtocol for PlatformProtocol {
     fn write_attempt_headers(&self, message: &mut Vec<u8>, _: &str, remaining: Duration) {
         // Writing to a Vec cannot fail.
         let _ = write!(message, "X-Remaining-Ms: {}\r\n", remaining.as_millis());
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -1,6 +1,6 @@
 //! Client of the discovery service: follows the backend list on a long-lived watch request.
 
-use crate::backend_protocol::Names;
+use crate::backend_protocol::RegistryNames;
 use crate::config::{moved, Places, Registry};
 use bytes::BytesMut;
 use cherrytally::plane::driver::Driver;
@@ -108,7 +108,7 @@
 /// Keeps a watch open until the program ends. While discovery is unreachable the last list stays in use.
 pub async fn run(
     mut endpoints: Receiver<Places>, mut version: u64, (gateways, position): (u32, u32), seed: u64,
-    names: Names, driver: Rc<Driver>,
+    names: RegistryNames, driver: Rc<Driver>,
 ) {
     let warnings = WarningLimiter::default();
     let (mut needs_full_list, mut backoff) = (false, Backoff::new(gateways, position, seed));
@@ -126,8 +126,8 @@
 }
 
 async fn watch(
-    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff, names: &Names,
-    driver: &Rc<Driver>,
+    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff,
+    names: &RegistryNames, driver: &Rc<Driver>,
 ) -> WatchError {
     match try_watch(addr, version, needs_full_list, backoff, names, driver).await {
         Ok(()) => io::Error::other("connection closed").into(),
@@ -136,8 +136,8 @@
 }
 
 async fn try_watch(
-    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff, names: &Names,
-    driver: &Rc<Driver>,
+    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff,
+    names: &RegistryNames, driver: &Rc<Driver>,
 ) -> Result<(), WatchError> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
     let mut reader = Reader::new(stream);
@@ -178,7 +178,7 @@
 
 /// Applies one list or change. An invalid one changes nothing and sets `needs_full_list`.
 fn apply_update(
-    line: &[u8], version: &mut u64, needs_full_list: &mut bool, names: &Names, driver: &Rc<Driver>,
+    line: &[u8], version: &mut u64, needs_full_list: &mut bool, names: &RegistryNames, driver: &Rc<Driver>,
 ) -> io::Result<()> {
     *needs_full_list = true;
     let registry: Registry = serde_json::from_slice(line)?;
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -1,6 +1,6 @@
 //! The gateway process: startup, configuration reload and shutdown.
 
-use crate::backend_protocol::{Names, Platform};
+use crate::backend_protocol::{PlatformProtocol, RegistryNames};
 use crate::cluster::Cluster;
 use crate::config::{Changes, Config, Logs, Places, Source};
 use crate::counter;
@@ -89,7 +89,7 @@
     let counter = config.settings.counter.and(config.places.counter);
     let (endpoints_sender, endpoints) = watch::channel(config.places);
     let (call_senders, call_receivers) = counter::CallSenders::new();
-    let names = Names { zones: config.zones.clone(), kinds: config.kinds.clone() };
+    let names = RegistryNames { zones: config.zones.clone(), kinds: config.kinds.clone() };
     let mut settings = config.settings.clone();
     let (figures, mut tables) = (Rc::new(Figures::default()), Tables::default());
     tables.apply(&config.classes, &config.plans, &mut settings, &figures)?;
@@ -103,7 +103,7 @@
             .clone()
             .map(|peers| Box::new(move |to, body: &[u8]| peers.send(to, body)) as MessageSender),
         budget: budget.clone(),
-        protocol: Rc::new(Platform),
+        protocol: Rc::new(PlatformProtocol),
         observer: figures.clone(),
     };
     let driver = Driver::new(settings, config.seed, resources);
