--- a/src/membership/full_sync.rs
+++ b/src/membership/full_sync.rs
@@ -31,7 +31,7 @@
 }
 
 /// The sync under way.
-pub(super) struct Sync {
+pub(super) struct FullSync {
     pub(super) seq: u32,
     /// Timeout of the next page.
     pub(super) deadline: Millis,
@@ -104,8 +104,12 @@
             return;
         }
         let (seq, joins) = (self.next_seq(), self.probe_order.is_empty());
-        self.sync =
-            Some(Sync { seq, deadline: now + self.settings.period_ms, pages_left: MAX_SYNC_PAGES, joins });
+        self.sync = Some(FullSync {
+            seq,
+            deadline: now + self.settings.period_ms,
+            pages_left: MAX_SYNC_PAGES,
+            joins,
+        });
         for to in candidates {
             self.send(*to, seq, self.pull_body(""), None, actions);
         }
@@ -160,7 +164,7 @@
         let Some(sync) = self.sync.take() else { return };
         if more && sync.pages_left > 0 && !last.is_empty() {
             let seq = self.next_seq();
-            self.sync = Some(Sync {
+            self.sync = Some(FullSync {
                 seq,
                 deadline: now + self.settings.period_ms,
                 pages_left: sync.pages_left - 1,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -13,7 +13,7 @@
 pub use wire::{DropReason, DROP_REASONS, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, MAX_START_UNIX_MS};
 
 use crate::interface::Millis;
-use full_sync::{Sync, TokenBucket};
+use full_sync::{FullSync, TokenBucket};
 use probe::{Probe, Relay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -313,7 +313,7 @@
     relays: VecDeque<Relay>,
     updates: UpdateQueue,
     gossip_at: Millis,
-    sync: Option<Sync>,
+    sync: Option<FullSync>,
     sync_at: Millis,
     /// Periods from one full-state sync to the next.
     sync_interval_periods: f64,
