--- a/src/bin/heronstage/config/mod.rs
+++ b/src/bin/heronstage/config/mod.rs
@@ -351,7 +351,7 @@
             late_fail: config.prices.late_fail,
         },
         rules: Rules {
-            answer_slack_ms: config.rules.answer_slack.0,
+            deadline_grace_ms: config.rules.answer_slack.0,
             cold_capacity: config.rules.cold_from,
             warm_up_ms: config.rules.warm_up.0,
             drain_grace_ms: config.rules.drain_grace.0,
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/heronstage/counter.rs
@@ -5,8 +5,8 @@
 use bytes::{Buf, BytesMut};
 use cherrytally::plane::driver::{CounterCall, CounterReply};
 use cherrytally::plane::http::Reader;
-use cherrytally::plane::idle::IdleLimit;
-use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
+use cherrytally::plane::idle_limit::IdleLimit;
+use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
 use cherrytally::CallResult;
 use std::collections::VecDeque;
 use std::io;
@@ -19,7 +19,7 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Connections to the counter. All calls for a name use the same one, so they stay in order; a stalled
+/// Connections to the counter. All calls for a key use the same one, so they stay in order; a stalled
 /// connection does not block the others.
 const CONNECTIONS: usize = 4;
 /// Connections idle for this long, or for longer than earlier ones survived, are closed before the counter
@@ -50,7 +50,7 @@
     }
 
     pub fn call(&self, call: CounterCall) {
-        let queue = (call.name ^ call.name >> 30) as usize % self.0.len();
+        let queue = (call.key ^ call.key >> 30) as usize % self.0.len();
         // The receiver lives as long as the program.
         let _ = self.0[queue].send(call);
     }
@@ -58,22 +58,22 @@
 
 /// Starts one task for each connection.
 pub fn spawn(
-    receivers: CallReceivers, addr: SocketAddr, places: &Receiver<Endpoints>, on_reply: &ReplyHandler,
+    receivers: CallReceivers, addr: SocketAddr, endpoints: &Receiver<Endpoints>, on_reply: &ReplyHandler,
 ) {
-    let reply_timeout = places.borrow().counter_timeout;
+    let reply_timeout = endpoints.borrow().counter_timeout;
     let idle_limit = Rc::new(IdleLimit::new(MAX_IDLE));
     for calls in receivers {
-        let (places, on_reply, idle_limit) = (places.clone(), on_reply.clone(), idle_limit.clone());
+        let (endpoints, on_reply, idle_limit) = (endpoints.clone(), on_reply.clone(), idle_limit.clone());
         let (next, warnings) = (None, WarningLimiter::default());
         let connection =
-            Connection { addr, places, reply_timeout, on_reply, calls, next, idle_limit, warnings };
+            Connection { addr, endpoints, reply_timeout, on_reply, calls, next, idle_limit, warnings };
         tokio::task::spawn_local(connection.run());
     }
 }
 
 struct Connection {
     addr: SocketAddr,
-    places: Receiver<Endpoints>,
+    endpoints: Receiver<Endpoints>,
     reply_timeout: Duration,
     on_reply: ReplyHandler,
     calls: UnboundedReceiver<CounterCall>,
@@ -108,7 +108,7 @@
                 },
             };
             // Without a counter in the new configuration, calls still go to the former address.
-            let Endpoints { counter, counter_timeout: reply_timeout, .. } = *self.places.borrow();
+            let Endpoints { counter, counter_timeout: reply_timeout, .. } = *self.endpoints.borrow();
             (self.addr, self.reply_timeout) = (counter.unwrap_or(self.addr), reply_timeout);
             match timeout(self.reply_timeout, TcpStream::connect(self.addr)).await {
                 Ok(Ok(stream)) => {
@@ -135,7 +135,7 @@
 
     fn report(&self, call: &CounterCall, result: CallResult, total: f64) {
         let took_ms = call.at.elapsed().as_secs_f64() * 1000.0;
-        (self.on_reply)(CounterReply { name: call.name, result, total, took_ms });
+        (self.on_reply)(CounterReply { key: call.key, result, total, took_ms });
     }
 
     /// Serves calls on one connection until it fails, times out, is idle for too long or the counter's
@@ -152,7 +152,7 @@
         let mut enqueue = |call: CounterCall, out: &mut BytesMut, in_flight: &mut VecDeque<Pending>| {
             let text = format!(
                 "POST /counters/{:016x}?by={}&expire_ms={} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n",
-                call.name,
+                call.key,
                 (call.amount * AMOUNT_SCALE).clamp(-MAX_AMOUNT, MAX_AMOUNT),
                 call.lifetime_ms.max(1.0) as u64
             );
@@ -177,7 +177,7 @@
             let idle_limit = self.idle_limit.get();
             let wake = due.into_iter().chain(stalled_at).min().unwrap_or(last_response + idle_limit);
             tokio::select! {
-                () = endpoint_changed(&mut self.places, |p| p.counter.is_some_and(|to| to != host)), if !moved_away => {
+                () = endpoint_changed(&mut self.endpoints, |p| p.counter.is_some_and(|to| to != host)), if !moved_away => {
                     moved_away = true;
                 }
                 call = self.calls.recv(), if !moved_away => match call {
--- a/src/bin/heronstage/beside.rs
+++ b/src/bin/heronstage/descriptor_share.rs
@@ -86,7 +86,7 @@
                 let e = e.to_string();
                 if last_error.as_ref() != Some(&e) {
                     tracing::warn!(
-                        target: targets::BESIDE,
+                        target: targets::DESCRIPTOR_SHARE,
                         "sharing descriptors through {} failed: {e}",
                         self.directory.display()
                     );
--- a/src/bin/heronstage/discovery.rs
+++ b/src/bin/heronstage/discovery.rs
@@ -1,12 +1,12 @@
 //! Client of the discovery service: follows the backend list on a long-lived watch request.
 
+use crate::backend_protocol::RegistryNames;
 use crate::config::{endpoint_changed, Endpoints, Registry};
 use crate::logs::targets;
-use crate::speech::Names;
 use bytes::BytesMut;
 use cherrytally::plane::driver::Driver;
 use cherrytally::plane::http::Reader;
-use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
+use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -108,13 +108,13 @@
 
 /// Keeps a watch open until the program ends. While discovery is unreachable the last list stays in use.
 pub async fn run(
-    mut places: Receiver<Endpoints>, mut version: u64, (gateways, position): (u32, u32), seed: u64,
-    names: Names, driver: Rc<Driver>,
+    mut endpoints: Receiver<Endpoints>, mut version: u64, (gateways, position): (u32, u32), seed: u64,
+    names: RegistryNames, driver: Rc<Driver>,
 ) {
     let warnings = WarningLimiter::default();
     let (mut needs_full_list, mut backoff) = (false, Backoff::new(gateways, position, seed));
     loop {
-        let addr = places.borrow_and_update().discovery;
+        let addr = endpoints.borrow_and_update().discovery;
         tokio::select! {
             ended = watch(addr, &mut version, &mut needs_full_list, &mut backoff, &names, &driver) => {
                 warn_limited!(
@@ -126,14 +126,14 @@
                 sleep(backoff.next_delay(&ended)).await;
             }
             // Changes from the former address may have been missed: fetch the full list.
-            () = endpoint_changed(&mut places, |places| places.discovery != addr) => needs_full_list = true,
+            () = endpoint_changed(&mut endpoints, |endpoints| endpoints.discovery != addr) => needs_full_list = true,
         }
     }
 }
 
 async fn watch(
-    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff, names: &Names,
-    driver: &Rc<Driver>,
+    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff,
+    names: &RegistryNames, driver: &Rc<Driver>,
 ) -> WatchError {
     match try_watch(addr, version, needs_full_list, backoff, names, driver).await {
         Ok(()) => io::Error::other("connection closed").into(),
@@ -142,8 +142,8 @@
 }
 
 async fn try_watch(
-    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff, names: &Names,
-    driver: &Rc<Driver>,
+    addr: SocketAddr, version: &mut u64, needs_full_list: &mut bool, backoff: &mut Backoff,
+    names: &RegistryNames, driver: &Rc<Driver>,
 ) -> Result<(), WatchError> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await??;
     let mut reader = Reader::new(stream);
@@ -184,7 +184,7 @@
 
 /// Applies one list or change. An invalid one changes nothing and sets `needs_full_list`.
 fn apply_update(
-    line: &[u8], version: &mut u64, needs_full_list: &mut bool, names: &Names, driver: &Rc<Driver>,
+    line: &[u8], version: &mut u64, needs_full_list: &mut bool, names: &RegistryNames, driver: &Rc<Driver>,
 ) -> io::Result<()> {
     *needs_full_list = true;
     let registry: Registry = serde_json::from_slice(line)?;
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -1,20 +1,20 @@
 //! The gateway process: startup, configuration reload and shutdown.
 
-use crate::beside::DescriptorShare;
+use crate::backend_protocol::{PlatformProtocol, RegistryNames};
 use crate::cluster::Cluster;
 use crate::config::{Changes, Config, Endpoints, Logs, Source};
 use crate::counter;
+use crate::descriptor_share::DescriptorShare;
 use crate::discovery;
-use crate::figures::Metrics;
 use crate::logs::{self, targets, Log};
+use crate::metrics::Metrics;
 use crate::operator::{self, OperatorContext};
 use crate::peers;
 use crate::server::Server;
-use crate::speech::{Names, Platform};
 use crate::tables::Tables;
 use cherrytally::plane::backends::Backends;
+use cherrytally::plane::body::MemoryBudget;
 use cherrytally::plane::driver::{CounterCall, Driver, DriverResources, MessageSender};
-use cherrytally::plane::room::MemoryBudget;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 /// Descriptors reserved for the log, signals, counter, discovery, peers, cluster and listener.
-const RESERVED: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Accept queue length of a listener.
 const ACCEPT_BACKLOG: u32 = 1024;
 /// New clients are still accepted for this long after SIGTERM, until health checks have seen the drain.
@@ -83,13 +83,13 @@
         }
         None => None,
     };
-    let reserved = RESERVED + operator.as_ref().map_or(0, |_| operator::MAX_CONNECTIONS + 1);
+    let reserved = RESERVED_DESCRIPTORS + operator.as_ref().map_or(0, |_| operator::MAX_CONNECTIONS + 1);
     let max_connections = config.max_descriptors.saturating_sub(reserved).max(2) / 2;
     let backends = Backends::new(max_connections, config.connect_timeout_ms, config.idle_timeout_ms);
     let counter = config.settings.counter.and(config.endpoints.counter);
-    let (places_sender, places) = watch::channel(config.endpoints);
+    let (endpoints_sender, endpoints) = watch::channel(config.endpoints);
     let (call_senders, call_receivers) = counter::CallSenders::new();
-    let names = Names { zones: config.zones.clone(), kinds: config.kinds.clone() };
+    let names = RegistryNames { zones: config.zones.clone(), kinds: config.kinds.clone() };
     let mut settings = config.settings.clone();
     let (figures, mut tables) = (Rc::new(Metrics::default()), Tables::default());
     tables.apply(&config.classes, &config.plans, &mut settings, &figures)?;
@@ -103,23 +103,23 @@
             .clone()
             .map(|peers| Box::new(move |to, body: &[u8]| peers.send(to, body)) as MessageSender),
         budget: budget.clone(),
-        protocol: Rc::new(Platform),
+        protocol: Rc::new(PlatformProtocol),
         observer: figures.clone(),
     };
     let driver = Driver::new(settings, config.seed, resources);
     if let Some(addr) = counter {
         let driver = driver.clone();
         let on_reply: counter::ReplyHandler = Rc::new(move |reply| driver.counter_replied(reply));
-        counter::spawn(call_receivers, addr, &places, &on_reply);
+        counter::spawn(call_receivers, addr, &endpoints, &on_reply);
     }
-    let known = config.initial_registry.take();
-    let version = known.as_ref().map_or(0, |known| known.version);
-    if let Some(known) = known {
-        let (full, backends) = names.to_backends(known);
+    let registry = config.initial_registry.take();
+    let version = registry.as_ref().map_or(0, |registry| registry.version);
+    if let Some(registry) = registry {
+        let (full, backends) = names.to_backends(registry);
         driver.update_backends(full, backends);
     }
     tokio::task::spawn_local(discovery::run(
-        places,
+        endpoints,
         version,
         fleet_position,
         config.seed,
@@ -160,7 +160,8 @@
     let cluster = Cluster::new(driver.clone(), config.seed, shared, server.watch_drain());
     let cluster_change = cluster.prepare(config.cluster.clone())?;
     let (name, descriptors) = (config.name.clone(), config.max_descriptors);
-    let reloads = Reloader { source, config: config.into(), places: places_sender, figures: figures.clone() };
+    let reloads =
+        Reloader { source, config: config.into(), endpoints: endpoints_sender, figures: figures.clone() };
     let desk = Rc::new(OperatorContext {
         server: server.clone(),
         cluster: cluster.clone(),
@@ -238,7 +239,7 @@
     source: Source,
     /// The configuration applied last.
     config: RefCell<Config>,
-    places: watch::Sender<Endpoints>,
+    endpoints: watch::Sender<Endpoints>,
     figures: Rc<Metrics>,
 }
 
@@ -254,7 +255,7 @@
         self.figures.record_reload(result.is_ok());
         match &result {
             Ok(changes) => {
-                let Endpoints { discovery, counter, .. } = *self.places.borrow();
+                let Endpoints { discovery, counter, .. } = *self.endpoints.borrow();
                 tracing::info!(
                     target: targets::GATEWAY,
                     "SIGHUP: discovery at {discovery}, counter at {counter:?}"
@@ -290,7 +291,7 @@
             server.apply_config(&new_config)?;
         }
         cluster.apply(change);
-        self.places.send_replace(new_config.endpoints);
+        self.endpoints.send_replace(new_config.endpoints);
         new_config.initial_registry = None;
         *config = new_config;
         Ok(changes)
--- a/src/bin/heronstage/logs.rs
+++ b/src/bin/heronstage/logs.rs
@@ -17,11 +17,11 @@
 
 /// Targets of log events. The names are part of the log format and of the level settings.
 pub mod targets {
-    pub const BESIDE: &str = "heronstage::beside";
+    pub const DESCRIPTOR_SHARE: &str = "heronstage::beside";
     pub const CLUSTER: &str = "heronstage::cluster";
     pub const COUNTER: &str = "heronstage::counter";
     pub const DISCOVERY: &str = "heronstage::discovery";
-    pub const FIGURES: &str = "heronstage::figures";
+    pub const METRICS: &str = "heronstage::figures";
     pub const GATEWAY: &str = "heronstage::gateway";
     pub const OPERATOR: &str = "heronstage::operator";
     pub const SERVER: &str = "heronstage::server";
--- a/src/bin/heronstage/figures.rs
+++ b/src/bin/heronstage/metrics.rs
@@ -443,6 +443,6 @@
     }
 
     fn log_line(&self, line: &str) {
-        tracing::info!(target: targets::FIGURES, "{line}");
+        tracing::info!(target: targets::METRICS, "{line}");
     }
 }
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -2,13 +2,13 @@
 
 use crate::cluster::Cluster;
 use crate::config::Changes;
-use crate::figures::{CurrentCounts, Metrics};
 use crate::gateway::Reloader;
 use crate::logs::{self, targets, Log};
+use crate::metrics::{CurrentCounts, Metrics};
 use crate::server::Server;
 use crate::status::{Process, ServerCounts, Status};
 use bytes::Bytes;
-use cherrytally::plane::seldom::{warn_limited, WarningLimiter};
+use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -6,7 +6,7 @@
 use crate::state::*;
 use crate::subset::subset_rank;
 use std::collections::BTreeMap;
-use tuned::*;
+use tuning::*;
 
 mod admission;
 mod attempts;
@@ -15,7 +15,7 @@
 mod health;
 mod list;
 mod pick;
-mod tuned;
+mod tuning;
 
 /// The decisions of one gateway.
 pub struct Gateway {
@@ -96,8 +96,8 @@
             }
             Event::Message { from, body } => self.handle_message(now, from, &body, actions),
             Event::Probed { .. } => {}
-            Event::Counted { name, result, total, took_ms } => {
-                self.handle_counted(now, name, result, total, took_ms, actions)
+            Event::Counted { key, result, total, took_ms } => {
+                self.handle_counted(now, key, result, total, took_ms, actions)
             }
         }
     }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -2,9 +2,9 @@
 //! upgraded while they serve requests. Datagrams go through relays that can drop them.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use serde_json::{json, Value};
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -1,9 +1,9 @@
 //! The command line against a gateway on loopback: output and exit codes of each command.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
 
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,9 +1,9 @@
 //! Tests of the gateway's configuration: errors of invalid files, layers, reloads, and generated documentation.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -1,9 +1,9 @@
 //! Metrics compared with the clients' own counts, and the text formats of metrics.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fault plans of the lab, run against five to twelve gateway processes, and the cleanup after a run.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
 use granite_lab::builtin_plans;
 use granite_lab::plan::Plan;
@@ -90,11 +90,11 @@
 fn answer_all(stream: std::net::TcpStream, is_client: bool, requests: &std::sync::atomic::AtomicUsize) {
     use std::io::Write;
     let mut connection = std::io::BufReader::new(stream);
-    while played::read_message(&mut connection).is_some() {
+    while harness::read_message(&mut connection).is_some() {
         if is_client && requests.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 3 == 2 {
             return;
         }
-        if connection.get_mut().write_all(played::response_text(200, "", "hi").as_bytes()).is_err() {
+        if connection.get_mut().write_all(harness::response_text(200, "", "hi").as_bytes()).is_err() {
             return;
         }
     }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,9 +1,9 @@
 //! The log: formats, levels, hashed customer numbers, and a blocked standard error.
 #![allow(missing_docs)]
 
-mod played;
+mod harness;
 
-use played::*;
+use harness::*;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
