--- a/lab/src/model/workload.rs
+++ b/lab/src/model/workload.rs
@@ -7,13 +7,13 @@
 
 /// Maximum number of quota units that a request can take.
 pub const MAX_UNITS: f64 = 6.0;
-/// Coefficient of variation of the estimated units around the real ones.
+/// Coefficient of variation of the ratio of estimated to actual units.
 const ESTIMATE_CV: f64 = 0.45;
 /// Names of the request classes: the idempotent one, then the non-idempotent one.
 pub const CLASS_NAMES: [&str; 2] = ["status-read", "place-order"];
 /// Names of the customers' service plans.
 pub const PLAN_NAMES: [&str; 2] = ["basic", "volume"];
-/// Account number of customer 0. Accounts below it are left to other tools.
+/// Account number of customer 0. Smaller numbers are free for requests that are sent by hand.
 const FIRST_ACCOUNT: u64 = 0x1000;
 
 /// One request of a client, which is sent in one or more tries.
@@ -29,7 +29,7 @@
     pub work_ms: f64,
     /// Quota units that the client announces.
     pub estimated_units: f64,
-    /// Quota units that it really takes.
+    /// Quota units that it actually uses.
     pub units: f64,
     /// Whether the client waits for as long as `Retry-After` says.
     pub honors_retry_after: bool,
@@ -83,11 +83,13 @@
         })
     };
     let mut requests = Vec::new();
-    let max_factor = steps
+    let burst_factors = steps
         .iter()
         .filter(|(_, change)| change.action == TrafficAction::Burst)
         .map(|(_, change)| change.by.max(1.0));
-    let max_rate = traffic.per_s * max_factor.product::<f64>();
+    // A Poisson process with a varying rate, by thinning: arrivals are drawn at the maximum rate, and each is
+    // kept with the ratio of the current rate to the maximum.
+    let max_rate = traffic.per_s * burst_factors.product::<f64>();
     let mut at = 0.0;
     loop {
         let gap: f64 = Exp1.sample(&mut rng);
@@ -120,8 +122,9 @@
 pub struct EdgeRouter {
     /// Number of gateways that a customer uses.
     subset_size: usize,
-    /// Relative share of the traffic of each gateway.
+    /// Relative share of the traffic that each gateway receives.
     weights: Vec<f64>,
+    /// Whether the router considers each gateway up.
     is_up: Vec<bool>,
 }
 
@@ -175,17 +178,18 @@
 
     #[test]
     fn the_same_seed_generates_the_same_requests_at_the_planned_rate() {
-        let (mut plan, other) = (plan(""), plan("[[step]]\nat = 50\ntraffic = { do = \"burst\", by = 3.0 }"));
+        let (mut plan, burst_plan) =
+            (plan(""), plan("[[step]]\nat = 50\ntraffic = { do = \"burst\", by = 3.0 }"));
         let requests = generate_requests(&plan);
         assert_eq!(requests, generate_requests(&plan));
-        assert!((4_500..5_500).contains(&requests.len()), "{}", requests.len());
+        assert!((4_500..5_500).contains(&requests.len()), "{} requests", requests.len());
         let orders =
             requests.iter().filter(|request| request.class == 1).count() as f64 / requests.len() as f64;
-        assert!((0.13..0.19).contains(&orders), "{orders}");
+        assert!((0.13..0.19).contains(&orders), "{orders} of the requests are orders");
         let mean = requests.iter().map(|request| request.work_ms).sum::<f64>() / requests.len() as f64;
-        assert!((55.0..65.0).contains(&mean), "{mean}");
-        let late = generate_requests(&other).iter().filter(|request| request.due_at >= 50.0).count();
-        assert!((6_900..8_100).contains(&late), "{late}");
+        assert!((55.0..65.0).contains(&mean), "mean processing time of {mean} ms");
+        let late = generate_requests(&burst_plan).iter().filter(|request| request.due_at >= 50.0).count();
+        assert!((6_900..8_100).contains(&late), "{late} requests from the start of the burst");
         plan.seed = 2;
         assert_ne!(requests, generate_requests(&plan));
     }
--- a/lab/src/scale/simulated_gateway.rs
+++ b/lab/src/scale/simulated_gateway.rs
@@ -142,7 +142,7 @@
     table: Option<RouteTable>,
     routes: NameIds,
     pools: NameIds,
-    tally: QuotaClient,
+    quota_client: QuotaClient,
     /// Time of the last contact with the leader.
     last_leader_contact: Option<Millis>,
 }
@@ -162,7 +162,7 @@
             table: None,
             routes: NameIds::default(),
             pools: NameIds::default(),
-            tally: QuotaClient::new(settings.bounds.quota_slack),
+            quota_client: QuotaClient::new(settings.bounds.quota_slack),
             last_leader_contact: None,
             settings,
         }
@@ -188,7 +188,7 @@
             let contact = now - leader_contact_age_ms;
             self.last_leader_contact =
                 Some(self.last_leader_contact.map_or(contact, |last| last.max(contact)));
-            self.tally.leader_contacted(contact);
+            self.quota_client.leader_contacted(contact);
         }
         let applied_index = self.applied_index();
         if self.detail == ProxyDetail::IndexOnly {
@@ -210,7 +210,7 @@
             }
         }
         if touched.contains(&Touched::Gateways) {
-            self.tally.set_gateways(self.state.as_ref().map_or(1, |state| state.gateways.len()));
+            self.quota_client.set_gateways(self.state.as_ref().map_or(1, |state| state.gateways.len()));
         }
         touched.contains(&Touched::Config).then(|| self.configure(now)).flatten()
     }
@@ -258,7 +258,7 @@
         let table =
             RouteTable::new(&config.text, &self.zones, &mut self.routes, &mut self.pools, &previous_classes)
                 .ok()?;
-        self.tally.set_limits(now, &table.limits);
+        self.quota_client.set_limits(now, &table.limits);
         self.table = Some(table);
         Some(config.edition)
     }
--- a/lab/src/testbed/udp_relay.rs
+++ b/lab/src/testbed/udp_relay.rs
@@ -12,6 +12,8 @@
 
 /// Additional delay of a datagram that is reordered, in s.
 const REORDER_DELAY_S: f64 = 0.03;
+/// Size of the receive buffer: above the maximum size of a UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// Maximum number of delayed datagrams in flight through one relay. Further ones are dropped.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 4096;
 
@@ -21,7 +23,7 @@
     /// The address that each gateway advertises.
     pub advertised: Vec<SocketAddr>,
     /// The address of each gateway's own socket, once it is known.
-    members: Mutex<Vec<Option<SocketAddr>>>,
+    gateway_addresses: Mutex<Vec<Option<SocketAddr>>>,
 }
 
 impl DatagramRelays {
@@ -33,41 +35,44 @@
             advertised.push(socket.local_addr()?);
             sockets.push(Arc::new(socket));
         }
-        Ok(DatagramRelays { sockets, advertised, members: Mutex::new(vec![None; gateways]) })
+        Ok(DatagramRelays { sockets, advertised, gateway_addresses: Mutex::new(vec![None; gateways]) })
     }
 
     /// Sets the address of a gateway's own socket.
     pub fn set_member_address(&self, gateway: usize, address: SocketAddr) {
-        self.members.lock().unwrap_or_else(|e| e.into_inner())[gateway] = Some(address);
+        self.gateway_addresses.lock().unwrap_or_else(|e| e.into_inner())[gateway] = Some(address);
     }
 
-    /// Starts the relays, which run until the end of the run.
+    /// Starts the relays, which work until the end of the lab run.
     pub fn start(self: &Arc<Self>, context: &Arc<RunContext>) {
-        for to in 0..self.sockets.len() {
+        for receiver in 0..self.sockets.len() {
             let (relays, context) = (self.clone(), context.clone());
-            tokio::spawn(async move { relays.relay(&context, to).await });
+            tokio::spawn(async move { relays.relay_to(&context, receiver).await });
         }
     }
 
-    async fn relay(&self, context: &Arc<RunContext>, to: usize) {
+    /// Relays the datagrams that are addressed to one gateway.
+    async fn relay_to(&self, context: &Arc<RunContext>, receiver: usize) {
         let (mut buf, in_flight) =
-            (vec![0; 65_536], Arc::new(tokio::sync::Semaphore::new(MAX_DATAGRAMS_IN_FLIGHT)));
+            (vec![0; MAX_DATAGRAM_BYTES], Arc::new(tokio::sync::Semaphore::new(MAX_DATAGRAMS_IN_FLIGHT)));
         loop {
             // An error reports that an earlier datagram could not be delivered.
-            let Ok((length, from)) = self.sockets[to].recv_from(&mut buf).await else { continue };
-            let (from, target) = {
-                let members = self.members.lock().unwrap_or_else(|e| e.into_inner());
-                (members.iter().position(|member| *member == Some(from)), members[to])
+            let Ok((length, sender_address)) = self.sockets[receiver].recv_from(&mut buf).await else {
+                continue;
+            };
+            let (sender, receiver_address) = {
+                let addresses = self.gateway_addresses.lock().unwrap_or_else(|e| e.into_inner());
+                (addresses.iter().position(|address| *address == Some(sender_address)), addresses[receiver])
             };
-            let Some(target) = target else { continue };
+            let Some(receiver_address) = receiver_address else { continue };
             // No fault applies to a sender whose address is not known yet.
-            let Some(from) = from else {
-                let _ = self.sockets[to].try_send_to(&buf[..length], target);
+            let Some(sender) = sender else {
+                let _ = self.sockets[receiver].try_send_to(&buf[..length], receiver_address);
                 continue;
             };
-            let effect = context.links.effect(Node::Gateway(from), Node::Gateway(to), context.now());
+            let effect = context.links.effect(Node::Gateway(sender), Node::Gateway(receiver), context.now());
             if effect.is_none() {
-                let _ = self.sockets[to].try_send_to(&buf[..length], target);
+                let _ = self.sockets[receiver].try_send_to(&buf[..length], receiver_address);
                 continue;
             }
             let (is_lost, copies, delay_s) = {
@@ -84,11 +89,11 @@
             }
             for _ in 0..copies {
                 let Ok(permit) = in_flight.clone().try_acquire_owned() else { continue };
-                let (socket, datagram) = (self.sockets[to].clone(), buf[..length].to_vec());
+                let (socket, datagram) = (self.sockets[receiver].clone(), buf[..length].to_vec());
                 tokio::spawn(async move {
                     let _permit = permit;
                     tokio::time::sleep(Duration::from_secs_f64(delay_s)).await;
-                    let _ = socket.send_to(&datagram, target).await;
+                    let _ = socket.send_to(&datagram, receiver_address).await;
                 });
             }
         }
