--- a/overland/src/agent_state.rs
+++ b/overland/src/agent_state.rs
@@ -75,6 +75,7 @@
 /// An open link to a core process.
 struct Link {
     last_received: Millis,
+    /// When the next report is due; infinite while the link is being reset.
     next_report: Millis,
     /// The gateway's registration as last sent on this link.
     reported: Option<Gateway>,
@@ -89,11 +90,11 @@
     seeds: Vec<String>,
     state: Option<State>,
     digest: DigestCache,
-    /// The replica differs from the leader's: its ranges are sent with the next report.
+    /// The replica differs from the leader's: the digests of its ranges are sent with the next report.
     replica_differs: bool,
     /// Number of the proxy's link, and the last message received on it.
     proxy: Option<(u64, FromProxy)>,
-    /// Core processes by control address, and when each was last listed as a member or seed.
+    /// When each core process, by control address, was last listed as a member or seed.
     cores: BTreeMap<String, Millis>,
     /// The last list of members received; core processes send the list only when it changes.
     members: Vec<String>,
@@ -107,7 +108,7 @@
     awaited_index: u64,
     /// Send time of the latest report that the leader answered while the replica was up to date.
     up_to_date_at: Option<Millis>,
-    /// Whether in that answer the leader was unsettled; see `HeartbeatReply::unsettled`.
+    /// Whether the leader was unsettled in the latest answer; see [`HeartbeatReply::unsettled`].
     unsettled: bool,
 }
 
@@ -327,7 +328,8 @@
         if !leads {
             return false;
         }
-        // A message of an earlier leader may arrive after the link to a later one has closed.
+        // An earlier leader's message may arrive after a later leader was known, even if the link to the later
+        // one has closed since.
         if term < self.term {
             return false;
         }
--- a/overland/src/api.rs
+++ b/overland/src/api.rs
@@ -40,7 +40,7 @@
     NotFound,
     /// The call takes another HTTP method.
     MethodNotAllowed,
-    /// The service is unavailable, or the outcome is not known yet; a retry finds out.
+    /// The service is unavailable, or the outcome is not known yet. The caller may retry.
     Unavailable,
     /// The outcome is no longer recorded, so it cannot be reported.
     OutcomeUnknown(String),
@@ -92,11 +92,11 @@
 }
 
 /// The outcome of a call that is not refused.
-pub enum Outcome<A, W> {
+pub enum Outcome<R, W> {
     /// The response.
-    Ready(A),
+    Ready(R),
     /// The response to give once the wait has succeeded.
-    Pending(A, W),
+    Pending(R, W),
 }
 
 /// A handler of API calls.
@@ -127,35 +127,35 @@
     NotLeader,
 }
 
-/// Checks the method and the leadership, then parses and handles a call.
+/// Checks the method and whether this process may answer, then parses and handles a call.
 fn serve<C: Call, S: Answers<C>>(
-    to: &mut S, now: Millis, arg: &str, request: &CallRequest<'_>,
+    handler: &mut S, now: Millis, arg: &str, request: &CallRequest<'_>,
 ) -> Dispatched<S::Wait> {
     if request.method != C::METHOD {
         return Dispatched::Replied(Refusal::MethodNotAllowed.reply());
     }
-    if C::LEADER_ONLY && !to.is_leader() {
+    if C::LEADER_ONLY && !handler.is_leader() {
         return Dispatched::NotLeader;
     }
-    if C::LEADER_ONLY && !to.holds_lease(now) {
+    if C::LEADER_ONLY && !handler.holds_lease(now) {
         // Another process may lead by now and hold later changes.
         return Dispatched::Replied(Refusal::Unavailable.reply());
     }
     let query = request.path.split_once('?').map_or("", |(_, query)| query);
-    let success = |answer: &C::Response| Reply {
+    let success = |response: &C::Response| Reply {
         status: 200,
-        body: miniserde::json::to_string(answer),
+        body: miniserde::json::to_string(response),
         retry_after_ms: None,
     };
-    match C::parse(arg, query, request).and_then(|call| to.answer(now, call)) {
-        Ok(Outcome::Ready(answer)) => Dispatched::Replied(success(&answer)),
-        Ok(Outcome::Pending(answer, wait)) => Dispatched::Pending(success(&answer), wait),
+    match C::parse(arg, query, request).and_then(|call| handler.answer(now, call)) {
+        Ok(Outcome::Ready(response)) => Dispatched::Replied(success(&response)),
+        Ok(Outcome::Pending(response, wait)) => Dispatched::Pending(success(&response), wait),
         Err(refusal) => Dispatched::Replied(refusal.reply()),
     }
 }
 
 /// Dispatches a request to the call that its path names.
-pub fn answer<S>(to: &mut S, now: Millis, request: &CallRequest<'_>) -> Dispatched<S::Wait>
+pub fn answer<S>(handler: &mut S, now: Millis, request: &CallRequest<'_>) -> Dispatched<S::Wait>
 where
     S: Answers<Heartbeat>
         + Answers<Deregister>
@@ -171,15 +171,15 @@
     };
     let (name, arg) = path.split_once('/').unwrap_or((path, ""));
     match name {
-        Heartbeat::NAME => serve::<Heartbeat, S>(to, now, arg, request),
-        Deregister::NAME => serve::<Deregister, S>(to, now, arg, request),
-        Put::NAME => serve::<Put, S>(to, now, arg, request),
-        Patch::NAME => serve::<Patch, S>(to, now, arg, request),
-        Get::NAME => serve::<Get, S>(to, now, arg, request),
-        StartEvacuation::NAME => serve::<StartEvacuation, S>(to, now, arg, request),
-        EndEvacuation::NAME => serve::<EndEvacuation, S>(to, now, arg, request),
-        Resolve::NAME => serve::<Resolve, S>(to, now, arg, request),
-        GetStatus::NAME => serve::<GetStatus, S>(to, now, arg, request),
+        Heartbeat::NAME => serve::<Heartbeat, S>(handler, now, arg, request),
+        Deregister::NAME => serve::<Deregister, S>(handler, now, arg, request),
+        Put::NAME => serve::<Put, S>(handler, now, arg, request),
+        Patch::NAME => serve::<Patch, S>(handler, now, arg, request),
+        Get::NAME => serve::<Get, S>(handler, now, arg, request),
+        StartEvacuation::NAME => serve::<StartEvacuation, S>(handler, now, arg, request),
+        EndEvacuation::NAME => serve::<EndEvacuation, S>(handler, now, arg, request),
+        Resolve::NAME => serve::<Resolve, S>(handler, now, arg, request),
+        GetStatus::NAME => serve::<GetStatus, S>(handler, now, arg, request),
         _ => Dispatched::Replied(Refusal::NotFound.reply()),
     }
 }
@@ -200,6 +200,8 @@
     pub backend: Backend,
 }
 
+/// The body of a heartbeat. The names of its fields are part of the API; [`Heartbeat::parse`] maps them to those
+/// of [`Backend`].
 #[derive(Deserialize)]
 struct HeartbeatBody {
     service: String,
@@ -288,7 +290,7 @@
 
 /// A configuration update.
 pub struct ConfigUpdate {
-    /// Its content, or why that is invalid.
+    /// Its content, or the reason why it is invalid.
     pub document: Result<ConfigDocument, InvalidConfig>,
     /// It changes single items; otherwise it replaces the whole configuration.
     pub patch: bool,
@@ -415,7 +417,7 @@
 pub struct Resolved {
     /// The addresses at which they accept clients.
     pub addresses: Vec<String>,
-    /// How long the client may cache this, with its unit.
+    /// How long the client may cache this: a number and its unit, such as `5000ms`.
     pub ttl: String,
 }
 
--- a/overland/src/delta.rs
+++ b/overland/src/delta.rs
@@ -34,7 +34,7 @@
     pub digest: u64,
 }
 
-/// Splits a text after each `}`, as an update changes routes, tenants or services, which are objects.
+/// Splits a text after each `}`. Updates change routes, tenants or services; each of them is an object.
 fn chunks(text: &[u8]) -> impl Iterator<Item = &[u8]> {
     text.split_inclusive(|byte| *byte == b'}')
 }
@@ -44,7 +44,8 @@
 }
 
 impl Difference {
-    /// Computes the difference, in time linear in the length of both texts.
+    /// Computes the difference, in time linear in the length of both texts. Chunks of the new text that the old
+    /// one contains are copied, the others are inserted.
     pub fn between(old: &str, new: &str) -> Self {
         let (old, digest) = (old.as_bytes(), digest(new.as_bytes()));
         let mut offsets: HashMap<&[u8], usize> = HashMap::new();
--- a/overland/src/member/joining.rs
+++ b/overland/src/member/joining.rs
@@ -121,9 +121,9 @@
         let call =
             ForwardedCall { call_id, path, body: called.body.to_vec(), status: 0, term, leader_sent_at };
         self.send_peer(&to, CorePayload::Call(call), out);
-        let (granted, deadline) = (Refusal::Unavailable.reply(), now + CALL_TIMEOUT_MS);
+        let (success, deadline) = (Refusal::Unavailable.reply(), now + CALL_TIMEOUT_MS);
         let stage = Stage::Forwarded(PendingForward { to, call_id });
-        self.calls.insert(caller, PendingCall { granted, deadline, stage });
+        self.calls.insert(caller, PendingCall { success, deadline, stage });
     }
 
     /// Whether this process follows `leader` and messages pass in both directions.
--- a/overland/src/member/mod.rs
+++ b/overland/src/member/mod.rs
@@ -35,6 +35,7 @@
 
 /// Interval between ticks.
 pub const TICK_MS: Millis = 25.0;
+/// Interval of the maintenance rounds; see [`Member::run_maintenance`].
 const MAINTENANCE_INTERVAL_TICKS: u32 = 20;
 /// Interval at which the leader sends its state digest to the other members.
 const DIGEST_INTERVAL_TICKS: u32 = 200;
@@ -53,9 +54,9 @@
 /// The log is also compacted at this size, as entries may hold large configurations. All members reach the
 /// size at the same index.
 const MAX_LOG_BYTES: usize = 8 << 20;
-/// A leader hands over after this many consecutive maintenance rounds in which agents reached another member
-/// better. After a start, agents take some rounds to connect.
-const POOR_REACH_ROUNDS: u32 = 4;
+/// A leader hands over after this many consecutive maintenance rounds in which it was poorly connected to the
+/// agents; see [`RaftNode::is_poorly_connected`]. After a start, agents take some rounds to connect.
+const MAX_POORLY_CONNECTED_ROUNDS: u32 = 4;
 /// Minimum interval between handovers: if every disk is slow, no other leader is better.
 const MIN_HANDOVER_INTERVAL_MS: Millis = 10_000.0;
 
@@ -163,8 +164,9 @@
     Abort(String),
 }
 
-/// Maximum time between deciding a response and writing it. A response is decided within 550 ms (the lease)
-/// of asking a majority, and no other member leads until 700 ms after that; the rest covers clock drift.
+/// Maximum time between deciding a response and writing it. A leader decides responses only within 550 ms (the
+/// lease) of sending a message that a quorum has answered, and no other member leads within 700 ms (the minimum
+/// election timeout) of that message. The remaining 50 ms cover clock drift.
 pub const MAX_RESPONSE_DELAY_MS: Millis = 100.0;
 
 impl Action {
@@ -210,7 +212,7 @@
 /// A call that is not answered yet.
 struct PendingCall {
     /// The response if the call succeeds.
-    granted: Reply,
+    success: Reply,
     deadline: Millis,
     stage: Stage,
 }
@@ -259,8 +261,8 @@
     leadership_announced: bool,
     save_latency: SaveLatency,
     last_handover: Option<Millis>,
-    /// Consecutive maintenance rounds in which agents reached other members better than this leader.
-    poor_reach_rounds: u32,
+    /// Consecutive maintenance rounds in which this leader was poorly connected to the agents.
+    poorly_connected_rounds: u32,
     calls: BTreeMap<Caller, PendingCall>,
     /// Calls that other core processes forwarded, by sender and call id, with their arrival times; used to
     /// drop duplicates.
@@ -279,7 +281,7 @@
     ticks: u32,
     rejected_messages: u64,
     last_tick: Millis,
-    /// Until this time, received calls may date from before a stall.
+    /// Until this time, received calls may have been sent before a stall.
     stale_input_until: Millis,
     rng: fastrand::Rng,
 }
@@ -300,9 +302,8 @@
                 Err(_) => damaged = true,
             }
         }
-        // An unreadable disk counts as an empty one that may have lost a vote: the process bootstraps
-        // nothing, votes for nobody at first, and counts towards a quorum only after a leader has sent it the
-        // state.
+        // An unreadable disk counts as an empty one that may have lost a vote: the process does not bootstrap,
+        // votes for nobody at first, and counts towards a quorum only after a leader has sent it the state.
         let emptied = damaged.then(|| {
             log::error!("core: can't read the state on disk; waiting for a copy from the leader");
             PersistentState::default()
@@ -326,7 +327,7 @@
             "core: starting as {me} with {} log entries after snapshot index {} ({})",
             saved.entries.len(),
             saved.snapshot.index,
-            if bootstraps { "founds" } else { "known" }
+            if bootstraps { "bootstrapping a new cluster" } else { "not bootstrapping" }
         );
         let state = State { index: saved.snapshot.index, ..State::from_snapshot(now, state_snapshot) };
         let member = Member {
@@ -344,7 +345,7 @@
             leadership_announced: false,
             save_latency: SaveLatency::default(),
             last_handover: None,
-            poor_reach_rounds: 0,
+            poorly_connected_rounds: 0,
             calls: BTreeMap::new(),
             received_forwards: BTreeMap::new(),
             updates: Updates::default(),
@@ -364,17 +365,17 @@
         Ok((member, first_save))
     }
 
-    /// Its name: its control address.
+    /// This process's name, which is its control address.
     pub fn name(&self) -> &Name {
         &self.me
     }
 
-    /// Whether it leads.
+    /// Whether this process is the leader.
     pub fn is_leader(&self) -> bool {
         self.raft.is_leader()
     }
 
-    /// Its replica of the state.
+    /// This process's replica of the state.
     pub fn state(&self) -> &State {
         &self.state
     }
@@ -390,7 +391,7 @@
         seed || self.raft.members().iter().any(|member| member == name)
     }
 
-    /// Its Raft state.
+    /// The Raft node.
     pub fn raft(&self) -> &RaftNode {
         &self.raft
     }
@@ -416,8 +417,8 @@
             Event::Saved { took_ms } => self.save_completed(now, took_ms),
             Event::PeerMessage { from, message } => self.handle_peer_message(now, from, message, out),
             Event::ClientCall { call, method, path, body } => {
-                let called = CallRequest { method: &method, path: &path, body: &body };
-                self.handle_call(now, Caller::Client(call), &called, out);
+                let request = CallRequest { method: &method, path: &path, body: &body };
+                self.handle_call(now, Caller::Client(call), &request, out);
             }
             Event::ClientGone(call) => self.remove_call(&Caller::Client(call)),
             Event::AgentMessage { link, message } => self.handle_report(now, link, message, out),
@@ -478,7 +479,7 @@
         if self.state_incomplete && self.is_leader() {
             self.inputs.push_back(RaftInput::Event(raft::Event::TransferLeadership));
         }
-        self.check_reach(now);
+        self.check_agent_connectivity(now);
         // Older duplicates are refused because of their age.
         self.received_forwards.retain(|_, received| now - *received < joining::MAX_FORWARD_AGE_MS);
         if !self.is_authoritative(now) {
@@ -499,17 +500,17 @@
         }
     }
 
-    /// Passes the number of connected agents to the Raft node, and hands over leadership if agents have
-    /// reached another member much better for several rounds.
-    fn check_reach(&mut self, now: Millis) {
+    /// Passes the number of connected agents to the Raft node, and hands over leadership if this leader has
+    /// been poorly connected for several rounds.
+    fn check_agent_connectivity(&mut self, now: Millis) {
         let present =
             self.agents.values().filter(|agent| now - agent.last_report < presence::AGENT_TIMEOUT_MS);
         let connected_agents = present.count() as u32;
         self.inputs.push_back(RaftInput::Event(raft::Event::ReachableAgents(connected_agents)));
-        self.poor_reach_rounds =
-            if self.raft.is_poorly_connected(now) { self.poor_reach_rounds + 1 } else { 0 };
-        if self.poor_reach_rounds >= POOR_REACH_ROUNDS {
-            self.hand_over(now, "agents reach other members better");
+        self.poorly_connected_rounds =
+            if self.raft.is_poorly_connected(now) { self.poorly_connected_rounds + 1 } else { 0 };
+        if self.poorly_connected_rounds >= MAX_POORLY_CONNECTED_ROUNDS {
+            self.hand_over(now, "another member is connected to more than twice as many agents");
         }
     }
 
@@ -519,7 +520,7 @@
         let recent = self.last_handover.is_some_and(|at| now - at < MIN_HANDOVER_INTERVAL_MS);
         if self.is_leader() && !recent {
             log::warn!("core: handing over leadership: {why}");
-            (self.last_handover, self.poor_reach_rounds) = (Some(now), 0);
+            (self.last_handover, self.poorly_connected_rounds) = (Some(now), 0);
             self.inputs.push_back(RaftInput::Event(raft::Event::TransferLeadership));
         }
     }
@@ -583,6 +584,7 @@
         Some(raft::Event::Propose(Change { kind: Some(kind), deregistered }.encode_to_vec()))
     }
 
+    /// Executes an action of the Raft node.
     fn execute(&mut self, now: Millis, action: raft::Action, out: &mut Vec<Action>) {
         match action {
             raft::Action::Save(save) => {
@@ -610,6 +612,7 @@
         }
     }
 
+    /// Applies a committed entry to the state, and continues with the calls that wait for it.
     fn apply(&mut self, now: Millis, entry: &Entry, out: &mut Vec<Action>) {
         self.state_changed = true;
         if !entry.final_members.is_empty() {
@@ -641,13 +644,13 @@
                 // An entry of another term took its place: the change was not committed.
                 _ if term != entry.term => self.refuse(&caller, &Refusal::Unavailable, out),
                 Some(update_id) => self.update_applied(now, &caller, &update_id, out),
-                None => self.grant(&caller, out),
+                None => self.reply_success(&caller, out),
             }
         }
     }
 
     fn leadership_changed(&mut self, now: Millis, leads: bool, out: &mut Vec<Action>) {
-        log::info!("core: {} in term {}", if leads { "leads" } else { "follows" }, self.raft.term());
+        log::info!("core: {} in term {}", if leads { "leader" } else { "not leader" }, self.raft.term());
         self.leadership_announced = false;
         self.updates.clear_proposed();
         self.presence = Presence::new(now);
@@ -684,29 +687,29 @@
         now - self.last_tick > STALL_MS
     }
 
-    fn handle_call(&mut self, now: Millis, caller: Caller, called: &CallRequest, out: &mut Vec<Action>) {
+    fn handle_call(&mut self, now: Millis, caller: Caller, request: &CallRequest, out: &mut Vec<Action>) {
         if self.is_stalled(now) || now < self.stale_input_until {
             // The call may have waited in its socket while its caller gave up and made newer calls elsewhere.
             return self.refuse(&caller, &Refusal::Unavailable, out);
         }
-        match api::answer(self, now, called) {
+        match api::answer(self, now, request) {
             Dispatched::Replied(reply) => self.reply(&caller, reply, out),
-            Dispatched::Pending(granted, wait) => {
+            Dispatched::Pending(success, wait) => {
                 let deadline = now + CALL_TIMEOUT_MS;
                 match wait {
                     Wait::Committed(kind) => {
                         let stage = Stage::Proposing(None);
-                        self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
+                        self.calls.insert(caller.clone(), PendingCall { success, deadline, stage });
                         self.inputs.push_back(RaftInput::Propose(kind, Some(caller)));
                     }
                     Wait::Update(update) => {
                         let stage = Stage::Queued(update);
-                        self.calls.insert(caller.clone(), PendingCall { granted, deadline, stage });
+                        self.calls.insert(caller.clone(), PendingCall { success, deadline, stage });
                         self.queue_update(caller, out);
                     }
                 }
             }
-            Dispatched::NotLeader => self.forward_call(now, caller, called, out),
+            Dispatched::NotLeader => self.forward_call(now, caller, request, out),
         }
     }
 
@@ -717,10 +720,10 @@
     }
 
     /// Answers a call with its successful response.
-    fn grant(&mut self, caller: &Caller, out: &mut Vec<Action>) {
+    fn reply_success(&mut self, caller: &Caller, out: &mut Vec<Action>) {
         if let Some(call) = self.calls.get(caller) {
-            let granted = call.granted.clone();
-            self.reply(caller, granted, out);
+            let success = call.success.clone();
+            self.reply(caller, success, out);
         }
     }
 
@@ -760,7 +763,7 @@
 }
 
 /// Result of a call to a member.
-type CallResult<A> = Result<Outcome<A, Wait>, Refusal>;
+type CallResult<R> = Result<Outcome<R, Wait>, Refusal>;
 
 /// Whether a snapshot can be decoded.
 fn can_decode_snapshot(state: &[u8]) -> bool {
--- a/overland/src/member/operator_calls.rs
+++ b/overland/src/member/operator_calls.rs
@@ -45,7 +45,9 @@
     digest: u64,
     /// Edition that the update sets.
     edition: u64,
+    /// Index of its log entry.
     index: u64,
+    /// Term of its log entry.
     term: u64,
 }
 
@@ -55,7 +57,7 @@
         self.queued.retain(|queued| queued != caller);
     }
 
-    /// Records that an update is proposed as this entry.
+    /// Records that an update is proposed as the entry with this index and term.
     pub(super) fn add_proposed(&mut self, config: &ConfigRevision, index: u64, term: u64) {
         let digest = config.digests.first().copied().unwrap_or(config.call_digest);
         self.proposed.push(Proposed { digest, edition: config.edition, index, term });
@@ -109,7 +111,7 @@
 enum Step {
     /// Stay queued.
     Wait,
-    /// Join an identical update that is proposed as this entry.
+    /// Wait for an identical update that is already proposed as the entry with this index and term.
     Join { index: u64, term: u64 },
     /// Propose it.
     Propose(ChangeKind),
@@ -120,6 +122,7 @@
 }
 
 impl Member {
+    /// Queues a caller's update, or refuses it if the queue is full.
     pub(super) fn queue_update(&mut self, caller: Caller, out: &mut Vec<Action>) {
         if self.updates.queued.len() >= MAX_QUEUED {
             return self.refuse(&caller, &Refusal::Unavailable, out);
@@ -244,7 +247,7 @@
             UpdateCheck::Unrecorded => {
                 Refusal::OutcomeUnknown(format!("r{} lies too far back to tell", update_id.edition))
             }
-            // Neither accepted nor refused: the applied entry was another update's.
+            // The update is neither accepted nor rejected, as the applied entry was another update.
             UpdateCheck::Accepted(_) | UpdateCheck::Applicable | UpdateCheck::Ahead => Refusal::Unavailable,
         }
     }
@@ -277,16 +280,16 @@
 
     /// Answers the updates that are enforced.
     pub(super) fn answer_enforced(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let enforcing = |stage: &Stage| match stage {
+        let index_to_enforce = |stage: &Stage| match stage {
             Stage::Enforcing { index } => Some(*index),
             _ => None,
         };
         let calls = &self.calls;
         let waiting =
-            calls.iter().filter_map(|(caller, call)| Some((caller.clone(), enforcing(&call.stage)?)));
+            calls.iter().filter_map(|(caller, call)| Some((caller.clone(), index_to_enforce(&call.stage)?)));
         for (caller, index) in waiting.collect::<Vec<_>>() {
             if self.is_enforced(now, index) {
-                self.grant(&caller, out);
+                self.reply_success(&caller, out);
             }
         }
     }
@@ -299,8 +302,8 @@
         }
         let ack_wait_ms = self.settings.bounds.ack_wait().as_secs_f64() * 1000.0;
         self.state.gateways.keys().all(|node| {
-            let (at, applied_index) = self.presence.gateway_contact(node);
-            applied_index >= index || now - at > ack_wait_ms
+            let (contact_at, applied_index) = self.presence.gateway_contact(node);
+            applied_index >= index || now - contact_at > ack_wait_ms
         })
     }
 }
