--- a/src/bin/heronstage/config/source.rs
+++ b/src/bin/heronstage/config/source.rs
@@ -24,7 +24,7 @@
 /// Maximum file size. A platform file may contain the whole backend list.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 /// Maximum number of attempts to read a file that changes while it is read.
-const MAX_READS: usize = 5;
+const MAX_READ_ATTEMPTS: usize = 5;
 
 /// The source of the configuration, at the start and on each reload.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     lines: BTreeMap<String, usize>,
 }
 
-/// A parsed file by its format; a platform file with its text.
+/// A parsed file, by format. A platform file comes with its text, which [`load_platform`] parses again.
 enum ParsedFile {
     Platform(Document, String),
     Native(Box<Layers>),
@@ -117,8 +117,8 @@
         let value = serde_json::to_value(layers.parse()?).map_err(|e| e.to_string())?;
         let mut shown = Vec::new();
         for_each_leaf("", &value, &mut |key, value| {
-            let from = layers.origin(key).unwrap_or_else(|| "default".to_owned());
-            shown.push((key.to_owned(), value.clone(), from));
+            let origin = layers.origin(key).unwrap_or_else(|| "default".to_owned());
+            shown.push((key.to_owned(), value.clone(), origin));
         });
         Ok(EffectiveConfig(shown))
     }
@@ -128,8 +128,9 @@
 fn load_platform(text: &str) -> Result<Config, String> {
     let mut config = platform::parse(text)?;
     // Processes may share a file, so the operators' address can be set per process.
-    if let Ok(at) = std::env::var("RELAY_OPERATOR") {
-        config.operator = Some(at.parse().map_err(|e| format!("RELAY_OPERATOR {at}: {e}"))?);
+    if let Ok(address) = std::env::var("RELAY_OPERATOR") {
+        let parsed = address.parse().map_err(|e| format!("RELAY_OPERATOR {address}: {e}"))?;
+        config.operator = Some(parsed);
     }
     Ok(config)
 }
@@ -150,8 +151,11 @@
         Value::Object(map) if !map.is_empty() => {
             map.iter().for_each(|(key, v)| for_each_leaf(&child(key), v, call))
         }
-        Value::Array(all) if all.iter().any(Value::is_object) => {
-            all.iter().enumerate().for_each(|(index, v)| for_each_leaf(&format!("{path}[{index}]"), v, call));
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(index, v)| for_each_leaf(&format!("{path}[{index}]"), v, call));
         }
         _ => call(path, value),
     }
@@ -159,11 +163,11 @@
 
 // ---- Files ------------------------------------------------------------------------------------------------
 
-/// Reads a whole file. If it changes meanwhile, it is read again, so that the text is of one version.
+/// Reads a whole file. If it changes meanwhile, it is read again, so that the text never mixes two versions.
 fn read_file(path: &Path) -> io::Result<String> {
     let unchanged =
         |a: &FileMetadata, b: &FileMetadata| a.len() == b.len() && a.modified().ok() == b.modified().ok();
-    for _ in 0..MAX_READS {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let mut file = File::open(path)?;
         let before = file.metadata()?;
         let mut bytes = Vec::new();
@@ -201,7 +205,7 @@
         let (mut lines, ends) = (BTreeMap::new(), LineEnds::new(text));
         let is_json = path.extension().is_some_and(|e| e.eq_ignore_ascii_case("json"));
         let value = if is_json {
-            // Checks the syntax and the limit on nesting first, on which the walker relies.
+            // The walker relies on valid syntax and limited nesting, which this checks first.
             if let Err(e) = serde_json::from_str::<Value>(text) {
                 return Err(vec![diagnostic(location(e.line()), e)]);
             }
@@ -277,6 +281,7 @@
 }
 
 impl JsonWalker<'_> {
+    /// Parses the value of a key. `raw` is a slice of `text`, so its address gives its line.
     fn value(&mut self, key: &str, raw: &str) -> serde_json::Result<Value> {
         let line = self.ends.line(raw.as_ptr() as usize - self.text.as_ptr() as usize);
         if !key.is_empty() && self.lines.insert(key.to_owned(), line).is_some() {
@@ -394,10 +399,10 @@
             }
         }
         DeValue::Datetime(time) => time.to_string().into(),
-        DeValue::Array(all) => {
+        DeValue::Array(items) => {
             let item =
                 |(index, value)| convert_value(&format!("{key}[{index}]"), value, ends, lines, invalid);
-            all.iter().enumerate().map(item).collect::<Vec<_>>().into()
+            items.iter().enumerate().map(item).collect::<Vec<_>>().into()
         }
         DeValue::Table(table) => convert_table(key, table, ends, lines, invalid),
     }
@@ -405,6 +410,7 @@
 
 // ---- Layers -----------------------------------------------------------------------------------------------
 
+/// The lowest layer: the values of the file.
 struct FileLayer<'a>(&'a Document);
 
 impl Provider for FileLayer<'_> {
--- a/src/bin/heronstage/gateway.rs
+++ b/src/bin/heronstage/gateway.rs
@@ -91,8 +91,8 @@
     let (call_senders, call_receivers) = counter::CallSenders::new();
     let names = RegistryNames { zones: config.zones.clone(), kinds: config.kinds.clone() };
     let mut settings = config.settings.clone();
-    let (figures, mut tables) = (Rc::new(Metrics::default()), Tables::default());
-    tables.apply(&config.classes, &config.plans, &mut settings, &figures)?;
+    let (metrics, mut tables) = (Rc::new(Metrics::default()), Tables::default());
+    tables.apply(&config.classes, &config.plans, &mut settings, &metrics)?;
     let fleet_position = (settings.gateways, settings.position);
     let budget = Rc::new(MemoryBudget::new(config.max_memory_bytes));
     let resources = DriverResources {
@@ -104,7 +104,7 @@
             .map(|peers| Box::new(move |to, body: &[u8]| peers.send(to, body)) as MessageSender),
         budget: budget.clone(),
         protocol: Rc::new(PlatformProtocol),
-        observer: figures.clone(),
+        observer: metrics.clone(),
     };
     let driver = Driver::new(settings, config.seed, resources);
     if let Some(addr) = counter {
@@ -156,23 +156,23 @@
     }
     let customer_names = logs::CustomerNames::new(config.logs.customers);
     let server =
-        Server::new(driver.clone(), tables, figures.clone(), customer_names, budget, client_permits.clone());
+        Server::new(driver.clone(), tables, metrics.clone(), customer_names, budget, client_permits.clone());
     let cluster = Cluster::new(driver.clone(), config.seed, shared, server.watch_drain());
     let cluster_change = cluster.prepare(config.cluster.clone())?;
     let (name, descriptors) = (config.name.clone(), config.max_descriptors);
     let reloads =
-        Reloader { source, config: config.into(), endpoints: endpoints_sender, figures: figures.clone() };
-    let desk = Rc::new(OperatorContext {
+        Reloader { source, config: config.into(), endpoints: endpoints_sender, metrics: metrics.clone() };
+    let operator_context = Rc::new(OperatorContext {
         server: server.clone(),
         cluster: cluster.clone(),
-        figures,
+        metrics,
         log,
         reloader: reloads,
         name,
         started,
         descriptors,
     });
-    tokio::task::spawn_local(on_hangup(hangup, desk.clone()));
+    tokio::task::spawn_local(on_hangup(hangup, operator_context.clone()));
     tracing::info!(
         target: targets::GATEWAY,
         "listening on {}",
@@ -203,7 +203,7 @@
                 Ok(at) => tracing::info!(target: targets::GATEWAY, "operators call at {at}"),
                 Err(e) => tracing::warn!(target: targets::GATEWAY, "operators call at {at}: {e}"),
             }
-            operator::run(listener, desk).await;
+            operator::run(listener, operator_context).await;
         });
     }
 
@@ -240,7 +240,7 @@
     /// The configuration applied last.
     config: RefCell<Config>,
     endpoints: watch::Sender<Endpoints>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
 }
 
 impl Reloader {
@@ -252,7 +252,7 @@
     /// Loads and applies the configuration, all of it or nothing. Returns the changed keys.
     pub fn reload(&self, server: &Server, cluster: &Rc<Cluster>) -> Result<Changes, String> {
         let result = self.apply(server, cluster);
-        self.figures.record_reload(result.is_ok());
+        self.metrics.record_reload(result.is_ok());
         match &result {
             Ok(changes) => {
                 let Endpoints { discovery, counter, .. } = *self.endpoints.borrow();
@@ -298,10 +298,10 @@
     }
 }
 
-async fn on_hangup(mut hangup: Signal, desk: Rc<OperatorContext>) {
+async fn on_hangup(mut hangup: Signal, operator_context: Rc<OperatorContext>) {
     while hangup.recv().await.is_some() {
         // The result is logged and counted by the reload.
-        let _ = desk.reload();
+        let _ = operator_context.reload();
     }
 }
 
--- a/src/bin/heronstage/metrics.rs
+++ b/src/bin/heronstage/metrics.rs
@@ -60,7 +60,8 @@
     Memory,
     /// The admission decision: calls to the quota counter and the choice of a server.
     Decision,
-    /// From the first attempt to the first byte of the response, including retries and the delays between them.
+    /// From the first attempt to the final response, including retries and the delays between them. A backend's
+    /// response is final once it is received completely or streaming starts. Refusals and failures are final, too.
     Servers,
 }
 
@@ -145,7 +146,7 @@
         self.durations[outcome as usize].observe(duration.as_secs_f64());
     }
 
-    /// Records the time to the first byte of a server's response.
+    /// Records the time until a server's response is received completely or streaming starts.
     pub fn record_first_byte(&self, delay: Duration) {
         self.first_byte.observe(delay.as_secs_f64());
     }
--- a/src/bin/heronstage/operator.rs
+++ b/src/bin/heronstage/operator.rs
@@ -42,7 +42,7 @@
     pub reloader: Reloader,
     pub server: Rc<Server>,
     pub cluster: Rc<Cluster>,
-    pub figures: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     pub log: Rc<Log>,
     /// The gateway's name; empty if none is configured.
     pub name: String,
@@ -71,9 +71,9 @@
             phase: self.server.phase(),
             connections,
             open_requests,
-            relayed: self.figures.relayed_total(),
-            classes: self.figures.classes(),
-            refusals: self.figures.refusals(),
+            relayed: self.metrics.relayed_total(),
+            classes: self.metrics.classes(),
+            refusals: self.metrics.refusals(),
             servers: ServerCounts { listed, avoided },
             members: self.cluster.members(),
             process: Process::current(self.descriptors),
@@ -138,13 +138,13 @@
         "/admin/resume" => text(StatusCode::CONFLICT, "ending after SIGTERM\n"),
         "/admin/stats" => {
             let stats =
-                context.figures.stats(&server.present(), |registry| cluster.register_metrics(registry));
+                context.metrics.stats(&server.present(), |registry| cluster.register_metrics(registry));
             text(StatusCode::OK, stats)
         }
         "/metrics" => {
             let (current, process) = (server.present(), Process::current(context.descriptors));
             let dropped_lines = context.log.dropped_lines();
-            let metrics = context.figures.open_metrics(&current, &process, dropped_lines, |registry| {
+            let metrics = context.metrics.open_metrics(&current, &process, dropped_lines, |registry| {
                 cluster.register_metrics(registry)
             });
             body(StatusCode::OK, metrics, OPEN_METRICS)
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/heronstage/server.rs
@@ -54,7 +54,7 @@
 pub struct Server {
     driver: Rc<Driver>,
     tables: RefCell<Tables>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     /// Names of customers in the log.
     names: CustomerNames,
     /// Requests handed to the driver that have not ended.
@@ -241,20 +241,20 @@
         &mut self, received: Instant, deadline: Option<Deadline>, attempts: AttemptSummary,
         response: &FinalResponse,
     ) -> Instant {
-        let figures = &self.server.figures;
+        let metrics = &self.server.metrics;
         let now = Instant::now();
-        figures.record_wait(Stage::Decision, attempts.first_sent.unwrap_or(now).duration_since(received));
+        metrics.record_wait(Stage::Decision, attempts.first_sent.unwrap_or(now).duration_since(received));
         let mut first_byte = None;
         if let Some(sent) = attempts.first_sent {
-            figures.record_wait(Stage::Servers, now.duration_since(sent));
+            metrics.record_wait(Stage::Servers, now.duration_since(sent));
         }
         if let Some(deadline) = deadline {
-            figures.record_time_left(
+            metrics.record_time_left(
                 attempts.first_sent.map(|sent| deadline.remaining(sent)),
                 deadline.remaining(now),
             );
             if deadline.expired(now) && !matches!(response, FinalResponse::Served { .. }) {
-                figures.record_expired(if attempts.first_sent.is_some() {
+                metrics.record_expired(if attempts.first_sent.is_some() {
                     Stage::Servers
                 } else {
                     Stage::Decision
@@ -310,7 +310,7 @@
 
 impl Server {
     pub fn new(
-        driver: Rc<Driver>, tables: Tables, figures: Rc<Metrics>, names: CustomerNames,
+        driver: Rc<Driver>, tables: Tables, metrics: Rc<Metrics>, names: CustomerNames,
         budget: Rc<MemoryBudget>, client_permits: Arc<Semaphore>,
     ) -> Rc<Self> {
         let (tables, drain) = (RefCell::new(tables), watch::Sender::new(Drain::Inactive));
@@ -318,7 +318,7 @@
         Rc::new(Server {
             driver,
             tables,
-            figures,
+            metrics,
             names,
             open_requests,
             budget,
@@ -332,7 +332,7 @@
     /// Applies a new configuration's settings, all or none. Open requests keep the previous ones.
     pub fn apply_config(&self, config: &Config) -> Result<(), String> {
         let mut settings = config.settings.clone();
-        self.tables.borrow_mut().apply(&config.classes, &config.plans, &mut settings, &self.figures)?;
+        self.tables.borrow_mut().apply(&config.classes, &config.plans, &mut settings, &self.metrics)?;
         self.driver.apply_settings(settings, config.connect_timeout_ms, config.idle_timeout_ms);
         Ok(())
     }
@@ -479,7 +479,7 @@
         let mut reply = match self.handle(request, body_due, RequestGuard::new(self)).await {
             Ok(reply) => reply,
             Err(rejection) => {
-                self.figures.record_undecided(rejection.status.as_u16());
+                self.metrics.record_undecided(rejection.status.as_u16());
                 rejection.reply()
             }
         };
@@ -542,8 +542,8 @@
         let received = Instant::now();
         info.deadline = client_deadline.deadline(received);
         if size != Some(0) {
-            self.figures.record_wait(Stage::Memory, reserved_at.duration_since(guard.started));
-            self.figures.record_wait(Stage::Body, received.duration_since(reserved_at));
+            self.metrics.record_wait(Stage::Memory, reserved_at.duration_since(guard.started));
+            self.metrics.record_wait(Stage::Body, received.duration_since(reserved_at));
         }
         // With a streamed body the deadline counts from its end, which is not known yet.
         let deadline = Some(info.deadline).filter(|_| unread.is_none());
@@ -607,7 +607,7 @@
     /// The rejection of a request whose deadline passed before it was complete; it was not sent to a backend.
     fn check_deadline(&self, client_deadline: &ClientDeadline, place: Stage) -> Option<Rejection> {
         client_deadline.expired(Instant::now()).then(|| {
-            self.figures.record_expired(place);
+            self.metrics.record_expired(place);
             Rejection::new(StatusCode::TOO_MANY_REQUESTS, "its time is over; trying again is harmless\n")
         })
     }
--- a/src/bin/heronstage/tables.rs
+++ b/src/bin/heronstage/tables.rs
@@ -36,7 +36,7 @@
     /// Applies a configuration's classes and plans, and reorders those of `settings` by number. An error
     /// changes nothing.
     pub fn apply(
-        &mut self, classes: &[String], plans: &[String], settings: &mut Settings, figures: &Metrics,
+        &mut self, classes: &[String], plans: &[String], settings: &mut Settings, metrics: &Metrics,
     ) -> Result<(), String> {
         let mut table: Vec<_> = self.classes.iter().map(|(class, _)| (class.clone(), false)).collect();
         for (name, class_settings) in classes.iter().zip(&settings.classes) {
@@ -64,7 +64,7 @@
                     Method::POST
                 },
                 keyed: matches!(class_settings.idempotency, Idempotency::Keyed { .. }),
-                metrics: figures.class_metrics(name)?,
+                metrics: metrics.class_metrics(name)?,
                 settings: *class_settings,
             });
             match table.get_mut(number) {
