--- a/overland/src/delta.rs
+++ b/overland/src/delta.rs
@@ -23,9 +23,9 @@
     pub inserted: Vec<u8>,
 }
 
-/// A text, encoded as its difference from another.
+/// A text, encoded as its difference from another text.
 #[derive(Clone, PartialEq, Message)]
-pub struct Difference {
+pub struct Delta {
     /// The parts of the new text, in order.
     #[prost(message, repeated, tag = "1")]
     pub pieces: Vec<Piece>,
@@ -43,7 +43,7 @@
     a.zip(b).take_while(|(a, b)| a == b).count()
 }
 
-impl Difference {
+impl Delta {
     /// Computes the difference, in time linear in the length of both texts. Chunks of the new text that the old
     /// one contains are copied, the others are inserted.
     pub fn between(old: &str, new: &str) -> Self {
@@ -71,7 +71,7 @@
         for first in 0..pieces.len() {
             extend_copies(old, &mut pieces[first..]);
         }
-        Difference { pieces, digest }
+        Delta { pieces, digest }
     }
 
     /// Reconstructs the new text from the old one; none if `old` is not the text that the difference was made
--- a/overland/src/member/operator_calls.rs
+++ b/overland/src/member/operator_calls.rs
@@ -16,7 +16,7 @@
     Answers, ConfigUpdate, Done, EndEvacuation, Get, Outcome, Patch, Put, Refusal, StartEvacuation,
 };
 use crate::config::{full_config_digest, ConfigDocument};
-use crate::delta::Difference;
+use crate::delta::Delta;
 use crate::protocol::{ChangeKind, ConfigRevision, RejectedUpdate};
 use crate::state::UpdateCheck;
 use crate::update_outcomes::UpdateId;
@@ -229,7 +229,7 @@
         let Some(current) = current.filter(|_| self.raft.all_read_entry_version()) else {
             return config;
         };
-        let difference = Difference::between(&current.text, &config.text);
+        let difference = Delta::between(&current.text, &config.text);
         if difference.encoded_len() >= config.text.len() / 2 {
             return config;
         }
--- a/overland/src/protocol.rs
+++ b/overland/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The messages between the system's processes, and the changes and snapshots of the replicated state.
 
-use crate::delta::Difference;
+use crate::delta::Delta;
 use prost::{Message, Oneof};
 
 /// A change of the replicated state: the payload of a log entry.
@@ -61,7 +61,7 @@
     pub digests: Vec<u64>,
     /// In a change, instead of `text`: the difference from the text of the edition that it builds on.
     #[prost(message, optional, tag = "6")]
-    pub difference: Option<Difference>,
+    pub difference: Option<Delta>,
 }
 
 /// A rejected configuration update, whose base was not in force yet.
--- a/overland/tests/delta.rs
+++ b/overland/tests/delta.rs
@@ -1,6 +1,6 @@
 //! Differences of texts: applied to the old text, a difference yields the new one.
 
-use overland::delta::{Difference, Piece};
+use overland::delta::{Delta, Piece};
 use prost::Message;
 
 /// Random objects, like those of a configuration, with some duplicates.
@@ -39,7 +39,7 @@
         let count = rng.usize(0..60);
         let old = objects(&mut rng, count);
         let new = if rng.u32(0..8) == 0 { objects(&mut rng, 20) } else { modified(&mut rng, &old) };
-        let difference = Difference::between(&old, &new);
+        let difference = Delta::between(&old, &new);
         assert_eq!(difference.apply(&old), Some(new.clone()));
         // Applied to another text, it fails or still yields the new text.
         let other = modified(&mut rng, &old);
@@ -56,7 +56,7 @@
         format!(r#"{{"docks":[{}],"edition":"r{changed}"}}"#, all.collect::<Vec<_>>().join(","))
     };
     let (old, new) = (routes(17), routes(4000));
-    let difference = Difference::between(&old, &new);
+    let difference = Delta::between(&old, &new);
     let bytes = difference.encoded_len();
     assert!(bytes < 200, "{bytes} bytes of {}", new.len());
     assert_eq!(difference.apply(&old), Some(new));
@@ -78,6 +78,6 @@
         // 8 Mi pieces of 6 bytes: more than the 32 MiB that a text may have.
         vec![piece(0, 6, b""); 8 << 20],
     ] {
-        assert_eq!(Difference { pieces, digest: 0 }.apply("abcdef"), None);
+        assert_eq!(Delta { pieces, digest: 0 }.apply("abcdef"), None);
     }
 }
--- a/overland/tests/updates.rs
+++ b/overland/tests/updates.rs
@@ -5,7 +5,7 @@
 mod simulated;
 
 use overland::agent_state::{self, AgentStateMachine};
-use overland::delta::Difference;
+use overland::delta::Delta;
 use overland::protocol::{
     Change, ChangeKind, ConfigRevision, FromProxy, HeartbeatReply, IndexedChange, StateSnapshot, ToAgent,
 };
@@ -194,7 +194,7 @@
 
 /// A change from one configuration text to another, as a difference.
 fn difference_change(index: u64, edition: u64, old: &str, new: &str) -> IndexedChange {
-    let difference = Some(Difference::between(old, new));
+    let difference = Some(Delta::between(old, new));
     let config = ConfigRevision { based_on: Some(edition - 1), difference, ..config_revision(edition, "") };
     IndexedChange {
         index,
