--- a/overland/src/delta.rs
+++ b/overland/src/delta.rs
@@ -23,9 +23,9 @@
     pub inserted: Vec<u8>,
 }
 
-/// A text, encoded as its difference from another.
+/// A text, encoded as its difference from another text.
 #[derive(Clone, PartialEq, Message)]
-pub struct Difference {
+pub struct Delta {
     /// The parts of the new text, in order.
     #[prost(message, repeated, tag = "1")]
     pub pieces: Vec<Piece>,
@@ -34,7 +34,7 @@
     pub digest: u64,
 }
 
-/// Splits a text after each `}`, as an update changes routes, tenants or services, which are objects.
+/// Splits a text after each `}`. Updates change routes, tenants or services; each of them is an object.
 fn chunks(text: &[u8]) -> impl Iterator<Item = &[u8]> {
     text.split_inclusive(|byte| *byte == b'}')
 }
@@ -43,8 +43,9 @@
     a.zip(b).take_while(|(a, b)| a == b).count()
 }
 
-impl Difference {
-    /// Computes the difference, in time linear in the length of both texts.
+impl Delta {
+    /// Computes the difference, in time linear in the length of both texts. Chunks of the new text that the old
+    /// one contains are copied, the others are inserted.
     pub fn between(old: &str, new: &str) -> Self {
         let (old, digest) = (old.as_bytes(), digest(new.as_bytes()));
         let mut offsets: HashMap<&[u8], usize> = HashMap::new();
@@ -70,7 +71,7 @@
         for first in 0..pieces.len() {
             extend_copies(old, &mut pieces[first..]);
         }
-        Difference { pieces, digest }
+        Delta { pieces, digest }
     }
 
     /// Reconstructs the new text from the old one; none if `old` is not the text that the difference was made
