--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -34,7 +34,8 @@
 #[derive(Parser)]
 #[command(version, about = "Runs fault-injection plans and scale tests on a fleet of gateways")]
 struct Cli {
-    /// Gateway program. Default: heronstage in the folder of this program, built first in a source checkout.
+    /// Gateway program. Default: oakfall-gateway in the folder of this program, built first in a source
+    /// checkout.
     #[arg(long, global = true, value_name = "FILE")]
     gateway: Option<PathBuf>,
     #[command(subcommand)]
@@ -332,11 +333,11 @@
         return Ok(program.clone());
     }
     let lab = std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?;
-    let gateway = lab.with_file_name("heronstage");
+    let gateway = lab.with_file_name("oakfall-gateway");
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap_or(Path::new("."));
     if root.join("Cargo.toml").is_file() {
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
-        build.current_dir(root).args(["build", "--quiet", "--locked", "--bin", "heronstage"]);
+        build.current_dir(root).args(["build", "--quiet", "--locked", "--bin", "oakfall-gateway"]);
         if lab.parent().is_some_and(|folder| folder.ends_with("release")) {
             build.arg("--release");
         }
--- a/lab/src/scale/cost_measurement.rs
+++ b/lab/src/scale/cost_measurement.rs
@@ -8,7 +8,7 @@
 use super::generator::{zone_of, FleetSize, GeneratedFleet, NodeSettings};
 use super::regression::LinearFit;
 use super::simulated_gateway::{thread_cpu_s, ProxyDetail, SimulatedProxy};
-use cherrytally::Millis;
+use oakfall::Millis;
 use oakfall_system::config::Config;
 use oakfall_system::member::{Action, Event, Member, TICK_MS};
 use oakfall_system::protocol::{Charge, Charges, FromAgent, Gateway, ToProxy};
--- a/lab/src/scale/simulated_gateway.rs
+++ b/lab/src/scale/simulated_gateway.rs
@@ -4,7 +4,7 @@
 //! as the real one, and sends its agent the same messages for the same history, but it serves no requests and connects
 //! to no backends.
 
-use cherrytally::{Class, Millis};
+use oakfall::{Class, Millis};
 use oakfall_system::agent_state::{Action, AgentStateMachine, Event};
 use oakfall_system::protocol::{
     ChangeKind, FromAgent, FromProxy, IndexedChange, StateSnapshot, ToAgent, ToProxy,
--- a/src/bin/heronstage/backend_protocol.rs
+++ b/src/bin/gateway/backend_protocol.rs
@@ -1,9 +1,9 @@
 //! The HTTP protocol of the backends, and the conversion of discovery's backend list.
 
 use crate::config::{Registry, ServerState};
-use cherrytally::plane::driver::{BackendProtocol, DiscoveredBackend};
-use cherrytally::plane::http::Head;
-use cherrytally::{BackendEntry, BackendState, CallResult};
+use oakfall::plane::driver::{BackendProtocol, DiscoveredBackend};
+use oakfall::plane::http::Head;
+use oakfall::{BackendEntry, BackendState, CallResult};
 use std::io::Write;
 use std::time::Duration;
 
--- a/src/bin/heronstage/cli.rs
+++ b/src/bin/gateway/cli.rs
@@ -32,7 +32,7 @@
 ///
 /// Without a command it serves, with the configuration file named by RELAY_CONFIG.
 #[derive(Parser)]
-#[command(name = "heronstage", version, args_conflicts_with_subcommands = true)]
+#[command(name = "oakfall-gateway", version, args_conflicts_with_subcommands = true)]
 #[command(
     after_help = "Exit codes: 0 success, 1 refused or failed, 2 invalid usage or input, 3 gateway not reached."
 )]
--- a/src/bin/heronstage/config/check.rs
+++ b/src/bin/gateway/config/check.rs
@@ -3,9 +3,9 @@
 use super::form::{Class, NativeConfig, MIN_DESCRIPTORS};
 use super::guide::{self, FileFormat};
 use super::units::Millis;
-use cherrytally::membership::{MAX_MEMBERS, MAX_NAME_BYTES};
 use jsonschema::error::ValidationErrorKind;
 use jsonschema::ValidationError;
+use oakfall::membership::{MAX_MEMBERS, MAX_NAME_BYTES};
 use serde_json::Value;
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/src/bin/heronstage/config/mod.rs
+++ b/src/bin/gateway/config/mod.rs
@@ -12,11 +12,11 @@
 pub use guide::{example, keys, schema};
 pub use source::{EffectiveConfig, FileSource, Source};
 
-use cherrytally::membership;
-use cherrytally::{
+use form::NativeConfig;
+use oakfall::membership;
+use oakfall::{
     Class, Counter, DedupScope, Idempotency, Limits, LoadReports, Penalties, Plan, Rules, Settings,
 };
-use form::NativeConfig;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::hash::{BuildHasher, RandomState};
--- a/src/bin/heronstage/counter.rs
+++ b/src/bin/gateway/counter.rs
@@ -3,11 +3,11 @@
 use crate::config::{endpoint_changed, Endpoints};
 use crate::logs::targets;
 use bytes::{Buf, BytesMut};
-use cherrytally::plane::driver::{CounterCall, CounterReply};
-use cherrytally::plane::http::Reader;
-use cherrytally::plane::idle_limit::IdleLimit;
-use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
-use cherrytally::CallResult;
+use oakfall::plane::driver::{CounterCall, CounterReply};
+use oakfall::plane::http::Reader;
+use oakfall::plane::idle_limit::IdleLimit;
+use oakfall::plane::warning_limiter::{warn_limited, WarningLimiter};
+use oakfall::CallResult;
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
--- a/src/bin/heronstage/descriptor_share.rs
+++ b/src/bin/gateway/descriptor_share.rs
@@ -2,8 +2,8 @@
 //! descriptor count in a record file in `$TMPDIR` and reads the other's.
 
 use crate::logs::targets;
-use cherrytally::plane::backends::Backends;
-use cherrytally::plane::driver::Driver;
+use oakfall::plane::backends::Backends;
+use oakfall::plane::driver::Driver;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::fs;
--- a/src/bin/heronstage/main.rs
+++ b/src/bin/gateway/main.rs
@@ -41,7 +41,7 @@
         Some(Command::Top { call, every, looks }) => block_on(top::run(call, every, looks)),
         Some(Command::Completions { shell }) => {
             let mut text = Vec::new();
-            clap_complete::generate(shell, &mut Cli::command(), "heronstage", &mut text);
+            clap_complete::generate(shell, &mut Cli::command(), "oakfall-gateway", &mut text);
             remote::print_output(&text)
         }
         Some(Command::Man) => {
@@ -55,7 +55,7 @@
         Ok(exit) => exit.into(),
         Err(Failure { exit: ExitStatus::Success, .. }) => ExitStatus::Success.into(),
         Err(Failure { exit, message }) => {
-            message.lines().for_each(|line| eprintln!("heronstage: {line}"));
+            message.lines().for_each(|line| eprintln!("oakfall-gateway: {line}"));
             exit.into()
         }
     }
--- a/src/bin/heronstage/metrics.rs
+++ b/src/bin/gateway/metrics.rs
@@ -2,8 +2,8 @@
 
 use crate::logs::targets;
 use crate::status::{self, Process};
-use cherrytally::plane::driver::Observer;
-use cherrytally::{CallResult, Reason};
+use oakfall::plane::driver::Observer;
+use oakfall::{CallResult, Reason};
 use prometheus_client::encoding::text::{encode_eof, encode_registry};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
--- a/src/bin/heronstage/server.rs
+++ b/src/bin/gateway/server.rs
@@ -6,22 +6,22 @@
 use crate::status::Phase;
 use crate::tables::{Class, Tables};
 use bytes::{Bytes, BytesMut};
-use cherrytally::plane::body::{
-    BodyError, MemoryBudget, MemoryReservation, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES,
-    MAX_REQUEST_BODY_BYTES,
-};
-use cherrytally::plane::deadline::{ClientDeadline, Deadline};
-use cherrytally::plane::driver::{
-    AttemptSummary, BackendRequest, Driver, FinalResponse, RequestInfo, ResponseReceiver,
-};
-use cherrytally::plane::warning_limiter::{warn_limited, WarningLimiter};
-use cherrytally::RequestId;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION, CONTENT_LENGTH, CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use oakfall::plane::body::{
+    BodyError, MemoryBudget, MemoryReservation, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES,
+    MAX_REQUEST_BODY_BYTES,
+};
+use oakfall::plane::deadline::{ClientDeadline, Deadline};
+use oakfall::plane::driver::{
+    AttemptSummary, BackendRequest, Driver, FinalResponse, RequestInfo, ResponseReceiver,
+};
+use oakfall::plane::warning_limiter::{warn_limited, WarningLimiter};
+use oakfall::RequestId;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::pin::Pin;
--- a/src/bin/heronstage/tables.rs
+++ b/src/bin/gateway/tables.rs
@@ -2,8 +2,8 @@
 //! number: a reload gives changed classes new numbers and reuses those that no open request has.
 
 use crate::metrics::{ClassMetrics, Metrics};
-use cherrytally::{Idempotency, Settings};
 use hyper::Method;
+use oakfall::{Idempotency, Settings};
 use std::rc::Rc;
 
 /// Limit on the classes, and on the plans, including retired ones.
@@ -16,12 +16,12 @@
     pub method: Method,
     pub keyed: bool,
     pub metrics: Rc<ClassMetrics>,
-    settings: cherrytally::Class,
+    settings: oakfall::Class,
 }
 
 struct Plan {
     name: String,
-    settings: cherrytally::Plan,
+    settings: oakfall::Plan,
 }
 
 /// The configured classes and plans, each with a flag; retired entries keep their position with the flag
--- a/src/bin/cherrytally-benchlink/main.rs
+++ b/src/bin/simulator/main.rs
@@ -4,8 +4,8 @@
 mod frame;
 mod setup;
 
-use cherrytally::{Action, BackendEntry, BackendState, CallResult, Event, Gateway, Load, Outcome, Request};
 use frame::{Batch, Fields, Reply, ENTRY_BYTES};
+use oakfall::{Action, BackendEntry, BackendState, CallResult, Event, Gateway, Load, Outcome, Request};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
@@ -36,7 +36,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("cherrytally-benchlink: {message}");
+            eprintln!("oakfall-simulator: {message}");
             ExitCode::from(2)
         }
     }
--- a/src/bin/cherrytally-benchlink/setup.rs
+++ b/src/bin/simulator/setup.rs
@@ -1,6 +1,6 @@
 //! Parses the settings text, lines of `path=value`, into the library's settings.
 
-use cherrytally::{
+use oakfall::{
     Class, Counter, DedupScope, Idempotency, Limits, LoadReports, Penalties, Plan, Rules, Settings,
 };
 use std::collections::HashMap;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,7 @@
 //! the [`Action`]s that it returns. The same seed and events give the same actions.
 //!
 //! ```
-//! use cherrytally::{
+//! use oakfall::{
 //!     Action, BackendEntry, BackendState, Class, Event, Gateway, Idempotency, Limits, Plan, Request,
 //!     Settings,
 //! };
--- a/system/src/agent_state.rs
+++ b/system/src/agent_state.rs
@@ -9,7 +9,7 @@
 use crate::raft::MAX_ENTRY_VERSION;
 use crate::settings::Settings;
 use crate::state::{DigestCache, State, Touched};
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/system/src/api.rs
+++ b/system/src/api.rs
@@ -5,8 +5,8 @@
 use crate::protocol::{Backend, Evacuated};
 use crate::status::Status;
 use crate::update_outcomes::UpdateId;
-use cherrytally::Millis;
 use miniserde::{Deserialize, Serialize};
+use oakfall::Millis;
 
 /// An API request.
 pub struct CallRequest<'a> {
--- a/system/src/backend_protocol.rs
+++ b/system/src/backend_protocol.rs
@@ -1,8 +1,8 @@
 //! Protocol between the proxy and its backends: request headers and classification of responses.
 
-use cherrytally::plane::driver::BackendProtocol;
-use cherrytally::plane::http::Head;
-use cherrytally::CallResult;
+use oakfall::plane::driver::BackendProtocol;
+use oakfall::plane::http::Head;
+use oakfall::CallResult;
 use std::io::Write;
 use std::time::Duration;
 
--- a/system/src/client_response.rs
+++ b/system/src/client_response.rs
@@ -1,7 +1,7 @@
 //! Chooses the response to a client from the outcome of a request's attempts.
 
-use cherrytally::plane::body::BodyError;
-use cherrytally::plane::driver::{AttemptSummary, FinalResponse};
+use oakfall::plane::body::BodyError;
+use oakfall::plane::driver::{AttemptSummary, FinalResponse};
 
 /// On a route with at most one execution, a response with one of these statuses means that the request has
 /// not run and never will.
--- a/system/src/lib.rs
+++ b/system/src/lib.rs
@@ -1,6 +1,6 @@
 //! The processes of the load balancer: core processes that replicate the configuration and the registry of
 //! backends, agents that distribute both to the proxies, and proxies that forward requests with
-//! `cherrytally`'s data plane and load balancing.
+//! `oakfall`'s data plane and load balancing.
 
 pub mod agent;
 pub mod agent_state;
--- a/system/src/member/joining.rs
+++ b/system/src/member/joining.rs
@@ -5,7 +5,7 @@
 use crate::api::{CallRequest, Refusal, Reply};
 use crate::protocol::{CorePayload, ForwardedCall, RangeDigest, RangeDigests};
 use crate::raft::{Event, Name, RaftMessage};
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::net::SocketAddr;
 
 /// A call that was forwarded to `to` under `call_id`.
--- a/system/src/member/operator_calls.rs
+++ b/system/src/member/operator_calls.rs
@@ -20,7 +20,7 @@
 use crate::protocol::{ChangeKind, ConfigRevision, RejectedUpdate};
 use crate::state::UpdateCheck;
 use crate::update_outcomes::UpdateId;
-use cherrytally::Millis;
+use oakfall::Millis;
 use prost::Message;
 use std::collections::VecDeque;
 
--- a/system/src/member/presence.rs
+++ b/system/src/member/presence.rs
@@ -8,7 +8,7 @@
 use crate::invariants;
 use crate::protocol::{Backend, ChangeKind, Gateway};
 use crate::status::{GatewayStatus, ServiceStatus, Status, TenantUsage, ViolationCount};
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/system/src/member/push.rs
+++ b/system/src/member/push.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{Change, ChangeKind, FromAgent, Gateway, HeartbeatReply, IndexedChange, ToAgent};
 use crate::raft::{Entry, Name, MAX_ENTRY_VERSION};
 use bytes::Bytes;
-use cherrytally::Millis;
+use oakfall::Millis;
 
 /// Minimum interval between pushes of changes. It bounds the message rate to the whole fleet, however many
 /// changes there are.
--- a/system/src/member/quota.rs
+++ b/system/src/member/quota.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::protocol::{Charge, Charges, Total, Totals};
 use crate::quota::{self, Counter, Limit};
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::collections::BTreeMap;
 
 /// Quota counters; empty unless this process leads.
--- a/system/src/pipeline.rs
+++ b/system/src/pipeline.rs
@@ -8,9 +8,9 @@
 //! starts no more requests.
 
 use bytes::{Buf, BytesMut};
-use cherrytally::plane::http::has_ambiguous_line_ends;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, Uri};
+use oakfall::plane::http::has_ambiguous_line_ends;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
--- a/system/src/proxy.rs
+++ b/system/src/proxy.rs
@@ -16,19 +16,6 @@
 use crate::settings::{Settings, Watch};
 use crate::state::Touched;
 use bytes::BytesMut;
-use cherrytally::plane::backends::{Backends, Dial, Stream};
-use cherrytally::plane::body::{
-    BodyError, MemoryBudget, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES,
-};
-use cherrytally::plane::deadline::{ClientDeadline, Deadline};
-use cherrytally::plane::driver::{
-    BackendProtocol, BackendRequest, DiscoveredBackend as DriverBackend, Driver, DriverResources,
-    FinalResponse, RequestInfo,
-};
-use cherrytally::plane::http::Head;
-use cherrytally::{
-    BackendEntry, BackendState, Limits, Millis, Plan, RetryBudget, Rules, Settings as DriverSettings,
-};
 use eyre::{eyre, Result, WrapErr};
 use hyper::body::Incoming as Body;
 use hyper::header::{
@@ -39,6 +26,17 @@
 use hyper::service::service_fn;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use oakfall::plane::backends::{Backends, Dial, Stream};
+use oakfall::plane::body::{BodyError, MemoryBudget, ResponseBody, UnreadBody, Upload, MAX_BUFFERED_BYTES};
+use oakfall::plane::deadline::{ClientDeadline, Deadline};
+use oakfall::plane::driver::{
+    BackendProtocol, BackendRequest, DiscoveredBackend as DriverBackend, Driver, DriverResources,
+    FinalResponse, RequestInfo,
+};
+use oakfall::plane::http::Head;
+use oakfall::{
+    BackendEntry, BackendState, Limits, Millis, Plan, RetryBudget, Rules, Settings as DriverSettings,
+};
 use std::cell::{Cell, LazyCell, RefCell};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -172,7 +170,7 @@
 }
 
 /// Counts a request as in flight; on drop, cancels it in the driver if it has no response yet.
-struct InFlight(Rc<Proxy>, Option<cherrytally::RequestId>);
+struct InFlight(Rc<Proxy>, Option<oakfall::RequestId>);
 
 impl InFlight {
     fn new(proxy: &Rc<Proxy>) -> Self {
@@ -990,7 +988,7 @@
 
 /// Settings of the decision module.
 fn driver_settings(
-    settings: &Settings, zones: &Zones, classes: Vec<cherrytally::Class>, gateways: u32, position: u32,
+    settings: &Settings, zones: &Zones, classes: Vec<oakfall::Class>, gateways: u32, position: u32,
 ) -> DriverSettings {
     let bounds = &settings.bounds;
     DriverSettings {
--- a/system/src/quota.rs
+++ b/system/src/quota.rs
@@ -7,7 +7,7 @@
 //! unknown, sum to less than the limit, and the counter deducts the shares of the gateways it has lost
 //! contact to from what it grants to the others.
 
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::collections::BTreeMap;
 
 /// Fraction of an even split of the rate that makes up a share; the remainder covers gateways that are not
--- a/system/src/raft/membership.rs
+++ b/system/src/raft/membership.rs
@@ -11,7 +11,7 @@
 use super::role::{LeaderState, Progress, Role};
 use super::{Action, Entry, Name, RaftNode, MAX_BATCH_ENTRIES};
 use crate::invariants::{self, Invariant};
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::collections::BTreeMap;
 
 /// A member silent for this long is replaced by a caught-up learner, if there is one. Longer than the longest
--- a/system/src/raft/mod.rs
+++ b/system/src/raft/mod.rs
@@ -20,9 +20,9 @@
 pub use snapshot::LogLimits;
 
 use crate::invariants::{self, Invariant};
-use cherrytally::Millis;
 use membership::Membership;
 use messages::{AppendResponse, VoteRequest, VoteResponse};
+use oakfall::Millis;
 use role::{CandidateState, FollowerState, LeaderState, Progress, Role};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
--- a/system/src/raft/role.rs
+++ b/system/src/raft/role.rs
@@ -2,7 +2,7 @@
 
 use super::snapshot::SnapshotTransfer;
 use super::Name;
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(super) enum Role {
--- a/system/src/raft/snapshot.rs
+++ b/system/src/raft/snapshot.rs
@@ -11,7 +11,7 @@
     RETRANSMIT_BYTES_PER_MS, RETRANSMIT_MS,
 };
 use crate::state::hasher;
-use cherrytally::Millis;
+use oakfall::Millis;
 use std::collections::VecDeque;
 use std::hash::Hasher;
 use std::sync::Arc;
--- a/system/src/replica.rs
+++ b/system/src/replica.rs
@@ -5,7 +5,7 @@
 use crate::raft::MAX_ENTRY_VERSION;
 use crate::settings::Bounds;
 use crate::state::{DigestCache, State, Touched};
-use cherrytally::Millis;
+use oakfall::Millis;
 
 /// How long backends that are not known to be cold count as warm after contact with a settled leader; later,
 /// any of them may have become cold. Longer than an election, shorter than the evacuation of a zone.
--- a/system/src/routes.rs
+++ b/system/src/routes.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, Forward, InvalidConfig};
 use crate::quota::Limit;
 use crate::units;
-use cherrytally::{Class, Idempotency};
+use oakfall::{Class, Idempotency};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
--- a/system/src/state.rs
+++ b/system/src/state.rs
@@ -6,7 +6,7 @@
     RangeDigests, RejectedUpdate, Repair, StateSnapshot,
 };
 use crate::update_outcomes::{RecordedOutcomes, UpdateId, UpdateStatus};
-use cherrytally::Millis;
+use oakfall::Millis;
 use prost::Message;
 use siphasher::sip::SipHasher13;
 use std::cell::Cell;
--- a/system/tests/exchange.rs
+++ b/system/tests/exchange.rs
@@ -2,13 +2,13 @@
 //! reused, and which response the client receives.
 
 use bytes::Bytes;
-use cherrytally::plane::body::{BodyError, ResponseBody};
-use cherrytally::plane::driver::{AttemptSummary, BackendProtocol, FinalResponse};
-use cherrytally::plane::exchange::{
+use oakfall::plane::body::{BodyError, ResponseBody};
+use oakfall::plane::driver::{AttemptSummary, BackendProtocol, FinalResponse};
+use oakfall::plane::exchange::{
     AttemptFailure, ConnectionState, Exchange, ExchangeEvent, IdleConnection, Stage,
 };
-use cherrytally::plane::http::Head;
-use cherrytally::{CallResult as Ended, Reason};
+use oakfall::plane::http::Head;
+use oakfall::{CallResult as Ended, Reason};
 use oakfall_system::backend_protocol::HttpBackendProtocol;
 use oakfall_system::client_response::{client_response, ClientResponse, NOT_RUN_STATUSES};
 use std::time::Duration;
--- a/system/tests/parsers.rs
+++ b/system/tests/parsers.rs
@@ -2,7 +2,7 @@
 //! fragments. Each is compared with a strict reference that sees the whole input at once; a parser may also
 //! reject. `SECONDS` sets a longer test time.
 
-use cherrytally::plane::http::Reader;
+use oakfall::plane::http::Reader;
 use oakfall_system::pending_charges::PendingMessages;
 use oakfall_system::pipeline::Splitter;
 use std::future::Future;
--- a/system/tests/plane.rs
+++ b/system/tests/plane.rs
@@ -3,10 +3,10 @@
 #[path = "plane/mod.rs"]
 mod plane;
 
-use cherrytally::plane::driver::BackendProtocol;
-use cherrytally::plane::exchange::{AttemptFailure, Exchange, IdleConnection, Stage};
-use cherrytally::plane::http::Head;
-use cherrytally::CallResult;
+use oakfall::plane::driver::BackendProtocol;
+use oakfall::plane::exchange::{AttemptFailure, Exchange, IdleConnection, Stage};
+use oakfall::plane::http::Head;
+use oakfall::CallResult;
 use oakfall_system::backend_protocol::HttpBackendProtocol;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/system/tests/plane/backend.rs
+++ b/system/tests/plane/backend.rs
@@ -2,7 +2,7 @@
 
 use super::wire::MemoryStream;
 use super::{SentResponse, World};
-use cherrytally::plane::backends::{BoxedStream, Stream};
+use oakfall::plane::backends::{BoxedStream, Stream};
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
--- a/system/tests/plane/client.rs
+++ b/system/tests/plane/client.rs
@@ -2,7 +2,7 @@
 
 use super::wire::MemoryStream;
 use super::{SentRequest, World};
-use cherrytally::plane::backends::Stream;
+use oakfall::plane::backends::Stream;
 use oakfall_system::proxy::Proxy;
 use std::cell::Cell;
 use std::rc::Rc;
--- a/system/tests/plane/mod.rs
+++ b/system/tests/plane/mod.rs
@@ -6,7 +6,7 @@
 mod wire;
 
 use backend::TestBackend;
-use cherrytally::plane::driver::BackendProtocol;
+use oakfall::plane::driver::BackendProtocol;
 use oakfall_system::protocol::{Backend, ConfigRevision, Gateway, StateSnapshot, ToProxy};
 use oakfall_system::proxy::Proxy;
 use oakfall_system::settings::Settings;
--- a/system/tests/plane/wire.rs
+++ b/system/tests/plane/wire.rs
@@ -1,6 +1,6 @@
 //! In-memory connections with bounded buffers and short reads that can be reset, closed or silently dropped.
 
-use cherrytally::plane::backends::Stream;
+use oakfall::plane::backends::Stream;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_cherrytally-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_oakfall-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,8 +1,8 @@
 //! Tests of quotas, the shared counter and admission, event by event.
 
 mod common;
-use cherrytally::*;
 use common::*;
+use oakfall::*;
 
 #[test]
 fn request_is_sent_after_its_units_are_charged() {
--- a/tests/command.rs
+++ b/tests/command.rs
@@ -21,7 +21,7 @@
 #[test]
 fn without_arguments_it_serves_with_the_file_in_relay_config() {
     let (code, out, err) = run(&[], None);
-    assert_eq!((code, out.as_str(), err.as_str()), (2, "", "heronstage: RELAY_CONFIG is not set\n"));
+    assert_eq!((code, out.as_str(), err.as_str()), (2, "", "oakfall-gateway: RELAY_CONFIG is not set\n"));
     // `serve` without arguments does the same.
     assert_eq!(run(&["serve"], None), (code, out, err));
 }
@@ -192,7 +192,7 @@
 fn a_closed_output_pipe_is_not_a_failure() {
     let (reader, writer) = std::io::pipe().unwrap();
     drop(reader);
-    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_heronstage"));
+    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"));
     let output = command.arg("man").stdout(writer).stderr(std::process::Stdio::piped()).output().unwrap();
     assert_eq!((output.status.code(), output.stderr.as_slice()), (Some(0), &b""[..]));
 }
--- a/tests/common.rs
+++ b/tests/common.rs
@@ -1,7 +1,7 @@
 //! Helpers that drive the decision module through its public interface.
 #![allow(dead_code, missing_docs)]
 
-use cherrytally::*;
+use oakfall::*;
 
 /// A gateway's decision module and its clock.
 pub struct Rig {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -25,7 +25,7 @@
 fn check_errors(path: &Path) -> Vec<String> {
     let (code, out, err) = run_command(gateway_command().arg("check").arg(path));
     assert_eq!((code, out.as_str()), (2, ""), "{err}");
-    let prefix = format!("heronstage: {}:", path.display());
+    let prefix = format!("oakfall-gateway: {}:", path.display());
     err.lines().map(|line| line.strip_prefix(&prefix).unwrap_or(line).to_owned()).collect()
 }
 
@@ -38,7 +38,7 @@
         (0, "no mistake\n".to_owned(), String::new())
     );
     // The example's ports may be in use; all else is unchanged.
-    let child = std::process::Command::new(env!("CARGO_BIN_EXE_heronstage"))
+    let child = std::process::Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"))
         .args(["serve", "--set", "listeners.clients=127.0.0.1:0", "--set", "listeners.operators=127.0.0.1:0"])
         .arg("--config")
         .arg(&path)
@@ -232,8 +232,8 @@
     command.env("HERONSTAGE_LIMITS__DESCRIPTORS", "many").arg("check").arg(&path).args(["--set", "zoen=a"]);
     let (code, _, err) = run_command(&mut command);
     assert_eq!(code, 2);
-    let expected = "heronstage: flag --set: zoen: unknown key; did you mean zone?\n\
-        heronstage: environment HERONSTAGE_LIMITS__DESCRIPTORS: limits.descriptors: got \"many\", expected a whole number of at least 40\n";
+    let expected = "oakfall-gateway: flag --set: zoen: unknown key; did you mean zone?\n\
+        oakfall-gateway: environment HERONSTAGE_LIMITS__DESCRIPTORS: limits.descriptors: got \"many\", expected a whole number of at least 40\n";
     let mut lines: Vec<_> = err.lines().collect();
     lines.sort_by_key(|line| !line.contains("zoen"));
     assert_eq!(lines.join("\n") + "\n", expected);
@@ -243,7 +243,7 @@
 fn start_with_example(change: impl Fn(String) -> String) -> (Gateway, std::net::SocketAddr) {
     let text = example().replace("127.0.0.1:9000", "127.0.0.1:0").replace("127.0.0.1:9100", "127.0.0.1:0");
     let path = write_file(change(text), "toml");
-    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_heronstage"));
+    let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"));
     let child =
         command.args(["serve", "--config"]).arg(&path).stdin(Stdio::null()).stderr(Stdio::piped()).spawn();
     let gateway = Gateway::started((child.unwrap(), path));
--- a/tests/custody.rs
+++ b/tests/custody.rs
@@ -3,7 +3,7 @@
 //! steps.
 #![allow(missing_docs)]
 
-use cherrytally::custody::*;
+use oakfall::custody::*;
 use stateright::{Checker, Expectation, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,7 +16,7 @@
 const CONCURRENT_PLANS: usize = 3;
 
 fn options() -> Options {
-    Options::new(env!("CARGO_BIN_EXE_heronstage"))
+    Options::new(env!("CARGO_BIN_EXE_oakfall-gateway"))
 }
 
 fn plan(name: &str) -> Plan {
@@ -131,7 +131,7 @@
         Some((text, rest))
     });
     stats
-        .filter(|(text, rest)| text.contains("(heronstage") && rest.split(' ').nth(1) == Some(&own_pid))
+        .filter(|(text, rest)| text.contains("(oakfall-gateway") && rest.split(' ').nth(1) == Some(&own_pid))
         .count()
 }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -715,7 +715,7 @@
 #[test]
 fn inherited_descriptor_that_is_no_socket_is_reported() {
     let path = write_config(&basic_config(&[refusing_address()]));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heronstage"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"));
     command.env("RELAY_CONFIG", &path).env("RELAY_LISTEN_FD", "0").stdin(Stdio::null());
     let output = command.output().unwrap();
     let stderr = String::from_utf8(output.stderr).unwrap();
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -201,7 +201,7 @@
 
 pub fn start(config: &serde_json::Value) -> (Child, PathBuf) {
     let path = write_config(config);
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heronstage"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"));
     let child = command.env("RELAY_CONFIG", &path).stdin(Stdio::null()).stderr(Stdio::piped()).spawn();
     (child.unwrap(), path)
 }
@@ -211,7 +211,7 @@
     config: &serde_json::Value, listener: &TcpListener, temp_dir: &std::path::Path,
 ) -> (Child, PathBuf) {
     let path = write_config(config);
-    let script = format!("exec {} 3<&0 </dev/null", env!("CARGO_BIN_EXE_heronstage"));
+    let script = format!("exec {} 3<&0 </dev/null", env!("CARGO_BIN_EXE_oakfall-gateway"));
     let mut command = Command::new("/bin/sh");
     command
         .args(["-c", &script])
@@ -398,7 +398,7 @@
 // ---- The program as a command -----------------------------------------------------------------------------
 
 pub fn gateway_command() -> assert_cmd::Command {
-    let mut command = assert_cmd::Command::new(env!("CARGO_BIN_EXE_heronstage"));
+    let mut command = assert_cmd::Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"));
     command.env_remove("RELAY_CONFIG").env_remove("RELAY_OPERATOR").timeout(TEST_TIMEOUT);
     command
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -45,7 +45,7 @@
     let discovery = Discovery::new();
     let path = write_config(&serde_json::json!({})).with_extension("toml");
     std::fs::write(&path, config_text(logs, discovery.addr)).unwrap();
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heronstage"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"));
     command.args(["serve", "--config"]).arg(&path).stdin(Stdio::null()).stderr(Stdio::piped());
     let mut child = command.spawn().unwrap();
     let stderr = BufReader::new(child.stderr.take().unwrap());
@@ -165,7 +165,7 @@
     let (backend, _) = healthy_backend();
     let config = config_with_operator(&[backend]);
     let path = write_config(&config);
-    let mut command = Command::new(env!("CARGO_BIN_EXE_heronstage"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_oakfall-gateway"));
     let child = command.env("RELAY_CONFIG", &path).stdin(Stdio::null()).stderr(Stdio::piped()).spawn();
     let mut child = child.unwrap();
     let mut stderr = BufReader::new(child.stderr.take().unwrap());
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -4,7 +4,7 @@
 
 mod simulated_network;
 
-use cherrytally::membership::*;
+use oakfall::membership::*;
 use simulated_network::*;
 use std::time::Instant;
 
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,8 +1,8 @@
 //! Invariants of the decision module hold for random valid event sequences with fixed seeds.
 
 mod common;
-use cherrytally::*;
 use common::settings;
+use oakfall::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,8 +1,8 @@
 //! Tests of request routing: deadlines, retries, draining, ejection, warm-up, subsets and hard limits.
 
 mod common;
-use cherrytally::*;
 use common::*;
+use oakfall::*;
 
 /// Settings without a counter and quota.
 fn settings_without_quota() -> Settings {
--- a/tests/simulated_network/mod.rs
+++ b/tests/simulated_network/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated network of cluster members: deterministic by seed, in virtual time, without sockets.
 #![allow(dead_code, missing_docs)]
 
-use cherrytally::membership::*;
+use oakfall::membership::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddrV4};
