--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,13 +1,13 @@
-//! Command line of `granite-lab`, which runs fault-injection plans and scale tests on a fleet of gateways.
+//! Command line of `oakfall-lab`, which runs fault-injection plans and scale tests on a fleet of gateways.
 
 use clap::{Parser, Subcommand};
-use granite_lab::builtin_plans::{self, PLANS};
-use granite_lab::plan::Plan;
-use granite_lab::report;
-use granite_lab::scale::cost_measurement::{self, Heap};
-use granite_lab::scale::generator::FleetSize;
-use granite_lab::scale::{self, forecast, run};
-use granite_lab::testbed::{run_plan, run_plan_with_ready_callback, Options};
+use oakfall_lab::builtin_plans::{self, PLANS};
+use oakfall_lab::plan::Plan;
+use oakfall_lab::report;
+use oakfall_lab::scale::cost_measurement::{self, Heap};
+use oakfall_lab::scale::generator::FleetSize;
+use oakfall_lab::scale::{self, forecast, run};
+use oakfall_lab::testbed::{run_plan, run_plan_with_ready_callback, Options};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -133,7 +133,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
-            eprintln!("granite-lab: {e}");
+            eprintln!("oakfall-lab: {e}");
             ExitCode::from(2)
         }
     }
@@ -159,7 +159,7 @@
         }
         LabCommand::Plans { name: Some(name) } => {
             let text = builtin_plans::plan(name)
-                .ok_or_else(|| format!("unknown plan `{name}`: `granite-lab plans` lists the known ones"))?;
+                .ok_or_else(|| format!("unknown plan `{name}`: `oakfall-lab plans` lists the known ones"))?;
             print!("{text}");
             Ok(true)
         }
@@ -255,7 +255,7 @@
     std::thread::spawn(move || {
         runtime.block_on(stop_signal());
         run::kill_processes();
-        eprintln!("granite-lab: stopped");
+        eprintln!("oakfall-lab: stopped");
         std::process::exit(2);
     });
     Ok(())
--- a/lab/tests/command.rs
+++ b/lab/tests/command.rs
@@ -1,4 +1,4 @@
-//! Tests of the `granite-lab` command line: gateways that fail to start, invalid input, and shutdown by a signal.
+//! Tests of the `oakfall-lab` command line: gateways that fail to start, invalid input, and shutdown by a signal.
 #![allow(missing_docs)]
 
 use std::os::unix::fs::PermissionsExt;
@@ -49,7 +49,7 @@
     }
 
     fn lab(&self, gateway: &Path, arguments: &[&str]) -> Command {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_granite-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_oakfall-lab"));
         command.arg("--gateway").arg(gateway).args(arguments).env("TMPDIR", self.lab_tmpdir());
         command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
         command
@@ -161,7 +161,7 @@
     let plan = folder.file("big.toml", big);
     let run = format!(
         "ulimit -n 256; exec {} --gateway {} run {}",
-        env!("CARGO_BIN_EXE_granite-lab"),
+        env!("CARGO_BIN_EXE_oakfall-lab"),
         program.display(),
         plan.display()
     );
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -1,11 +1,11 @@
 //! Tests of scale runs: generated fleets, resource limits, linear fits, plots, and the command's argument checks.
 #![allow(missing_docs)]
 
-use granite_lab::scale::cost_measurement::SingleCore;
-use granite_lab::scale::generator::{FleetSize, GeneratedFleet, NodeSettings};
-use granite_lab::scale::regression::LinearFit;
-use granite_lab::scale::resource_limits::{MachineResources, ResourceEstimate};
-use granite_lab::scale::run::{percentiles, GATEWAY_THREADS};
+use oakfall_lab::scale::cost_measurement::SingleCore;
+use oakfall_lab::scale::generator::{FleetSize, GeneratedFleet, NodeSettings};
+use oakfall_lab::scale::regression::LinearFit;
+use oakfall_lab::scale::resource_limits::{MachineResources, ResourceEstimate};
+use oakfall_lab::scale::run::{percentiles, GATEWAY_THREADS};
 use oakfall_system::config::{Config, ConfigDocument};
 use oakfall_system::settings::Settings;
 use std::process::Command;
@@ -126,7 +126,7 @@
 fn command_rejects_bad_arguments_and_missing_programs() {
     let directory = tempfile::tempdir().unwrap();
     let lab = |arguments: &[&str]| {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_granite-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_oakfall-lab"));
         // The directory has no programs, so that any start fails.
         command.arg("scale").args(arguments).arg("--programs").arg(directory.path());
         let output = command.output().unwrap();
@@ -182,11 +182,11 @@
     };
     let lines = [line(30, "0.3", "null"), line(100, "null", "null"), line(300, "0.9", "\"no\"")].join("\n");
     std::fs::write(directory.path().join("runs.jsonl"), lines).unwrap();
-    granite_lab::scale::report::plots(directory.path()).unwrap();
+    oakfall_lab::scale::report::plots(directory.path()).unwrap();
     let circles =
         |name: &str| std::fs::read_to_string(directory.path().join(name)).unwrap().matches("<circle").count();
     // A run with a change that never reached all gateways is left out of the plot of times only.
     assert_eq!([circles("force.svg"), circles("bytes.svg"), circles("leader-memory.svg")], [1, 2, 2]);
     std::fs::write(directory.path().join("runs.jsonl"), "not JSON").unwrap();
-    assert!(granite_lab::scale::report::plots(directory.path()).is_err());
+    assert!(oakfall_lab::scale::report::plots(directory.path()).is_err());
 }
--- a/system/tests/simulated_gateway.rs
+++ b/system/tests/simulated_gateway.rs
@@ -1,8 +1,8 @@
 //! The lab's simulated gateway sends a core process the same messages as the real agent and proxy, for the
 //! same history.
 
-use granite_lab::scale::generator::{FleetSize, GeneratedFleet, NodeSettings};
-use granite_lab::scale::simulated_gateway::{Output, ProxyDetail, SimulatedGateway};
+use oakfall_lab::scale::generator::{FleetSize, GeneratedFleet, NodeSettings};
+use oakfall_lab::scale::simulated_gateway::{Output, ProxyDetail, SimulatedGateway};
 use oakfall_system::agent_state::Event;
 use oakfall_system::config::ConfigDocument;
 use oakfall_system::link::encode_frame;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,10 +3,10 @@
 
 mod harness;
 
-use granite_lab::builtin_plans;
-use granite_lab::plan::Plan;
-use granite_lab::report;
-use granite_lab::testbed::{run_plan, run_plan_with_ready_callback, Options, Outcome};
+use oakfall_lab::builtin_plans;
+use oakfall_lab::plan::Plan;
+use oakfall_lab::report;
+use oakfall_lab::testbed::{run_plan, run_plan_with_ready_callback, Options, Outcome};
 use std::path::Path;
 use std::sync::Mutex;
 
