--- a/overland/tests/parsers.rs
+++ b/system/tests/parsers.rs
@@ -2,9 +2,9 @@
 //! fragments. Each is compared with a strict reference that sees the whole input at once; a parser may also
 //! reject. `SECONDS` sets a longer test time.
 
-use cherrytally::plane::http::Reader;
-use overland::pending_charges::PendingMessages;
-use overland::pipeline::Splitter;
+use oakfall::plane::http::Reader;
+use oakfall_system::pending_charges::PendingMessages;
+use oakfall_system::pipeline::Splitter;
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,10 +3,10 @@
 
 mod harness;
 
-use granite_lab::builtin_plans;
-use granite_lab::plan::Plan;
-use granite_lab::report;
-use granite_lab::testbed::{run_plan, run_plan_with_ready_callback, Options, Outcome};
+use oakfall_lab::builtin_plans;
+use oakfall_lab::plan::Plan;
+use oakfall_lab::report;
+use oakfall_lab::testbed::{run_plan, run_plan_with_ready_callback, Options, Outcome};
 use std::path::Path;
 use std::sync::Mutex;
 
@@ -16,7 +16,7 @@
 const CONCURRENT_PLANS: usize = 3;
 
 fn options() -> Options {
-    Options::new(env!("CARGO_BIN_EXE_heronstage"))
+    Options::new(env!("CARGO_BIN_EXE_oakfall-gateway"))
 }
 
 fn plan(name: &str) -> Plan {
@@ -131,7 +131,7 @@
         Some((text, rest))
     });
     stats
-        .filter(|(text, rest)| text.contains("(heronstage") && rest.split(' ').nth(1) == Some(&own_pid))
+        .filter(|(text, rest)| text.contains("(oakfall-gateway") && rest.split(' ').nth(1) == Some(&own_pid))
         .count()
 }
 
